--- /dev/null
+++ b/scripts/check-help.sh
@@ -0,0 +1,34 @@
+#!/usr/bin/env bash
+# The help texts of the programs that operators call are an interface: compares them with the golden
+# files in src/posthatch/compatibility/testdata/help. With --write: writes those files (only for a
+# text that is meant to be new).
+set -euo pipefail
+cd "$(dirname "$0")/.."
+golden=src/posthatch/compatibility/testdata/help
+build=build/release
+now=$(mktemp -d)
+trap 'rm -rf "$now"' EXIT
+help_of() {  # help_of FILE PROGRAM [SUBCOMMAND...]
+  local file=$1
+  shift
+  # CLI11 prints the program by the path it was called by.
+  "$@" --help | sed "s|$build/src/posthatch/[a-z]*/||" >"$now/$file.txt"
+}
+daemon=$(find "$build/src" -name posthatchd -type f)
+control=$(find "$build/src" -name posthatchctl -type f)
+help_of posthatchd "$daemon"
+help_of posthatchd-gateway "$daemon" gateway
+help_of posthatchd-controller "$daemon" controller
+help_of posthatch-platform "$build/posthatch-platform"
+help_of posthatch-platform-gateway "$build/posthatch-platform" gateway
+help_of posthatch-platform-controller "$build/posthatch-platform" controller
+help_of posthatchctl "$control"
+for command in config evacuate lift drain evacuations model-revision model-revisions members leases inventory controllers index; do
+  help_of "posthatchctl-$command" "$control" "$command"
+done
+if [ "${1:-}" = --write ]; then
+  mkdir -p "$golden"
+  cp "$now"/*.txt "$golden"
+fi
+diff -r "$golden" "$now"
+echo "help texts: $(ls "$golden" | wc -l) as before"
--- a/scripts/simulate-all.sh
+++ b/scripts/simulate-all.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
 # Simulates every scenario over a range of seeds and prints a line each; fails if one doesn't pass.
 # Several run at a time; a simulation depends on its seed alone.
-# Usage: scripts/simulate-all.sh [FIRST_SEED] [LAST_SEED]
+# Usage: [POSTHATCH_REPORTS=FOLDER] scripts/simulate-all.sh [FIRST_SEED] [LAST_SEED]
 set -uo pipefail
 cd "$(dirname "$0")/.."
 first=${1:-1}
 last=${2:-1}
 program=build/release/src/posthatch/rehearse/posthatch-rehearse
-reports=$(mktemp -d)
+reports=${POSTHATCH_REPORTS:-$(mktemp -d)}
+mkdir -p "$reports"
 export first last program reports
 
 simulate() {
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -22,12 +22,15 @@
 scripts/check-pages.sh
 scripts/check-platform-names.sh
 scripts/check-packages.sh
+scripts/check-help.sh
 
 echo "== tests (after ${SECONDS} s)"
 scripts/run-tests.sh release
 
-echo "== every scenario, one seed (after ${SECONDS} s)"
-scripts/simulate-all.sh 1 1
+echo "== every scenario, three seeds, with the behaviour of before (after ${SECONDS} s)"
+reports=$(mktemp -d)
+POSTHATCH_REPORTS=$reports scripts/simulate-all.sh 1 3
+scripts/check-behaviour.sh "$reports"
 
 echo "== the same seed in several processes (after ${SECONDS} s)"
 scripts/check-determinism.sh 3
--- a/src/posthatch/daemon/traffic_fleet-test.h
+++ b/src/posthatch/daemon/traffic_fleet-test.h
@@ -126,6 +126,13 @@
     operator_->SetBoot([](runtime::Runtime*) { return std::make_shared<int>(0); });
     for (simulation::SimHost* host : world.hosts()) host->Start();
   }
+  // For comparing two builds by their test reports: equal behaviour gives an equal hash.
+  ~TrafficFleet() {
+    testing::Test::RecordProperty("behaviour_hash",
+                                  absl::StrCat(absl::Hex(world.behaviour_hash())));
+  }
+  TrafficFleet(const TrafficFleet&) = delete;
+  TrafficFleet& operator=(const TrafficFleet&) = delete;
 
   // Sends configuration `version`, with a route /vN/ for every version N up to it, to controllers
   // in turn until it is acknowledged.
--- a/src/posthatch/rehearse/fleet.h
+++ b/src/posthatch/rehearse/fleet.h
@@ -72,6 +72,7 @@
   virtual absl::StatusOr<std::vector<HistoryEvent>> TakeHistory() = 0;
   // Hash of the simulator's trace; 0 for real processes.
   virtual uint64_t trace_hash() const { return 0; }
+  virtual uint64_t behaviour_hash() const { return 0; }
 };
 
 }  // namespace posthatch::rehearse
--- a/src/posthatch/rehearse/rehearsal.cc
+++ b/src/posthatch/rehearse/rehearsal.cc
@@ -113,6 +113,7 @@
     return;
   }
   report->trace_hash = fleet_->trace_hash();
+  report->behaviour_hash = fleet_->behaviour_hash();
   if (options_.keep_history != nullptr) *options_.keep_history = *events;
   const RecordedHistory history(*std::move(events));
   ExamineHistory(scenario_, history, report);
--- a/src/posthatch/rehearse/report-test.cc
+++ b/src/posthatch/rehearse/report-test.cc
@@ -59,7 +59,7 @@
   const boost::json::object object = boost::json::parse(ReportJson(report)).as_object();
   for (const char* key : {"scenario", "seed", "requests", "invariants", "latency_ms",
                           "first_token_ms", "prefix_hit_ratio", "retry_ratio", "config_in_force_ms",
-                          "revision_in_force_ms", "trace_hash"}) {
+                          "revision_in_force_ms", "trace_hash", "behaviour_hash"}) {
     EXPECT_TRUE(object.contains(key)) << key;
   }
   const boost::json::object& invariant = object.at("invariants").as_array()[0].as_object();
--- a/src/posthatch/rehearse/report.cc
+++ b/src/posthatch/rehearse/report.cc
@@ -112,6 +112,7 @@
   }
   if (report.mode == "simulate") {
     object["trace_hash"] = fmt::format("{:016x}", report.trace_hash);
+    object["behaviour_hash"] = fmt::format("{:016x}", report.behaviour_hash);
     object["deterministic"] = report.deterministic;
   }
   return object;
@@ -229,9 +230,10 @@
   if (!report.failure.empty()) findings += " failure: " + report.failure;
   if (!report.deterministic) findings += " not deterministic";
   const RequestCounts& requests = report.statistics.requests;
-  return fmt::format("seed {:>5}  {}  trace {:016x}  sent {:>6} completed {:>6}{}\n", report.seed,
-                     Passed(report) ? "passed" : "FAILED", report.trace_hash, requests.sent,
-                     requests.completed, findings);
+  return fmt::format(
+      "seed {:>5}  {}  trace {:016x}  behaviour {:016x}  sent {:>6} completed {:>6}{}\n",
+      report.seed, Passed(report) ? "passed" : "FAILED", report.trace_hash, report.behaviour_hash,
+      requests.sent, requests.completed, findings);
 }
 
 absl::Status WriteFile(const std::string& path, const std::string& text) {
--- a/src/posthatch/rehearse/report.h
+++ b/src/posthatch/rehearse/report.h
@@ -26,8 +26,9 @@
   std::vector<FaultOutcome> faults;
   std::vector<FaultOutcome> operations;
   std::optional<double> round_robin_hit_ratio;
-  uint64_t trace_hash = 0;    // simulate only
-  bool deterministic = true;  // false: a second run of the seed had another trace hash
+  uint64_t trace_hash = 0;      // simulate only
+  uint64_t behaviour_hash = 0;  // simulate only: the trace without the text of trace events
+  bool deterministic = true;    // false: a second run of the seed had another trace hash
 };
 
 // Whether every check that applies examined something and found nothing, and the run was whole.
--- a/src/posthatch/rehearse/simulated_fleet.h
+++ b/src/posthatch/rehearse/simulated_fleet.h
@@ -48,6 +48,7 @@
 
   absl::StatusOr<std::vector<HistoryEvent>> TakeHistory() override;
   uint64_t trace_hash() const override { return world_.trace_hash(); }
+  uint64_t behaviour_hash() const override { return world_.behaviour_hash(); }
 
   // For tests and for looking into a failed seed.
   simulation::SimWorld* world() { return &world_; }
--- a/src/posthatch/simulation/host_trace.cc
+++ b/src/posthatch/simulation/host_trace.cc
@@ -17,7 +17,7 @@
   for (const runtime::TraceField& field : fields) {
     fmt::format_to(std::back_inserter(line), " {}={}", field.key, field.value);
   }
-  core_->trace.AddLine(std::move(line));
+  core_->trace.AddLine(core_->queue.now(), host_name_, std::move(line));
 }
 
 }  // namespace posthatch::simulation
--- a/src/posthatch/simulation/sim_world-test.cc
+++ b/src/posthatch/simulation/sim_world-test.cc
@@ -243,6 +243,27 @@
   return world.trace_hash();
 }
 
+// Hashes of a world in which one host writes a trace event of `type` at `time`.
+std::pair<uint64_t, uint64_t> HashesWithEvent(std::string_view type, runtime::Duration time) {
+  SimWorld world(1);
+  SimHost* host = world.AddHost("h1", "z1", "10.0.0.1");
+  host->SetBoot([](runtime::Runtime*) { return std::make_shared<int>(); });
+  host->Start();
+  world.At(time,
+           [host, type] { host->runtime()->trace->Event(runtime::Severity::kInfo, type, {}); });
+  world.RunFor(seconds(1));
+  return {world.trace_hash(), world.behaviour_hash()};
+}
+
+TEST(TraceHashTest, BehaviourHashIgnoresEventNamesButNotTheirTimes) {
+  const auto original = HashesWithEvent("OldName", milliseconds(5));
+  const auto renamed = HashesWithEvent("NewName", milliseconds(5));
+  const auto later = HashesWithEvent("OldName", milliseconds(6));
+  EXPECT_NE(original.first, renamed.first);
+  EXPECT_EQ(original.second, renamed.second);
+  EXPECT_NE(original.second, later.second);
+}
+
 TEST(TraceHashTest, EqualSeedsGiveEqualRunsAndOthersDiffer) {
   std::set<uint64_t> hashes;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
--- a/src/posthatch/simulation/sim_world.cc
+++ b/src/posthatch/simulation/sim_world.cc
@@ -58,6 +58,7 @@
 
 runtime::Random* SimWorld::random() { return &core_->random; }
 uint64_t SimWorld::trace_hash() const { return core_->trace.hash(); }
+uint64_t SimWorld::behaviour_hash() const { return core_->trace.behaviour_hash(); }
 std::vector<std::string> SimWorld::RecentTrace() const { return core_->trace.Recent(); }
 
 void SimWorld::SetNetwork(const NetworkBehaviour& behaviour) {
--- a/src/posthatch/simulation/sim_world.h
+++ b/src/posthatch/simulation/sim_world.h
@@ -59,6 +59,8 @@
   runtime::Random* random();
   // Hash over every trace event, message delivery and disk completion so far.
   uint64_t trace_hash() const;
+  // The same without the text of trace events: unchanged by a renamed event.
+  uint64_t behaviour_hash() const;
   // Trace events as text lines, newest last, at most the last 10,000.
   std::vector<std::string> RecentTrace() const;
 
--- a/src/posthatch/simulation/trace_log.h
+++ b/src/posthatch/simulation/trace_log.h
@@ -11,24 +11,29 @@
 
 namespace posthatch::simulation {
 
-// The world's record: a running XXH3 hash over all that happened, and the newest trace lines for
-// reading. Owned by WorldCore.
+// The world's record: two running XXH3 hashes over all that happened, and the newest trace lines
+// for reading. Owned by WorldCore.
 class TraceLog {
  public:
   // Mixes one happening (a delivery, a disk completion) into the hash. `kind` tells happenings
   // apart, `actor` and `peer` are host numbers.
   void Mix(runtime::MonotonicTime time, uint32_t kind, uint32_t actor, uint32_t peer,
            std::string_view data);
-  // Mixes a trace event into the hash and keeps its line.
-  void AddLine(std::string line);
+  // Mixes a trace event into the hash and keeps its line. The behaviour hash gets its time and
+  // its host only.
+  void AddLine(runtime::MonotonicTime time, std::string_view host_name, std::string line);
 
+  // Over deliveries, disk completions and the text of trace events.
   uint64_t hash() const { return hash_; }
+  // The same without the text of trace events, so that renaming an event leaves it alone.
+  uint64_t behaviour_hash() const { return behaviour_hash_; }
   std::vector<std::string> Recent() const { return {lines_.begin(), lines_.end()}; }
 
  private:
   static constexpr size_t kMaxLines = 10000;
 
   uint64_t hash_ = 0;
+  uint64_t behaviour_hash_ = 0;
   std::deque<std::string> lines_;
 };
 
