--- a/src/posthatch/asio/asio-bench.cc
+++ b/src/posthatch/asio/asio-bench.cc
@@ -52,7 +52,7 @@
     const runtime::MonotonicTime start = runtime_->clock->Now();
     http::CallObserver observer;
     observer.on_head = [](const http::Response&) {};
-    observer.on_piece = [](const std::string&) {};
+    observer.on_chunk = [](const std::string&) {};
     observer.on_end = [this, slot, start] { Ended(slot, start); };
     observer.on_error = [this, slot, start](const http::CallError&) {
       ++errors_;
@@ -85,7 +85,7 @@
         http::Response response;
         response.headers.Add("Content-Type", "application/json");
         response.body = std::string(300, 'y');
-        writer->SendWhole(std::move(response));
+        writer->SendResponse(std::move(response));
       });
   double p50 = 0;
   double p99 = 0;
@@ -111,7 +111,7 @@
       "127.0.0.1:0", {},
       [](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
         writer->StartStream({});
-        for (int piece = 0; piece < kPieces; ++piece) writer->WritePiece(std::string(100, 'z'));
+        for (int piece = 0; piece < kPieces; ++piece) writer->WriteChunk(std::string(100, 'z'));
         writer->FinishStream();
       });
   for (auto _ : state) {
--- a/src/posthatch/asio/asio_file_system-test.cc
+++ b/src/posthatch/asio/asio_file_system-test.cc
@@ -65,7 +65,7 @@
                    Append("log/1", "abc"),
                    Append("log/1", "def"),
                    On(Kind::kSync, "log/1"),
-                   {.kind = Kind::kWriteWhole, .path = "log/2.new", .data = "two", .target = {}},
+                   {.kind = Kind::kFullWrite, .path = "log/2.new", .data = "two", .target = {}},
                    On(Kind::kSync, "log/2.new"),
                    On(Kind::kRename, "log/2.new", "log/2"),
                    On(Kind::kSyncDirectory, "log"),
@@ -140,7 +140,7 @@
 
 TEST_F(AsioFileSystemTest, FullDeviceIsResourceExhausted) {
   std::filesystem::create_symlink("/dev/full", folder_ + "/full");
-  EXPECT_EQ(Run({{.kind = Kind::kWriteWhole, .path = "full", .data = "x", .target = {}}}).code(),
+  EXPECT_EQ(Run({{.kind = Kind::kFullWrite, .path = "full", .data = "x", .target = {}}}).code(),
             absl::StatusCode::kResourceExhausted);
   EXPECT_TRUE(Run({Append("f", "goes on")}).ok());
   // An append that can't be cut off again leaves the file uncertain: nothing goes on.
--- a/src/posthatch/asio/asio_file_system.cc
+++ b/src/posthatch/asio/asio_file_system.cc
@@ -157,7 +157,7 @@
   absl::Status InjectFault(const FileOperation& operation) const {
     if (options_.faults == nullptr) return absl::OkStatus();
     const bool writes = operation.kind == FileOperation::Kind::kAppend ||
-                        operation.kind == FileOperation::Kind::kWriteWhole ||
+                        operation.kind == FileOperation::Kind::kFullWrite ||
                         operation.kind == FileOperation::Kind::kCreateDirectory;
     if (writes && options_.faults->disk_full()) {
       return FileError("write (injected fault)", operation.path, ENOSPC);
--- a/src/posthatch/asio/asio_runtime-test.cc
+++ b/src/posthatch/asio/asio_runtime-test.cc
@@ -74,10 +74,10 @@
   std::filesystem::remove(path);
   {
     auto sink = JsonTraceSink::Open(path, "node-1", runtime::Severity::kInfo).value();
-    sink->Event(runtime::Severity::kDebug, "TooFine", {});
+    sink->Event(runtime::Severity::kDebug, "BelowLevel", {});
     sink->Event(runtime::Severity::kInfo, "Started", {{"text", "a \"b\"\n"}, {"number", 7}});
     sink->SetLevel(runtime::Severity::kDebug);
-    sink->Event(runtime::Severity::kDebug, "NowFine", {{"flag", true}});
+    sink->Event(runtime::Severity::kDebug, "AtLevel", {{"flag", true}});
   }
   std::ifstream file(path);
   std::vector<boost::json::value> lines;
@@ -88,7 +88,7 @@
   EXPECT_EQ(lines[0].at("node"), "node-1");
   EXPECT_EQ(lines[0].at("text"), "a \"b\"\n");
   EXPECT_EQ(lines[0].at("number"), "7");
-  EXPECT_EQ(lines[1].at("type"), "NowFine");
+  EXPECT_EQ(lines[1].at("type"), "AtLevel");
   std::filesystem::remove(path);
   EXPECT_FALSE(JsonTraceSink::Open("/proc/no such file", "n", runtime::Severity::kInfo).ok());
 }
--- a/src/posthatch/asio/asio_runtime.cc
+++ b/src/posthatch/asio/asio_runtime.cc
@@ -44,7 +44,7 @@
     if (options.enable_fault_injection) {
       faults_ = std::make_unique<FaultInjection>();
       environment_.faults = faults_.get();
-      faults_->Subscribe([this] { ReleaseCutOffSockets(&environment_); });
+      faults_->Subscribe([this] { CloseHealedSockets(&environment_); });
     }
     http_client_ = MakeBeastHttpClient(&environment_, options.http_client, &metrics_);
     http_servers_ = MakeBeastHttpServerFactory(&environment_, &metrics_);
--- a/src/posthatch/asio/asio_runtime.h
+++ b/src/posthatch/asio/asio_runtime.h
@@ -7,10 +7,10 @@
 
 #include "absl/status/status.h"
 #include "absl/status/statusor.h"
-#include "posthatch/asio/asio_transport_limits.h"
 #include "posthatch/asio/beast_http_client.h"
 #include "posthatch/asio/fault_injection.h"
 #include "posthatch/asio/json_trace_sink.h"
+#include "posthatch/asio/transport_limits.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::asio {
--- a/src/posthatch/asio/asio_transport.cc
+++ b/src/posthatch/asio/asio_transport.cc
@@ -40,7 +40,7 @@
         stream_(std::make_shared<TcpStream>(environment, std::move(socket),
                                             std::move(remote_endpoint), this)),
         decoder_(max_message_bytes) {
-    stream_->Accepted();
+    stream_->StartAccepted();
     stream_->ResumeReading();
   }
   ~InboundConnection() { stream_->Close(); }
@@ -48,7 +48,7 @@
   InboundConnection& operator=(const InboundConnection&) = delete;
 
   // Its peer was cut off when it told its name: nothing is read until the peer connects anew.
-  bool silenced() const { return silenced_; }
+  bool partitioned() const { return partitioned_; }
   const std::string& remote_endpoint() const { return stream_->remote_endpoint(); }
 
   void OnBytes(std::string_view bytes) override;
@@ -63,7 +63,7 @@
   std::shared_ptr<TcpStream> stream_;
   FrameDecoder decoder_;
   bool identified_ = false;
-  bool silenced_ = false;
+  bool partitioned_ = false;
 };
 
 class AsioTransport : public runtime::Transport {
@@ -80,7 +80,7 @@
         datagrams_(*environment->io_context),
         sweep_(environment->io_context, [this] { Sweep(); }) {
     if (environment->faults != nullptr) {
-      fault_subscription_ = environment->faults->Subscribe([this] { CloseHealed(); });
+      fault_subscription_ = environment->faults->Subscribe([this] { CloseHealedConnections(); });
     }
   }
 
@@ -103,11 +103,11 @@
 
   // For inbound connections.
   void Dispatch(const Envelope& envelope);
-  void CountReceived(size_t bytes) {
+  void CountReceivedBytes(size_t bytes) {
     metrics_.received_bytes.Increment(static_cast<double>(bytes));
   }
   void CountReceivedMessage() { metrics_.received_stream.Increment(); }
-  void Malformed(const std::string& remote_endpoint, const absl::Status& status);
+  void ReportMalformed(const std::string& remote_endpoint, const absl::Status& status);
   void Forget(InboundConnection* connection) { inbound_.erase(connection); }
   const FaultInjection* faults() const { return environment_->faults; }
 
@@ -121,7 +121,7 @@
   void ReadDatagrams();
   void ReceiveDatagram(std::string_view bytes, const std::string& remote_endpoint);
   void Sweep();
-  void CloseHealed();
+  void CloseHealedConnections();
 
   IoEnvironment* const environment_;
   TransportIdentity identity_;
@@ -142,11 +142,11 @@
 };
 
 void InboundConnection::OnBytes(std::string_view bytes) {
-  transport_->CountReceived(bytes.size());
+  transport_->CountReceivedBytes(bytes.size());
   absl::Status status =
       decoder_.Feed(bytes, [this](const Envelope& envelope) { return Receive(envelope); });
   if (status.ok()) return;
-  transport_->Malformed(stream_->remote_endpoint(), status);
+  transport_->ReportMalformed(stream_->remote_endpoint(), status);
   transport_->Forget(this);
 }
 
@@ -157,8 +157,8 @@
     stream_->set_remote_endpoint(envelope.from_endpoint());
     const FaultInjection* faults = transport_->faults();
     if (faults != nullptr && faults->DropsFrom(envelope.from_endpoint())) {
-      silenced_ = true;
-      stream_->PauseReading();
+      partitioned_ = true;
+      stream_->StopReading();
       return false;
     }
   }
@@ -304,22 +304,23 @@
 }
 
 void AsioTransport::ReceiveDatagram(std::string_view bytes, const std::string& remote_endpoint) {
-  CountReceived(bytes.size());
+  CountReceivedBytes(bytes.size());
   Envelope envelope;
   absl::Status status = ParseEnvelope(bytes, &envelope);
-  if (!status.ok()) return Malformed(remote_endpoint, status);
+  if (!status.ok()) return ReportMalformed(remote_endpoint, status);
   const FaultInjection* faults = environment_->faults;
   if (faults != nullptr && faults->DropsFrom(envelope.from_endpoint())) return;
   metrics_.received_datagram.Increment();
   Dispatch(envelope);
 }
 
-void AsioTransport::Malformed(const std::string& remote_endpoint, const absl::Status& status) {
+void AsioTransport::ReportMalformed(const std::string& remote_endpoint,
+                                    const absl::Status& status) {
   metrics_.malformed.Increment();
   const runtime::MonotonicTime now = BootNow();
   if (now < next_malformed_event_) return;
   next_malformed_event_ = now + kMalformedEventInterval;
-  trace_->Event(Severity::kWarning, "TransportMalformed",
+  trace_->Event(Severity::kWarning, "TransportMessageMalformed",
                 {{"remote", remote_endpoint}, {"error", util::ToStd(status.message())}});
 }
 
@@ -340,9 +341,9 @@
 
 // A connection that was silenced by a cut has lost frames: once the cut heals, the peer has to see
 // it break and connect anew.
-void AsioTransport::CloseHealed() {
+void AsioTransport::CloseHealedConnections() {
   absl::erase_if(inbound_, [this](const auto& entry) {
-    return entry.second->silenced() &&
+    return entry.second->partitioned() &&
            !environment_->faults->DropsFrom(entry.second->remote_endpoint());
   });
 }
--- a/src/posthatch/asio/asio_transport.h
+++ b/src/posthatch/asio/asio_transport.h
@@ -5,8 +5,8 @@
 #include <string>
 
 #include "absl/status/statusor.h"
-#include "posthatch/asio/asio_transport_limits.h"
 #include "posthatch/asio/tcp_stream.h"
+#include "posthatch/asio/transport_limits.h"
 #include "posthatch/runtime/random.h"
 #include "posthatch/runtime/trace.h"
 #include "posthatch/runtime/transport.h"
--- a/src/posthatch/asio/beast_http_client-test.cc
+++ b/src/posthatch/asio/beast_http_client-test.cc
@@ -22,7 +22,7 @@
   http::CallObserver Observer() {
     http::CallObserver observer;
     observer.on_head = [this](const http::Response& given) { head = given; };
-    observer.on_piece = [this](const std::string& piece) { body += piece; };
+    observer.on_chunk = [this](const std::string& chunk) { body += chunk; };
     observer.on_end = [this] { ended = true; };
     observer.on_error = [this](const http::CallError& given) { error = given; };
     return observer;
@@ -33,7 +33,7 @@
  protected:
   HttpClientTest() : runtime_(MakeTestRuntime()) {
     options_.head_timeout = milliseconds(150);
-    options_.piece_timeout = milliseconds(150);
+    options_.body_idle_timeout = milliseconds(150);
   }
 
   std::unique_ptr<http::Call> Start(const std::string& endpoint, Outcome* outcome) {
@@ -123,7 +123,8 @@
   };
   for (const std::string& answer : cut) {
     SCOPED_TRACE(answer);
-    ExpectError(CallAnswered(answer), absl::StatusCode::kDataLoss, http::CallProgress::kAnswered);
+    ExpectError(CallAnswered(answer), absl::StatusCode::kDataLoss,
+                http::CallProgress::kHeadReceived);
   }
   ExpectError(CallAnswered("SSH-2.0-nonsense\r\n\r\n"), absl::StatusCode::kDataLoss,
               http::CallProgress::kSent);
@@ -145,12 +146,12 @@
 }
 
 TEST_F(HttpClientTest, AnswerWithoutLengthEndsWithItsConnectionWhereThatIsAllowed) {
-  options_.accept_unframed = true;
+  options_.accept_close_delimited = true;
   const Outcome outcome = CallAnswered("HTTP/1.1 200 OK\r\n\r\nuntil the end");
   EXPECT_TRUE(outcome.ended);
   EXPECT_EQ(outcome.body, "until the end");
   ExpectError(CallAnswered("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"),
-              absl::StatusCode::kDataLoss, http::CallProgress::kAnswered);
+              absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
 }
 
 TEST_F(HttpClientTest, ConnectionIsNotKeptBeyondTheShareOfTheTimeThatItsServerStated) {
@@ -159,10 +160,10 @@
       "127.0.0.1:0", {},
       [&](const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer) {
         connections.push_back(request.connection_id);
-        writer->SendWhole({});
+        writer->SendResponse({});
       });
   for (const double share : {0.75, 0.75, 0.0}) {
-    options_.kept_connection_share = share;
+    options_.max_idle_fraction = share;
     Outcome outcome;
     const auto call = Start((*server)->endpoint(), &outcome);
     Finish(outcome);
@@ -177,14 +178,14 @@
       "127.0.0.1:0", {},
       [](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
         writer->StartStream({});
-        writer->WritePiece("piece");
+        writer->WriteChunk("piece");
         writer->Abort();
       });
   Outcome outcome;
   const auto call = Start((*server)->endpoint(), &outcome);
   Finish(outcome);
   EXPECT_EQ(outcome.body, "piece");
-  ExpectError(outcome, absl::StatusCode::kDataLoss, http::CallProgress::kAnswered);
+  ExpectError(outcome, absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
 }
 
 TEST_F(HttpClientTest, SilenceRunsIntoTheTimeouts) {
@@ -200,7 +201,7 @@
   RawSocket server = listener.Accept(runtime_.get());
   server.Send(runtime_.get(), "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
   Finish(in_body);
-  ExpectError(in_body, absl::StatusCode::kDeadlineExceeded, http::CallProgress::kAnswered);
+  ExpectError(in_body, absl::StatusCode::kDeadlineExceeded, http::CallProgress::kHeadReceived);
 }
 
 TEST_F(HttpClientTest, KeptConnectionIsUsedAgainUnlessFreshIsAsked) {
@@ -209,7 +210,7 @@
       "127.0.0.1:0", {},
       [&](const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer) {
         connections.push_back(request.connection_id);
-        writer->SendWhole({});
+        writer->SendResponse({});
       });
   for (const bool fresh : {false, false, true, false}) {
     options_.fresh_connection = fresh;
@@ -268,7 +269,7 @@
   server.Send(runtime_.get(),
               "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kBody) + "\r\n\r\nabc");
   runtime_->RunUntil([&] { return outcome.body == "abc"; }, std::chrono::seconds(5));
-  call->PauseReading();
+  call->StopReading();
   server.Send(runtime_.get(), "def");
   RunFor(runtime_.get(), milliseconds(300));  // longer than the piece timeout
   EXPECT_EQ(outcome.body, "abc");
@@ -286,7 +287,7 @@
       "127.0.0.1:0", {},
       [&](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
         writer->StartStream({});
-        writer->OnCallerGone([&gone, writer] { gone = true; });
+        writer->OnCallerDisconnected([&gone, writer] { gone = true; });
       });
   Outcome outcome;
   auto call = Start((*server)->endpoint(), &outcome);
@@ -364,7 +365,7 @@
   std::unique_ptr<http::Call> call;
   Outcome outcome;
   http::CallObserver observer = outcome.Observer();
-  observer.on_piece = [&call](const std::string&) { call.reset(); };
+  observer.on_chunk = [&call](const std::string&) { call.reset(); };
   call = runtime_->runtime()->http_client->Start(
       listener.endpoint(), {.method = "GET", .target = "/", .headers = {}, .body = {}}, options_,
       observer);
@@ -378,9 +379,9 @@
 TEST_F(HttpClientTest, AnswerOverTheLimitIsRefused) {
   options_.max_body_bytes = 5;
   ExpectError(CallAnswered("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabcdef"),
-              absl::StatusCode::kDataLoss, http::CallProgress::kAnswered);
+              absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
   ExpectError(CallAnswered("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n"),
-              absl::StatusCode::kDataLoss, http::CallProgress::kAnswered);
+              absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
 }
 
 }  // namespace
--- a/src/posthatch/asio/beast_http_client.cc
+++ b/src/posthatch/asio/beast_http_client.cc
@@ -23,8 +23,8 @@
   ~BeastCall() override {
     if (Running()) connection_->Cancel();
   }
-  void PauseReading() override {
-    if (Running()) connection_->PauseReading();
+  void StopReading() override {
+    if (Running()) connection_->StopReading();
   }
   void ResumeReading() override {
     if (Running()) connection_->ResumeReading();
@@ -61,7 +61,7 @@
                    .Help("HTTP calls started, by whether they went out on a new or kept connection")
                    .Register(*metrics)),
         calls_new_(calls_.Add({{"connection", "new"}})),
-        calls_kept_(calls_.Add({{"connection", "kept"}})),
+        calls_pooled_(calls_.Add({{"connection", "kept"}})),
         idle_(prometheus::BuildGauge()
                   .Name("posthatch_http_client_idle_connections")
                   .Help("Kept connections that wait for a call")
@@ -82,9 +82,9 @@
     if (status.ok()) status = CheckRequest(request);
     std::shared_ptr<HttpClientConnection> connection;
     if (status.ok() && !options.fresh_connection) {
-      connection = TakeIdle(endpoint, options.kept_connection_share);
+      connection = TakeIdle(endpoint, options.max_idle_fraction);
     }
-    (connection == nullptr ? calls_new_ : calls_kept_).Increment();
+    (connection == nullptr ? calls_new_ : calls_pooled_).Increment();
     if (connection == nullptr) {
       connection = std::make_shared<HttpClientConnection>(environment_, endpoint, this);
     }
@@ -97,20 +97,21 @@
     return std::make_unique<BeastCall>(std::move(connection), call);
   }
 
-  bool HasKept(const std::string& endpoint, double share) const override {
+  bool HasPooledConnection(const std::string& endpoint, double share) const override {
     const auto pool = pools_.find(endpoint);
     return pool != pools_.end() && !pool->second.empty() &&
            pool->second.back()->IdleWithin(share, BootNow());
   }
 
-  bool Keep(const std::shared_ptr<HttpClientConnection>& connection) override {
+  bool ReturnToPool(const std::shared_ptr<HttpClientConnection>& connection) override {
     auto& connections = pools_[connection->endpoint()];
     if (connections.size() >= options_.max_idle_per_endpoint) return false;
-    const runtime::Duration stated = connection->stated_idle_time();
-    const runtime::Duration kept_for =
-        stated > runtime::Duration::zero() ? stated : options_.unstated_idle_timeout;
-    connection->NoteIdle(BootNow(), kept_for);
-    connection->SetIdleDeadline(std::min(options_.idle_timeout, kept_for));
+    const runtime::Duration keep_alive_timeout = connection->keep_alive_timeout();
+    const runtime::Duration idle_lifetime = keep_alive_timeout > runtime::Duration::zero()
+                                                ? keep_alive_timeout
+                                                : options_.default_keep_alive_timeout;
+    connection->MarkIdle(BootNow(), idle_lifetime);
+    connection->SetIdleDeadline(std::min(options_.idle_timeout, idle_lifetime));
     connections.push_back(connection);
     idle_.Increment();
     return true;
@@ -122,7 +123,7 @@
     auto& connections = pool->second;
     const auto found =
         std::find_if(connections.begin(), connections.end(),
-                     [connection](const auto& kept) { return kept.get() == connection; });
+                     [connection](const auto& pooled) { return pooled.get() == connection; });
     if (found == connections.end()) return;
     idle_.Decrement();
     connections.erase(found);
@@ -147,7 +148,7 @@
   const HttpClientOptions options_;
   prometheus::Family<prometheus::Counter>& calls_;
   prometheus::Counter& calls_new_;
-  prometheus::Counter& calls_kept_;
+  prometheus::Counter& calls_pooled_;
   prometheus::Gauge& idle_;
   uint64_t last_call_ = 0;
   absl::flat_hash_map<std::string, std::vector<std::shared_ptr<HttpClientConnection>>> pools_;
--- a/src/posthatch/asio/beast_http_client.h
+++ b/src/posthatch/asio/beast_http_client.h
@@ -16,7 +16,7 @@
   // Shorter than the servers' idle timeout, so that they rarely close a connection in use.
   runtime::Duration idle_timeout = std::chrono::seconds(60);
   // For servers that don't say how long they keep an idle connection.
-  runtime::Duration unstated_idle_timeout = std::chrono::seconds(60);
+  runtime::Duration default_keep_alive_timeout = std::chrono::seconds(60);
 };
 
 // HTTP/1.1 client with a pool of kept connections per endpoint. `environment` and `metrics` must
--- a/src/posthatch/asio/beast_http_server-test.cc
+++ b/src/posthatch/asio/beast_http_server-test.cc
@@ -26,7 +26,7 @@
     limits_.idle_timeout = std::chrono::milliseconds(300);
     handler_ = [](const http::Request& request,
                   const std::shared_ptr<http::ResponseWriter>& writer) {
-      writer->SendWhole({.status = 200, .headers = {}, .body = "echo:" + request.body});
+      writer->SendResponse({.status = 200, .headers = {}, .body = "echo:" + request.body});
     };
   }
 
@@ -170,7 +170,7 @@
   socket.ShutdownSend();
   RunFor(runtime_.get(), std::chrono::milliseconds(50));
   ASSERT_NE(kept, nullptr);
-  kept->SendWhole({.status = 200, .headers = {}, .body = "late"});
+  kept->SendResponse({.status = 200, .headers = {}, .body = "late"});
   EXPECT_THAT(socket.ReadToEnd(runtime_.get()), HasSubstr("late"));
 }
 
@@ -179,7 +179,7 @@
   handler_ = [&connections](const http::Request& request,
                             const std::shared_ptr<http::ResponseWriter>& writer) {
     connections.push_back(request.connection_id);
-    writer->SendWhole({.status = 200, .headers = {}, .body = "echo:" + request.body + ";"});
+    writer->SendResponse({.status = 200, .headers = {}, .body = "echo:" + request.body + ";"});
   };
   Listen();
   RawSocket socket = Connect();
@@ -201,7 +201,7 @@
 TEST_F(HttpServerTest, AbortLeavesTheChunkedBodyUnterminated) {
   handler_ = [](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
     writer->StartStream({});
-    writer->WritePiece("piece");
+    writer->WriteChunk("piece");
     writer->Abort();
   };
   Listen();
@@ -223,9 +223,9 @@
 TEST_F(HttpServerTest, PiecesOfOneTurnAndTheEndArriveWhole) {
   handler_ = [](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
     writer->StartStream({});
-    for (int k = 0; k < 3; ++k) writer->WritePiece("p" + std::to_string(k));
-    writer->WritePiece("");  // must not end the body
-    writer->WritePiece("p3");
+    for (int k = 0; k < 3; ++k) writer->WriteChunk("p" + std::to_string(k));
+    writer->WriteChunk("");  // must not end the body
+    writer->WriteChunk("p3");
     writer->FinishStream();
   };
   Listen();
@@ -251,7 +251,7 @@
   size_t written = 0;
   const auto fill = [&] {
     while (writer->buffered_bytes() < limits_.max_buffered_bytes) {
-      writer->WritePiece(std::string(kPiece, 'x'));
+      writer->WriteChunk(std::string(kPiece, 'x'));
       written += kPiece;
       RunFor(runtime_.get(), std::chrono::milliseconds(2));
     }
@@ -271,9 +271,9 @@
 TEST_F(HttpServerTest, CallerThatTakesNothingIsCut) {
   bool gone = false;
   handler_ = [&gone](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
-    writer->OnCallerGone([&gone, writer] { gone = true; });
+    writer->OnCallerDisconnected([&gone, writer] { gone = true; });
     writer->StartStream({});
-    writer->WritePiece(std::string(32UL * 1024 * 1024, 'x'));
+    writer->WriteChunk(std::string(32UL * 1024 * 1024, 'x'));
   };
   Listen();
   RawSocket socket = Connect();
@@ -288,7 +288,7 @@
   handler_ = [&](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
     held = writer;
     writer->StartStream({});
-    writer->OnCallerGone([&gone, writer] { gone = true; });
+    writer->OnCallerDisconnected([&gone, writer] { gone = true; });
   };
   Listen();
   {
@@ -306,8 +306,8 @@
   std::weak_ptr<http::ResponseWriter> held;
   handler_ = [&](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
     held = writer;
-    writer->OnCallerGone([writer] {});
-    writer->SendWhole({});
+    writer->OnCallerDisconnected([writer] {});
+    writer->SendResponse({});
   };
   Listen();
   RawSocket socket = Connect();
@@ -332,7 +332,7 @@
   handler_ = [](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
     http::Response response;
     response.headers.Add("X-Note", "a\r\nX-Injected: b");
-    writer->SendWhole(std::move(response));
+    writer->SendResponse(std::move(response));
   };
   Listen();
   const std::string answer = Exchange(kGoodRequest);
@@ -346,7 +346,7 @@
     if (request.target == "/wait") {
       running = std::move(writer);
     } else {
-      writer->SendWhole({.status = 200, .headers = {}, .body = "echo:"});
+      writer->SendResponse({.status = 200, .headers = {}, .body = "echo:"});
     }
   };
   limits_.idle_timeout = std::chrono::seconds(30);
@@ -360,7 +360,7 @@
   server_->Drain();
   idle.ReadToEnd(runtime_.get());
   EXPECT_TRUE(idle.ended());
-  running->SendWhole({.status = 200, .headers = {}, .body = "last"});
+  running->SendResponse({.status = 200, .headers = {}, .body = "last"});
   EXPECT_THAT(busy.ReadToEnd(runtime_.get()), HasSubstr("Connection: close"));
   EXPECT_THAT(busy.ReadToEnd(runtime_.get()), HasSubstr("last"));
   busy.Close();
--- a/src/posthatch/asio/beast_http_server.cc
+++ b/src/posthatch/asio/beast_http_server.cc
@@ -17,10 +17,10 @@
 // Metric families of all servers of one process.
 struct ServerMetrics {
   explicit ServerMetrics(prometheus::Registry* registry)
-      : answers(prometheus::BuildCounter()
-                    .Name("posthatch_http_server_answers_total")
-                    .Help("Answers ended, by first digit of the status; 0 was cut by us")
-                    .Register(*registry)),
+      : responses(prometheus::BuildCounter()
+                      .Name("posthatch_http_server_answers_total")
+                      .Help("Answers ended, by first digit of the status; 0 was cut by us")
+                      .Register(*registry)),
         connections(prometheus::BuildGauge()
                         .Name("posthatch_http_server_connections")
                         .Help("Open connections of callers")
@@ -32,12 +32,12 @@
                                 .Register(*registry)
                                 .Add({})) {
     for (int digit = 0; digit < 6; ++digit) {
-      by_digit.push_back(&answers.Add({{"status", std::to_string(digit)}}));
+      by_status_class.push_back(&responses.Add({{"status", std::to_string(digit)}}));
     }
   }
 
-  prometheus::Family<prometheus::Counter>& answers;
-  std::vector<prometheus::Counter*> by_digit;
+  prometheus::Family<prometheus::Counter>& responses;
+  std::vector<prometheus::Counter*> by_status_class;
   prometheus::Gauge& connections;
   prometheus::Counter& refused_connections;
 };
@@ -53,15 +53,15 @@
     context_->environment = environment;
     context_->limits = limits;
     context_->handler = std::make_shared<const http::Handler>(std::move(handler));
-    context_->forget = [this](HttpServerConnection* connection) { Forget(connection); };
-    context_->count = [metrics](int status) {
-      metrics->by_digit[static_cast<size_t>(status / 100)]->Increment();
+    context_->on_closed = [this](HttpServerConnection* connection) { Forget(connection); };
+    context_->count_response = [metrics](int status) {
+      metrics->by_status_class[static_cast<size_t>(status / 100)]->Increment();
     };
   }
 
   ~BeastHttpServer() override {
-    context_->forget = nullptr;
-    context_->count = nullptr;
+    context_->on_closed = nullptr;
+    context_->count_response = nullptr;
     listener_.Close();
     const auto connections = std::move(connections_);
     for (const auto& [key, connection] : connections) connection->Close();
@@ -80,7 +80,7 @@
   const std::string& endpoint() const override { return endpoint_; }
   size_t open_connections() const override { return connections_.size(); }
 
-  void StopKeepingConnections() override { context_->draining = true; }
+  void DisableKeepAlive() override { context_->draining = true; }
 
   void Drain() override {
     context_->draining = true;
--- a/src/posthatch/asio/endpoint.cc
+++ b/src/posthatch/asio/endpoint.cc
@@ -6,7 +6,7 @@
 
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_cat.h"
-#include "posthatch/asio/endpoint_text.h"
+#include "posthatch/asio/endpoint_check.h"
 #include "posthatch/util/string_view.h"
 
 namespace posthatch::asio {
@@ -31,7 +31,7 @@
   return TcpEndpoint(address, static_cast<uint16_t>(port));
 }
 
-bool IsDefiniteEndpoint(const std::string& text) {
+bool IsConnectableEndpoint(const std::string& text) {
   const auto endpoint = ParseEndpoint(text);
   return endpoint.ok() && !endpoint->address().is_unspecified() &&
          !endpoint->address().is_multicast();
--- a/src/posthatch/asio/envelope_codec.cc
+++ b/src/posthatch/asio/envelope_codec.cc
@@ -35,7 +35,7 @@
   return absl::OkStatus();
 }
 
-absl::Status FrameDecoder::TakeFrames(
+absl::Status FrameDecoder::DecodeFrames(
     std::string_view* bytes, const std::function<bool(const runtime::Envelope&)>& received) {
   runtime::Envelope envelope;
   while (bytes->size() >= kFrameHeaderBytes) {
@@ -69,7 +69,7 @@
     joined = std::exchange(partial_, {});
     bytes = joined;
   }
-  absl::Status status = TakeFrames(&bytes, received);
+  absl::Status status = DecodeFrames(&bytes, received);
   if (status.ok() && !stopped_) partial_.assign(bytes);
   return status;
 }
--- a/src/posthatch/asio/envelope_codec.h
+++ b/src/posthatch/asio/envelope_codec.h
@@ -35,8 +35,8 @@
   size_t buffered_bytes() const { return partial_.size(); }
 
  private:
-  absl::Status TakeFrames(std::string_view* bytes,
-                          const std::function<bool(const runtime::Envelope&)>& received);
+  absl::Status DecodeFrames(std::string_view* bytes,
+                            const std::function<bool(const runtime::Envelope&)>& received);
 
   const size_t max_frame_bytes_;
   std::string partial_;  // a frame whose rest has not come yet
--- a/src/posthatch/asio/fault_injection-test.cc
+++ b/src/posthatch/asio/fault_injection-test.cc
@@ -51,7 +51,7 @@
                            [this](const http::Request&,
                                   const std::shared_ptr<http::ResponseWriter>& writer) {
                              ++handled_;
-                             writer->SendWhole({});
+                             writer->SendResponse({});
                            })
                   .value();
     options_.connect_timeout = milliseconds(100);
@@ -64,7 +64,7 @@
     bool over = false;
     http::CallObserver observer;
     observer.on_head = [](const http::Response&) {};
-    observer.on_piece = [](const std::string&) {};
+    observer.on_chunk = [](const std::string&) {};
     observer.on_end = [&over] { over = true; };
     observer.on_error = [&](const http::CallError& error) {
       result = error;
@@ -79,7 +79,7 @@
     return result;
   }
 
-  void Cut(bool to, bool from) {
+  void Partition(bool to, bool from) {
     FaultRules rules;
     if (to) rules.drop_to.insert(server_->endpoint());
     if (from) rules.drop_from.insert(server_->endpoint());
@@ -95,25 +95,25 @@
 
 TEST_F(HttpFaultTest, ConnectHangsUntilItsTimeout) {
   for (const bool to : {true, false}) {
-    Cut(to, !to);
+    Partition(to, !to);
     const http::CallError error = Call();
     EXPECT_EQ(error.status.code(), absl::StatusCode::kDeadlineExceeded);
     EXPECT_EQ(error.progress, http::CallProgress::kNotSent);
     EXPECT_GE(took_, milliseconds(100));
   }
   EXPECT_EQ(handled_, 0);
-  Cut(false, false);
+  Partition(false, false);
   EXPECT_TRUE(Call().status.ok());
 }
 
 TEST_F(HttpFaultTest, KeptConnectionGoesSilent) {
   ASSERT_TRUE(Call().status.ok());
-  Cut(true, false);  // the request is lost on its way
+  Partition(true, false);  // the request is lost on its way
   EXPECT_EQ(Call().status.code(), absl::StatusCode::kDeadlineExceeded);
   EXPECT_EQ(handled_, 1);
-  Cut(false, false);
+  Partition(false, false);
   ASSERT_TRUE(Call().status.ok());
-  Cut(false, true);  // the answer is lost: it has run
+  Partition(false, true);  // the answer is lost: it has run
   const http::CallError error = Call();
   EXPECT_EQ(error.status.code(), absl::StatusCode::kDeadlineExceeded);
   EXPECT_EQ(error.progress, http::CallProgress::kSent);
--- a/src/posthatch/asio/file_operations.cc
+++ b/src/posthatch/asio/file_operations.cc
@@ -64,8 +64,8 @@
   switch (operation.kind) {
     case FileOperation::Kind::kAppend:
       return Append(operation.path, operation.data);
-    case FileOperation::Kind::kWriteWhole:
-      return WriteWhole(operation.path, operation.data);
+    case FileOperation::Kind::kFullWrite:
+      return Overwrite(operation.path, operation.data);
     case FileOperation::Kind::kSync:
       return Sync(operation.path);
     case FileOperation::Kind::kSyncDirectory:
@@ -105,7 +105,7 @@
   return FileError("append to", path, error_number);
 }
 
-absl::Status FileOperations::WriteWhole(const std::string& path, const std::string& data) {
+absl::Status FileOperations::Overwrite(const std::string& path, const std::string& data) {
   Close(path);
   const int descriptor =
       open(Absolute(path).c_str(), O_WRONLY | O_TRUNC | O_CREAT | O_CLOEXEC, kFileMode);
--- a/src/posthatch/asio/file_operations.h
+++ b/src/posthatch/asio/file_operations.h
@@ -31,7 +31,7 @@
  private:
   absl::StatusOr<int> OpenForAppend(const std::string& path);
   absl::Status Append(const std::string& path, const std::string& data);
-  absl::Status WriteWhole(const std::string& path, const std::string& data);
+  absl::Status Overwrite(const std::string& path, const std::string& data);
   absl::Status Sync(const std::string& path);
   absl::Status SyncDirectory(const std::string& path);
   absl::Status Rename(const std::string& path, const std::string& target);
--- a/src/posthatch/asio/http_client_connection.cc
+++ b/src/posthatch/asio/http_client_connection.cc
@@ -21,12 +21,12 @@
 // What may wait for the rest of a chunk's or trailer's line.
 constexpr size_t kMaxUnparsedBytes = kMaxHeaderBytes + 4096;
 // Bodies up to this size are copied behind the head, so that both leave in one buffer.
-constexpr size_t kJoinBodyBytes = 8UL * 1024;
+constexpr size_t kMaxInlineBodyBytes = 8UL * 1024;
 
 bool IsInformational(int status) { return status >= 100 && status < 200; }
 
 // The seconds of "timeout=5, max=100"; zero if there are none.
-runtime::Duration StatedIdleTime(std::string_view keep_alive) {
+runtime::Duration ParseKeepAliveTimeout(std::string_view keep_alive) {
   for (const absl::string_view part : absl::StrSplit(util::ToAbsl(keep_alive), ',')) {
     const std::pair<absl::string_view, absl::string_view> field =
         absl::StrSplit(absl::StripAsciiWhitespace(part), absl::MaxSplits('=', 1));
@@ -57,7 +57,7 @@
   running_call_ = call;
   options_ = options;
   observer_ = std::make_shared<const http::CallObserver>(std::move(observer));
-  written_before_ = stream_->written_bytes();
+  written_at_start_ = stream_->written_bytes();
   head_request_ = request.method == "HEAD";
   head_delivered_ = false;
   paused_ = false;
@@ -77,7 +77,7 @@
   std::string head;
   head.reserve(512 + request.target.size());
   AppendRequestHead(request, endpoint_, &head);
-  if (request.body.size() <= kJoinBodyBytes) {
+  if (request.body.size() <= kMaxInlineBodyBytes) {
     head.append(request.body);
     stream_->Queue(std::move(head));
   } else {
@@ -109,15 +109,15 @@
 }
 
 void HttpClientConnection::CheckDelivery() {
-  if (NothingDelivered()) {
+  if (NoByteAcknowledged()) {
     return Fail(absl::UnavailableError("the server acknowledges no byte of the request"));
   }
   if (head_deadline_ == runtime::MonotonicTime::max()) return stream_->ClearDeadline();
   stream_->SetDeadline(head_deadline_);
 }
 
-bool HttpClientConnection::NothingDelivered() {
-  const uint64_t written = stream_->written_bytes() - written_before_;
+bool HttpClientConnection::NoByteAcknowledged() {
+  const uint64_t written = stream_->written_bytes() - written_at_start_;
   if (written == 0) return stream_->queued_bytes() > 0;
   const std::optional<size_t> unacknowledged = stream_->UnacknowledgedBytes();
   return unacknowledged.has_value() && *unacknowledged > 0 && *unacknowledged >= written;
@@ -141,9 +141,9 @@
                     });
 }
 
-void HttpClientConnection::PauseReading() {
+void HttpClientConnection::StopReading() {
   paused_ = true;
-  stream_->PauseReading();
+  stream_->StopReading();
   if (phase_ == Phase::kReadingBody) stream_->ClearDeadline();
 }
 
@@ -151,8 +151,8 @@
   if (!paused_) return;
   paused_ = false;
   if (phase_ != Phase::kAwaitingHead && phase_ != Phase::kReadingBody) return;
-  if (phase_ == Phase::kReadingBody && options_.piece_timeout > runtime::Duration::zero()) {
-    stream_->SetDeadlineAfter(options_.piece_timeout);
+  if (phase_ == Phase::kReadingBody && options_.body_idle_timeout > runtime::Duration::zero()) {
+    stream_->SetDeadlineAfter(options_.body_idle_timeout);
   }
   stream_->ResumeReading();
 }
@@ -187,7 +187,7 @@
     }
     if (!parser_->body.empty()) {
       const auto observer = observer_;
-      observer->on_piece(std::exchange(parser_->body, {}));
+      observer->on_chunk(std::exchange(parser_->body, {}));
       if (phase_ != Phase::kReadingBody) return;
     }
     if (error) return Fail(absl::DataLossError(absl::StrCat("answer: ", error.message())));
@@ -200,8 +200,8 @@
   if (bytes.size() > kMaxUnparsedBytes) return Fail(absl::DataLossError("answer: line too long"));
   unparsed_.assign(bytes);
   if (phase_ == Phase::kReadingBody && !paused_ &&
-      options_.piece_timeout > runtime::Duration::zero()) {
-    stream_->SetDeadlineAfter(options_.piece_timeout);
+      options_.body_idle_timeout > runtime::Duration::zero()) {
+    stream_->SetDeadlineAfter(options_.body_idle_timeout);
   }
 }
 
@@ -213,7 +213,7 @@
   http::Response head;
   head.status = parser_->status;
   head.headers = std::move(parser_->headers);
-  stated_idle_time_ = StatedIdleTime(head.headers.Get("Keep-Alive"));
+  keep_alive_timeout_ = ParseKeepAliveTimeout(head.headers.Get("Keep-Alive"));
   const auto observer = observer_;
   observer->on_head(head);
   return phase_ == Phase::kReadingBody;
@@ -227,7 +227,7 @@
   const bool reusable =
       parser_->keep_alive() && !options_.fresh_connection && stream_->queued_bytes() == 0;
   stream_->ResumeReading();  // to see an idle connection end
-  if (!reusable || !pool_->Keep(shared_from_this())) {
+  if (!reusable || !pool_->ReturnToPool(shared_from_this())) {
     phase_ = Phase::kEnded;
     stream_->Close();
   }
@@ -244,9 +244,9 @@
 }
 
 http::CallProgress HttpClientConnection::Progress() const {
-  if (head_delivered_) return http::CallProgress::kAnswered;
-  return stream_->written_bytes() > written_before_ ? http::CallProgress::kSent
-                                                    : http::CallProgress::kNotSent;
+  if (head_delivered_) return http::CallProgress::kHeadReceived;
+  return stream_->written_bytes() > written_at_start_ ? http::CallProgress::kSent
+                                                      : http::CallProgress::kNotSent;
 }
 
 void HttpClientConnection::OnReadEnd() {
@@ -255,7 +255,7 @@
     pool_->Forget(this);
     stream_->Close();
   } else if (head_delivered_) {
-    if (!FinishAtEnd()) Fail(absl::DataLossError("answer ended early"));
+    if (!FinishCloseDelimited()) Fail(absl::DataLossError("answer ended early"));
   } else {
     Fail(absl::UnavailableError("connection closed before the answer"));
   }
@@ -263,8 +263,8 @@
 
 // RFC 9112, 6.3: without a length or chunks, the answer ends where the server ends its side. A
 // reset is no such end (OnBroken).
-bool HttpClientConnection::FinishAtEnd() {
-  if (!options_.accept_unframed || !parser_->need_eof() || !unparsed_.empty()) return false;
+bool HttpClientConnection::FinishCloseDelimited() {
+  if (!options_.accept_close_delimited || !parser_->need_eof() || !unparsed_.empty()) return false;
   boost::beast::error_code error;
   parser_->put_eof(error);
   if (error || !parser_->is_done()) return false;
--- a/src/posthatch/asio/http_client_connection.h
+++ b/src/posthatch/asio/http_client_connection.h
@@ -17,7 +17,7 @@
 class HttpConnectionPool {
  public:
   // Returns false if the connection is not wanted any more.
-  virtual bool Keep(const std::shared_ptr<HttpClientConnection>& connection) = 0;
+  virtual bool ReturnToPool(const std::shared_ptr<HttpClientConnection>& connection) = 0;
   // An idle connection has ended.
   virtual void Forget(HttpClientConnection* connection) = 0;
 
@@ -43,7 +43,7 @@
   void Cancel();
   // Fails the call soon, before it has touched the network.
   void FailUnsent(uint64_t call, absl::Status status, http::CallObserver observer);
-  void PauseReading();
+  void StopReading();
   void ResumeReading();
 
   // Ends an idle connection.
@@ -51,15 +51,15 @@
   void SetIdleDeadline(runtime::Duration timeout) { stream_->SetDeadlineAfter(timeout); }
   // How long the server said, in its last answer, that it keeps this connection while idle
   // (Keep-Alive: timeout=SECONDS); zero if it didn't.
-  runtime::Duration stated_idle_time() const { return stated_idle_time_; }
+  runtime::Duration keep_alive_timeout() const { return keep_alive_timeout_; }
   // Set by the pool: when the connection became idle, and until when its server keeps it.
-  void NoteIdle(runtime::MonotonicTime since, runtime::Duration kept_for) {
+  void MarkIdle(runtime::MonotonicTime since, runtime::Duration idle_lifetime) {
     idle_since_ = since;
-    idle_kept_for_ = kept_for;
+    idle_lifetime_ = idle_lifetime;
   }
   // Whether less than `share` of the time that the server keeps it has passed.
   bool IdleWithin(double share, runtime::MonotonicTime now) const {
-    return now - idle_since_ < idle_kept_for_ * share;
+    return now - idle_since_ < idle_lifetime_ * share;
   }
   const std::string& endpoint() const { return endpoint_; }
 
@@ -77,12 +77,12 @@
   // Ends the call if nothing of it was delivered, and waits for the head otherwise.
   void CheckDelivery();
   // Whether the peer has acknowledged nothing of the request, though it had the time to.
-  bool NothingDelivered();
+  bool NoByteAcknowledged();
   void StartParser();
   void Parse(std::string_view bytes);
   bool DeliverHead();
   // The server has closed its side: ends an answer that has no length of its own.
-  bool FinishAtEnd();
+  bool FinishCloseDelimited();
   void Finish();
   void Fail(absl::Status status);
   http::CallProgress Progress() const;
@@ -96,7 +96,7 @@
   bool fresh_ = true;
   bool paused_ = false;
   bool head_request_ = false;
-  uint64_t written_before_ = 0;           // stream bytes written when this call began
+  uint64_t written_at_start_ = 0;         // stream bytes written when this call began
   runtime::MonotonicTime head_deadline_;  // while the head is awaited; the greatest time: none
   http::CallOptions options_;
   // Shared, since a callback may end the call and with it this reference.
@@ -104,9 +104,9 @@
   std::optional<ResponseParser> parser_;
   bool head_delivered_ = false;
   std::string unparsed_;
-  runtime::Duration stated_idle_time_{0};
+  runtime::Duration keep_alive_timeout_{0};
   runtime::MonotonicTime idle_since_;
-  runtime::Duration idle_kept_for_{0};
+  runtime::Duration idle_lifetime_{0};
 };
 
 }  // namespace posthatch::asio
--- a/src/posthatch/asio/http_server_connection.cc
+++ b/src/posthatch/asio/http_server_connection.cc
@@ -22,7 +22,7 @@
 // What a chunk's line or a trailer may add to the header limit.
 constexpr size_t kMaxUnparsedExtraBytes = 4096;
 // Bodies up to this size are copied behind the head, so that both leave in one buffer.
-constexpr size_t kJoinBodyBytes = 8UL * 1024;
+constexpr size_t kMaxInlineBodyBytes = 8UL * 1024;
 
 bool HasNoBody(int status) { return status == 204 || status == 304; }
 
@@ -47,7 +47,7 @@
 HttpServerConnection::~HttpServerConnection() { stream_->Close(); }
 
 void HttpServerConnection::Start() {
-  stream_->Accepted();
+  stream_->StartAccepted();
   StartParser();
   stream_->SetDeadlineAfter(context_->limits.header_timeout);
   stream_->ResumeReading();
@@ -71,8 +71,8 @@
   phase_ = Phase::kClosed;
   stream_->Close();
   on_writable_ = nullptr;
-  on_caller_gone_ = nullptr;
-  if (context_->forget) context_->forget(this);
+  on_caller_disconnected_ = nullptr;
+  if (context_->on_closed) context_->on_closed(this);
 }
 
 void HttpServerConnection::OnBytes(std::string_view bytes) {
@@ -83,24 +83,24 @@
     return;
   }
   received_.append(bytes);
-  if (phase_ == Phase::kAnswering || phase_ == Phase::kAborting) {
-    if (received_.size() > kMaxPipelinedBytes) stream_->PauseReading();
+  if (phase_ == Phase::kResponding || phase_ == Phase::kAborting) {
+    if (received_.size() > kMaxPipelinedBytes) stream_->StopReading();
     return;
   }
-  ReadRequests();
+  ParseRequests();
 }
 
-void HttpServerConnection::ReadRequests() {
-  if (reading_requests_) return;
-  reading_requests_ = true;
+void HttpServerConnection::ParseRequests() {
+  if (parsing_requests_) return;
+  parsing_requests_ = true;
   while ((phase_ == Phase::kIdle || phase_ == Phase::kReading) && !received_.empty()) {
-    if (!ReadRequest()) break;
+    if (!ParseRequest()) break;
   }
-  reading_requests_ = false;
+  parsing_requests_ = false;
 }
 
 // Returns false if more bytes are needed or the connection is of no more use.
-bool HttpServerConnection::ReadRequest() {
+bool HttpServerConnection::ParseRequest() {
   if (phase_ == Phase::kIdle) {
     phase_ = Phase::kReading;
     stream_->SetDeadlineAfter(context_->limits.header_timeout);
@@ -110,7 +110,7 @@
   received_.erase(0, used);
   if (received_.empty() && received_.capacity() > kMaxPipelinedBytes) received_ = {};
   if (error) {
-    RefuseParse(error);
+    RejectMalformed(error);
     return false;
   }
   if (parser_->is_done()) {
@@ -124,13 +124,13 @@
   if (parser_->is_header_done() && !body_deadline_set_) {
     body_deadline_set_ = true;
     stream_->SetDeadlineAfter(context_->limits.body_timeout);
-    AnswerContinue();
+    SendContinue();
   }
   return false;
 }
 
 // RFC 9110, 10.1.1.
-void HttpServerConnection::AnswerContinue() {
+void HttpServerConnection::SendContinue() {
   const bool expected =
       absl::EqualsIgnoreCase(util::ToAbsl(parser_->headers.Get("Expect")), "100-continue");
   if (!expected || continue_sent_ || !parser_->body.empty()) return;
@@ -146,38 +146,38 @@
 // Writer of one answer; aborts it if dropped before its end.
 class HttpResponseWriter : public http::ResponseWriter {
  public:
-  HttpResponseWriter(std::shared_ptr<HttpServerConnection> connection, uint64_t answer)
-      : connection_(std::move(connection)), answer_(answer) {}
-  ~HttpResponseWriter() override { connection_->Abort(answer_); }
+  HttpResponseWriter(std::shared_ptr<HttpServerConnection> connection, uint64_t exchange)
+      : connection_(std::move(connection)), exchange_(exchange) {}
+  ~HttpResponseWriter() override { connection_->Abort(exchange_); }
 
-  void SendWhole(http::Response response) override {
-    connection_->SendWhole(answer_, std::move(response));
+  void SendResponse(http::Response response) override {
+    connection_->SendResponse(exchange_, std::move(response));
   }
-  void StartStream(http::Response head) override { connection_->StartStream(answer_, head); }
-  void WritePiece(std::string piece) override {
-    connection_->WritePiece(answer_, std::move(piece));
+  void StartStream(http::Response head) override { connection_->StartStream(exchange_, head); }
+  void WriteChunk(std::string chunk) override {
+    connection_->WriteChunk(exchange_, std::move(chunk));
   }
-  void FinishStream() override { connection_->FinishStream(answer_); }
-  void Abort() override { connection_->Abort(answer_); }
+  void FinishStream() override { connection_->FinishStream(exchange_); }
+  void Abort() override { connection_->Abort(exchange_); }
   size_t buffered_bytes() const override {
-    return connection_->Running(answer_) ? connection_->buffered_bytes() : 0;
+    return connection_->Running(exchange_) ? connection_->buffered_bytes() : 0;
   }
   void OnWritable(std::function<void()> callback) override {
-    connection_->OnWritable(answer_, std::move(callback));
+    connection_->OnWritable(exchange_, std::move(callback));
   }
-  void OnCallerGone(std::function<void()> callback) override {
-    connection_->OnCallerGone(answer_, std::move(callback));
+  void OnCallerDisconnected(std::function<void()> callback) override {
+    connection_->OnCallerDisconnected(exchange_, std::move(callback));
   }
 
  private:
   const std::shared_ptr<HttpServerConnection> connection_;
-  const uint64_t answer_;
+  const uint64_t exchange_;
 };
 
 void HttpServerConnection::Dispatch() {
   stream_->ClearDeadline();
-  phase_ = Phase::kAnswering;
-  ++answer_;
+  phase_ = Phase::kResponding;
+  ++exchange_;
   version_ = parser_->version >= 11 ? 11 : 10;
   keep_alive_ = parser_->keep_alive();
   head_request_ = parser_->method == "HEAD";
@@ -190,7 +190,8 @@
   request.connection_id = connection_id_;
   StartParser();
   const auto handler = context_->handler;
-  (*handler)(std::move(request), std::make_shared<HttpResponseWriter>(shared_from_this(), answer_));
+  (*handler)(std::move(request),
+             std::make_shared<HttpResponseWriter>(shared_from_this(), exchange_));
 }
 
 ResponseFraming HttpServerConnection::Framing(const http::Response& response, bool streamed) const {
@@ -206,8 +207,8 @@
   return framing;
 }
 
-void HttpServerConnection::SendWhole(uint64_t answer, http::Response response) {
-  if (!Running(answer) || streaming_) return;
+void HttpServerConnection::SendResponse(uint64_t exchange, http::Response response) {
+  if (!Running(exchange) || streaming_) return;
   if (response.status < 200 || response.status > 599 || !CheckHeaders(response.headers).ok()) {
     response = {.status = 500, .headers = {}, .body = {}};
   }
@@ -218,7 +219,7 @@
   head.reserve(512);
   AppendResponseHead(response, framing, &head);
   const bool with_body = framing.body == BodyFraming::kLength && !head_request_;
-  if (with_body && response.body.size() <= kJoinBodyBytes) {
+  if (with_body && response.body.size() <= kMaxInlineBodyBytes) {
     head.append(response.body);
     stream_->Queue(std::move(head));
   } else {
@@ -226,13 +227,13 @@
     if (with_body) stream_->Queue(std::move(response.body));
   }
   stream_->Flush();
-  EndAnswer();
+  EndExchange();
 }
 
-void HttpServerConnection::StartStream(uint64_t answer, const http::Response& head) {
-  if (!Running(answer) || streaming_) return;
+void HttpServerConnection::StartStream(uint64_t exchange, const http::Response& head) {
+  if (!Running(exchange) || streaming_) return;
   if (head.status < 200 || head.status > 599 || !CheckHeaders(head.headers).ok()) {
-    SendWhole(answer, {.status = 500, .headers = {}, .body = {}});
+    SendResponse(exchange, {.status = 500, .headers = {}, .body = {}});
     return;
   }
   streaming_ = true;
@@ -245,89 +246,89 @@
   AppendResponseHead(head, framing, &text);
   stream_->Queue(std::move(text));
   stream_->FlushSoon();
-  WatchWriting();
+  UpdateWriteDeadline();
 }
 
-void HttpServerConnection::WritePiece(uint64_t answer, std::string piece) {
+void HttpServerConnection::WriteChunk(uint64_t exchange, std::string chunk) {
   // An empty chunk would end the body.
-  if (!Running(answer) || !streaming_ || piece.empty()) return;
+  if (!Running(exchange) || !streaming_ || chunk.empty()) return;
   if (head_request_ || HasNoBody(status_)) return;
   if (chunked_) {
     std::string line;
-    AppendChunkStart(piece.size(), &line);
+    AppendChunkStart(chunk.size(), &line);
     stream_->QueueCopy(line);
   }
-  if (piece.size() <= kJoinBodyBytes) {
-    stream_->QueueCopy(piece);
+  if (chunk.size() <= kMaxInlineBodyBytes) {
+    stream_->QueueCopy(chunk);
   } else {
-    stream_->Queue(std::move(piece));
+    stream_->Queue(std::move(chunk));
   }
   if (chunked_) stream_->QueueCopy(kChunkEnd);
   stream_->FlushSoon();
-  WatchWriting();
+  UpdateWriteDeadline();
 }
 
-void HttpServerConnection::FinishStream(uint64_t answer) {
-  if (!Running(answer) || !streaming_) return;
+void HttpServerConnection::FinishStream(uint64_t exchange) {
+  if (!Running(exchange) || !streaming_) return;
   if (chunked_ && !head_request_) {
     std::string last;
     AppendLastChunk(&last);
     stream_->QueueCopy(last);
   }
   stream_->Flush();
-  EndAnswer();
+  EndExchange();
 }
 
-void HttpServerConnection::EndAnswer() {
+void HttpServerConnection::EndExchange() {
   const auto self = shared_from_this();
-  if (context_->count) context_->count(status_);
+  if (context_->count_response) context_->count_response(status_);
   // Moved out first: destroying a callback may drop the writer and come back here.
   const auto on_writable = std::exchange(on_writable_, nullptr);
-  const auto on_caller_gone = std::exchange(on_caller_gone_, nullptr);
+  const auto on_caller_disconnected = std::exchange(on_caller_disconnected_, nullptr);
   if (read_ended_ && stream_->queued_bytes() == 0) return Close();
   if (!keep_alive_ || read_ended_ || context_->draining) return Linger();
   phase_ = Phase::kIdle;
-  WatchWriting();
+  UpdateWriteDeadline();
   stream_->ResumeReading();
-  if (!received_.empty()) ReadRequests();
+  if (!received_.empty()) ParseRequests();
 }
 
-void HttpServerConnection::Abort(uint64_t answer) {
-  if (!Running(answer)) return;
+void HttpServerConnection::Abort(uint64_t exchange) {
+  if (!Running(exchange)) return;
   const auto self = shared_from_this();
   phase_ = Phase::kAborting;
   const auto on_writable = std::exchange(on_writable_, nullptr);
-  const auto on_caller_gone = std::exchange(on_caller_gone_, nullptr);
-  if (context_->count) context_->count(0);
+  const auto on_caller_disconnected = std::exchange(on_caller_disconnected_, nullptr);
+  if (context_->count_response) context_->count_response(0);
   stream_->Flush();
   if (stream_->queued_bytes() == 0) return OnProgress();
-  WatchWriting();
+  UpdateWriteDeadline();
 }
 
-void HttpServerConnection::OnWritable(uint64_t answer, std::function<void()> callback) {
-  if (!Running(answer)) return;
+void HttpServerConnection::OnWritable(uint64_t exchange, std::function<void()> callback) {
+  if (!Running(exchange)) return;
   on_writable_ = std::move(callback);
   // Reported through the event loop, never from within this call.
   boost::asio::post(*context_->environment->io_context,
                     [self = shared_from_this()] { self->OnProgress(); });
 }
 
-void HttpServerConnection::OnCallerGone(uint64_t answer, std::function<void()> callback) {
-  if (!Running(answer)) return;
-  on_caller_gone_ = std::move(callback);
+void HttpServerConnection::OnCallerDisconnected(uint64_t exchange, std::function<void()> callback) {
+  if (!Running(exchange)) return;
+  on_caller_disconnected_ = std::move(callback);
   if (!read_ended_) return;
-  boost::asio::post(*context_->environment->io_context, [self = shared_from_this(), answer] {
-    if (self->Running(answer) && self->on_caller_gone_) self->CallerGone();
+  boost::asio::post(*context_->environment->io_context, [self = shared_from_this(), exchange] {
+    if (self->Running(exchange) && self->on_caller_disconnected_) self->HandleDisconnect();
   });
 }
 
 // A caller that takes nothing for the body timeout is given up.
-void HttpServerConnection::WatchWriting() {
+void HttpServerConnection::UpdateWriteDeadline() {
   if (stream_->queued_bytes() > 0) {
     stream_->SetDeadlineAfter(context_->limits.body_timeout);
   } else if (phase_ == Phase::kIdle) {
     stream_->SetDeadlineAfter(context_->limits.idle_timeout);
-  } else if (phase_ == Phase::kAnswering) {
+  } else if (phase_ == Phase::kResponding) {
     stream_->ClearDeadline();
   }
 }
@@ -336,12 +337,12 @@
   const auto self = shared_from_this();
   if (phase_ == Phase::kClosed) return;
   if (phase_ == Phase::kAborting) {
-    if (stream_->queued_bytes() > 0) return WatchWriting();
+    if (stream_->queued_bytes() > 0) return UpdateWriteDeadline();
     // Without chunks only a reset shows that the body was cut.
     if (streaming_ && !chunked_) stream_->Reset();
     return Close();
   }
-  if (phase_ == Phase::kAnswering || phase_ == Phase::kIdle) WatchWriting();
+  if (phase_ == Phase::kResponding || phase_ == Phase::kIdle) UpdateWriteDeadline();
   if (!on_writable_ || stream_->queued_bytes() * 2 >= context_->limits.max_buffered_bytes) return;
   const auto on_writable = std::exchange(on_writable_, nullptr);
   on_writable();
@@ -350,22 +351,22 @@
 void HttpServerConnection::OnReadEnd() {
   const auto self = shared_from_this();
   read_ended_ = true;
-  if (phase_ != Phase::kAnswering && phase_ != Phase::kAborting) return Close();
+  if (phase_ != Phase::kResponding && phase_ != Phase::kAborting) return Close();
   // The caller may have closed only its sending side: an answer nobody watches is still sent.
-  if (on_caller_gone_) CallerGone();
+  if (on_caller_disconnected_) HandleDisconnect();
 }
 
 void HttpServerConnection::OnBroken(absl::Status) {
   const auto self = shared_from_this();
-  CallerGone();
+  HandleDisconnect();
 }
 
-void HttpServerConnection::CallerGone() {
+void HttpServerConnection::HandleDisconnect() {
   const auto self = shared_from_this();
-  const auto on_caller_gone = std::exchange(on_caller_gone_, nullptr);
-  const bool answering = phase_ == Phase::kAnswering;
+  const auto on_caller_disconnected = std::exchange(on_caller_disconnected_, nullptr);
+  const bool answering = phase_ == Phase::kResponding;
   Close();
-  if (answering && on_caller_gone) on_caller_gone();
+  if (answering && on_caller_disconnected) on_caller_disconnected();
 }
 
 void HttpServerConnection::OnDeadline() {
@@ -373,14 +374,14 @@
   switch (phase_) {
     case Phase::kReading:
       return Refuse(408, "timeout", "the request came too slowly", parser_->is_header_done());
-    case Phase::kAnswering:
-      return CallerGone();
+    case Phase::kResponding:
+      return HandleDisconnect();
     default:
       return Close();
   }
 }
 
-void HttpServerConnection::RefuseParse(const boost::beast::error_code& error) {
+void HttpServerConnection::RejectMalformed(const boost::beast::error_code& error) {
   if (error == beast_http::error::header_limit) {
     return Refuse(431, "too_large", "header fields over the limit", /*head_read=*/false);
   }
@@ -404,7 +405,7 @@
   AppendResponseHead(response, {.keep_alive = false}, &text);
   text.append(response.body);
   stream_->Queue(std::move(text));
-  if (context_->count) context_->count(status);
+  if (context_->count_response) context_->count_response(status);
   Linger();
 }
 
--- a/src/posthatch/asio/http_server_connection.h
+++ b/src/posthatch/asio/http_server_connection.h
@@ -21,9 +21,9 @@
   std::shared_ptr<const http::Handler> handler;
   bool draining = false;
   // Takes an ended connection out of the server's set; cleared when the server goes away.
-  std::function<void(HttpServerConnection*)> forget;
+  std::function<void(HttpServerConnection*)> on_closed;
   // Counts an answered request by status.
-  std::function<void(int status)> count;
+  std::function<void(int status)> count_response;
 };
 
 // One caller's connection: reads a request, hands it to the handler, sends the answer, and so on.
@@ -42,15 +42,17 @@
   void Close();
 
   // For the writer of answer number `answer`; ignored once that answer has ended.
-  bool Running(uint64_t answer) const { return phase_ == Phase::kAnswering && answer == answer_; }
-  void SendWhole(uint64_t answer, http::Response response);
-  void StartStream(uint64_t answer, const http::Response& head);
-  void WritePiece(uint64_t answer, std::string piece);
-  void FinishStream(uint64_t answer);
-  void Abort(uint64_t answer);
+  bool Running(uint64_t exchange) const {
+    return phase_ == Phase::kResponding && exchange == exchange_;
+  }
+  void SendResponse(uint64_t exchange, http::Response response);
+  void StartStream(uint64_t exchange, const http::Response& head);
+  void WriteChunk(uint64_t exchange, std::string chunk);
+  void FinishStream(uint64_t exchange);
+  void Abort(uint64_t exchange);
   size_t buffered_bytes() const { return stream_->queued_bytes(); }
-  void OnWritable(uint64_t answer, std::function<void()> callback);
-  void OnCallerGone(uint64_t answer, std::function<void()> callback);
+  void OnWritable(uint64_t exchange, std::function<void()> callback);
+  void OnCallerDisconnected(uint64_t exchange, std::function<void()> callback);
 
   void OnBytes(std::string_view bytes) override;
   void OnReadEnd() override;
@@ -59,27 +61,27 @@
   void OnDeadline() override;
 
  private:
-  enum class Phase { kIdle, kReading, kAnswering, kAborting, kLingering, kClosed };
+  enum class Phase { kIdle, kReading, kResponding, kAborting, kLingering, kClosed };
 
-  void ReadRequests();
-  bool ReadRequest();
+  void ParseRequests();
+  bool ParseRequest();
   void StartParser();
-  void AnswerContinue();
+  void SendContinue();
   void Dispatch();
-  void EndAnswer();
+  void EndExchange();
   // `head_read`: every field of the request is known.
   void Refuse(int status, std::string_view code, std::string_view message, bool head_read);
-  void RefuseParse(const boost::beast::error_code& error);
+  void RejectMalformed(const boost::beast::error_code& error);
   void Linger();
-  void CallerGone();
-  void WatchWriting();
+  void HandleDisconnect();
+  void UpdateWriteDeadline();
   ResponseFraming Framing(const http::Response& response, bool streamed) const;
 
   const std::shared_ptr<HttpServerContext> context_;
   const uint64_t connection_id_;
   std::shared_ptr<TcpStream> stream_;
   Phase phase_ = Phase::kIdle;
-  bool reading_requests_ = false;  // guards against recursion through the handler
+  bool parsing_requests_ = false;  // guards against recursion through the handler
   bool read_ended_ = false;
   std::string received_;  // not yet parsed
   std::optional<RequestParser> parser_;
@@ -87,7 +89,7 @@
   bool body_deadline_set_ = false;
 
   // The running answer.
-  uint64_t answer_ = 0;
+  uint64_t exchange_ = 0;
   bool keep_alive_ = true;
   bool head_request_ = false;
   int version_ = 11;
@@ -95,7 +97,7 @@
   bool chunked_ = false;
   int status_ = 0;
   std::function<void()> on_writable_;
-  std::function<void()> on_caller_gone_;
+  std::function<void()> on_caller_disconnected_;
   uint64_t lingered_bytes_ = 0;
 };
 
--- a/src/posthatch/asio/lazy_deadline.cc
+++ b/src/posthatch/asio/lazy_deadline.cc
@@ -4,8 +4,8 @@
 
 namespace posthatch::asio {
 
-LazyDeadline::LazyDeadline(boost::asio::io_context* io_context, std::function<void()> expired)
-    : timer_(*io_context), expired_(std::move(expired)) {}
+LazyDeadline::LazyDeadline(boost::asio::io_context* io_context, std::function<void()> on_expired)
+    : timer_(*io_context), on_expired_(std::move(on_expired)) {}
 
 LazyDeadline::~LazyDeadline() { *alive_ = false; }
 
@@ -21,11 +21,11 @@
   // Setting the expiry cancels the former wait.
   timer_.expires_at(BootClock::time_point(time_.time_since_epoch()));
   timer_.async_wait([this, alive = alive_](const boost::system::error_code& error) {
-    if (!error && *alive) Fired();
+    if (!error && *alive) OnTimer();
   });
 }
 
-void LazyDeadline::Fired() {
+void LazyDeadline::OnTimer() {
   armed_ = false;
   if (!set_) return;
   if (BootNow() < time_) {
@@ -34,8 +34,8 @@
   }
   set_ = false;
   // The callback may destroy this object.
-  const std::function<void()> expired = expired_;
-  expired();
+  const std::function<void()> on_expired = on_expired_;
+  on_expired();
 }
 
 }  // namespace posthatch::asio
--- a/src/posthatch/asio/lazy_deadline.h
+++ b/src/posthatch/asio/lazy_deadline.h
@@ -12,7 +12,7 @@
 // whose `expired` callback must keep nothing alive. Event loop thread only.
 class LazyDeadline {
  public:
-  LazyDeadline(boost::asio::io_context* io_context, std::function<void()> expired);
+  LazyDeadline(boost::asio::io_context* io_context, std::function<void()> on_expired);
   ~LazyDeadline();
   LazyDeadline(const LazyDeadline&) = delete;
   LazyDeadline& operator=(const LazyDeadline&) = delete;
@@ -23,10 +23,10 @@
 
  private:
   void Arm();
-  void Fired();
+  void OnTimer();
 
   BootTimer timer_;
-  const std::function<void()> expired_;
+  const std::function<void()> on_expired_;
   runtime::MonotonicTime time_;
   runtime::MonotonicTime armed_at_;
   bool set_ = false;
--- a/src/posthatch/asio/stream_faults.cc
+++ b/src/posthatch/asio/stream_faults.cc
@@ -12,7 +12,7 @@
 StreamFaults::~StreamFaults() { faults_->Unsubscribe(subscription_); }
 
 bool StreamFaults::MayConnect(const std::string& remote) {
-  if (SendIsCut(remote) || ReceiveIsCut(remote)) return false;
+  if (OutboundPartitioned(remote) || InboundPartitioned(remote)) return false;
   const runtime::MonotonicTime now = BootNow();
   if (!connect_due_) connect_due_ = now + faults_->DelayTo(remote) + faults_->DelayFrom(remote);
   if (*connect_due_ <= now) return true;
@@ -20,26 +20,26 @@
   return false;
 }
 
-void StreamFaults::NoteQueued(const std::string& remote, uint64_t end_position) {
+void StreamFaults::RecordQueued(const std::string& remote, uint64_t end_position) {
   const runtime::Duration delay = faults_->DelayTo(remote);
-  if (delay == runtime::Duration::zero() && send_marks_.empty()) return;
+  if (delay == runtime::Duration::zero() && send_watermarks_.empty()) return;
   runtime::MonotonicTime due = BootNow() + delay;
-  if (!send_marks_.empty()) due = std::max(due, send_marks_.back().due);
-  send_marks_.push_back({due, end_position});
+  if (!send_watermarks_.empty()) due = std::max(due, send_watermarks_.back().due);
+  send_watermarks_.push_back({due, end_position});
 }
 
 uint64_t StreamFaults::SendLimit(uint64_t end_position) {
   const runtime::MonotonicTime now = BootNow();
-  while (!send_marks_.empty() && send_marks_.front().due <= now) {
-    released_ = send_marks_.front().end_position;
-    send_marks_.pop_front();
+  while (!send_watermarks_.empty() && send_watermarks_.front().due <= now) {
+    released_ = send_watermarks_.front().end_position;
+    send_watermarks_.pop_front();
   }
-  if (send_marks_.empty()) return end_position;
-  timer_.Set(send_marks_.front().due);
+  if (send_watermarks_.empty()) return end_position;
+  timer_.Set(send_watermarks_.front().due);
   return released_;
 }
 
-bool StreamFaults::HoldReceived(const std::string& remote, std::string_view bytes) {
+bool StreamFaults::DelayReceived(const std::string& remote, std::string_view bytes) {
   const runtime::Duration delay = faults_->DelayFrom(remote);
   if (delay == runtime::Duration::zero() && received_.empty()) return false;
   runtime::MonotonicTime due = BootNow() + delay;
@@ -49,7 +49,7 @@
   return true;
 }
 
-std::optional<std::string> StreamFaults::TakeReceived() {
+std::optional<std::string> StreamFaults::TakeDueReceived() {
   if (received_.empty()) return std::nullopt;
   if (received_.front().due > BootNow()) {
     timer_.Set(received_.front().due);
--- a/src/posthatch/asio/stream_faults.h
+++ b/src/posthatch/asio/stream_faults.h
@@ -23,23 +23,23 @@
   StreamFaults(const StreamFaults&) = delete;
   StreamFaults& operator=(const StreamFaults&) = delete;
 
-  bool SendIsCut(const std::string& remote) const { return faults_->DropsTo(remote); }
-  bool ReceiveIsCut(const std::string& remote) const { return faults_->DropsFrom(remote); }
+  bool OutboundPartitioned(const std::string& remote) const { return faults_->DropsTo(remote); }
+  bool InboundPartitioned(const std::string& remote) const { return faults_->DropsFrom(remote); }
   // Whether a connection attempt may start; if not, `resume` runs later.
   bool MayConnect(const std::string& remote);
 
   // Notes that the write queue now ends at `end_position` (bytes since the connection began).
-  void NoteQueued(const std::string& remote, uint64_t end_position);
+  void RecordQueued(const std::string& remote, uint64_t end_position);
   // Position up to which bytes may be sent now.
   uint64_t SendLimit(uint64_t end_position);
 
   // Takes received bytes (empty: the end of the peer's sending) if they have to wait.
-  bool HoldReceived(const std::string& remote, std::string_view bytes);
+  bool DelayReceived(const std::string& remote, std::string_view bytes);
   // Next held bytes that are due.
-  std::optional<std::string> TakeReceived();
+  std::optional<std::string> TakeDueReceived();
 
  private:
-  struct SendMark {
+  struct SendWatermark {
     runtime::MonotonicTime due;
     uint64_t end_position;
   };
@@ -52,7 +52,7 @@
   const uint64_t subscription_;
   LazyDeadline timer_;
   std::optional<runtime::MonotonicTime> connect_due_;
-  std::deque<SendMark> send_marks_;
+  std::deque<SendWatermark> send_watermarks_;
   uint64_t released_ = 0;  // position up to which marks have come due
   std::deque<Received> received_;
 };
--- a/src/posthatch/asio/tcp_listener.cc
+++ b/src/posthatch/asio/tcp_listener.cc
@@ -16,16 +16,16 @@
 }  // namespace
 
 struct TcpListener::State {
-  State(boost::asio::io_context* io_context, Accepted accepted_callback)
+  State(boost::asio::io_context* io_context, AcceptCallback accepted_callback)
       : acceptor(*io_context), retry_timer(*io_context), accepted(std::move(accepted_callback)) {}
 
   TcpAcceptor acceptor;
   BootTimer retry_timer;
-  const Accepted accepted;
+  const AcceptCallback accepted;
   TcpEndpoint endpoint;
 };
 
-absl::Status TcpListener::Listen(const TcpEndpoint& endpoint, Accepted accepted) {
+absl::Status TcpListener::Listen(const TcpEndpoint& endpoint, AcceptCallback accepted) {
   auto state = std::make_shared<State>(environment_->io_context, std::move(accepted));
   boost::system::error_code error;
   state->acceptor.open(endpoint.protocol(), error);
--- a/src/posthatch/asio/tcp_listener.h
+++ b/src/posthatch/asio/tcp_listener.h
@@ -14,7 +14,7 @@
 // or transport it serves. Event loop thread only.
 class TcpListener {
  public:
-  using Accepted = std::function<void(TcpSocket socket, std::string remote_endpoint)>;
+  using AcceptCallback = std::function<void(TcpSocket socket, std::string remote_endpoint)>;
 
   explicit TcpListener(IoEnvironment* environment) : environment_(environment) {}
   ~TcpListener() { Close(); }
@@ -22,7 +22,7 @@
   TcpListener& operator=(const TcpListener&) = delete;
 
   // Errors as from SocketError.
-  absl::Status Listen(const TcpEndpoint& endpoint, Accepted accepted);
+  absl::Status Listen(const TcpEndpoint& endpoint, AcceptCallback accepted);
   // The bound address.
   const TcpEndpoint& endpoint() const;
   void Close();
--- a/src/posthatch/asio/tcp_stream.cc
+++ b/src/posthatch/asio/tcp_stream.cc
@@ -24,28 +24,28 @@
 // Reads of one connection in one turn, so that a fast sender doesn't starve the others.
 constexpr int kMaxReadsPerTurn = 4;
 // A peer without power or behind a cut says nothing: a connection is given up when sent bytes stay
-// unacknowledged for kUnacknowledgedMs, or when probes of an idle one stay unanswered.
-constexpr int kUnacknowledgedMs = 2000;
-constexpr int kProbeAfterSeconds = 1;
-constexpr int kProbeIntervalSeconds = 1;
-constexpr int kProbes = 2;
+// unacknowledged for kTcpUserTimeoutMs, or when probes of an idle one stay unanswered.
+constexpr int kTcpUserTimeoutMs = 2000;
+constexpr int kKeepAliveIdleSeconds = 1;
+constexpr int kKeepAliveIntervalSeconds = 1;
+constexpr int kKeepAliveProbes = 2;
 
-void GiveUpSilentPeers(int descriptor) {
+void EnableDeadPeerDetection(int descriptor) {
   const int on = 1;
   setsockopt(descriptor, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-  setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, &kProbeAfterSeconds,
-             sizeof(kProbeAfterSeconds));
-  setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, &kProbeIntervalSeconds,
-             sizeof(kProbeIntervalSeconds));
-  setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPCNT, &kProbes, sizeof(kProbes));
-  setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUnacknowledgedMs,
-             sizeof(kUnacknowledgedMs));
+  setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, &kKeepAliveIdleSeconds,
+             sizeof(kKeepAliveIdleSeconds));
+  setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, &kKeepAliveIntervalSeconds,
+             sizeof(kKeepAliveIntervalSeconds));
+  setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPCNT, &kKeepAliveProbes, sizeof(kKeepAliveProbes));
+  setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &kTcpUserTimeoutMs,
+             sizeof(kTcpUserTimeoutMs));
 }
 
 }  // namespace
 
-void ReleaseCutOffSockets(IoEnvironment* environment) {
-  std::erase_if(environment->cut_off_sockets, [environment](auto& entry) {
+void CloseHealedSockets(IoEnvironment* environment) {
+  std::erase_if(environment->partitioned_sockets, [environment](auto& entry) {
     if (environment->faults->DropsTo(entry.first)) return false;
     // Asio's destructor would end a connection in order that was to be reset.
     boost::system::error_code ignored;
@@ -65,7 +65,7 @@
       }) {
   if (environment->faults != nullptr) {
     faults_ = std::make_unique<StreamFaults>(environment->io_context, environment->faults,
-                                             [this] { FaultsResumed(); });
+                                             [this] { OnFaultsChanged(); });
   }
 }
 
@@ -73,10 +73,10 @@
   boost::system::error_code ignored;
   socket_.non_blocking(true, ignored);
   socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
-  GiveUpSilentPeers(socket_.native_handle());
+  EnableDeadPeerDetection(socket_.native_handle());
 }
 
-void TcpStream::Accepted() {
+void TcpStream::StartAccepted() {
   SetOptions();
   connected_ = true;
 }
@@ -92,46 +92,46 @@
   connect_started_ = true;
   boost::system::error_code error;
   socket_.open(connect_endpoint_.protocol(), error);
-  if (error) return FailSoon(SocketError("socket", error));
+  if (error) return PostFailure(SocketError("socket", error));
   SetOptions();
   socket_.async_connect(connect_endpoint_, [self = shared_from_this()](
                                                const boost::system::error_code& connect_error) {
-    self->Connected(connect_error);
+    self->OnConnectDone(connect_error);
   });
 }
 
-void TcpStream::Connected(const boost::system::error_code& error) {
+void TcpStream::OnConnectDone(const boost::system::error_code& error) {
   connecting_ = false;
   if (!Usable()) return;
   if (error) return Fail(SocketError("connect", error));
   connected_ = true;
-  if (queued_bytes_ > 0) NoteQueuedForFaults();
+  if (queued_bytes_ > 0) RecordQueuedForFaults();
   owner_->OnConnected();
   if (Usable()) Flush();
 }
 
 void TcpStream::ResumeReading() {
-  reading_wanted_ = true;
+  reading_enabled_ = true;
   if (faults_ != nullptr) {
     boost::asio::post(*environment_->io_context,
-                      [self = shared_from_this()] { self->FaultsResumed(); });
+                      [self = shared_from_this()] { self->OnFaultsChanged(); });
   }
   WaitReadable();
 }
 
 void TcpStream::WaitReadable() {
-  if (read_waiting_ || read_ended_ || !reading_wanted_ || !connected_ || !Usable()) return;
-  if (ReceiveIsCut()) return;  // FaultsResumed goes on
-  read_waiting_ = true;
+  if (read_wait_pending_ || read_ended_ || !reading_enabled_ || !connected_ || !Usable()) return;
+  if (InboundPartitioned()) return;  // OnFaultsChanged goes on
+  read_wait_pending_ = true;
   socket_.async_wait(TcpSocket::wait_read,
                      [self = shared_from_this()](const boost::system::error_code& error) {
-                       self->Readable(error);
+                       self->OnReadable(error);
                      });
 }
 
-void TcpStream::Readable(const boost::system::error_code& error) {
-  read_waiting_ = false;
-  if (!Usable() || !reading_wanted_ || ReceiveIsCut()) return;
+void TcpStream::OnReadable(const boost::system::error_code& error) {
+  read_wait_pending_ = false;
+  if (!Usable() || !reading_enabled_ || InboundPartitioned()) return;
   if (error) return Fail(SocketError("read", error));
   std::string& buffer = environment_->read_buffer;
   for (int reads = 0; reads < kMaxReadsPerTurn; ++reads) {
@@ -140,34 +140,34 @@
         socket_.read_some(boost::asio::buffer(buffer.data(), buffer.size()), read_error);
     if (read_error == boost::asio::error::would_block) break;
     if (read_error == boost::asio::error::eof) {
-      if (faults_ == nullptr || !faults_->HoldReceived(remote_endpoint_, {})) ReadEnded();
+      if (faults_ == nullptr || !faults_->DelayReceived(remote_endpoint_, {})) ReportReadEnd();
       return;
     }
     if (read_error) return Fail(SocketError("read", read_error));
     const std::string_view bytes(buffer.data(), size);
-    if (faults_ == nullptr || !faults_->HoldReceived(remote_endpoint_, bytes)) {
+    if (faults_ == nullptr || !faults_->DelayReceived(remote_endpoint_, bytes)) {
       owner_->OnBytes(bytes);
     }
-    if (!Usable() || !reading_wanted_) return;
+    if (!Usable() || !reading_enabled_) return;
     if (size < buffer.size()) break;
   }
   WaitReadable();
 }
 
-void TcpStream::ReadEnded() {
+void TcpStream::ReportReadEnd() {
   read_ended_ = true;
   owner_->OnReadEnd();
 }
 
 void TcpStream::Queue(std::string bytes) {
   if (bytes.empty() || !Usable()) return;
-  NoteQueued(bytes.size());
+  RecordQueued(bytes.size());
   queue_.push_back(std::move(bytes));
 }
 
 void TcpStream::QueueCopy(std::string_view bytes) {
   if (bytes.empty() || !Usable()) return;
-  NoteQueued(bytes.size());
+  RecordQueued(bytes.size());
   if (!queue_.empty() && queue_.back().size() + bytes.size() <= kCopyLimitBytes) {
     queue_.back().append(bytes);
   } else {
@@ -175,14 +175,14 @@
   }
 }
 
-void TcpStream::NoteQueued(size_t bytes) {
+void TcpStream::RecordQueued(size_t bytes) {
   queued_bytes_ += bytes;
-  if (connected_) NoteQueuedForFaults();
+  if (connected_) RecordQueuedForFaults();
 }
 
 // Bytes queued before the connection was made start on their way when it is.
-void TcpStream::NoteQueuedForFaults() {
-  if (faults_ != nullptr) faults_->NoteQueued(remote_endpoint_, written_bytes_ + queued_bytes_);
+void TcpStream::RecordQueuedForFaults() {
+  if (faults_ != nullptr) faults_->RecordQueued(remote_endpoint_, written_bytes_ + queued_bytes_);
 }
 
 void TcpStream::FlushSoon() {
@@ -195,12 +195,12 @@
 }
 
 void TcpStream::Flush() {
-  if (!connected_ || write_waiting_ || !Usable() || SendIsCut()) return;
+  if (!connected_ || write_wait_pending_ || !Usable() || OutboundPartitioned()) return;
   const uint64_t before = written_bytes_;
   while (queued_bytes_ > 0 && WriteSome()) {
   }
   if (broken_) return;
-  if (queued_bytes_ == 0 && shutdown_wanted_) {
+  if (queued_bytes_ == 0 && shutdown_pending_) {
     boost::system::error_code ignored;
     socket_.shutdown(TcpSocket::shutdown_send, ignored);
   }
@@ -219,10 +219,10 @@
   std::array<boost::asio::const_buffer, kMaxBuffersPerWrite> buffers;
   size_t count = 0;
   size_t offset = first_offset_;
-  for (const std::string& piece : queue_) {
+  for (const std::string& buffer : queue_) {
     if (count == buffers.size() || allowed == 0) break;
-    const size_t size = std::min(piece.size() - offset, allowed);
-    buffers[count++] = boost::asio::const_buffer(piece.data() + offset, size);
+    const size_t size = std::min(buffer.size() - offset, allowed);
+    buffers[count++] = boost::asio::const_buffer(buffer.data() + offset, size);
     allowed -= size;
     offset = 0;
   }
@@ -234,7 +234,7 @@
     return false;
   }
   if (error) {
-    FailSoon(SocketError("write", error));
+    PostFailure(SocketError("write", error));
     return false;
   }
   written_bytes_ += written;
@@ -248,10 +248,10 @@
 }
 
 void TcpStream::WaitWritable() {
-  write_waiting_ = true;
+  write_wait_pending_ = true;
   socket_.async_wait(TcpSocket::wait_write,
                      [self = shared_from_this()](const boost::system::error_code& error) {
-                       self->write_waiting_ = false;
+                       self->write_wait_pending_ = false;
                        if (!self->Usable()) return;
                        if (error) return self->Fail(SocketError("write", error));
                        self->Flush();
@@ -267,7 +267,7 @@
 }
 
 void TcpStream::ShutdownSend() {
-  shutdown_wanted_ = true;
+  shutdown_pending_ = true;
   Flush();
 }
 
@@ -278,22 +278,22 @@
 }
 
 void TcpStream::Reset() {
-  reset_wanted_ = true;
+  reset_on_close_ = true;
   Close();
 }
 
 void TcpStream::ReleaseSocket() {
   boost::system::error_code ignored;
-  if (reset_wanted_) socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
-  if (connected_ && SendIsCut()) {
+  if (reset_on_close_) socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
+  if (connected_ && OutboundPartitioned()) {
     socket_.cancel(ignored);
-    environment_->cut_off_sockets.emplace_back(remote_endpoint_, std::move(socket_));
+    environment_->partitioned_sockets.emplace_back(remote_endpoint_, std::move(socket_));
     return;
   }
   socket_.close(ignored);
 }
 
-void TcpStream::FailSoon(absl::Status status) {
+void TcpStream::PostFailure(absl::Status status) {
   if (!Usable()) return;
   broken_ = true;
   boost::asio::post(*environment_->io_context,
@@ -305,26 +305,26 @@
 
 void TcpStream::Fail(absl::Status status) {
   broken_ = true;
-  reset_wanted_ = true;  // what the peer has not acknowledged must not reach it any more
+  reset_on_close_ = true;  // what the peer has not acknowledged must not reach it any more
   deadline_.Clear();
   if (socket_.is_open()) ReleaseSocket();
   owner_->OnBroken(std::move(status));
 }
 
-void TcpStream::FaultsResumed() {
+void TcpStream::OnFaultsChanged() {
   const std::shared_ptr<TcpStream> self = weak_from_this().lock();
   if (self == nullptr || !Usable()) return;
   if (connecting_ && !connect_started_) StartConnect();
-  DeliverHeldBack();
+  DeliverDelayed();
   WaitReadable();
   Flush();
 }
 
-void TcpStream::DeliverHeldBack() {
-  while (Usable() && reading_wanted_ && !ReceiveIsCut()) {
-    const std::optional<std::string> bytes = faults_->TakeReceived();
+void TcpStream::DeliverDelayed() {
+  while (Usable() && reading_enabled_ && !InboundPartitioned()) {
+    const std::optional<std::string> bytes = faults_->TakeDueReceived();
     if (!bytes) return;
-    if (bytes->empty()) return ReadEnded();
+    if (bytes->empty()) return ReportReadEnd();
     owner_->OnBytes(*bytes);
   }
 }
--- a/src/posthatch/asio/tcp_stream.h
+++ b/src/posthatch/asio/tcp_stream.h
@@ -23,13 +23,13 @@
   FaultInjection* faults = nullptr;  // null unless the process was started for a rehearsal
   // Sockets that were closed while their peer was cut off, with the peer's endpoint: the peer must
   // not see the end before the cut heals.
-  std::vector<std::pair<std::string, TcpSocket>> cut_off_sockets;
+  std::vector<std::pair<std::string, TcpSocket>> partitioned_sockets;
   // Bytes are read into this and handed on at once, so an idle connection holds no buffer.
   std::string read_buffer = std::string(64UL * 1024, '\0');
 };
 
 // Closes the kept sockets whose peers are no longer cut off; run after each change of the rules.
-void ReleaseCutOffSockets(IoEnvironment* environment);
+void CloseHealedSockets(IoEnvironment* environment);
 
 // One TCP connection with a write queue and one deadline: the common ground of the HTTP server,
 // the HTTP client and the transport, and the place where faults of the network are injected.
@@ -61,9 +61,9 @@
   // Connects to `endpoint` and reports OnConnected or OnBroken. Set a deadline beside it.
   void Connect(const TcpEndpoint& endpoint);
   // For an accepted socket: sets options; reading starts with ResumeReading.
-  void Accepted();
+  void StartAccepted();
 
-  void PauseReading() { reading_wanted_ = false; }
+  void StopReading() { reading_enabled_ = false; }
   void ResumeReading();
 
   // Adds bytes to the write queue; nothing is sent before Flush.
@@ -102,24 +102,26 @@
  private:
   void SetOptions();
   void StartConnect();
-  void Connected(const boost::system::error_code& error);
+  void OnConnectDone(const boost::system::error_code& error);
   void WaitReadable();
-  void Readable(const boost::system::error_code& error);
-  void ReadEnded();
+  void OnReadable(const boost::system::error_code& error);
+  void ReportReadEnd();
   void WaitWritable();
   bool WriteSome();
-  void FailSoon(absl::Status status);
+  void PostFailure(absl::Status status);
   void Fail(absl::Status status);
   bool Usable() const { return owner_ != nullptr && !broken_; }
 
-  bool SendIsCut() const { return faults_ != nullptr && faults_->SendIsCut(remote_endpoint_); }
-  bool ReceiveIsCut() const {
-    return faults_ != nullptr && faults_->ReceiveIsCut(remote_endpoint_);
+  bool OutboundPartitioned() const {
+    return faults_ != nullptr && faults_->OutboundPartitioned(remote_endpoint_);
   }
-  void FaultsResumed();
-  void DeliverHeldBack();
-  void NoteQueued(size_t bytes);
-  void NoteQueuedForFaults();
+  bool InboundPartitioned() const {
+    return faults_ != nullptr && faults_->InboundPartitioned(remote_endpoint_);
+  }
+  void OnFaultsChanged();
+  void DeliverDelayed();
+  void RecordQueued(size_t bytes);
+  void RecordQueuedForFaults();
   void ReleaseSocket();
 
   IoEnvironment* const environment_;
@@ -132,13 +134,13 @@
   bool connect_started_ = false;
   bool connected_ = false;
   bool broken_ = false;
-  bool reading_wanted_ = false;
-  bool read_waiting_ = false;
+  bool reading_enabled_ = false;
+  bool read_wait_pending_ = false;
   bool read_ended_ = false;
-  bool write_waiting_ = false;
+  bool write_wait_pending_ = false;
   bool flush_posted_ = false;
-  bool shutdown_wanted_ = false;
-  bool reset_wanted_ = false;
+  bool shutdown_pending_ = false;
+  bool reset_on_close_ = false;
 
   std::deque<std::string> queue_;
   size_t first_offset_ = 0;  // bytes of queue_.front() that are already written
--- a/src/posthatch/asio/asio_transport_limits.h
+++ b/src/posthatch/asio/transport_limits.h
@@ -18,8 +18,8 @@
   // waited for it is dropped.
   runtime::Duration stall_timeout = std::chrono::seconds(5);
   // Between attempts to connect; doubled after each failure, with jitter.
-  runtime::Duration min_back_off = std::chrono::milliseconds(50);
-  runtime::Duration max_back_off = std::chrono::seconds(1);
+  runtime::Duration min_backoff = std::chrono::milliseconds(50);
+  runtime::Duration max_backoff = std::chrono::seconds(1);
   // An outgoing connection that has carried nothing for so long is closed.
   runtime::Duration idle_timeout = std::chrono::minutes(5);
 };
--- a/src/posthatch/asio/transport_peer.cc
+++ b/src/posthatch/asio/transport_peer.cc
@@ -16,10 +16,10 @@
     : context_(context),
       endpoint_(std::move(endpoint)),
       address_(address),
-      back_off_(context->limits.min_back_off),
+      backoff_(context->limits.min_backoff),
       retry_(context->environment->io_context, [this] {
-        backing_off_ = false;
-        if (!waiting_.empty()) Connect();
+        in_backoff_ = false;
+        if (!pending_frames_.empty()) Connect();
       }) {}
 
 TransportPeer::~TransportPeer() {
@@ -28,7 +28,7 @@
 }
 
 void TransportPeer::Send(std::string frame) {
-  const size_t queued = waiting_bytes_ + (connected_ ? stream_->queued_bytes() : 0);
+  const size_t queued = pending_bytes_ + (connected_ ? stream_->queued_bytes() : 0);
   if (queued + frame.size() > context_->limits.max_queue_bytes) {
     context_->metrics->queue_full.Increment();
     return;
@@ -36,17 +36,17 @@
   last_sent_ = BootNow();
   context_->metrics->sent_stream.Increment();
   context_->metrics->sent_bytes.Increment(static_cast<double>(frame.size()));
-  waiting_bytes_ += frame.size();
-  waiting_.push_back(std::move(frame));
+  pending_bytes_ += frame.size();
+  pending_frames_.push_back(std::move(frame));
   if (connected_) {
-    HandOver();
-  } else if (stream_ == nullptr && !backing_off_) {
+    SendPendingFrames();
+  } else if (stream_ == nullptr && !in_backoff_) {
     Connect();
   }
 }
 
 bool TransportPeer::Idle() const {
-  const size_t queued = waiting_bytes_ + (connected_ ? stream_->queued_bytes() : 0);
+  const size_t queued = pending_bytes_ + (connected_ ? stream_->queued_bytes() : 0);
   return queued == 0 && BootNow() - last_sent_ > context_->limits.idle_timeout;
 }
 
@@ -60,24 +60,24 @@
 void TransportPeer::OnConnected() {
   connected_ = true;
   context_->metrics->connects_ok.Increment();
-  back_off_ = context_->limits.min_back_off;
+  backoff_ = context_->limits.min_backoff;
   stream_->ClearDeadline();
   stream_->ResumeReading();  // to see the peer close
-  HandOver();
+  SendPendingFrames();
 }
 
 // Small frames of one turn leave in one system call.
-void TransportPeer::HandOver() {
+void TransportPeer::SendPendingFrames() {
   const bool was_empty = stream_->queued_bytes() == 0;
-  for (std::string& frame : waiting_) {
+  for (std::string& frame : pending_frames_) {
     if (frame.size() <= kCoalesceBytes) {
       stream_->QueueCopy(frame);
     } else {
       stream_->Queue(std::move(frame));
     }
   }
-  waiting_.clear();
-  waiting_bytes_ = 0;
+  pending_frames_.clear();
+  pending_bytes_ = 0;
   if (was_empty) stream_->SetDeadlineAfter(context_->limits.stall_timeout);
   stream_->FlushSoon();
   UpdateQueuedBytes(stream_->queued_bytes());
@@ -92,30 +92,32 @@
   UpdateQueuedBytes(stream_->queued_bytes());
 }
 
-void TransportPeer::OnBytes(std::string_view) { Lost(); }  // peers answer on their own connection
+void TransportPeer::OnBytes(std::string_view) {
+  OnConnectionLost();
+}  // peers answer on their own connection
 
-void TransportPeer::OnReadEnd() { Lost(); }
+void TransportPeer::OnReadEnd() { OnConnectionLost(); }
 
-void TransportPeer::OnBroken(absl::Status) { Lost(); }
+void TransportPeer::OnBroken(absl::Status) { OnConnectionLost(); }
 
-void TransportPeer::OnDeadline() { Lost(); }
+void TransportPeer::OnDeadline() { OnConnectionLost(); }
 
-void TransportPeer::Lost() {
+void TransportPeer::OnConnectionLost() {
   if (!connected_) context_->metrics->connects_failed.Increment();
-  const bool lost_messages = !waiting_.empty() || stream_->queued_bytes() > 0;
+  const bool lost_messages = !pending_frames_.empty() || stream_->queued_bytes() > 0;
   if (lost_messages) {
     context_->metrics->connection_lost.Increment(
-        static_cast<double>(std::max<size_t>(waiting_.size(), 1)));
+        static_cast<double>(std::max<size_t>(pending_frames_.size(), 1)));
   }
   stream_->Close();
   stream_.reset();
   connected_ = false;
-  waiting_.clear();
-  waiting_bytes_ = 0;
+  pending_frames_.clear();
+  pending_bytes_ = 0;
   UpdateQueuedBytes(0);
-  backing_off_ = true;
-  retry_.Set(BootNow() + context_->random->Between(back_off_ / 2, back_off_));
-  back_off_ = std::min(back_off_ * 2, context_->limits.max_back_off);
+  in_backoff_ = true;
+  retry_.Set(BootNow() + context_->random->Between(backoff_ / 2, backoff_));
+  backoff_ = std::min(backoff_ * 2, context_->limits.max_backoff);
 }
 
 void TransportPeer::UpdateQueuedBytes(size_t now) {
--- a/src/posthatch/asio/transport_peer.h
+++ b/src/posthatch/asio/transport_peer.h
@@ -44,8 +44,8 @@
 
  private:
   void Connect();
-  void HandOver();
-  void Lost();
+  void SendPendingFrames();
+  void OnConnectionLost();
   void UpdateQueuedBytes(size_t now);
 
   const TransportPeerContext* const context_;
@@ -53,12 +53,12 @@
   const TcpEndpoint address_;
   std::shared_ptr<TcpStream> stream_;  // null while there is no connection
   bool connected_ = false;
-  std::deque<std::string> waiting_;  // frames not yet handed to a connected stream
-  size_t waiting_bytes_ = 0;
+  std::deque<std::string> pending_frames_;  // frames not yet handed to a connected stream
+  size_t pending_bytes_ = 0;
   size_t reported_bytes_ = 0;  // our share of the gauge
-  runtime::Duration back_off_;
+  runtime::Duration backoff_;
   LazyDeadline retry_;
-  bool backing_off_ = false;
+  bool in_backoff_ = false;
   runtime::MonotonicTime last_sent_;
 };
 
--- a/src/posthatch/channels/channel_fleet-test.cc
+++ b/src/posthatch/channels/channel_fleet-test.cc
@@ -8,9 +8,9 @@
 
 #include "absl/strings/str_cat.h"
 #include "posthatch/channels/channel_names.h"
+#include "posthatch/channels/invalidation_relay.h"
 #include "posthatch/channels/invalidation_server.h"
-#include "posthatch/channels/relay_point.h"
-#include "posthatch/channels/subscription_set.h"
+#include "posthatch/channels/invalidation_subscriber.h"
 #include "posthatch/simulation/sim_world.h"
 
 namespace posthatch::channels {
@@ -93,8 +93,8 @@
   std::unique_ptr<SkewedClock> clock;
   std::unique_ptr<ReplicatedObjects> objects;  // controllers
   std::unique_ptr<InvalidationServer> server;
-  std::unique_ptr<SubscriptionSet> subscriptions;  // gateways
-  std::unique_ptr<RelayPoint> relay;
+  std::unique_ptr<InvalidationSubscriber> subscriptions;  // gateways
+  std::unique_ptr<InvalidationRelay> relay;
 };
 
 class ChannelFleetTest : public testing::TestWithParam<uint64_t> {
@@ -138,13 +138,13 @@
                   bool aggregate = false) {
     gateways_.push_back(name);
     AddHost(name, [this, relay, upstream, aggregate](Process* process) {
-      SubscriptionSetOptions options;
+      InvalidationSubscriberOptions options;
       options.subscription.zone = "z1";
       options.subscription.relay = relay;
       options.subscription.lifetime = seconds(20);
       options.aggregate = aggregate;
       process->subscriptions =
-          std::make_unique<SubscriptionSet>(&process->runtime, options, [this, upstream] {
+          std::make_unique<InvalidationSubscriber>(&process->runtime, options, [this, upstream] {
             std::vector<std::string> endpoints;
             endpoints.reserve(kControllers);
             if (!upstream.empty()) return std::vector<std::string>{Endpoint(upstream)};
@@ -154,8 +154,8 @@
             return endpoints;
           });
       if (relay) {
-        process->relay = std::make_unique<RelayPoint>(&process->runtime, PublisherOptions(),
-                                                      process->subscriptions.get());
+        process->relay = std::make_unique<InvalidationRelay>(&process->runtime, PublisherOptions(),
+                                                             process->subscriptions.get());
       }
       process->subscriptions->Start();
     });
@@ -319,7 +319,7 @@
   for (const bool towards_relay : {true, false}) {
     for (int i = 0; i < kControllers; ++i) {
       const std::string controller = absl::StrCat("c", i);
-      world_.Cut(towards_relay ? controller : "r0", towards_relay ? "r0" : controller);
+      world_.Partition(towards_relay ? controller : "r0", towards_relay ? "r0" : controller);
     }
     Raise("worker/w2");
     RunFor(seconds(40));
@@ -360,7 +360,7 @@
     const uint64_t fault = random->Uniform(12);
     if (fault == 0 && frozen_.size() < 3) Freeze(host);
     if (fault == 1 && !frozen_.empty()) Thaw(*frozen_.begin());
-    if (fault == 2) world_.Cut(host, any_host());
+    if (fault == 2) world_.Partition(host, any_host());
     if (fault == 3) world_.HealAll();
     if (fault == 4) world_.FindHost(host)->JumpWallClock(seconds(step - 200));
     if (fault == 5 && Usable(host)) world_.FindHost(host)->Crash();
--- a/src/posthatch/channels/channel_names.cc
+++ b/src/posthatch/channels/channel_names.cc
@@ -20,7 +20,7 @@
 
 // A worker or store that came back cold costs only speed; four seconds of it are borne, and leave
 // room for three lost heartbeats.
-constexpr runtime::Duration kHolderGuarantee = std::chrono::seconds(4);
+constexpr runtime::Duration kBackendGuarantee = std::chrono::seconds(4);
 // Revisions and isolation are fenced by name and salt as well; the session lease is as long.
 constexpr runtime::Duration kFencedGuarantee = std::chrono::seconds(4);
 
@@ -62,12 +62,12 @@
 
 runtime::Duration GuaranteeOf(std::string_view object) {
   const bool fenced = HasPrefix(object, kModelPrefix) || HasPrefix(object, kTenantPrefix);
-  return fenced ? kFencedGuarantee : kHolderGuarantee;
+  return fenced ? kFencedGuarantee : kBackendGuarantee;
 }
 
 runtime::Duration LowestGuarantee(std::string_view channel) {
-  if (channel == kAggregateChannel) return std::min(kFencedGuarantee, kHolderGuarantee);
-  return channel == "models" || channel == "tenants" ? kFencedGuarantee : kHolderGuarantee;
+  if (channel == kAggregateChannel) return std::min(kFencedGuarantee, kBackendGuarantee);
+  return channel == "models" || channel == "tenants" ? kFencedGuarantee : kBackendGuarantee;
 }
 
 int CompareVersions(const ObjectVersion& left, const ObjectVersion& right) {
--- a/src/posthatch/channels/channel_subscription-test.cc
+++ b/src/posthatch/channels/channel_subscription-test.cc
@@ -4,7 +4,7 @@
 
 #include "posthatch/channels/channel_names.h"
 #include "posthatch/channels/fake_runtime-test.h"
-#include "posthatch/channels/subscription_set.h"
+#include "posthatch/channels/invalidation_subscriber.h"
 
 namespace posthatch::channels {
 namespace {
@@ -35,8 +35,8 @@
     return kServerClock + runtime::ToNanoseconds(fake_.clock.now) - 1'000'000'000'000;
   }
   ChannelEnvelope Answer(const RegistrationRequest& request, uint32_t lifetime_ms = 60000) {
-    ChannelEnvelope answer;
-    RegistrationResponse* response = answer.mutable_response();
+    ChannelEnvelope reply;
+    RegistrationResponse* response = reply.mutable_response();
     response->set_channel("models");
     response->set_registration(request.registration());
     response->set_status(RegistrationResponse::OK);
@@ -47,7 +47,7 @@
     response->set_heartbeat_ms(1000);
     response->set_next_sequence(1);
     *response->add_objects() = State(1, UNKNOWN);
-    return answer;
+    return reply;
   }
   static ObjectState State(uint64_t epoch, Freshness freshness) {
     ObjectState state;
@@ -78,7 +78,7 @@
   const ChannelSubscription& subscription() const { return *set_.Find("models"); }
 
   FakeRuntime fake_;
-  SubscriptionSet set_{&fake_.runtime, {}, [] { return std::vector<std::string>{kServer}; }};
+  InvalidationSubscriber set_{&fake_.runtime, {}, [] { return std::vector<std::string>{kServer}; }};
 };
 
 TEST_F(ChannelSubscriptionTest, NothingIsTrustedBeforeTheAnswer) {
@@ -93,9 +93,9 @@
 
 TEST_F(ChannelSubscriptionTest, TrustEndsAtTheBoundCountedFromWhenTheRequestWasSent) {
   const RegistrationRequest request = TakeRequest();
-  const ChannelEnvelope answer = Answer(request);  // t2 = t1 in real time
-  fake_.timers.Freeze(milliseconds(300));          // the answer is 300 ms on its way
-  fake_.Deliver(kServer, answer);
+  const ChannelEnvelope reply = Answer(request);  // t2 = t1 in real time
+  fake_.timers.Freeze(milliseconds(300));         // the answer is 300 ms on its way
+  fake_.Deliver(kServer, reply);
   fake_.timers.Freeze(milliseconds(1650));
   ChannelEnvelope heartbeat = Message(request.registration(), 1);
   fake_.Deliver(kServer, heartbeat);  // t3 = t1 + 1950 ms; bound t1 + 5950 ms
@@ -113,14 +113,14 @@
 
 TEST_F(ChannelSubscriptionTest, AnswersAndMessagesDelayedInAFrozenProcessRenewNothing) {
   const RegistrationRequest request = TakeRequest();
-  const ChannelEnvelope answer = Answer(request);
+  const ChannelEnvelope reply = Answer(request);
   const ChannelEnvelope heartbeat = Message(request.registration(), 1);
   fake_.timers.Freeze(seconds(25));
-  fake_.Deliver(kServer, answer);
+  fake_.Deliver(kServer, reply);
   EXPECT_FALSE(Fresh(1));
   fake_.Deliver(kServer, heartbeat);
   EXPECT_FALSE(Fresh(1));
-  EXPECT_TRUE(subscription().Live()) << "heard, and kept: the next heartbeat renews it";
+  EXPECT_TRUE(subscription().IsLive()) << "heard, and kept: the next heartbeat renews it";
   fake_.Deliver(kServer, Message(request.registration(), 1));
   EXPECT_TRUE(Fresh(1));
 }
@@ -185,7 +185,7 @@
   fake_.timers.Freeze(milliseconds(20));
   EXPECT_FALSE(Fresh(1));
   fake_.timers.Advance(milliseconds(1));
-  EXPECT_EQ(subscription().stats().silences, 1u);
+  EXPECT_EQ(subscription().stats().heartbeat_timeouts, 1u);
   EXPECT_NE(TakeRequest().registration(), 0u);
 }
 
--- a/src/posthatch/channels/channel_subscription.cc
+++ b/src/posthatch/channels/channel_subscription.cc
@@ -8,15 +8,15 @@
 namespace {
 
 // A channel that was silent for this many heartbeats counts as broken.
-constexpr int kSilentHeartbeats = 2;
+constexpr int kMaxMissedHeartbeats = 2;
 constexpr int kMaxRedirections = 3;
 // How long a relay point that fell silent is not used.
-constexpr runtime::Duration kAvoidance = std::chrono::seconds(30);
+constexpr runtime::Duration kRelayAvoidance = std::chrono::seconds(30);
 // Two machines' clocks may differ in rate by up to this part of the elapsed time.
 constexpr int64_t kClockRateDivisor = 1000;
 // Registration numbers start at a random 48-bit number, so that messages of an earlier life of
 // this process are never taken for its own.
-constexpr int kNumberShift = 16;
+constexpr int kRegistrationNumberShift = 16;
 
 runtime::Duration FromMilliseconds(uint32_t milliseconds) {
   return std::chrono::milliseconds(milliseconds);
@@ -37,10 +37,10 @@
       channel_(std::move(channel)),
       endpoints_(std::move(endpoints)),
       observer_(std::move(observer)),
-      last_number_((*runtime->random)() >> kNumberShift),
-      answer_timer_(runtime->timers),
+      last_registration_number_((*runtime->random)() >> kRegistrationNumberShift),
+      response_timer_(runtime->timers),
       renewal_timer_(runtime->timers),
-      silence_timer_(runtime->timers),
+      heartbeat_timeout_timer_(runtime->timers),
       increment_timer_(runtime->timers) {}
 
 void ChannelSubscription::Start() { Register(); }
@@ -56,13 +56,13 @@
   renewal_timer_.Cancel();
   const std::string server = ChooseServer();
   attempt_.reset();
-  answer_timer_.Start(options_.answer_timeout, [this] { OnAnswerTimeout(); });
+  response_timer_.Start(options_.response_timeout, [this] { OnResponseTimeout(); });
   if (server.empty()) return;
 
   ChannelEnvelope envelope;
   RegistrationRequest* request = envelope.mutable_request();
   request->set_channel(channel_);
-  request->set_registration(++last_number_);
+  request->set_registration(++last_registration_number_);
   request->set_lifetime_ms(ToWireMilliseconds(options_.lifetime));
   request->set_heartbeat_ms(ToWireMilliseconds(options_.heartbeat));
   request->set_zone(options_.zone);
@@ -86,14 +86,14 @@
   increment_exclude_.clear();
   increment_timer_.Cancel();
   request->set_sent_ns(runtime::ToNanoseconds(now));
-  attempt_ = Attempt{last_number_, server, now};
+  attempt_ = Attempt{last_registration_number_, server, now};
   ++stats_.requests_sent;
   runtime_->transport->Send(server, runtime::SERVICE_CHANNELS, envelope.SerializeAsString(),
                             runtime::Delivery::kStream);
 }
 
-void ChannelSubscription::OnAnswerTimeout() {
-  if (attempt_.has_value() && !redirected_to_.empty()) Avoid(attempt_->server);
+void ChannelSubscription::OnResponseTimeout() {
+  if (attempt_.has_value() && !redirected_to_.empty()) AvoidRelay(attempt_->server);
   TryNextServer();
 }
 
@@ -104,8 +104,8 @@
   Register();
 }
 
-void ChannelSubscription::Avoid(const std::string& endpoint) {
-  avoided_[endpoint] = runtime_->clock->Now() + kAvoidance;
+void ChannelSubscription::AvoidRelay(const std::string& endpoint) {
+  avoided_[endpoint] = runtime_->clock->Now() + kRelayAvoidance;
 }
 
 void ChannelSubscription::HandleResponse(const runtime::Envelope& envelope,
@@ -113,7 +113,7 @@
   if (response.increment() != 0) {
     if (registered_.has_value() && response.registration() == registered_->number &&
         envelope.from_endpoint() == registered_->server) {
-      TakeIncrementAnswer(response);
+      ApplyIncrementResponse(response);
     }
     return;
   }
@@ -124,12 +124,12 @@
   }
   switch (response.status()) {
     case RegistrationResponse::OK:
-      redirections_in_a_row_ = 0;
-      TakeAnswer(response);
+      consecutive_redirections_ = 0;
+      ApplyResponse(response);
       return;
     case RegistrationResponse::REDIRECT:
       ++stats_.redirections;
-      if (++redirections_in_a_row_ > kMaxRedirections) break;
+      if (++consecutive_redirections_ > kMaxRedirections) break;
       redirected_from_ = attempt_->server;
       redirected_to_ = response.redirect_to();
       Register();
@@ -138,52 +138,52 @@
       ++stats_.refusals;
       break;
   }
-  if (!redirected_to_.empty()) Avoid(attempt_->server);
-  redirections_in_a_row_ = 0;
+  if (!redirected_to_.empty()) AvoidRelay(attempt_->server);
+  consecutive_redirections_ = 0;
   attempt_.reset();
-  answer_timer_.Start(options_.retry_delay, [this] { TryNextServer(); });
+  response_timer_.Start(options_.retry_delay, [this] { TryNextServer(); });
 }
 
-void ChannelSubscription::TakeAnswer(const RegistrationResponse& response) {
-  ++stats_.answers;
-  answer_timer_.Cancel();
+void ChannelSubscription::ApplyResponse(const RegistrationResponse& response) {
+  ++stats_.responses;
+  response_timer_.Cancel();
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  Registered registered;
+  ActiveRegistration registered;
   registered.number = attempt_->number;
   registered.server = attempt_->server;
   registered.epoch = response.server_epoch();
-  registered.sent = attempt_->sent;
+  registered.sent_at = attempt_->sent_at;
   registered.server_ns = response.server_ns();
   registered.expected_sequence = response.next_sequence();
   registered.heartbeat = FromMilliseconds(response.heartbeat_ms());
   const runtime::Duration lifetime = FromMilliseconds(response.lifetime_ms());
   registered.volume_validation = lifetime <= runtime::Duration::zero();
   // With volume validation no message follows: the bound of the objects alone ends the trust.
-  registered.ends =
-      registered.volume_validation ? runtime::MonotonicTime::max() : attempt_->sent + lifetime;
+  registered.expires_at =
+      registered.volume_validation ? runtime::MonotonicTime::max() : attempt_->sent_at + lifetime;
   registered.proven = ProvenAt(registered, response.proven_ns());
   registered.last_arrival = now;
   registered_ = registered;
   attempt_.reset();
 
   for (auto& [name, object] : objects_) object.covered = false;
-  TakeObjects(response.objects());
+  ApplyObjects(response.objects());
   const runtime::Duration renewal =
       registered.volume_validation ? registered.heartbeat : lifetime * 2 / 3;
   renewal_timer_.Start(renewal, [this] { Register(); });
-  WatchSilence();
-  if (observer_.on_synchronised) observer_.on_synchronised();
+  CheckHeartbeatTimeout();
+  if (observer_.on_synchronized) observer_.on_synchronized();
 }
 
-runtime::MonotonicTime ChannelSubscription::ProvenAt(const Registered& registered,
+runtime::MonotonicTime ChannelSubscription::ProvenAt(const ActiveRegistration& registered,
                                                      int64_t server_ns) const {
   int64_t elapsed = server_ns - registered.server_ns;
   elapsed -= std::abs(elapsed) / kClockRateDivisor;
   // A server can't prove what has not happened yet here.
-  return std::min(registered.sent + runtime::Duration(elapsed), runtime_->clock->Now());
+  return std::min(registered.sent_at + runtime::Duration(elapsed), runtime_->clock->Now());
 }
 
-void ChannelSubscription::TakeObjects(
+void ChannelSubscription::ApplyObjects(
     const google::protobuf::RepeatedPtrField<ObjectState>& states) {
   for (const ObjectState& state : states) {
     Object& object = objects_[state.object()];
@@ -207,7 +207,7 @@
   }
   if (message.server_epoch() != registered_->epoch) {
     ++stats_.epoch_changes;
-    Lose();
+    DropRegistration();
     return;
   }
   if (message.sequence() < registered_->expected_sequence) {
@@ -216,7 +216,7 @@
   }
   if (message.sequence() > registered_->expected_sequence) {
     ++stats_.gaps;
-    Lose();
+    DropRegistration();
     return;
   }
   ++stats_.messages;
@@ -225,15 +225,15 @@
   registered_->proven = std::max(registered_->proven, proven);
   if (message.objects_size() > 0) {
     ++registered_->expected_sequence;
-    TakeObjects(message.objects());
-    ChannelEnvelope answer;
-    ChannelAck* ack = answer.mutable_ack();
+    ApplyObjects(message.objects());
+    ChannelEnvelope reply;
+    ChannelAck* ack = reply.mutable_ack();
     ack->set_channel(channel_);
     ack->set_registration(message.registration());
     ack->set_server_epoch(message.server_epoch());
     ack->set_sequence(message.sequence());
     runtime_->transport->Send(registered_->server, runtime::SERVICE_CHANNELS,
-                              answer.SerializeAsString(), runtime::Delivery::kStream);
+                              reply.SerializeAsString(), runtime::Delivery::kStream);
     std::vector<std::string> changed;
     for (const ObjectState& state : message.objects()) changed.push_back(state.object());
     if (observer_.on_objects) observer_.on_objects(changed);
@@ -241,36 +241,37 @@
   if (observer_.on_renewed) observer_.on_renewed();
 }
 
-void ChannelSubscription::Lose() {
+void ChannelSubscription::DropRegistration() {
   if (registered_.has_value() && registered_->server == redirected_to_) {
-    Avoid(redirected_to_);
+    AvoidRelay(redirected_to_);
     redirected_to_.clear();
     redirected_from_.clear();
   }
   registered_.reset();
-  silence_timer_.Cancel();
+  heartbeat_timeout_timer_.Cancel();
   Register();
   if (observer_.on_lost) observer_.on_lost();
 }
 
-void ChannelSubscription::WatchSilence() {
+void ChannelSubscription::CheckHeartbeatTimeout() {
   if (!registered_.has_value()) return;
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  const runtime::MonotonicTime latest = std::min(
-      registered_->last_arrival + kSilentHeartbeats * registered_->heartbeat, registered_->ends);
+  const runtime::MonotonicTime latest =
+      std::min(registered_->last_arrival + kMaxMissedHeartbeats * registered_->heartbeat,
+               registered_->expires_at);
   if (now >= latest) {
-    ++stats_.silences;
-    Lose();
+    ++stats_.heartbeat_timeouts;
+    DropRegistration();
     return;
   }
-  silence_timer_.Start(latest - now, [this] { WatchSilence(); });
+  heartbeat_timeout_timer_.Start(latest - now, [this] { CheckHeartbeatTimeout(); });
 }
 
-bool ChannelSubscription::Live() const {
+bool ChannelSubscription::IsLive() const {
   if (!registered_.has_value()) return false;
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  return now < registered_->ends &&
-         now < registered_->last_arrival + kSilentHeartbeats * registered_->heartbeat;
+  return now < registered_->expires_at &&
+         now < registered_->last_arrival + kMaxMissedHeartbeats * registered_->heartbeat;
 }
 
 runtime::MonotonicTime ChannelSubscription::proven() const {
@@ -283,7 +284,7 @@
 }
 
 bool ChannelSubscription::CurrentVersion(const std::string& object, ObjectVersion* version) const {
-  if (!Live()) return false;
+  if (!IsLive()) return false;
   const auto found = objects_.find(object);
   if (found == objects_.end() || !found->second.covered) return false;
   if (runtime_->clock->Now() >= registered_->proven + found->second.guarantee) return false;
@@ -309,7 +310,7 @@
   return covered;
 }
 
-std::vector<std::string> ChannelSubscription::KnownNames() const {
+std::vector<std::string> ChannelSubscription::KnownObjectNames() const {
   std::vector<std::string> names;
   for (const auto& [name, object] : objects_) names.push_back(name);
   std::sort(names.begin(), names.end());
@@ -357,10 +358,10 @@
   for (const std::string& object : increment_exclude_) request->add_exclude(object);
   runtime_->transport->Send(registered_->server, runtime::SERVICE_CHANNELS,
                             envelope.SerializeAsString(), runtime::Delivery::kStream);
-  increment_timer_.Start(options_.answer_timeout, [this] { Register(); });
+  increment_timer_.Start(options_.response_timeout, [this] { Register(); });
 }
 
-void ChannelSubscription::TakeIncrementAnswer(const RegistrationResponse& response) {
+void ChannelSubscription::ApplyIncrementResponse(const RegistrationResponse& response) {
   if (response.increment() != increment_) {
     ++stats_.ignored;
     return;
@@ -369,10 +370,10 @@
   if (response.status() != RegistrationResponse::OK ||
       response.server_epoch() != registered_->epoch ||
       response.next_sequence() != registered_->expected_sequence) {
-    Lose();
+    DropRegistration();
     return;
   }
-  TakeObjects(response.objects());
+  ApplyObjects(response.objects());
   increment_include_.clear();
   increment_exclude_.clear();
 }
--- a/src/posthatch/channels/channel_subscription.h
+++ b/src/posthatch/channels/channel_subscription.h
@@ -18,7 +18,7 @@
 struct SubscriptionOptions {
   runtime::Duration lifetime = std::chrono::minutes(2);   // wished; zero: volume validation
   runtime::Duration heartbeat = std::chrono::seconds(1);  // wished
-  runtime::Duration answer_timeout = std::chrono::milliseconds(400);
+  runtime::Duration response_timeout = std::chrono::milliseconds(400);
   runtime::Duration retry_delay = std::chrono::milliseconds(100);
   std::string zone;
   bool relay = false;     // this process runs a relay point
@@ -27,24 +27,25 @@
 
 struct SubscriptionStats {
   uint64_t requests_sent = 0;
-  uint64_t answers = 0;
+  uint64_t responses = 0;
   uint64_t refusals = 0;
   uint64_t redirections = 0;
   uint64_t messages = 0;
   uint64_t ignored = 0;  // of an old registration, doubled, or not asked for
   uint64_t gaps = 0;
   uint64_t epoch_changes = 0;
-  uint64_t silences = 0;  // no message for two heartbeats
+  uint64_t heartbeat_timeouts = 0;  // no message for two heartbeats
 };
 
 // One subscriber's registration on one channel (WCIP 5.2, 5.3) and its judgement of the channel's
 // objects. Trust rests on nothing but this process's monotonic clock and the server's stated times:
-// an object may be used until t1 + (t3 - t2) + X. Owned by SubscriptionSet; event loop thread only.
+// an object may be used until t1 + (t3 - t2) + X. Owned by InvalidationSubscriber; event loop
+// thread only.
 class ChannelSubscription {
  public:
   struct Observer {
     std::function<void(const std::vector<std::string>& objects)> on_objects;  // new versions
-    std::function<void()> on_synchronised;  // an answer came: objects() is whole
+    std::function<void()> on_synchronized;  // an answer came: objects() is whole
     std::function<void()> on_renewed;       // proven() has moved on
     std::function<void()> on_lost;          // nothing is trusted until the next answer
   };
@@ -68,13 +69,13 @@
   bool CurrentVersion(const std::string& object, ObjectVersion* version) const;
 
   // Registered, and heard from within two heartbeats, by the clock at this moment.
-  bool Live() const;
+  bool IsLive() const;
   // This process's time up to which the channel's objects are proved to be the newest.
   runtime::MonotonicTime proven() const;
   // Covered objects, sorted by name.
   std::vector<RegisteredObject> Objects() const;
   // Every object ever heard of, covered or not, sorted.
-  std::vector<std::string> KnownNames() const;
+  std::vector<std::string> KnownObjectNames() const;
   bool Find(const std::string& object, ObjectVersion* version) const;
   const std::string& server() const;  // empty if not registered
   const SubscriptionStats& stats() const { return stats_; }
@@ -83,18 +84,18 @@
   struct Attempt {
     uint64_t number = 0;
     std::string server;
-    runtime::MonotonicTime sent;  // t1
+    runtime::MonotonicTime sent_at;  // t1
   };
-  struct Registered {
+  struct ActiveRegistration {
     uint64_t number = 0;
     std::string server;
     uint64_t epoch = 0;
-    runtime::MonotonicTime sent;  // t1
-    int64_t server_ns = 0;        // t2
+    runtime::MonotonicTime sent_at;  // t1
+    int64_t server_ns = 0;           // t2
     uint64_t expected_sequence = 1;
     runtime::Duration heartbeat{};
     bool volume_validation = false;
-    runtime::MonotonicTime ends;
+    runtime::MonotonicTime expires_at;
     runtime::MonotonicTime proven;
     runtime::MonotonicTime last_arrival;
   };
@@ -106,17 +107,17 @@
 
   void Register();
   std::string ChooseServer();
-  void OnAnswerTimeout();
+  void OnResponseTimeout();
   void TryNextServer();
-  void TakeAnswer(const RegistrationResponse& response);
-  void TakeIncrementAnswer(const RegistrationResponse& response);
+  void ApplyResponse(const RegistrationResponse& response);
+  void ApplyIncrementResponse(const RegistrationResponse& response);
   void SendIncrement();
-  void TakeObjects(const google::protobuf::RepeatedPtrField<ObjectState>& states);
+  void ApplyObjects(const google::protobuf::RepeatedPtrField<ObjectState>& states);
   // This process's time of the server's moment `server_ns` at the latest.
-  runtime::MonotonicTime ProvenAt(const Registered& registered, int64_t server_ns) const;
-  void Lose();
-  void WatchSilence();
-  void Avoid(const std::string& endpoint);
+  runtime::MonotonicTime ProvenAt(const ActiveRegistration& registered, int64_t server_ns) const;
+  void DropRegistration();
+  void CheckHeartbeatTimeout();
+  void AvoidRelay(const std::string& endpoint);
 
   runtime::Runtime* const runtime_;
   const SubscriptionOptions options_;
@@ -124,24 +125,24 @@
   const Endpoints endpoints_;
   const Observer observer_;
 
-  uint64_t last_number_;
+  uint64_t last_registration_number_;
   size_t server_index_ = 0;
   std::string redirected_to_;  // a relay point, while it is used
   std::string redirected_from_;
-  int redirections_in_a_row_ = 0;
+  int consecutive_redirections_ = 0;
   // Relay points that fell silent, until when they are not used.
   absl::btree_map<std::string, runtime::MonotonicTime> avoided_;
   std::optional<Attempt> attempt_;
-  std::optional<Registered> registered_;
+  std::optional<ActiveRegistration> registered_;
   absl::flat_hash_map<std::string, Object> objects_;
   // Targeted service: what is wished, and what the running increment changes.
   absl::btree_set<std::string> targets_;
   absl::btree_set<std::string> increment_include_;
   absl::btree_set<std::string> increment_exclude_;
   uint64_t increment_ = 0;
-  runtime::Timer answer_timer_;
+  runtime::Timer response_timer_;
   runtime::Timer renewal_timer_;
-  runtime::Timer silence_timer_;
+  runtime::Timer heartbeat_timeout_timer_;
   runtime::Timer increment_timer_;
   SubscriptionStats stats_;
 };
--- a/src/posthatch/channels/channel_publisher.cc
+++ b/src/posthatch/channels/invalidation_publisher.cc
@@ -1,4 +1,4 @@
-#include "posthatch/channels/channel_publisher.h"
+#include "posthatch/channels/invalidation_publisher.h"
 
 #include <algorithm>
 
@@ -10,7 +10,7 @@
 // A heartbeat is committed to at most this part of the lowest guarantee (WCIP 5.2.4), so that one
 // or two late ones expire nothing.
 constexpr int kHeartbeatsPerGuarantee = 3;
-constexpr runtime::Duration kShortestHeartbeat = std::chrono::milliseconds(50);
+constexpr runtime::Duration kMinHeartbeat = std::chrono::milliseconds(50);
 
 uint32_t Milliseconds(runtime::Duration duration) {
   const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
@@ -25,32 +25,32 @@
         std::min<runtime::Duration>(heartbeat, std::chrono::milliseconds(request.heartbeat_ms()));
   }
   heartbeat = std::min(heartbeat, LowestGuarantee(request.channel()) / kHeartbeatsPerGuarantee);
-  return std::max(heartbeat, kShortestHeartbeat);
+  return std::max(heartbeat, kMinHeartbeat);
 }
 
 }  // namespace
 
-ChannelPublisher::ChannelPublisher(runtime::Runtime* runtime, PublisherOptions options,
-                                   PublisherSource* source)
+InvalidationPublisher::InvalidationPublisher(runtime::Runtime* runtime, PublisherOptions options,
+                                             PublisherSource* source)
     : runtime_(runtime),
       options_(options),
       source_(source),
       batch_timer_(runtime->timers),
       tick_timer_(runtime->timers) {}
 
-void ChannelPublisher::HandleEnvelope(const runtime::Envelope& envelope,
-                                      const ChannelEnvelope& content) {
+void InvalidationPublisher::HandleEnvelope(const runtime::Envelope& envelope,
+                                           const ChannelEnvelope& content) {
   if (content.has_request()) HandleRequest(envelope, content.request());
   // Acknowledgements (WCIP 5.3.1) only keep the connection's other direction in use: what a
   // subscriber has seen is proved by its own sequence check.
 }
 
-void ChannelPublisher::HandleRequest(const runtime::Envelope& envelope,
-                                     const RegistrationRequest& request) {
-  const PublisherProof proof = source_->Prove(request.channel());
+void InvalidationPublisher::HandleRequest(const runtime::Envelope& envelope,
+                                          const RegistrationRequest& request) {
+  const PublisherProof proof = source_->CurrentProof(request.channel());
   if (!IsChannel(request.channel()) || !proof.live) {
     ++stats_.registrations_refused;
-    AnswerWithoutObjects(envelope, request, RegistrationResponse::REFUSED, "");
+    RespondWithoutObjects(envelope, request, RegistrationResponse::REFUSED, "");
     return;
   }
   if (request.base() == RegistrationRequest::INCREMENT) {
@@ -67,17 +67,17 @@
       return;
     }
   }
-  const std::string relay = RelayFor(request, envelope.from_endpoint());
+  const std::string relay = ChooseRelay(request, envelope.from_endpoint());
   if (!relay.empty()) {
     ++stats_.redirected;
-    AnswerWithoutObjects(envelope, request, RegistrationResponse::REDIRECT, relay);
+    RespondWithoutObjects(envelope, request, RegistrationResponse::REDIRECT, relay);
     return;
   }
   Grant(envelope, request, proof);
 }
 
-std::string ChannelPublisher::RelayFor(const RegistrationRequest& request,
-                                       const std::string& endpoint) const {
+std::string InvalidationPublisher::ChooseRelay(const RegistrationRequest& request,
+                                               const std::string& endpoint) const {
   if (request.relay()) return "";
   const auto count = registrations_by_channel_.find(request.channel());
   if (count == registrations_by_channel_.end()) return "";
@@ -96,8 +96,8 @@
   return relays[runtime_->random->Uniform(relays.size())];
 }
 
-void ChannelPublisher::Grant(const runtime::Envelope& envelope, const RegistrationRequest& request,
-                             const PublisherProof& proof) {
+void InvalidationPublisher::Grant(const runtime::Envelope& envelope,
+                                  const RegistrationRequest& request, const PublisherProof& proof) {
   Flush();
   const Key key(request.channel(), envelope.from_endpoint());
   Erase(key);
@@ -106,8 +106,8 @@
   if (registrations_.size() >= options_.max_registrations) lifetime = {};
   const runtime::Duration heartbeat = CommittedHeartbeat(options_, request);
 
-  ChannelEnvelope answer;
-  RegistrationResponse* response = answer.mutable_response();
+  ChannelEnvelope reply;
+  RegistrationResponse* response = reply.mutable_response();
   response->set_channel(request.channel());
   response->set_registration(request.registration());
   response->set_status(RegistrationResponse::OK);
@@ -119,7 +119,7 @@
   response->set_heartbeat_ms(Milliseconds(heartbeat));
   response->set_next_sequence(1);
   FillObjects(request, response);
-  SendEnvelope(envelope.from_endpoint(), answer);
+  SendEnvelope(envelope.from_endpoint(), reply);
 
   if (lifetime <= runtime::Duration::zero()) {
     ++stats_.volume_validations;
@@ -134,34 +134,37 @@
   registration->number = request.registration();
   registration->epoch = proof.epoch;
   registration->relay = request.relay();
-  registration->whole_channel = request.base() == RegistrationRequest::INCLUDE_ALL;
-  if (registration->whole_channel) {
-    registration->listed.insert(request.exclude().begin(), request.exclude().end());
+  registration->all_objects = request.base() == RegistrationRequest::INCLUDE_ALL;
+  if (registration->all_objects) {
+    registration->listed_objects.insert(request.exclude().begin(), request.exclude().end());
   } else {
-    for (const auto& object : request.include()) registration->listed.insert(object.object());
+    for (const auto& object : request.include())
+      registration->listed_objects.insert(object.object());
   }
   registration->heartbeat = heartbeat;
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  registration->ends = now + lifetime;
+  registration->expires_at = now + lifetime;
   Registration* const added = registration.get();
   registrations_[key] = std::move(registration);
   ++registrations_by_channel_[request.channel()];
-  SetDue(added, now + heartbeat);
+  ScheduleHeartbeat(added, now + heartbeat);
   StartTicking();
 }
 
-void ChannelPublisher::FillObjects(const RegistrationRequest& request,
-                                   RegistrationResponse* response) const {
-  absl::flat_hash_map<std::string, ObjectVersion> held;
-  for (const auto& object : request.include()) held[object.object()] = object.version();
+void InvalidationPublisher::FillObjects(const RegistrationRequest& request,
+                                        RegistrationResponse* response) const {
+  absl::flat_hash_map<std::string, ObjectVersion> subscriber_versions;
+  for (const auto& object : request.include())
+    subscriber_versions[object.object()] = object.version();
   const absl::flat_hash_set<std::string> excluded(request.exclude().begin(),
                                                   request.exclude().end());
-  const auto judge = [&held](const std::string& object, const ObjectVersion& newest) {
-    const auto found = held.find(object);
-    if (found == held.end()) return UNKNOWN;
-    const int order = CompareVersions(found->second, newest);
-    if (order == 0) return FRESH;
-    return order < 0 ? STALE : UNKNOWN;
+  const auto classify = [&subscriber_versions](const std::string& object,
+                                               const ObjectVersion& newest) {
+    const auto found = subscriber_versions.find(object);
+    if (found == subscriber_versions.end()) return UNKNOWN;
+    const int comparison = CompareVersions(found->second, newest);
+    if (comparison == 0) return FRESH;
+    return comparison < 0 ? STALE : UNKNOWN;
   };
   const auto add = [response](const std::string& object, const ObjectVersion& version,
                               Freshness freshness) {
@@ -174,49 +177,49 @@
   if (request.base() == RegistrationRequest::INCLUDE_ALL) {
     for (const auto& object : source_->Objects(request.channel())) {
       if (excluded.contains(object.object())) continue;
-      add(object.object(), object.version(), judge(object.object(), object.version()));
-      held.erase(object.object());
+      add(object.object(), object.version(), classify(object.object(), object.version()));
+      subscriber_versions.erase(object.object());
     }
   }
   for (const auto& object : request.include()) {
-    if (!held.contains(object.object())) continue;  // said above
+    if (!subscriber_versions.contains(object.object())) continue;  // said above
     ObjectVersion newest;
     if (source_->Find(request.channel(), object.object(), &newest)) {
-      add(object.object(), newest, judge(object.object(), newest));
+      add(object.object(), newest, classify(object.object(), newest));
     } else {
       add(object.object(), ObjectVersion(), EXCLUDED);
     }
   }
 }
 
-void ChannelPublisher::HandleIncrement(const runtime::Envelope& envelope,
-                                       const RegistrationRequest& request,
-                                       const PublisherProof& proof) {
+void InvalidationPublisher::HandleIncrement(const runtime::Envelope& envelope,
+                                            const RegistrationRequest& request,
+                                            const PublisherProof& proof) {
   const auto found = registrations_.find(Key(request.channel(), envelope.from_endpoint()));
   if (found == registrations_.end() || found->second->number != request.registration() ||
       found->second->incarnation != envelope.from_incarnation() ||
-      found->second->epoch != proof.epoch || found->second->ends <= runtime_->clock->Now()) {
-    AnswerWithoutObjects(envelope, request, RegistrationResponse::REFUSED, "");
+      found->second->epoch != proof.epoch || found->second->expires_at <= runtime_->clock->Now()) {
+    RespondWithoutObjects(envelope, request, RegistrationResponse::REFUSED, "");
     return;
   }
   Flush();
   Registration* registration = found->second.get();
   for (const auto& object : request.include()) {
-    if (registration->whole_channel) {
-      registration->listed.erase(object.object());
+    if (registration->all_objects) {
+      registration->listed_objects.erase(object.object());
     } else {
-      registration->listed.insert(object.object());
+      registration->listed_objects.insert(object.object());
     }
   }
   for (const auto& object : request.exclude()) {
-    if (registration->whole_channel) {
-      registration->listed.insert(object);
+    if (registration->all_objects) {
+      registration->listed_objects.insert(object);
     } else {
-      registration->listed.erase(object);
+      registration->listed_objects.erase(object);
     }
   }
-  ChannelEnvelope answer;
-  RegistrationResponse* response = answer.mutable_response();
+  ChannelEnvelope reply;
+  RegistrationResponse* response = reply.mutable_response();
   response->set_channel(request.channel());
   response->set_registration(request.registration());
   response->set_increment(request.increment());
@@ -225,57 +228,58 @@
   // Proves nothing about the objects registered before: only channel messages renew trust.
   response->set_next_sequence(registration->next_sequence);
   FillObjects(request, response);
-  SendEnvelope(envelope.from_endpoint(), answer);
+  SendEnvelope(envelope.from_endpoint(), reply);
 }
 
-void ChannelPublisher::AnswerWithoutObjects(const runtime::Envelope& envelope,
-                                            const RegistrationRequest& request,
-                                            RegistrationResponse::Status status,
-                                            const std::string& redirect_to) {
-  ChannelEnvelope answer;
-  RegistrationResponse* response = answer.mutable_response();
+void InvalidationPublisher::RespondWithoutObjects(const runtime::Envelope& envelope,
+                                                  const RegistrationRequest& request,
+                                                  RegistrationResponse::Status status,
+                                                  const std::string& redirect_to) {
+  ChannelEnvelope reply;
+  RegistrationResponse* response = reply.mutable_response();
   response->set_channel(request.channel());
   response->set_registration(request.registration());
   response->set_increment(request.increment());
   response->set_status(status);
   response->set_redirect_to(redirect_to);
   response->set_request_sent_ns(request.sent_ns());
-  SendEnvelope(envelope.from_endpoint(), answer);
+  SendEnvelope(envelope.from_endpoint(), reply);
 }
 
-void ChannelPublisher::ObjectChanged(const std::string& object) {
+void InvalidationPublisher::ObjectChanged(const std::string& object) {
   const std::string channel = ChannelOf(object);
   if (channel.empty()) return;
-  waiting_[channel].insert(object);
-  waiting_[kAggregateChannel].insert(object);
+  pending_objects_[channel].insert(object);
+  pending_objects_[kAggregateChannel].insert(object);
   if (!batch_timer_.running()) batch_timer_.Start(BatchPeriod(), [this] { Flush(); });
 }
 
-runtime::Duration ChannelPublisher::BatchPeriod() const {
+runtime::Duration InvalidationPublisher::BatchPeriod() const {
   const double seconds = static_cast<double>(registrations_.size()) / options_.messages_per_second;
   return std::max(options_.batch_period, std::chrono::duration_cast<runtime::Duration>(
                                              std::chrono::duration<double>(seconds)));
 }
 
-void ChannelPublisher::Flush() {
+void InvalidationPublisher::Flush() {
   batch_timer_.Cancel();
-  for (auto it = waiting_.begin(); it != waiting_.end();) {
+  for (auto it = pending_objects_.begin(); it != pending_objects_.end();) {
     if (!registrations_by_channel_.contains(it->first)) {
-      it = waiting_.erase(it);  // nobody to tell; a later registration gets the newest versions
+      it = pending_objects_.erase(
+          it);  // nobody to tell; a later registration gets the newest versions
       continue;
     }
-    const PublisherProof proof = source_->Prove(it->first);
+    const PublisherProof proof = source_->CurrentProof(it->first);
     if (!proof.live) {
       ++it;
       continue;
     }
     FlushChannel(it->first, proof, {it->second.begin(), it->second.end()});
-    it = waiting_.erase(it);
+    it = pending_objects_.erase(it);
   }
 }
 
-void ChannelPublisher::FlushChannel(const std::string& channel, const PublisherProof& proof,
-                                    const std::vector<std::string>& objects) {
+void InvalidationPublisher::FlushChannel(const std::string& channel, const PublisherProof& proof,
+                                         const std::vector<std::string>& objects) {
   std::vector<ObjectState> states;
   states.reserve(objects.size());
   for (const std::string& object : objects) states.push_back(StateOf(channel, object));
@@ -283,16 +287,17 @@
   for (auto it = registrations_.lower_bound(Key(channel, ""));
        it != registrations_.end() && it->first.first == channel; ++it) {
     Registration* registration = it->second.get();
-    if (registration->epoch != proof.epoch || registration->ends <= now) continue;
-    std::vector<ObjectState> wanted;
+    if (registration->epoch != proof.epoch || registration->expires_at <= now) continue;
+    std::vector<ObjectState> covered_states;
     for (const ObjectState& state : states) {
-      if (registration->Wants(state.object())) wanted.push_back(state);
+      if (registration->Covers(state.object())) covered_states.push_back(state);
     }
-    if (!wanted.empty()) SendMessage(registration, proof.proven, std::move(wanted));
+    if (!covered_states.empty()) SendMessage(registration, proof.proven, std::move(covered_states));
   }
 }
 
-ObjectState ChannelPublisher::StateOf(const std::string& channel, const std::string& object) const {
+ObjectState InvalidationPublisher::StateOf(const std::string& channel,
+                                           const std::string& object) const {
   ObjectState state;
   state.set_object(object);
   ObjectVersion version;
@@ -306,17 +311,17 @@
   return state;
 }
 
-void ChannelPublisher::ExcludeObjects(const std::string& channel,
-                                      const std::vector<std::string>& objects,
-                                      runtime::MonotonicTime proven) {
+void InvalidationPublisher::ExcludeObjects(const std::string& channel,
+                                           const std::vector<std::string>& objects,
+                                           runtime::MonotonicTime proven) {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   for (auto it = registrations_.lower_bound(Key(channel, ""));
        it != registrations_.end() && it->first.first == channel; ++it) {
     Registration* registration = it->second.get();
-    if (registration->ends <= now) continue;
+    if (registration->expires_at <= now) continue;
     std::vector<ObjectState> states;
     for (const std::string& object : objects) {
-      if (!registration->Wants(object)) continue;
+      if (!registration->Covers(object)) continue;
       ObjectState& state = states.emplace_back();
       state.set_object(object);
       state.set_freshness(EXCLUDED);
@@ -325,26 +330,26 @@
   }
 }
 
-void ChannelPublisher::Renew(const std::string& channel) {
+void InvalidationPublisher::Renew(const std::string& channel) {
   Flush();
-  const PublisherProof proof = source_->Prove(channel);
-  if (!proof.live || waiting_.contains(channel)) return;
+  const PublisherProof proof = source_->CurrentProof(channel);
+  if (!proof.live || pending_objects_.contains(channel)) return;
   const runtime::MonotonicTime now = runtime_->clock->Now();
   for (auto it = registrations_.lower_bound(Key(channel, ""));
        it != registrations_.end() && it->first.first == channel; ++it) {
     Registration* registration = it->second.get();
-    if (registration->epoch != proof.epoch || registration->ends <= now) continue;
+    if (registration->epoch != proof.epoch || registration->expires_at <= now) continue;
     SendHeartbeat(registration, proof);
   }
 }
 
-void ChannelPublisher::SendHeartbeat(Registration* registration, const PublisherProof& proof) {
+void InvalidationPublisher::SendHeartbeat(Registration* registration, const PublisherProof& proof) {
   ++stats_.heartbeats_sent;
   SendMessage(registration, proof.proven, {});
 }
 
-void ChannelPublisher::SendMessage(Registration* registration, runtime::MonotonicTime proven,
-                                   std::vector<ObjectState> objects) {
+void InvalidationPublisher::SendMessage(Registration* registration, runtime::MonotonicTime proven,
+                                        std::vector<ObjectState> objects) {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   ChannelEnvelope envelope;
   ChannelMessage* message = envelope.mutable_message();
@@ -353,7 +358,7 @@
   message->set_server_epoch(registration->epoch);
   message->set_sequence(registration->next_sequence);
   message->set_server_ns(runtime::ToNanoseconds(proven));
-  message->set_remaining_lifetime_ms(Milliseconds(registration->ends - now));
+  message->set_remaining_lifetime_ms(Milliseconds(registration->expires_at - now));
   if (!objects.empty()) {
     ++registration->next_sequence;
     ++stats_.invalidation_messages_sent;
@@ -361,53 +366,56 @@
     for (ObjectState& state : objects) *message->add_objects() = std::move(state);
   }
   SendEnvelope(registration->endpoint, envelope);
-  SetDue(registration, now + registration->heartbeat);
+  ScheduleHeartbeat(registration, now + registration->heartbeat);
 }
 
-void ChannelPublisher::SendEnvelope(const std::string& endpoint, const ChannelEnvelope& envelope) {
+void InvalidationPublisher::SendEnvelope(const std::string& endpoint,
+                                         const ChannelEnvelope& envelope) {
   runtime_->transport->Send(endpoint, runtime::SERVICE_CHANNELS, envelope.SerializeAsString(),
                             runtime::Delivery::kStream);
 }
 
-void ChannelPublisher::SetDue(Registration* registration, runtime::MonotonicTime due) {
+void InvalidationPublisher::ScheduleHeartbeat(Registration* registration,
+                                              runtime::MonotonicTime next_heartbeat_at) {
   const Key key(registration->channel, registration->endpoint);
-  due_.erase({registration->due, key});
-  registration->due = due;
-  due_.insert({due, key});
+  heartbeat_schedule_.erase({registration->next_heartbeat_at, key});
+  registration->next_heartbeat_at = next_heartbeat_at;
+  heartbeat_schedule_.insert({next_heartbeat_at, key});
 }
 
-void ChannelPublisher::Erase(const Key& key) {
+void InvalidationPublisher::Erase(const Key& key) {
   const auto found = registrations_.find(key);
   if (found == registrations_.end()) return;
-  due_.erase({found->second->due, key});
+  heartbeat_schedule_.erase({found->second->next_heartbeat_at, key});
   const auto count = registrations_by_channel_.find(key.first);
   if (--count->second == 0) registrations_by_channel_.erase(count);
   registrations_.erase(found);
 }
 
-void ChannelPublisher::StartTicking() {
-  if (due_.empty()) {
+void InvalidationPublisher::StartTicking() {
+  if (heartbeat_schedule_.empty()) {
     tick_timer_.Cancel();
     return;
   }
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  const runtime::Duration wait = std::max(due_.begin()->first - now, runtime::Duration::zero());
+  const runtime::Duration wait =
+      std::max(heartbeat_schedule_.begin()->first - now, runtime::Duration::zero());
   tick_timer_.Start(wait, [this] { Tick(); });
 }
 
-void ChannelPublisher::Tick() {
+void InvalidationPublisher::Tick() {
   // What waits goes first: a heartbeat never overtakes an earlier invalidation (WCIP 3.2).
   Flush();
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  while (!due_.empty() && due_.begin()->first <= now) {
-    const Key key = due_.begin()->second;
+  while (!heartbeat_schedule_.empty() && heartbeat_schedule_.begin()->first <= now) {
+    const Key key = heartbeat_schedule_.begin()->second;
     Registration* registration = registrations_.find(key)->second.get();
-    const PublisherProof proof = source_->Prove(key.first);
-    if (registration->ends <= now || (proof.live && proof.epoch != registration->epoch)) {
+    const PublisherProof proof = source_->CurrentProof(key.first);
+    if (registration->expires_at <= now || (proof.live && proof.epoch != registration->epoch)) {
       ++stats_.expired;
       Erase(key);
-    } else if (!proof.live || waiting_.contains(key.first)) {
-      SetDue(registration, now + registration->heartbeat);
+    } else if (!proof.live || pending_objects_.contains(key.first)) {
+      ScheduleHeartbeat(registration, now + registration->heartbeat);
     } else {
       SendHeartbeat(registration, proof);
     }
--- a/src/posthatch/channels/channel_publisher.h
+++ b/src/posthatch/channels/invalidation_publisher.h
@@ -28,7 +28,7 @@
 class PublisherSource {
  public:
   virtual ~PublisherSource() = default;
-  virtual PublisherProof Prove(const std::string& channel) = 0;
+  virtual PublisherProof CurrentProof(const std::string& channel) = 0;
   // Objects that the channel covers now, with their newest versions, sorted by name.
   virtual std::vector<RegisteredObject> Objects(const std::string& channel) const = 0;
   // False if the channel does not cover `object`.
@@ -64,12 +64,13 @@
 };
 
 // The serving side of WCIP 5.2 and 5.3: registrations, answers, batched invalidations, heartbeats.
-// Owned by InvalidationServer or RelayPoint; event loop thread only.
-class ChannelPublisher {
+// Owned by InvalidationServer or InvalidationRelay; event loop thread only.
+class InvalidationPublisher {
  public:
-  ChannelPublisher(runtime::Runtime* runtime, PublisherOptions options, PublisherSource* source);
-  ChannelPublisher(const ChannelPublisher&) = delete;
-  ChannelPublisher& operator=(const ChannelPublisher&) = delete;
+  InvalidationPublisher(runtime::Runtime* runtime, PublisherOptions options,
+                        PublisherSource* source);
+  InvalidationPublisher(const InvalidationPublisher&) = delete;
+  InvalidationPublisher& operator=(const InvalidationPublisher&) = delete;
 
   // A registration request or an acknowledgement has come.
   void HandleEnvelope(const runtime::Envelope& envelope, const ChannelEnvelope& content);
@@ -94,13 +95,16 @@
     uint64_t number = 0;
     uint64_t epoch = 0;
     uint64_t next_sequence = 1;
-    bool whole_channel = false;
+    bool all_objects = false;
     bool relay = false;
-    absl::flat_hash_set<std::string> listed;  // included ones, or excluded ones if whole_channel
+    absl::flat_hash_set<std::string>
+        listed_objects;  // included ones, or excluded ones if all_objects
     runtime::Duration heartbeat{};
-    runtime::MonotonicTime ends;
-    runtime::MonotonicTime due;  // of its next heartbeat
-    bool Wants(const std::string& object) const { return whole_channel != listed.contains(object); }
+    runtime::MonotonicTime expires_at;
+    runtime::MonotonicTime next_heartbeat_at;  // of its next heartbeat
+    bool Covers(const std::string& object) const {
+      return all_objects != listed_objects.contains(object);
+    }
   };
   using Key = std::pair<std::string, std::string>;  // channel, endpoint
 
@@ -108,12 +112,12 @@
   void HandleIncrement(const runtime::Envelope& envelope, const RegistrationRequest& request,
                        const PublisherProof& proof);
   // Endpoint of a relay point that should serve this subscriber instead, or empty.
-  std::string RelayFor(const RegistrationRequest& request, const std::string& endpoint) const;
+  std::string ChooseRelay(const RegistrationRequest& request, const std::string& endpoint) const;
   void Grant(const runtime::Envelope& envelope, const RegistrationRequest& request,
              const PublisherProof& proof);
   void FillObjects(const RegistrationRequest& request, RegistrationResponse* response) const;
-  void AnswerWithoutObjects(const runtime::Envelope& envelope, const RegistrationRequest& request,
-                            RegistrationResponse::Status status, const std::string& redirect_to);
+  void RespondWithoutObjects(const runtime::Envelope& envelope, const RegistrationRequest& request,
+                             RegistrationResponse::Status status, const std::string& redirect_to);
 
   // How long invalidations are batched with the registrations of this moment.
   runtime::Duration BatchPeriod() const;
@@ -127,7 +131,7 @@
   ObjectState StateOf(const std::string& channel, const std::string& object) const;
   void SendEnvelope(const std::string& endpoint, const ChannelEnvelope& envelope);
 
-  void SetDue(Registration* registration, runtime::MonotonicTime due);
+  void ScheduleHeartbeat(Registration* registration, runtime::MonotonicTime next_heartbeat_at);
   void Erase(const Key& key);
   void StartTicking();
   void Tick();
@@ -138,9 +142,9 @@
   // Ordered, so that equal seeds send in equal order; channel first, so that a channel's
   // registrations are adjacent.
   absl::btree_map<Key, std::unique_ptr<Registration>> registrations_;
-  absl::btree_set<std::pair<runtime::MonotonicTime, Key>> due_;
+  absl::btree_set<std::pair<runtime::MonotonicTime, Key>> heartbeat_schedule_;
   // Changed objects not sent yet, by channel.
-  absl::btree_map<std::string, absl::btree_set<std::string>> waiting_;
+  absl::btree_map<std::string, absl::btree_set<std::string>> pending_objects_;
   absl::flat_hash_map<std::string, size_t> registrations_by_channel_;
   runtime::Timer batch_timer_;
   runtime::Timer tick_timer_;
--- a/src/posthatch/channels/relay_point-test.cc
+++ b/src/posthatch/channels/invalidation_relay-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/channels/relay_point.h"
+#include "posthatch/channels/invalidation_relay.h"
 
 #include <gtest/gtest.h>
 
@@ -15,16 +15,16 @@
 
 // Plays the server above and the subscribers below. The server's clock is the relay point's, so
 // that a time proved upstream can be compared with what is proved downstream.
-class RelayPointTest : public testing::Test {
+class InvalidationRelayTest : public testing::Test {
  protected:
-  RelayPointTest() {
+  InvalidationRelayTest() {
     upstream_.Start();
     for (const ChannelEnvelope& sent : fake_.TakeSent()) {
       const std::string& channel = sent.request().channel();
       numbers_[channel] = sent.request().registration();
       if (channel != "models" && channel != "tenants") continue;
-      ChannelEnvelope answer;
-      RegistrationResponse* response = answer.mutable_response();
+      ChannelEnvelope reply;
+      RegistrationResponse* response = reply.mutable_response();
       response->set_channel(channel);
       response->set_registration(sent.request().registration());
       response->set_status(RegistrationResponse::OK);
@@ -39,7 +39,7 @@
       *state->mutable_version() = MakeVersion(1, 0);
       state->set_freshness(UNKNOWN);
       state->set_guarantee_ms(4000);
-      fake_.Deliver(kServer, answer);
+      fake_.Deliver(kServer, reply);
     }
     fake_.TakeSent();
   }
@@ -65,12 +65,13 @@
   }
 
   FakeRuntime fake_;
-  SubscriptionSet upstream_{&fake_.runtime, {}, [] { return std::vector<std::string>{kServer}; }};
-  RelayPoint relay_{&fake_.runtime, {}, &upstream_};
+  InvalidationSubscriber upstream_{
+      &fake_.runtime, {}, [] { return std::vector<std::string>{kServer}; }};
+  InvalidationRelay relay_{&fake_.runtime, {}, &upstream_};
   std::map<std::string, uint64_t> numbers_;
 };
 
-TEST_F(RelayPointTest, AnswersProveOnlyWhatUpstreamHasProved) {
+TEST_F(InvalidationRelayTest, AnswersProveOnlyWhatUpstreamHasProved) {
   const int64_t proved = Now();
   fake_.timers.Freeze(milliseconds(700));
   const RegistrationResponse response = Register("models").response();
@@ -79,7 +80,7 @@
   EXPECT_EQ(response.proven_ns(), proved);
 }
 
-TEST_F(RelayPointTest, MessagesProveWhatUpstreamHasProvedAndGoOutAtOnce) {
+TEST_F(InvalidationRelayTest, MessagesProveWhatUpstreamHasProvedAndGoOutAtOnce) {
   Register("models");
   fake_.timers.Freeze(milliseconds(800));
   HeartbeatFromUpstream("models");
@@ -94,7 +95,7 @@
   EXPECT_EQ(own.back().message().server_ns(), proved);
 }
 
-TEST_F(RelayPointTest, AggregateProvesTheOldestOfItsChannels) {
+TEST_F(InvalidationRelayTest, AggregateProvesTheOldestOfItsChannels) {
   const int64_t proved = Now();
   fake_.timers.Freeze(milliseconds(900));
   HeartbeatFromUpstream("models");
@@ -105,7 +106,7 @@
   EXPECT_EQ(heartbeats.back().message().server_ns(), proved);
 }
 
-TEST_F(RelayPointTest, LostChannelIsExcludedFromTheAggregateAndHoldsItBackNoLonger) {
+TEST_F(InvalidationRelayTest, LostChannelIsExcludedFromTheAggregateAndHoldsItBackNoLonger) {
   Register(kAggregateChannel);
   for (int i = 0; i < 3; ++i) {
     fake_.timers.Advance(milliseconds(900));
@@ -124,7 +125,7 @@
   EXPECT_GT(proved, Now() - 1'300'000'000);
 }
 
-TEST_F(RelayPointTest, RefusesAndSaysNothingOnceItsUpstreamIsSilent) {
+TEST_F(InvalidationRelayTest, RefusesAndSaysNothingOnceItsUpstreamIsSilent) {
   Register("models");
   fake_.timers.Freeze(milliseconds(2100));  // the loss has not been noticed by a timer yet
   ChannelEnvelope request;
--- a/src/posthatch/channels/relay_point.cc
+++ b/src/posthatch/channels/invalidation_relay.cc
@@ -1,4 +1,4 @@
-#include "posthatch/channels/relay_point.h"
+#include "posthatch/channels/invalidation_relay.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,12 +7,12 @@
 
 namespace posthatch::channels {
 
-RelayPoint::RelayPoint(runtime::Runtime* runtime, PublisherOptions options,
-                       SubscriptionSet* upstream)
+InvalidationRelay::InvalidationRelay(runtime::Runtime* runtime, PublisherOptions options,
+                                     InvalidationSubscriber* upstream)
     : runtime_(runtime), upstream_(upstream), publisher_(runtime, options, this) {
   for (const std::string& channel : upstream_->Channels()) {
     const ChannelSubscription* subscription = upstream_->Find(channel);
-    if (subscription->Live()) relayed_[channel] = subscription->proven();
+    if (subscription->IsLive()) relayed_[channel] = subscription->proven();
   }
   upstream_->AddListener(this);
   upstream_->SetRequestHandler(
@@ -21,12 +21,12 @@
       });
 }
 
-RelayPoint::~RelayPoint() {
+InvalidationRelay::~InvalidationRelay() {
   upstream_->SetRequestHandler(nullptr);
   upstream_->RemoveListener(this);
 }
 
-PublisherProof RelayPoint::Prove(const std::string& channel) {
+PublisherProof InvalidationRelay::CurrentProof(const std::string& channel) {
   PublisherProof proof;
   proof.epoch = runtime_->transport->incarnation();
   if (channel == kAggregateChannel) {
@@ -38,18 +38,18 @@
   if (found == relayed_.end()) return proof;
   const ChannelSubscription* subscription = upstream_->Find(channel);
   // Asked by the clock at this moment: after a freeze the loss may not have been noticed yet.
-  proof.live = subscription->Live();
+  proof.live = subscription->IsLive();
   proof.proven = found->second;
   return proof;
 }
 
-runtime::MonotonicTime RelayPoint::AggregateProven() const {
+runtime::MonotonicTime InvalidationRelay::AggregateProven() const {
   runtime::MonotonicTime proven = runtime::MonotonicTime::max();
   for (const auto& [channel, time] : relayed_) proven = std::min(proven, time);
   return relayed_.empty() ? runtime::MonotonicTime::min() : proven;
 }
 
-std::vector<RegisteredObject> RelayPoint::Objects(const std::string& channel) const {
+std::vector<RegisteredObject> InvalidationRelay::Objects(const std::string& channel) const {
   if (channel != kAggregateChannel || relayed_.contains(channel)) {
     return relayed_.contains(channel) ? upstream_->Find(channel)->Objects()
                                       : std::vector<RegisteredObject>();
@@ -62,8 +62,8 @@
   return all;
 }
 
-bool RelayPoint::Find(const std::string& channel, const std::string& object,
-                      ObjectVersion* version) const {
+bool InvalidationRelay::Find(const std::string& channel, const std::string& object,
+                             ObjectVersion* version) const {
   std::string upstream_channel = ChannelOf(object);
   if (channel != kAggregateChannel && channel != upstream_channel) return false;
   if (relayed_.contains(kAggregateChannel)) upstream_channel = kAggregateChannel;
@@ -71,7 +71,7 @@
          upstream_->Find(upstream_channel)->Find(object, version);
 }
 
-std::vector<std::string> RelayPoint::ObjectNames(const std::string& channel) const {
+std::vector<std::string> InvalidationRelay::ObjectNames(const std::string& channel) const {
   std::vector<std::string> names;
   for (const RegisteredObject& object : upstream_->Find(channel)->Objects()) {
     names.push_back(object.object());
@@ -79,21 +79,22 @@
   return names;
 }
 
-void RelayPoint::OnObjects(const std::string& channel, const std::vector<std::string>& objects) {
+void InvalidationRelay::OnObjects(const std::string& channel,
+                                  const std::vector<std::string>& objects) {
   if (!relayed_.contains(channel)) return;
   for (const std::string& object : objects) publisher_.ObjectChanged(object);
 }
 
-void RelayPoint::OnSynchronised(const std::string& channel) {
+void InvalidationRelay::OnSynchronized(const std::string& channel) {
   relayed_[channel] = upstream_->Find(channel)->proven();
   // What changed while nothing was heard is not known, so everything is said again. It waits in the
   // publisher and goes out before anything that carries the new proof.
-  for (const std::string& object : upstream_->Find(channel)->KnownNames()) {
+  for (const std::string& object : upstream_->Find(channel)->KnownObjectNames()) {
     publisher_.ObjectChanged(object);
   }
 }
 
-void RelayPoint::OnRenewed(const std::string& channel) {
+void InvalidationRelay::OnRenewed(const std::string& channel) {
   const auto found = relayed_.find(channel);
   if (found == relayed_.end()) return;
   found->second = upstream_->Find(channel)->proven();
@@ -102,7 +103,7 @@
   publisher_.Renew(channel);
 }
 
-void RelayPoint::OnLost(const std::string& channel) {
+void InvalidationRelay::OnLost(const std::string& channel) {
   const auto found = relayed_.find(channel);
   if (found == relayed_.end()) return;
   const std::vector<std::string> names = ObjectNames(channel);
--- a/src/posthatch/channels/relay_point.h
+++ b/src/posthatch/channels/invalidation_relay.h
@@ -4,38 +4,39 @@
 #include <vector>
 
 #include "absl/container/btree_map.h"
-#include "posthatch/channels/channel_publisher.h"
-#include "posthatch/channels/subscription_set.h"
+#include "posthatch/channels/invalidation_publisher.h"
+#include "posthatch/channels/invalidation_subscriber.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::channels {
 
-// A channel relay point (WCIP 4.1): fans the channels of this process's SubscriptionSet out to
-// further subscribers, channel by channel or aggregated into one.
+// A channel relay point (WCIP 4.1): fans the channels of this process's InvalidationSubscriber out
+// to further subscribers, channel by channel or aggregated into one.
 //
 // Time: what it sends proves its objects up to P, the moment by its own clock to which its upstream
 // has proved them, never up to now (docs/WCIP.md, "Relays"). So a relay point that was stopped, or
 // whose upstream fell silent, can't lengthen anybody's trust.
 //
 // Owned next to the set, which must outlive it. Event loop thread only.
-class RelayPoint : private PublisherSource, private SubscriptionSet::Listener {
+class InvalidationRelay : private PublisherSource, private InvalidationSubscriber::Listener {
  public:
-  RelayPoint(runtime::Runtime* runtime, PublisherOptions options, SubscriptionSet* upstream);
-  ~RelayPoint() override;
-  RelayPoint(const RelayPoint&) = delete;
-  RelayPoint& operator=(const RelayPoint&) = delete;
+  InvalidationRelay(runtime::Runtime* runtime, PublisherOptions options,
+                    InvalidationSubscriber* upstream);
+  ~InvalidationRelay() override;
+  InvalidationRelay(const InvalidationRelay&) = delete;
+  InvalidationRelay& operator=(const InvalidationRelay&) = delete;
 
   size_t registration_count() const { return publisher_.registration_count(); }
   const PublisherStats& stats() const { return publisher_.stats(); }
 
  private:
-  PublisherProof Prove(const std::string& channel) override;
+  PublisherProof CurrentProof(const std::string& channel) override;
   std::vector<RegisteredObject> Objects(const std::string& channel) const override;
   bool Find(const std::string& channel, const std::string& object,
             ObjectVersion* version) const override;
 
   void OnObjects(const std::string& channel, const std::vector<std::string>& objects) override;
-  void OnSynchronised(const std::string& channel) override;
+  void OnSynchronized(const std::string& channel) override;
   void OnRenewed(const std::string& channel) override;
   void OnLost(const std::string& channel) override;
 
@@ -45,11 +46,11 @@
   std::vector<std::string> ObjectNames(const std::string& channel) const;
 
   runtime::Runtime* const runtime_;
-  SubscriptionSet* const upstream_;
+  InvalidationSubscriber* const upstream_;
   // Upstream channels whose objects are relayed, and up to when each is proved. A channel that is
   // lost leaves this map only together with the exclusion of its objects downstream.
   absl::btree_map<std::string, runtime::MonotonicTime> relayed_;
-  ChannelPublisher publisher_;
+  InvalidationPublisher publisher_;
 };
 
 }  // namespace posthatch::channels
--- a/src/posthatch/channels/invalidation_server.cc
+++ b/src/posthatch/channels/invalidation_server.cc
@@ -49,7 +49,7 @@
   if (content.ParseFromString(envelope.payload())) publisher_.HandleEnvelope(envelope, content);
 }
 
-PublisherProof InvalidationServer::Prove(const std::string& /*channel*/) {
+PublisherProof InvalidationServer::CurrentProof(const std::string& /*channel*/) {
   // The time first, then the check: if this process is stopped in between, the check sees the
   // later time, and what is proved stays the earlier one.
   PublisherProof proof;
--- a/src/posthatch/channels/invalidation_server.h
+++ b/src/posthatch/channels/invalidation_server.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/channels/channel_publisher.h"
+#include "posthatch/channels/invalidation_publisher.h"
 #include "posthatch/channels/metrics_export.h"
 #include "posthatch/channels/object_source.h"
 #include "posthatch/runtime/runtime.h"
@@ -33,7 +33,7 @@
   const PublisherStats& stats() const { return publisher_.stats(); }
 
  private:
-  PublisherProof Prove(const std::string& channel) override;
+  PublisherProof CurrentProof(const std::string& channel) override;
   std::vector<RegisteredObject> Objects(const std::string& channel) const override;
   bool Find(const std::string& channel, const std::string& object,
             ObjectVersion* version) const override;
@@ -43,7 +43,7 @@
   runtime::Runtime* const runtime_;
   ObjectSource* const objects_;
   const std::function<ServingState()> serving_;
-  ChannelPublisher publisher_;
+  InvalidationPublisher publisher_;
   MetricsExport metrics_;
   // Guards the listener left with `objects_`, which can't be taken back.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/posthatch/channels/subscription_set.cc
+++ b/src/posthatch/channels/invalidation_subscriber.cc
@@ -1,4 +1,4 @@
-#include "posthatch/channels/subscription_set.h"
+#include "posthatch/channels/invalidation_subscriber.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,8 +7,9 @@
 
 namespace posthatch::channels {
 
-SubscriptionSet::SubscriptionSet(runtime::Runtime* runtime, SubscriptionSetOptions options,
-                                 const ChannelSubscription::Endpoints& endpoints)
+InvalidationSubscriber::InvalidationSubscriber(runtime::Runtime* runtime,
+                                               InvalidationSubscriberOptions options,
+                                               const ChannelSubscription::Endpoints& endpoints)
     : runtime_(runtime), options_(std::move(options)) {
   if (options_.aggregate) {
     AddChannel(kAggregateChannel, endpoints);
@@ -19,18 +20,18 @@
       runtime::SERVICE_CHANNELS, [this](const runtime::Envelope& envelope) { Receive(envelope); });
 }
 
-SubscriptionSet::~SubscriptionSet() {
+InvalidationSubscriber::~InvalidationSubscriber() {
   runtime_->transport->SetReceiver(runtime::SERVICE_CHANNELS, [](const runtime::Envelope&) {});
 }
 
-void SubscriptionSet::AddChannel(const std::string& channel,
-                                 const ChannelSubscription::Endpoints& endpoints) {
+void InvalidationSubscriber::AddChannel(const std::string& channel,
+                                        const ChannelSubscription::Endpoints& endpoints) {
   ChannelSubscription::Observer observer;
   observer.on_objects = [this, channel](const std::vector<std::string>& objects) {
     for (Listener* listener : listeners_) listener->OnObjects(channel, objects);
   };
-  observer.on_synchronised = [this, channel] {
-    for (Listener* listener : listeners_) listener->OnSynchronised(channel);
+  observer.on_synchronized = [this, channel] {
+    for (Listener* listener : listeners_) listener->OnSynchronized(channel);
   };
   observer.on_renewed = [this, channel] {
     for (Listener* listener : listeners_) listener->OnRenewed(channel);
@@ -42,17 +43,17 @@
       runtime_, options_.subscription, channel, endpoints, std::move(observer));
 }
 
-void SubscriptionSet::Start() {
+void InvalidationSubscriber::Start() {
   for (auto& [channel, subscription] : subscriptions_) subscription->Start();
 }
 
-void SubscriptionSet::AddListener(Listener* listener) { listeners_.push_back(listener); }
+void InvalidationSubscriber::AddListener(Listener* listener) { listeners_.push_back(listener); }
 
-void SubscriptionSet::RemoveListener(Listener* listener) {
+void InvalidationSubscriber::RemoveListener(Listener* listener) {
   listeners_.erase(std::remove(listeners_.begin(), listeners_.end(), listener), listeners_.end());
 }
 
-void SubscriptionSet::Receive(const runtime::Envelope& envelope) {
+void InvalidationSubscriber::Receive(const runtime::Envelope& envelope) {
   ChannelEnvelope content;
   if (!content.ParseFromString(envelope.payload())) return;
   if (content.has_response() || content.has_message()) {
@@ -70,75 +71,77 @@
   if (request_handler_) {
     request_handler_(envelope, content);
   } else if (content.has_request()) {
-    ChannelEnvelope answer;
-    RegistrationResponse* response = answer.mutable_response();
+    ChannelEnvelope reply;
+    RegistrationResponse* response = reply.mutable_response();
     response->set_channel(content.request().channel());
     response->set_registration(content.request().registration());
     response->set_increment(content.request().increment());
     response->set_status(RegistrationResponse::REFUSED);
     runtime_->transport->Send(envelope.from_endpoint(), runtime::SERVICE_CHANNELS,
-                              answer.SerializeAsString(), runtime::Delivery::kStream);
+                              reply.SerializeAsString(), runtime::Delivery::kStream);
   }
 }
 
-ChannelSubscription* SubscriptionSet::FindFor(const std::string& object) const {
+ChannelSubscription* InvalidationSubscriber::FindFor(const std::string& object) const {
   const std::string channel = options_.aggregate ? kAggregateChannel : ChannelOf(object);
   const auto found = subscriptions_.find(channel);
   return found == subscriptions_.end() ? nullptr : found->second.get();
 }
 
-bool SubscriptionSet::IsFresh(const std::string& object, const ObjectVersion& version) const {
+bool InvalidationSubscriber::IsFresh(const std::string& object,
+                                     const ObjectVersion& version) const {
   const ChannelSubscription* subscription = FindFor(object);
   return subscription != nullptr && subscription->IsFresh(object, version);
 }
 
-bool SubscriptionSet::CurrentVersion(const std::string& object, ObjectVersion* version) const {
+bool InvalidationSubscriber::CurrentVersion(const std::string& object,
+                                            ObjectVersion* version) const {
   const ChannelSubscription* subscription = FindFor(object);
   return subscription != nullptr && subscription->CurrentVersion(object, version);
 }
 
-void SubscriptionSet::Include(const std::string& object) {
+void InvalidationSubscriber::Include(const std::string& object) {
   ChannelSubscription* subscription = FindFor(object);
   if (subscription != nullptr) subscription->Include(object);
 }
 
-void SubscriptionSet::Exclude(const std::string& object) {
+void InvalidationSubscriber::Exclude(const std::string& object) {
   ChannelSubscription* subscription = FindFor(object);
   if (subscription != nullptr) subscription->Exclude(object);
 }
 
-const ChannelSubscription* SubscriptionSet::Find(const std::string& channel) const {
+const ChannelSubscription* InvalidationSubscriber::Find(const std::string& channel) const {
   const auto found = subscriptions_.find(channel);
   return found == subscriptions_.end() ? nullptr : found->second.get();
 }
 
-std::vector<std::string> SubscriptionSet::Channels() const {
+std::vector<std::string> InvalidationSubscriber::Channels() const {
   std::vector<std::string> channels;
   for (const auto& [channel, subscription] : subscriptions_) channels.push_back(channel);
   return channels;
 }
 
-size_t SubscriptionSet::live_channels() const {
+size_t InvalidationSubscriber::live_channels() const {
   size_t live = 0;
   for (const auto& [channel, subscription] : subscriptions_) {
-    if (subscription->Live()) ++live;
+    if (subscription->IsLive()) ++live;
   }
   return live;
 }
 
-SubscriptionStats SubscriptionSet::TotalStats() const {
+SubscriptionStats InvalidationSubscriber::TotalStats() const {
   SubscriptionStats total;
   for (const auto& [channel, subscription] : subscriptions_) {
     const SubscriptionStats& stats = subscription->stats();
     total.requests_sent += stats.requests_sent;
-    total.answers += stats.answers;
+    total.responses += stats.responses;
     total.refusals += stats.refusals;
     total.redirections += stats.redirections;
     total.messages += stats.messages;
     total.ignored += stats.ignored;
     total.gaps += stats.gaps;
     total.epoch_changes += stats.epoch_changes;
-    total.silences += stats.silences;
+    total.heartbeat_timeouts += stats.heartbeat_timeouts;
   }
   return total;
 }
--- a/src/posthatch/channels/subscription_set.h
+++ b/src/posthatch/channels/invalidation_subscriber.h
@@ -12,7 +12,7 @@
 
 namespace posthatch::channels {
 
-struct SubscriptionSetOptions {
+struct InvalidationSubscriberOptions {
   SubscriptionOptions subscription;
   // One registration on the aggregate channel instead of one per class; for subscribers that stand
   // behind relay points.
@@ -22,14 +22,14 @@
 // All registrations of one process, and its answer to "may this be trusted now?". Takes the
 // process's SERVICE_CHANNELS messages; requests from further subscribers go to the relay point, if
 // one is set. Owned by index::IndexNode. Event loop thread only.
-class SubscriptionSet : public ObjectTrust {
+class InvalidationSubscriber : public ObjectTrust {
  public:
   // Hears of everything that happens to the channels, after the set has taken it in.
   class Listener {
    public:
     virtual ~Listener() = default;
     virtual void OnObjects(const std::string& channel, const std::vector<std::string>& objects) = 0;
-    virtual void OnSynchronised(const std::string& channel) = 0;
+    virtual void OnSynchronized(const std::string& channel) = 0;
     virtual void OnRenewed(const std::string& channel) = 0;
     virtual void OnLost(const std::string& channel) = 0;
   };
@@ -37,11 +37,11 @@
       std::function<void(const runtime::Envelope& envelope, const ChannelEnvelope& content)>;
 
   // `endpoints`: internal endpoints of the controllers; asked at each registration.
-  SubscriptionSet(runtime::Runtime* runtime, SubscriptionSetOptions options,
-                  const ChannelSubscription::Endpoints& endpoints);
-  ~SubscriptionSet() override;
-  SubscriptionSet(const SubscriptionSet&) = delete;
-  SubscriptionSet& operator=(const SubscriptionSet&) = delete;
+  InvalidationSubscriber(runtime::Runtime* runtime, InvalidationSubscriberOptions options,
+                         const ChannelSubscription::Endpoints& endpoints);
+  ~InvalidationSubscriber() override;
+  InvalidationSubscriber(const InvalidationSubscriber&) = delete;
+  InvalidationSubscriber& operator=(const InvalidationSubscriber&) = delete;
 
   void Start();
   // Listeners must outlive the set, or be removed.
@@ -69,7 +69,7 @@
   void Receive(const runtime::Envelope& envelope);
 
   runtime::Runtime* const runtime_;
-  const SubscriptionSetOptions options_;
+  const InvalidationSubscriberOptions options_;
   absl::btree_map<std::string, std::unique_ptr<ChannelSubscription>> subscriptions_;
   std::vector<Listener*> listeners_;
   RequestHandler request_handler_;
--- a/src/posthatch/channels/metrics_export.h
+++ b/src/posthatch/channels/metrics_export.h
@@ -23,18 +23,18 @@
   void Add(const std::string& name, const std::string& help, std::function<double()> read) {
     if (runtime_->metrics == nullptr) return;
     auto& family = prometheus::BuildGauge().Name(name).Help(help).Register(*runtime_->metrics);
-    shown_.emplace_back(&family.Add({}), std::move(read));
+    exported_gauges_.emplace_back(&family.Add({}), std::move(read));
   }
   void Start() {
-    for (const auto& [gauge, read] : shown_) gauge->Set(read());
-    if (!shown_.empty()) timer_.Start(kRefreshInterval, [this] { Start(); });
+    for (const auto& [gauge, read] : exported_gauges_) gauge->Set(read());
+    if (!exported_gauges_.empty()) timer_.Start(kRefreshInterval, [this] { Start(); });
   }
 
  private:
   static constexpr runtime::Duration kRefreshInterval = std::chrono::seconds(1);
 
   runtime::Runtime* const runtime_;
-  std::vector<std::pair<prometheus::Gauge*, std::function<double()>>> shown_;
+  std::vector<std::pair<prometheus::Gauge*, std::function<double()>>> exported_gauges_;
   runtime::Timer timer_;
 };
 
--- a/src/posthatch/compatibility/stored_data-test.cc
+++ b/src/posthatch/compatibility/stored_data-test.cc
@@ -85,7 +85,7 @@
           control::EvacuationChange("e1", "rack-9", "z1", /*lifted=*/false),
           control::RevisionChange("m1", "m"),
           control::Begin("k1", "a1", "hash", 1000),
-          control::Finish("k1", "a1", control::DeliveryOutcome::ANSWERED, 2000),
+          control::Finish("k1", "a1", control::DeliveryOutcome::RESPONDED, 2000),
           control::Begin("k2", "a2", "hash", 3000),
           control::InventoryReading(3, /*draining_bits=*/2),
           InventoryDifference(),
@@ -114,9 +114,9 @@
   static consensus::ReplicaOptions Options() {
     consensus::ReplicaOptions options;
     options.bootstrap_expect = 1;
-    options.log.folder = kFolder;
+    options.log.directory = kFolder;
     options.snapshot_every_entries = kSnapshotEveryEntries;
-    options.keep_entries = 2;
+    options.retained_entries = 2;
     return options;
   }
   ControlState state;
@@ -215,7 +215,7 @@
   operations.push_back({Kind::kSyncDirectory, "", "", "", 0});
   for (const std::string& name : FolderFiles()) {
     const std::string path = std::string(kFolder) + "/" + name;
-    operations.push_back({Kind::kWriteWhole, path, ReadGolden("controller/" + name), "", 0});
+    operations.push_back({Kind::kFullWrite, path, ReadGolden("controller/" + name), "", 0});
     operations.push_back({Kind::kSync, path, "", "", 0});
   }
   operations.push_back({Kind::kSyncDirectory, kFolder, "", "", 0});
@@ -240,7 +240,7 @@
   EXPECT_GT(expected.history_size(), 0);
   EXPECT_GT(expected.deliveries_size(), 0);
   EXPECT_GT(expected.objects_size(), 0);
-  EXPECT_GT(expected.answered_size(), 0);
+  EXPECT_GT(expected.requests_size(), 0);
   EXPECT_GT(expected.fleet().leases_size(), 0);
   EXPECT_EQ(expected.traffic().newest().version(), 7u);
   EXPECT_TRUE(Same(SnapshotOf(controller_->state), expected));
--- a/src/posthatch/consensus/bootstrap-test.cc
+++ b/src/posthatch/consensus/bootstrap-test.cc
@@ -19,18 +19,19 @@
   BootstrapTest()
       : random_(3),
         core_({}, &random_, Fresh(), now_),
-        bootstrap_(std::in_place, &core_, &random_,
-                   BootstrapOptions{.expect = 3, .founders = {}, .target_voters = 3, .peers = [] {
-                                      return std::vector<std::string>{"host10", "host20", "host30"};
-                                    }}) {}
+        bootstrap_(
+            std::in_place, &core_, &random_,
+            BootstrapOptions{.expect = 3, .bootstrap_voters = {}, .target_voters = 3, .peers = [] {
+                               return std::vector<std::string>{"host10", "host20", "host30"};
+                             }}) {}
 
   // From now on only these may form a cluster.
-  void SetFounders(const std::vector<std::string>& founders) {
-    bootstrap_.emplace(
-        &core_, &random_,
-        BootstrapOptions{.expect = 3, .founders = founders, .target_voters = 9, .peers = [] {
-                           return std::vector<std::string>{};
-                         }});
+  void SetBootstrapVoters(const std::vector<std::string>& bootstrap_voters) {
+    bootstrap_.emplace(&core_, &random_,
+                       BootstrapOptions{.expect = 3,
+                                        .bootstrap_voters = bootstrap_voters,
+                                        .target_voters = 9,
+                                        .peers = [] { return std::vector<std::string>{}; }});
   }
 
   static RecoveredState Fresh() {
@@ -41,14 +42,15 @@
     return state;
   }
 
-  RaftMessage HelloFrom(uint64_t id, const std::vector<uint64_t>& fresh_seen) {
+  RaftMessage HelloFrom(uint64_t id, const std::vector<uint64_t>& unbootstrapped_peers) {
     RaftMessage message;
     message.set_from(id);
     message.set_from_endpoint("host" + std::to_string(id));
     message.set_from_boot_count(1);
-    message.mutable_hello()->set_answer(true);
-    message.mutable_hello()->set_fresh(true);
-    for (uint64_t seen : fresh_seen) message.mutable_hello()->add_fresh_seen(seen);
+    message.mutable_hello()->set_is_response(true);
+    message.mutable_hello()->set_unbootstrapped(true);
+    for (uint64_t seen : unbootstrapped_peers)
+      message.mutable_hello()->add_unbootstrapped_peers(seen);
     return message;
   }
 
@@ -69,64 +71,64 @@
 
 TEST_F(BootstrapTest, LowestIdFormsAClusterOfAllThatSeeEachOther) {
   Run({HelloFrom(20, {10, 30}), HelloFrom(30, {10, 20})});
-  EXPECT_FALSE(core_.IsFresh());
+  EXPECT_FALSE(core_.IsUnbootstrapped());
   EXPECT_EQ(VoterCount(core_.configuration()), 3U);
   EXPECT_NE(core_.cluster_id(), 0U);
 }
 
 TEST_F(BootstrapTest, WaitsForEnoughReplicas) {
   Run({HelloFrom(20, {10})});
-  EXPECT_TRUE(core_.IsFresh());
+  EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
 TEST_F(BootstrapTest, WaitsUntilAllSeeEachOther) {
   Run({HelloFrom(20, {10, 30}), HelloFrom(30, {10})});
-  EXPECT_TRUE(core_.IsFresh());
+  EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
 TEST_F(BootstrapTest, LeavesItToALowerId) {
   Run({HelloFrom(20, {10, 5}), HelloFrom(5, {10, 20})});
-  EXPECT_TRUE(core_.IsFresh());
+  EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
 TEST_F(BootstrapTest, OnlyAFounderFormsAClusterThoughItSeesNoLowerId) {
-  SetFounders({"host20", "host30", "host40"});
+  SetBootstrapVoters({"host20", "host30", "host40"});
   Run({HelloFrom(20, {10, 30, 40}), HelloFrom(30, {10, 20, 40}), HelloFrom(40, {10, 20, 30})});
-  EXPECT_TRUE(core_.IsFresh());
+  EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
 TEST_F(BootstrapTest, AFounderWaitsForAllOthers) {
-  SetFounders({"host10", "host20", "host30"});
+  SetBootstrapVoters({"host10", "host20", "host30"});
   Run({HelloFrom(20, {10, 40, 50}), HelloFrom(40, {10, 20, 50}), HelloFrom(50, {10, 20, 40})});
-  EXPECT_TRUE(core_.IsFresh());
+  EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
 TEST_F(BootstrapTest, TheLowestFounderTakesInAllThatItSees) {
-  SetFounders({"host10", "host20", "host30"});
+  SetBootstrapVoters({"host10", "host20", "host30"});
   Run({HelloFrom(20, {10, 30}), HelloFrom(30, {10, 20}), HelloFrom(5, {10}), HelloFrom(40, {})});
-  EXPECT_FALSE(core_.IsFresh());
+  EXPECT_FALSE(core_.IsUnbootstrapped());
   EXPECT_EQ(VoterCount(core_.configuration()), 5U);
 }
 
 TEST_F(BootstrapTest, FormsNoClusterWithAMemberOfOneInSight) {
   RaftMessage member = HelloFrom(40, {});
   member.set_cluster_id(77);
-  member.mutable_hello()->set_fresh(false);
+  member.mutable_hello()->set_unbootstrapped(false);
   Run({HelloFrom(20, {10, 30}), HelloFrom(30, {10, 20}), member});
-  EXPECT_TRUE(core_.IsFresh());
+  EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
 TEST_F(BootstrapTest, DoesNotCountTheFormerLifeOfALostDisk) {
   RaftMessage second_life = HelloFrom(21, {10});
   second_life.set_from_endpoint("host20");
   Run({HelloFrom(20, {10, 21}), second_life});
-  EXPECT_TRUE(core_.IsFresh());
+  EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
 TEST_F(BootstrapTest, AsksTheLeaderToJoin) {
   RaftMessage member = HelloFrom(40, {});
   member.set_cluster_id(77);
-  member.mutable_hello()->set_fresh(false);
+  member.mutable_hello()->set_unbootstrapped(false);
   member.mutable_hello()->set_leader_id(50);
   member.mutable_hello()->set_leader_endpoint("host50");
   Run({member});
--- a/src/posthatch/consensus/bootstrap.cc
+++ b/src/posthatch/consensus/bootstrap.cc
@@ -12,9 +12,9 @@
 constexpr runtime::Duration kHelloInterval = std::chrono::milliseconds(250);
 constexpr runtime::Duration kJoinInterval = std::chrono::milliseconds(500);
 // A replica not heard from for this long doesn't count as seen.
-constexpr runtime::Duration kSeenFor = std::chrono::seconds(1);
+constexpr runtime::Duration kPeerTimeout = std::chrono::seconds(1);
 // Rounds of Hello before a cluster is formed, so that members of an older one are heard first.
-constexpr uint64_t kRoundsBeforeForming = 4;
+constexpr uint64_t kHelloRoundsBeforeBootstrap = 4;
 
 }  // namespace
 
@@ -27,34 +27,36 @@
 
 void Bootstrap::Tick(MonotonicTime now) {
   if (core_->HasLeader(now)) {
-    known_.clear();
-    rounds_ = 0;
+    known_peers_.clear();
+    hello_rounds_ = 0;
     return;
   }
   if (now < next_hello_) return;
   next_hello_ = now + kHelloInterval;
   SendHellos(now);
-  ++rounds_;
-  if (options_.expect > 0 && core_->IsFresh() && rounds_ > kRoundsBeforeForming) TryToForm(now);
+  ++hello_rounds_;
+  if (options_.expect > 0 && core_->IsUnbootstrapped() &&
+      hello_rounds_ > kHelloRoundsBeforeBootstrap)
+    TryBootstrap(now);
 }
 
-std::set<uint64_t> Bootstrap::FreshSeen(MonotonicTime now) const {
+std::set<uint64_t> Bootstrap::VisibleUnbootstrappedPeers(MonotonicTime now) const {
   std::set<uint64_t> seen;
-  for (const auto& [id, peer] : known_) {
-    if (peer.fresh && now - peer.heard_at < kSeenFor) seen.insert(id);
+  for (const auto& [id, peer] : known_peers_) {
+    if (peer.unbootstrapped && now - peer.last_received_at < kPeerTimeout) seen.insert(id);
   }
   return seen;
 }
 
-void Bootstrap::SendHello(const std::string& endpoint, uint64_t to, bool answer,
+void Bootstrap::SendHello(const std::string& endpoint, uint64_t to, bool is_response,
                           MonotonicTime now) {
   RaftMessage message = core_->NewMessage(to);
   Hello* hello = message.mutable_hello();
-  hello->set_answer(answer);
-  hello->set_fresh(core_->IsFresh());
-  if (core_->IsFresh()) {
+  hello->set_is_response(is_response);
+  hello->set_unbootstrapped(core_->IsUnbootstrapped());
+  if (core_->IsUnbootstrapped()) {
     message.set_cluster_id(0);
-    for (uint64_t id : FreshSeen(now)) hello->add_fresh_seen(id);
+    for (uint64_t id : VisibleUnbootstrappedPeers(now)) hello->add_unbootstrapped_peers(id);
   }
   if (core_->HasLeader(now)) {
     hello->set_leader_id(core_->leader_id());
@@ -76,93 +78,96 @@
   for (const std::string& endpoint : endpoints) SendHello(endpoint, 0, /*answer=*/false, now);
 }
 
-void Bootstrap::NotePeer(const RaftMessage& message, MonotonicTime now) {
+void Bootstrap::RecordPeer(const RaftMessage& message, MonotonicTime now) {
   const Hello& hello = message.hello();
-  for (auto it = known_.begin(); it != known_.end();) {
+  for (auto it = known_peers_.begin(); it != known_peers_.end();) {
     const bool replaced =
         it->first != message.from() && it->second.endpoint == message.from_endpoint();
-    it = replaced ? known_.erase(it) : std::next(it);
+    it = replaced ? known_peers_.erase(it) : std::next(it);
   }
-  Peer& peer = known_[message.from()];
+  Peer& peer = known_peers_[message.from()];
   if (message.from_boot_count() < peer.boot_count) return;
-  peer = {message.from_endpoint(), message.from_boot_count(), hello.fresh(),
-          std::set<uint64_t>(hello.fresh_seen().begin(), hello.fresh_seen().end()), now};
+  peer = {
+      message.from_endpoint(), message.from_boot_count(), hello.unbootstrapped(),
+      std::set<uint64_t>(hello.unbootstrapped_peers().begin(), hello.unbootstrapped_peers().end()),
+      now};
 }
 
 void Bootstrap::OnHello(const RaftMessage& message, MonotonicTime now) {
   if (message.from() == 0 || message.from() == core_->replica_id()) return;
   if (message.to() != 0 && message.to() != core_->replica_id()) return;
   const Hello& hello = message.hello();
-  const bool other_cluster =
-      !core_->IsFresh() && !hello.fresh() && message.cluster_id() != core_->cluster_id();
+  const bool other_cluster = !core_->IsUnbootstrapped() && !hello.unbootstrapped() &&
+                             message.cluster_id() != core_->cluster_id();
   if (other_cluster) return;
-  core_->NoteEndpoint(message);
-  NotePeer(message, now);
-  if (!hello.answer()) {
+  core_->RecordEndpoint(message);
+  RecordPeer(message, now);
+  if (!hello.is_response()) {
     SendHello(message.from_endpoint(), message.from(), /*answer=*/true, now);
   } else if (!core_->HasLeader(now)) {
-    AskToJoin(hello, now);
+    RequestJoin(hello, now);
   }
 }
 
 // The leader takes no notice of members.
-void Bootstrap::AskToJoin(const Hello& hello, MonotonicTime now) {
+void Bootstrap::RequestJoin(const Hello& hello, MonotonicTime now) {
   if (hello.leader_id() == 0 || hello.leader_endpoint().empty() || now < next_join_) return;
   next_join_ = now + kJoinInterval;
   RaftMessage message = core_->NewMessage(hello.leader_id());
-  if (core_->IsFresh()) message.set_cluster_id(0);
+  if (core_->IsUnbootstrapped()) message.set_cluster_id(0);
   message.mutable_join_request();
   outbox_.push_back({hello.leader_endpoint(), std::move(message)});
 }
 
-std::set<uint64_t> Bootstrap::FormersOf(const std::set<uint64_t>& together) const {
-  if (options_.founders.empty()) return together;
-  std::set<uint64_t> formers;
-  for (const uint64_t id : together) {
-    const auto known = known_.find(id);
+std::set<uint64_t> Bootstrap::EligibleParticipants(const std::set<uint64_t>& participants) const {
+  if (options_.bootstrap_voters.empty()) return participants;
+  std::set<uint64_t> eligible;
+  for (const uint64_t id : participants) {
+    const auto known = known_peers_.find(id);
     const std::string& endpoint =
-        known == known_.end() ? core_->EndpointOf(id) : known->second.endpoint;
-    const auto founder = std::find(options_.founders.begin(), options_.founders.end(), endpoint);
-    if (founder != options_.founders.end()) formers.insert(id);
+        known == known_peers_.end() ? core_->EndpointOf(id) : known->second.endpoint;
+    const auto bootstrap_voter =
+        std::find(options_.bootstrap_voters.begin(), options_.bootstrap_voters.end(), endpoint);
+    if (bootstrap_voter != options_.bootstrap_voters.end()) eligible.insert(id);
   }
-  return formers;
+  return eligible;
 }
 
-bool Bootstrap::IsFormer(const std::set<uint64_t>& together) const {
-  const std::set<uint64_t> formers = FormersOf(together);
-  if (formers.empty() || *formers.begin() != core_->replica_id()) return false;
-  if (options_.founders.empty()) return together.size() >= options_.expect;
-  return formers.size() == options_.founders.size();
+bool Bootstrap::ShouldBootstrap(const std::set<uint64_t>& participants) const {
+  const std::set<uint64_t> eligible = EligibleParticipants(participants);
+  if (eligible.empty() || *eligible.begin() != core_->replica_id()) return false;
+  if (options_.bootstrap_voters.empty()) return participants.size() >= options_.expect;
+  return eligible.size() == options_.bootstrap_voters.size();
 }
 
 // Forms a cluster if this replica has the lowest id of enough fresh replicas that all see each
 // other, and no member of a cluster is in sight. Where founders are named, only they count: all of
 // them must see each other, and as their number is known, no two replicas can both be the lowest.
-void Bootstrap::TryToForm(MonotonicTime now) {
-  std::set<uint64_t> together = FreshSeen(now);
-  together.insert(core_->replica_id());
-  if (!IsFormer(together)) return;
-  const std::set<uint64_t> formers = FormersOf(together);
-  for (const auto& [id, peer] : known_) {
-    if (now - peer.heard_at >= kSeenFor) continue;
-    if (!peer.fresh) return;
-    if (!formers.contains(id)) continue;
-    std::set<uint64_t> seen = peer.fresh_seen;
+void Bootstrap::TryBootstrap(MonotonicTime now) {
+  std::set<uint64_t> participants = VisibleUnbootstrappedPeers(now);
+  participants.insert(core_->replica_id());
+  if (!ShouldBootstrap(participants)) return;
+  const std::set<uint64_t> eligible = EligibleParticipants(participants);
+  for (const auto& [id, peer] : known_peers_) {
+    if (now - peer.last_received_at >= kPeerTimeout) continue;
+    if (!peer.unbootstrapped) return;
+    if (!eligible.contains(id)) continue;
+    std::set<uint64_t> seen = peer.unbootstrapped_peers;
     seen.insert(id);
-    if (!std::includes(seen.begin(), seen.end(), formers.begin(), formers.end())) return;
+    if (!std::includes(seen.begin(), seen.end(), eligible.begin(), eligible.end())) return;
   }
-  Form(together, now);
+  BootstrapCluster(participants, now);
 }
 
-void Bootstrap::Form(const std::set<uint64_t>& together, MonotonicTime now) {
+void Bootstrap::BootstrapCluster(const std::set<uint64_t>& participants, MonotonicTime now) {
   ClusterConfiguration configuration;
   while (configuration.cluster_id() == 0) configuration.set_cluster_id((*random_)());
-  for (uint64_t id : together) {
+  for (uint64_t id : participants) {
     Member* member = configuration.add_members();
     member->set_replica_id(id);
     member->set_endpoint(core_->EndpointOf(id));
     member->set_boot_count(id == core_->replica_id() ? core_->boot_count()
-                                                     : known_.at(id).boot_count);
+                                                     : known_peers_.at(id).boot_count);
     member->set_voter(static_cast<size_t>(configuration.members_size()) <= options_.target_voters);
   }
   core_->Bootstrap(configuration, now);
--- a/src/posthatch/consensus/bootstrap.h
+++ b/src/posthatch/consensus/bootstrap.h
@@ -17,7 +17,7 @@
   size_t expect = 3;
   // Internal endpoints of the only replicas that may form one, the same on all; every one of them
   // must take part. Empty: any replica may, and `expect` must be the number of all.
-  std::vector<std::string> founders;
+  std::vector<std::string> bootstrap_voters;
   // The first so many by id become voters.
   size_t target_voters = 3;
   // Internal endpoints of replicas that discovery knows; asked while there is no leader.
@@ -41,31 +41,32 @@
   struct Peer {
     std::string endpoint;
     uint64_t boot_count = 0;
-    bool fresh = false;
-    std::set<uint64_t> fresh_seen;
-    runtime::MonotonicTime heard_at;
+    bool unbootstrapped = false;
+    std::set<uint64_t> unbootstrapped_peers;
+    runtime::MonotonicTime last_received_at;
   };
 
-  void SendHello(const std::string& endpoint, uint64_t to, bool answer, runtime::MonotonicTime now);
+  void SendHello(const std::string& endpoint, uint64_t to, bool is_response,
+                 runtime::MonotonicTime now);
   void SendHellos(runtime::MonotonicTime now);
-  void NotePeer(const RaftMessage& message, runtime::MonotonicTime now);
-  void AskToJoin(const Hello& hello, runtime::MonotonicTime now);
-  void TryToForm(runtime::MonotonicTime now);
+  void RecordPeer(const RaftMessage& message, runtime::MonotonicTime now);
+  void RequestJoin(const Hello& hello, runtime::MonotonicTime now);
+  void TryBootstrap(runtime::MonotonicTime now);
   // Whether it falls to this replica to form a cluster of `together`.
-  bool IsFormer(const std::set<uint64_t>& together) const;
+  bool ShouldBootstrap(const std::set<uint64_t>& participants) const;
   // Those of `together` that may form one: all, or the founders.
-  std::set<uint64_t> FormersOf(const std::set<uint64_t>& together) const;
-  void Form(const std::set<uint64_t>& together, runtime::MonotonicTime now);
-  std::set<uint64_t> FreshSeen(runtime::MonotonicTime now) const;
+  std::set<uint64_t> EligibleParticipants(const std::set<uint64_t>& participants) const;
+  void BootstrapCluster(const std::set<uint64_t>& participants, runtime::MonotonicTime now);
+  std::set<uint64_t> VisibleUnbootstrappedPeers(runtime::MonotonicTime now) const;
 
   RaftCore* const core_;
   runtime::Random* const random_;
   const BootstrapOptions options_;
-  std::map<uint64_t, Peer> known_;
+  std::map<uint64_t, Peer> known_peers_;
   std::vector<OutgoingMessage> outbox_;
   runtime::MonotonicTime next_hello_;
   runtime::MonotonicTime next_join_;
-  uint64_t rounds_ = 0;
+  uint64_t hello_rounds_ = 0;
 };
 
 }  // namespace posthatch::consensus
--- a/src/posthatch/consensus/core_harness-test.h
+++ b/src/posthatch/consensus/core_harness-test.h
@@ -75,11 +75,11 @@
   Node& node(uint64_t id) { return nodes_.at(id); }
   runtime::MonotonicTime now() const { return now_; }
   void JumpClock(runtime::Duration by) { now_ += by; }
-  void Cut(uint64_t from, uint64_t to) { cut_.insert({from, to}); }
+  void Partition(uint64_t from, uint64_t to) { cut_.insert({from, to}); }
   void Isolate(uint64_t id) {
     for (const auto& [other, node] : nodes_) {
-      Cut(id, other);
-      Cut(other, id);
+      Partition(id, other);
+      Partition(other, id);
     }
   }
   void HealAll() { cut_.clear(); }
@@ -115,7 +115,7 @@
   }
 
   uint64_t RunUntilLeader() {
-    for (int i = 0; i < 2000 && (Leader() == 0 || !core(Leader()).OwnTermCommitted()); ++i) {
+    for (int i = 0; i < 2000 && (Leader() == 0 || !core(Leader()).CurrentTermCommitted()); ++i) {
       Run(std::chrono::milliseconds(5));
     }
     return Leader();
--- a/src/posthatch/consensus/disk_health.cc
+++ b/src/posthatch/consensus/disk_health.cc
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-void DiskHealth::OnSync(runtime::Duration took, runtime::MonotonicTime now) {
-  samples_.push_back({now, took});
+void DiskHealth::OnSync(runtime::Duration sync_duration, runtime::MonotonicTime now) {
+  samples_.push_back({now, sync_duration});
   if (samples_.size() > kMaxSamples) samples_.pop_front();
 }
 
@@ -23,7 +23,7 @@
   if (!samples_.empty()) {
     std::vector<runtime::Duration> durations;
     durations.reserve(samples_.size());
-    for (const Sample& sample : samples_) durations.push_back(sample.took);
+    for (const Sample& sample : samples_) durations.push_back(sample.sync_duration);
     const size_t rank = durations.size() * 95 / 100;
     std::nth_element(durations.begin(), durations.begin() + static_cast<int64_t>(rank),
                      durations.end());
--- a/src/posthatch/consensus/disk_health.h
+++ b/src/posthatch/consensus/disk_health.h
@@ -11,24 +11,26 @@
 class DiskHealth {
  public:
   // Slow means a 95th percentile above `threshold` for `patience`.
-  DiskHealth(runtime::Duration threshold, runtime::Duration patience)
-      : threshold_(threshold), patience_(patience) {}
+  DiskHealth(runtime::Duration threshold, runtime::Duration min_slow_duration)
+      : threshold_(threshold), min_slow_duration_(min_slow_duration) {}
 
-  void OnSync(runtime::Duration took, runtime::MonotonicTime now);
+  void OnSync(runtime::Duration sync_duration, runtime::MonotonicTime now);
   // To be called regularly; `in_flight` is how long the write under way has taken so far.
   void Update(runtime::Duration in_flight, runtime::MonotonicTime now);
   // 95th percentile over the last seconds, or the write under way if that is longer. Zero if there
   // was none.
   runtime::Duration p95() const { return p95_; }
-  bool IsSlow(runtime::MonotonicTime now) const { return slow_ && now - slow_since_ >= patience_; }
+  bool IsSlow(runtime::MonotonicTime now) const {
+    return slow_ && now - slow_since_ >= min_slow_duration_;
+  }
 
  private:
   struct Sample {
     runtime::MonotonicTime at;
-    runtime::Duration took;
+    runtime::Duration sync_duration;
   };
   const runtime::Duration threshold_;
-  const runtime::Duration patience_;
+  const runtime::Duration min_slow_duration_;
   std::deque<Sample> samples_;
   runtime::Duration p95_{0};
   bool slow_ = false;
--- a/src/posthatch/consensus/raft_core-test.cc
+++ b/src/posthatch/consensus/raft_core-test.cc
@@ -34,7 +34,7 @@
   cluster.Run(seconds(3));
   const uint64_t leader = cluster.Leader();
   ASSERT_NE(leader, 0U);
-  EXPECT_TRUE(cluster.core(leader).OwnTermCommitted());
+  EXPECT_TRUE(cluster.core(leader).CurrentTermCommitted());
   const auto [a, b] = CoreHarness::Others(leader);
   EXPECT_EQ(cluster.core(a).leader_id(), leader);
   EXPECT_EQ(cluster.core(b).leader_id(), leader);
@@ -58,7 +58,7 @@
   CoreHarness cluster(3);
   const uint64_t leader = cluster.RunUntilLeader();
   const auto [deaf, other] = CoreHarness::Others(leader);
-  cluster.Cut(leader, deaf);
+  cluster.Partition(leader, deaf);
   cluster.Run(seconds(10));
   EXPECT_EQ(cluster.Leader(), leader);
 }
@@ -95,10 +95,10 @@
   const int64_t sent_at_ns = runtime::ToNanoseconds(cluster.now());
   cluster.JumpClock(seconds(20));
   for (uint64_t id : {a, b}) {
-    RaftMessage answer = cluster.core(id).NewMessage(leader);
-    answer.mutable_append_response()->set_success(true);
-    answer.mutable_append_response()->set_sent_at_ns(sent_at_ns);
-    cluster.core(leader).Step(answer, cluster.now());
+    RaftMessage reply = cluster.core(id).NewMessage(leader);
+    reply.mutable_append_response()->set_success(true);
+    reply.mutable_append_response()->set_sent_at_ns(sent_at_ns);
+    cluster.core(leader).Step(reply, cluster.now());
   }
   EXPECT_FALSE(cluster.core(leader).HasQuorum(cluster.now()));
 }
@@ -253,7 +253,7 @@
     leader().Step(message, cluster_.now());
   }
 
-  void AskToJoin(uint64_t id) {
+  void RequestJoin(uint64_t id) {
     RaftMessage message = From(id, 0);
     message.set_cluster_id(0);
     message.set_from_endpoint("host" + std::to_string(id));
@@ -301,8 +301,8 @@
 }
 
 TEST_F(NewLeaderTest, ChangesMembersOnlyAfterAnEntryOfTheOwnTermAndOneAtATime) {
-  AskToJoin(9);
-  AskToJoin(10);
+  RequestJoin(9);
+  RequestJoin(10);
   RunHeartbeats(5, 2);
   EXPECT_EQ(leader().log().last_index(), 3U);
   cluster_.node(1).disk_blocked = false;
@@ -320,8 +320,8 @@
   ASSERT_TRUE(first.ok());
   cluster.Settle();
   EXPECT_EQ(cluster.node(leader).reads.size(), 1U);
-  cluster.Cut(a, leader);
-  cluster.Cut(b, leader);
+  cluster.Partition(a, leader);
+  cluster.Partition(b, leader);
   ASSERT_TRUE(cluster.core(leader).RequestRead(cluster.now()).ok());
   cluster.Run(milliseconds(200));
   EXPECT_EQ(cluster.node(leader).reads.size(), 1U) << "answered by a leader nobody confirmed";
@@ -373,7 +373,7 @@
   CoreHarness cluster(3, options);
   const uint64_t leader = cluster.RunUntilLeader();
   const uint64_t deaf = CoreHarness::Others(leader).first;
-  cluster.Cut(deaf, leader);
+  cluster.Partition(deaf, leader);
   cluster.sent().clear();
   for (int i = 0; i < 20; ++i) {
     ASSERT_TRUE(cluster.core(leader).Propose("x", cluster.now()).ok());
