--- a/src/posthatch/consensus/raft_core.cc
+++ b/src/posthatch/consensus/raft_core.cc
@@ -31,15 +31,15 @@
   }
   verified_index_ = commit_index_;
   // What was promised to a leader before the restart is forgotten: keep the longest such promise.
-  leader_assumed_ = term() > 0;
-  if (leader_assumed_) leader_heard_at_ = now;
+  leader_contact_assumed_ = term() > 0;
+  if (leader_contact_assumed_) leader_contact_at_ = now;
   ResetElectionTimer(now);
 }
 
 // ---------------------------------------------------------------------------------- state
 
 uint64_t RaftCore::cluster_id() const {
-  return IsFresh() ? joining_cluster_ : configuration().cluster_id();
+  return IsUnbootstrapped() ? joining_cluster_id_ : configuration().cluster_id();
 }
 
 const ClusterConfiguration& RaftCore::configuration() const {
@@ -56,7 +56,7 @@
 }
 
 ReplicaRole RaftCore::role() const {
-  if (IsFresh()) return ReplicaRole::kUnbootstrapped;
+  if (IsUnbootstrapped()) return ReplicaRole::kUnbootstrapped;
   if (role_ == Role::kLeader) return ReplicaRole::kLeader;
   if (!IsVoter(configuration(), replica_id())) return ReplicaRole::kLearner;
   return role_ == Role::kFollower ? ReplicaRole::kFollower : ReplicaRole::kCandidate;
@@ -64,8 +64,8 @@
 
 bool RaftCore::HasLeader(MonotonicTime now) const {
   if (IsLeader()) return true;
-  return leader_id_ != 0 && leader_heard_at_.has_value() &&
-         now - *leader_heard_at_ < options_.election_timeout_max;
+  return leader_id_ != 0 && leader_contact_at_.has_value() &&
+         now - *leader_contact_at_ < options_.election_timeout_max;
 }
 
 std::string RaftCore::EndpointOf(uint64_t replica_id) const {
@@ -87,7 +87,7 @@
   return message;
 }
 
-void RaftCore::NoteEndpoint(const RaftMessage& message) {
+void RaftCore::RecordEndpoint(const RaftMessage& message) {
   if (message.from() == 0 || message.from() == replica_id()) return;
   if (message.from_endpoint().empty() || message.from_endpoint() == endpoint_) return;
   const auto known = addresses_.find(message.from());
@@ -106,7 +106,7 @@
       hard_state_dirty_ || reset_.has_value() || first_unstaged_ <= log_.last_index();
   const uint64_t needed = unstaged ? next_persist_id_ : next_persist_id_ - 1;
   if (needed <= durable_persist_id_) return Send(std::move(message));
-  held_.emplace_back(needed, std::move(message));
+  awaiting_durability_.emplace_back(needed, std::move(message));
 }
 
 bool RaftCore::Accepts(const RaftMessage& message) {
@@ -114,23 +114,24 @@
   // A message for the identity that this machine had before it lost its disk is not for us.
   if (message.to() != replica_id()) return false;
   if (message.has_join_request()) {
-    return !IsFresh() && (message.cluster_id() == 0 || message.cluster_id() == cluster_id());
+    return !IsUnbootstrapped() &&
+           (message.cluster_id() == 0 || message.cluster_id() == cluster_id());
   }
   if (message.cluster_id() == 0) return false;
-  if (!IsFresh()) return message.cluster_id() == cluster_id();
+  if (!IsUnbootstrapped()) return message.cluster_id() == cluster_id();
   // Only a cluster that has this replica id in its configuration writes to it.
   if (!message.has_vote_request() && !message.has_append_request() &&
       !message.has_snapshot_chunk()) {
     return false;
   }
-  joining_cluster_ = message.cluster_id();
+  joining_cluster_id_ = message.cluster_id();
   return true;
 }
 
-bool RaftCore::PrepareTerm(const RaftMessage& message, MonotonicTime now) {
+bool RaftCore::ReconcileTerm(const RaftMessage& message, MonotonicTime now) {
   if (message.has_join_request() || message.term() == term()) return true;
   if (message.term() < term()) {
-    AnswerOldTerm(message);
+    RejectStaleTerm(message);
     return false;
   }
   if (message.has_vote_request()) {
@@ -148,24 +149,25 @@
 }
 
 // Tells a leader or candidate of an earlier term that its time is over.
-void RaftCore::AnswerOldTerm(const RaftMessage& message) {
-  RaftMessage answer = NewMessage(message.from());
+void RaftCore::RejectStaleTerm(const RaftMessage& message) {
+  RaftMessage reply = NewMessage(message.from());
   if (message.has_append_request() || message.has_snapshot_chunk()) {
-    answer.mutable_append_response()->set_success(false);
+    reply.mutable_append_response()->set_success(false);
   } else if (message.has_vote_request()) {
-    answer.mutable_vote_response()->set_pre_vote(message.vote_request().pre_vote());
-    answer.mutable_vote_response()->set_request_term(message.term());
+    reply.mutable_vote_response()->set_pre_vote(message.vote_request().pre_vote());
+    reply.mutable_vote_response()->set_request_term(message.term());
   } else {
     return;
   }
-  Send(std::move(answer));
+  Send(std::move(reply));
 }
 
 void RaftCore::Step(const RaftMessage& message, MonotonicTime now) {
   if (!Accepts(message)) return;
-  NoteEndpoint(message);
-  if (leader_assumed_ && message.has_vote_request()) not_leading_.insert(message.from());
-  if (PrepareTerm(message, now)) Dispatch(message, now);
+  RecordEndpoint(message);
+  if (leader_contact_assumed_ && message.has_vote_request())
+    known_non_leaders_.insert(message.from());
+  if (ReconcileTerm(message, now)) Dispatch(message, now);
 }
 
 void RaftCore::Dispatch(const RaftMessage& message, MonotonicTime now) {
@@ -220,7 +222,7 @@
 }
 
 void RaftCore::Bootstrap(const ClusterConfiguration& configuration, MonotonicTime now) {
-  if (!IsFresh() || log_.last_index() != 0) return;
+  if (!IsUnbootstrapped() || log_.last_index() != 0) return;
   SetHardState(std::max<uint64_t>(term(), 1), hard_state_.vote());
   storage::LogEntry entry;
   entry.set_index(1);
@@ -276,15 +278,15 @@
     durable_index_ = std::max(durable_index_, staged_.front().last_index);
     staged_.pop_front();
   }
-  while (!held_.empty() && held_.front().first <= persist_id) {
-    Send(std::move(held_.front().second));
-    held_.pop_front();
+  while (!awaiting_durability_.empty() && awaiting_durability_.front().first <= persist_id) {
+    Send(std::move(awaiting_durability_.front().second));
+    awaiting_durability_.pop_front();
   }
   if (role_ == Role::kCandidate) CountVotes(now);
   if (IsLeader()) {
     AdvanceCommit();
   } else if (durable_index_ > durable_before && leader_id_ != 0) {
-    SendAppendResponse(leader_id_, newest_append_sent_at_ns_, newest_read_round_);
+    SendAppendResponse(leader_id_, newest_append_sent_at_ns_, newest_read_sequence_);
   }
 }
 
@@ -293,8 +295,8 @@
 bool RaftCore::HasReady(MonotonicTime now) const {
   if (hard_state_dirty_ || reset_.has_value() || first_unstaged_ <= log_.last_index()) return true;
   if (!outbox_.empty()) return true;
-  if (OwnTermCommitted() && !reads_.empty() &&
-      (reads_.back().round == 0 || OldestReadConfirmed(now))) {
+  if (CurrentTermCommitted() && !reads_.empty() &&
+      (reads_.back().sequence == 0 || OldestReadConfirmed(now))) {
     return true;
   }
   return installing_ == nullptr ? applied_index_ < commit_index_ : !install_taken_;
@@ -303,7 +305,7 @@
 Ready RaftCore::TakeReady(MonotonicTime now) {
   Ready ready;
   if (IsLeader()) {
-    AskReads(now);
+    StartReadConfirmation(now);
     for (auto& [id, progress] : progress_) SendEntries(id, &progress, now);
   }
   StagePersist(&ready);
@@ -312,7 +314,7 @@
     ready.install = installing_;
   }
   if (installing_ == nullptr) TakeCommitted(&ready);
-  TakeReads(&ready, now);
+  CollectConfirmedReads(&ready, now);
   ready.messages = std::move(outbox_);
   outbox_.clear();
   return ready;
--- a/src/posthatch/consensus/raft_core.h
+++ b/src/posthatch/consensus/raft_core.h
@@ -52,7 +52,7 @@
   // A snapshot of the state machine at applied_index() or before is durable. Forgets entries before
   // it, but for the last ones.
   void OnSnapshotTaken(const std::shared_ptr<const storage::Snapshot>& snapshot,
-                       const LogTail& keep, runtime::MonotonicTime now);
+                       const LogRetention& retention, runtime::MonotonicTime now);
   void SetSyncP95(uint64_t microseconds) { sync_p95_us_ = microseconds; }
 
   // ------------------------------------------------------------------ output
@@ -68,7 +68,7 @@
   ReplicaRole role() const;
   bool IsLeader() const { return role_ == Role::kLeader; }
   // Leader, and an entry of its own term is committed: reads and membership changes are allowed.
-  bool OwnTermCommitted() const;
+  bool CurrentTermCommitted() const;
   // Leader, and the state machine holds all that earlier leaders have committed.
   bool IsLeaderReady() const { return IsLeader() && applied_index_ >= term_start_index_; }
   bool IsTransferring() const { return transfer_target_ != 0; }
@@ -76,7 +76,7 @@
   // no other leader can have been elected yet. False if not leader.
   bool HasQuorum(runtime::MonotonicTime now) const;
   // No configuration is known: the replica belongs to no cluster.
-  bool IsFresh() const { return configurations_.empty(); }
+  bool IsUnbootstrapped() const { return configurations_.empty(); }
   uint64_t leader_id() const { return leader_id_; }
   // Whether a leader has been heard (or this replica leads).
   bool HasLeader(runtime::MonotonicTime now) const;
@@ -91,7 +91,7 @@
   // Stamps sender, term and cluster on a message.
   RaftMessage NewMessage(uint64_t to) const;
   // Learns a replica's endpoint from a message.
-  void NoteEndpoint(const RaftMessage& message);
+  void RecordEndpoint(const RaftMessage& message);
 
  private:
   enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
@@ -105,7 +105,7 @@
   };
   struct PendingRead {
     uint64_t id;
-    uint64_t round = 0;  // 0: not yet asked of the followers
+    uint64_t sequence = 0;  // 0: not yet asked of the followers
     uint64_t index = 0;
   };
   struct ReceivedSnapshot {
@@ -116,9 +116,9 @@
 
   // raft_core.cc
   bool Accepts(const RaftMessage& message);
-  bool PrepareTerm(const RaftMessage& message, runtime::MonotonicTime now);
+  bool ReconcileTerm(const RaftMessage& message, runtime::MonotonicTime now);
   void Dispatch(const RaftMessage& message, runtime::MonotonicTime now);
-  void AnswerOldTerm(const RaftMessage& message);
+  void RejectStaleTerm(const RaftMessage& message);
   void Send(RaftMessage message);
   void SendWhenDurable(RaftMessage message);
   void AppendToLog(storage::LogEntry entry);
@@ -136,7 +136,7 @@
   void RequestVotes(bool pre_vote, bool transfer);
   void CountVotes(runtime::MonotonicTime now);
   // Whether every other member has been heard not to lead since this replica's restart.
-  bool NobodyLeads() const;
+  bool AllOthersKnownNotLeading() const;
   bool MustRefuseVotes(runtime::MonotonicTime now) const;
   void HandleVoteRequest(const RaftMessage& message, runtime::MonotonicTime now);
   void HandleVoteResponse(const RaftMessage& message, runtime::MonotonicTime now);
@@ -153,18 +153,18 @@
   void HandleAppendRequest(const RaftMessage& message, runtime::MonotonicTime now);
   bool MatchEntries(const AppendRequest& request);
   void RejectAppend(const RaftMessage& message);
-  void SendAppendResponse(uint64_t to, int64_t sent_at_ns, uint64_t read_round);
+  void SendAppendResponse(uint64_t to, int64_t sent_at_ns, uint64_t read_sequence);
   void HandleAppendResponse(const RaftMessage& message, runtime::MonotonicTime now);
   void HandleRejection(const AppendResponse& response, Progress* progress);
-  void NoteContact(Progress* progress, int64_t sent_at_ns, uint64_t read_round,
-                   runtime::MonotonicTime now);
+  void RecordContact(Progress* progress, int64_t sent_at_ns, uint64_t read_sequence,
+                     runtime::MonotonicTime now);
   void AdvanceCommit();
-  void AskReads(runtime::MonotonicTime now);
+  void StartReadConfirmation(runtime::MonotonicTime now);
   bool OldestReadConfirmed(runtime::MonotonicTime now) const;
-  void TakeReads(Ready* ready, runtime::MonotonicTime now);
+  void CollectConfirmedReads(Ready* ready, runtime::MonotonicTime now);
 
   // raft_snapshot.cc
-  uint64_t CompactionIndex(uint64_t snapshot_index, const LogTail& keep,
+  uint64_t CompactionIndex(uint64_t snapshot_index, const LogRetention& retention,
                            runtime::MonotonicTime now) const;
   void StartSnapshot(uint64_t to, Progress* progress, runtime::MonotonicTime now);
   void SendChunk(uint64_t to, Progress* progress, runtime::MonotonicTime now);
@@ -181,17 +181,17 @@
   bool PromoteLearner(runtime::MonotonicTime now);
   bool DropReplacedVoter(runtime::MonotonicTime now);
   bool DropExcessVoter(runtime::MonotonicTime now);
-  bool RemoveSilentLearner(runtime::MonotonicTime now);
+  bool RemoveUnresponsiveLearner(runtime::MonotonicTime now);
   bool RefreshEndpoints(runtime::MonotonicTime now);
   void SetAddress(uint64_t replica_id, Address address);
   bool IsLive(const Member& member, runtime::MonotonicTime now) const;
-  bool IsGone(const Member& member, runtime::MonotonicTime now) const;
+  bool IsPresumedLost(const Member& member, runtime::MonotonicTime now) const;
   // No message came from it for the longest election timeout.
-  bool IsSilent(const Member& member, runtime::MonotonicTime now) const;
+  bool IsUnresponsive(const Member& member, runtime::MonotonicTime now) const;
   // Another voter speaks from its endpoint: its machine has come back under another identity.
   bool HasSuccessor(const Member& member) const;
   // The voter that a learner which is being promoted stands in for; 0 if all are heard.
-  uint64_t LongestUnheardVoter(runtime::MonotonicTime now) const;
+  uint64_t LongestUnresponsiveVoter(runtime::MonotonicTime now) const;
   bool IsCaughtUp(const Member& member, runtime::MonotonicTime now) const;
 
   const RaftOptions options_;
@@ -209,25 +209,25 @@
   uint64_t next_persist_id_ = 1;
   uint64_t durable_persist_id_ = 0;
   // In order of persist id: sent when that is durable.
-  std::deque<std::pair<uint64_t, RaftMessage>> held_;
+  std::deque<std::pair<uint64_t, RaftMessage>> awaiting_durability_;
 
   // Configurations that may still matter, by the index of their entry; the last is in force.
   std::vector<std::pair<uint64_t, ClusterConfiguration>> configurations_;
   std::map<uint64_t, Address> addresses_;
-  uint64_t joining_cluster_ = 0;  // of a fresh replica: the first cluster that wrote to it
+  uint64_t joining_cluster_id_ = 0;  // of a fresh replica: the first cluster that wrote to it
 
   Role role_ = Role::kFollower;
   uint64_t leader_id_ = 0;
-  std::optional<runtime::MonotonicTime> leader_heard_at_;
-  // `leader_heard_at_` is the restart: what was promised to a leader before it is forgotten.
-  bool leader_assumed_ = false;
+  std::optional<runtime::MonotonicTime> leader_contact_at_;
+  // `leader_contact_at_` is the restart: what was promised to a leader before it is forgotten.
+  bool leader_contact_assumed_ = false;
   // Members that have asked for votes since the restart: none of them leads.
-  std::set<uint64_t> not_leading_;
+  std::set<uint64_t> known_non_leaders_;
   int64_t newest_append_sent_at_ns_ = 0;  // of the leader's messages, by its clock
-  uint64_t newest_read_round_ = 0;
+  uint64_t newest_read_sequence_ = 0;
   runtime::MonotonicTime election_deadline_;
   std::set<uint64_t> votes_;
-  uint64_t own_vote_persist_id_ = 0;
+  uint64_t self_vote_persist_id_ = 0;
   bool transfer_election_ = false;
 
   uint64_t commit_index_ = 0;
@@ -243,17 +243,17 @@
   uint64_t commit_at_last_heartbeat_ = 0;
   uint64_t term_start_index_ = 0;  // of this leader's no-op
   size_t uncommitted_bytes_ = 0;
-  uint64_t read_round_ = 0;
+  uint64_t read_sequence_ = 0;
   uint64_t next_read_id_ = 1;
   std::deque<PendingRead> reads_;
   uint64_t transfer_target_ = 0;
   runtime::MonotonicTime transfer_deadline_;
-  std::map<uint64_t, Address> joining_;
+  std::map<uint64_t, Address> pending_joins_;
   // Which replica speaks from the endpoint of another one, by the other one's id.
   std::map<uint64_t, uint64_t> successors_;
   // Voters that were silent when a replica with a place of its own was promoted
   // (DropReplacedVoter).
-  std::set<uint64_t> stood_in_for_;
+  std::set<uint64_t> replaced_while_unresponsive_;
 
   // Snapshots.
   std::shared_ptr<const storage::Snapshot> snapshot_;  // newest durable one
--- a/src/posthatch/consensus/raft_election.cc
+++ b/src/posthatch/consensus/raft_election.cc
@@ -16,7 +16,7 @@
 
 void RaftCore::ResetElectionTimer(MonotonicTime now) {
   const bool just_restarted =
-      leader_assumed_ && now - *leader_heard_at_ < options_.election_timeout_min;
+      leader_contact_assumed_ && now - *leader_contact_at_ < options_.election_timeout_min;
   election_deadline_ =
       now + (just_restarted
                  ? random_->Between(options_.restart_election_timeout_min,
@@ -36,8 +36,8 @@
   reads_.clear();
   transfer_target_ = 0;
   progress_.clear();
-  joining_.clear();
-  stood_in_for_.clear();
+  pending_joins_.clear();
+  replaced_while_unresponsive_.clear();
 }
 
 void RaftCore::BecomeLeader(MonotonicTime now) {
@@ -47,7 +47,7 @@
   next_heartbeat_ = now;
   last_heartbeat_ = now;
   commit_at_last_heartbeat_ = commit_index_;
-  read_round_ = 0;
+  read_sequence_ = 0;
   progress_.clear();
   RefreshProgress(now);
   uncommitted_bytes_ = 0;
@@ -70,8 +70,8 @@
   return MajorityHas(configuration(), [this, since](uint64_t id) {
     if (id == replica_id()) return true;
     const auto found = progress_.find(id);
-    return found != progress_.end() && found->second.contact.has_value() &&
-           *found->second.contact > since;
+    return found != progress_.end() && found->second.last_contact.has_value() &&
+           *found->second.last_contact > since;
   });
 }
 
@@ -79,18 +79,19 @@
 // leader counts on that (HasQuorum), and replicas with bad links can't depose it (section 4.2.3).
 bool RaftCore::MustRefuseVotes(MonotonicTime now) const {
   if (IsLeader()) return now - leader_since_ < options_.election_timeout_min || HasQuorum(now);
-  if (leader_assumed_ && NobodyLeads()) return false;
-  return leader_heard_at_.has_value() && now - *leader_heard_at_ < options_.election_timeout_min;
+  if (leader_contact_assumed_ && AllOthersKnownNotLeading()) return false;
+  return leader_contact_at_.has_value() &&
+         now - *leader_contact_at_ < options_.election_timeout_min;
 }
 
 // A leader that this replica made a promise to before its restart has its messages delivered in
 // order: a request for votes that comes after the restart was sent when its sender no longer led.
 // Learners count as well: one may have become a voter, and the leader, by an entry that is missing
 // here.
-bool RaftCore::NobodyLeads() const {
+bool RaftCore::AllOthersKnownNotLeading() const {
   for (const Member& member : configuration().members()) {
     const uint64_t id = member.replica_id();
-    if (id != replica_id() && !not_leading_.contains(id)) return false;
+    if (id != replica_id() && !known_non_leaders_.contains(id)) return false;
   }
   return true;
 }
@@ -108,7 +109,7 @@
   ResetElectionTimer(now);
   SetHardState(term() + 1, replica_id());
   verified_index_ = commit_index_;
-  own_vote_persist_id_ = next_persist_id_;
+  self_vote_persist_id_ = next_persist_id_;
   role_ = Role::kCandidate;
   leader_id_ = 0;
   votes_.clear();
@@ -131,7 +132,7 @@
 }
 
 void RaftCore::CountVotes(MonotonicTime now) {
-  if (role_ == Role::kCandidate && durable_persist_id_ >= own_vote_persist_id_) {
+  if (role_ == Role::kCandidate && durable_persist_id_ >= self_vote_persist_id_) {
     votes_.insert(replica_id());
   }
   if (!MajorityHas(configuration(), [this](uint64_t id) { return votes_.count(id) > 0; })) return;
@@ -144,27 +145,27 @@
 
 void RaftCore::HandleVoteRequest(const RaftMessage& message, MonotonicTime now) {
   const VoteRequest& request = message.vote_request();
-  const bool log_is_enough =
+  const bool log_is_up_to_date =
       request.last_term() > log_.last_term() ||
       (request.last_term() == log_.last_term() && request.last_index() >= log_.last_index());
-  bool granted = log_is_enough && (request.leadership_transfer() || !MustRefuseVotes(now));
+  bool granted = log_is_up_to_date && (request.leadership_transfer() || !MustRefuseVotes(now));
   if (request.pre_vote()) {
     granted = granted && message.term() > term();
   } else {
     granted = granted && (hard_state_.vote() == 0 || hard_state_.vote() == message.from());
   }
-  RaftMessage answer = NewMessage(message.from());
-  VoteResponse* response = answer.mutable_vote_response();
+  RaftMessage reply = NewMessage(message.from());
+  VoteResponse* response = reply.mutable_vote_response();
   response->set_pre_vote(request.pre_vote());
   response->set_granted(granted);
   response->set_request_term(message.term());
   if (!granted || request.pre_vote()) {
-    if (granted) answer.set_term(message.term());
-    return Send(std::move(answer));
+    if (granted) reply.set_term(message.term());
+    return Send(std::move(reply));
   }
   SetHardState(term(), message.from());
   ResetElectionTimer(now);
-  SendWhenDurable(std::move(answer));
+  SendWhenDurable(std::move(reply));
 }
 
 void RaftCore::HandleVoteResponse(const RaftMessage& message, MonotonicTime now) {
@@ -184,8 +185,8 @@
   if (!IsLeader() || transfer_target_ != 0) return false;
   uint64_t best_match = 0;
   for (const auto& [id, progress] : progress_) {
-    const bool alive =
-        progress.contact.has_value() && now - *progress.contact < options_.election_timeout_min;
+    const bool alive = progress.last_contact.has_value() &&
+                       now - *progress.last_contact < options_.election_timeout_min;
     if (!alive || !IsVoter(configuration(), id) || progress.mode != Progress::Mode::kReplicate ||
         progress.sync_p95_us > max_sync_p95_us) {
       continue;
--- a/src/posthatch/consensus/raft_membership-test.cc
+++ b/src/posthatch/consensus/raft_membership-test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-void AskToJoin(CoreHarness& cluster, uint64_t leader, uint64_t id) {
+void RequestJoin(CoreHarness& cluster, uint64_t leader, uint64_t id) {
   RaftMessage message = cluster.core(id).NewMessage(leader);
   message.set_cluster_id(0);
   message.mutable_join_request();
@@ -22,13 +22,13 @@
 TEST(RaftMembershipTest, LearnerIsNeitherCountedNorPromotedBeforeItHasCaughtUp) {
   RaftOptions options;
   options.target_voters = 3;
-  options.replace_silent_after = seconds(5);
+  options.replace_unresponsive_after = seconds(5);
   CoreHarness cluster(3, options);
   const uint64_t leader = cluster.RunUntilLeader();
   const auto [alive, dead] = CoreHarness::Others(leader);
   cluster.AddFresh(9);
   cluster.node(9).disk_blocked = true;
-  AskToJoin(cluster, leader, 9);
+  RequestJoin(cluster, leader, 9);
   cluster.node(dead).up = false;
   cluster.Run(seconds(20));
   ASSERT_NE(FindMember(cluster.core(leader).configuration(), 9), nullptr);
@@ -43,12 +43,12 @@
 
 TEST(RaftMembershipTest, ReplacementNeverHasFewerVotersAndChangesOneAtATime) {
   RaftOptions options;
-  options.replace_silent_after = seconds(5);
+  options.replace_unresponsive_after = seconds(5);
   CoreHarness cluster(3, options);
   const uint64_t leader = cluster.RunUntilLeader();
   const auto [alive, dead] = CoreHarness::Others(leader);
   cluster.AddFresh(9);
-  AskToJoin(cluster, leader, 9);
+  RequestJoin(cluster, leader, 9);
   cluster.node(dead).up = false;
   cluster.Run(seconds(20));
   ClusterConfiguration before;
@@ -73,9 +73,9 @@
   RaftMessage message = cluster.core(moved).NewMessage(leader);
   message.set_from_endpoint("elsewhere");
   message.set_from_boot_count(message.from_boot_count() + 1);
-  cluster.core(leader).NoteEndpoint(message);
+  cluster.core(leader).RecordEndpoint(message);
   RaftMessage older = cluster.core(moved).NewMessage(leader);
-  cluster.core(leader).NoteEndpoint(older);
+  cluster.core(leader).RecordEndpoint(older);
   EXPECT_EQ(cluster.core(leader).EndpointOf(moved), "elsewhere");
   cluster.Run(milliseconds(500));
   EXPECT_EQ(FindMember(cluster.core(leader).configuration(), moved)->endpoint(), "elsewhere");
@@ -99,12 +99,12 @@
 
 TEST(RaftMembershipTest, VoterThatComesBackDuringItsReplacementLeavesTargetVoters) {
   RaftOptions options;
-  options.replace_silent_after = seconds(5);
+  options.replace_unresponsive_after = seconds(5);
   CoreHarness cluster(3, options);
   const uint64_t leader = cluster.RunUntilLeader();
   const auto [alive, away] = CoreHarness::Others(leader);
   cluster.AddFresh(9);
-  AskToJoin(cluster, leader, 9);
+  RequestJoin(cluster, leader, 9);
   cluster.Run(seconds(1));
   cluster.Isolate(away);
   for (int i = 0; i < 4000 && !IsVoter(cluster.core(leader).configuration(), 9); ++i) {
@@ -179,7 +179,7 @@
   EXPECT_EQ(FindMember(configuration(), leaving), nullptr);
   EXPECT_EQ(VoterCount(configuration()), 3U);
   cluster_.node(leaving).up = true;
-  AskToJoin(cluster_, leader_, leaving);
+  RequestJoin(cluster_, leader_, leaving);
   cluster_.Run(seconds(3));
   EXPECT_TRUE(IsVoter(configuration(), leaving)) << "it was only away";
 }
--- a/src/posthatch/consensus/raft_membership.cc
+++ b/src/posthatch/consensus/raft_membership.cc
@@ -39,7 +39,7 @@
     if (member.replica_id() == replica_id() || progress_.count(member.replica_id()) > 0) continue;
     Progress progress;
     progress.next = log_.last_index() + 1;
-    progress.last_heard = now;
+    progress.last_response_at = now;
     progress_.emplace(member.replica_id(), progress);
   }
   for (auto it = progress_.begin(); it != progress_.end();) {
@@ -50,7 +50,7 @@
 void RaftCore::HandleJoinRequest(const RaftMessage& message, MonotonicTime) {
   const bool is_member = FindMember(configuration(), message.from()) != nullptr;
   if (!IsLeader() || is_member || message.from_endpoint().empty()) return;
-  joining_[message.from()] = {message.from_endpoint(), message.from_boot_count()};
+  pending_joins_[message.from()] = {message.from_endpoint(), message.from_boot_count()};
 }
 
 void RaftCore::ProposeConfiguration(const ClusterConfiguration& configuration, MonotonicTime now) {
@@ -65,27 +65,27 @@
 }
 
 void RaftCore::RunMembershipPolicy(MonotonicTime now) {
-  if (!OwnTermCommitted() || IsTransferring() || !HasQuorum(now)) return;
+  if (!CurrentTermCommitted() || IsTransferring() || !HasQuorum(now)) return;
   if (configurations_.back().first > commit_index_) return;
   // The first that has something to do.
   static_cast<void>(DropReplacedVoter(now) || DropExcessVoter(now) || PromoteLearner(now) ||
-                    RemoveSilentLearner(now) || AdmitLearner(now) || RefreshEndpoints(now));
+                    RemoveUnresponsiveLearner(now) || AdmitLearner(now) || RefreshEndpoints(now));
 }
 
 // Silent for long, or its machine has come back under another identity (its disk was lost).
-bool RaftCore::IsGone(const Member& member, MonotonicTime now) const {
+bool RaftCore::IsPresumedLost(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
   if (found == progress_.end()) return false;  // this replica itself
-  const runtime::Duration silent = now - found->second.last_heard;
+  const runtime::Duration since_last_response = now - found->second.last_response_at;
   const bool superseded = EndpointOf(member.replica_id()).empty();
-  return silent >= options_.replace_silent_after ||
-         (superseded && silent >= options_.election_timeout_max);
+  return since_last_response >= options_.replace_unresponsive_after ||
+         (superseded && since_last_response >= options_.election_timeout_max);
 }
 
-bool RaftCore::IsSilent(const Member& member, MonotonicTime now) const {
+bool RaftCore::IsUnresponsive(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
   return found != progress_.end() &&
-         now - found->second.last_heard >= options_.election_timeout_max;
+         now - found->second.last_response_at >= options_.election_timeout_max;
 }
 
 bool RaftCore::HasSuccessor(const Member& member) const {
@@ -94,17 +94,20 @@
          IsVoter(configuration(), successor->second);
 }
 
-uint64_t RaftCore::LongestUnheardVoter(MonotonicTime now) const {
-  constexpr int kHeartbeatsUnheard = 4;
+uint64_t RaftCore::LongestUnresponsiveVoter(MonotonicTime now) const {
+  constexpr int kUnresponsiveHeartbeats = 4;
   const Member* longest = nullptr;
-  runtime::Duration longest_silence = kHeartbeatsUnheard * options_.heartbeat_interval;
+  runtime::Duration longest_since_last_response =
+      kUnresponsiveHeartbeats * options_.heartbeat_interval;
   for (const Member& member : configuration().members()) {
     const auto progress = progress_.find(member.replica_id());
     if (!member.voter() || progress == progress_.end()) continue;
-    const runtime::Duration silence = now - progress->second.last_heard;
-    if (silence < longest_silence || EndpointOf(member.replica_id()).empty()) continue;
+    const runtime::Duration since_last_response = now - progress->second.last_response_at;
+    if (since_last_response < longest_since_last_response ||
+        EndpointOf(member.replica_id()).empty())
+      continue;
     longest = &member;
-    longest_silence = silence;
+    longest_since_last_response = since_last_response;
   }
   return longest == nullptr ? 0 : longest->replica_id();
 }
@@ -117,15 +120,16 @@
 bool RaftCore::DropReplacedVoter(MonotonicTime now) {
   for (const Member& member : configuration().members()) {
     if (!member.voter() || member.replica_id() == replica_id()) continue;
-    const bool stood_in_for = stood_in_for_.contains(member.replica_id());
-    if (stood_in_for && IsLive(member, now)) {
-      stood_in_for_.erase(member.replica_id());
+    const bool replaced_while_unresponsive =
+        replaced_while_unresponsive_.contains(member.replica_id());
+    if (replaced_while_unresponsive && IsLive(member, now)) {
+      replaced_while_unresponsive_.erase(member.replica_id());
       continue;
     }
-    const bool evens_out = VoterCount(configuration()) % 2 == 0;
-    const bool replaced = stood_in_for || evens_out || HasSuccessor(member);
-    if (!IsSilent(member, now) || !replaced) continue;
-    stood_in_for_.erase(member.replica_id());
+    const bool restores_odd_count = VoterCount(configuration()) % 2 == 0;
+    const bool replaced = replaced_while_unresponsive || restores_odd_count || HasSuccessor(member);
+    if (!IsUnresponsive(member, now) || !replaced) continue;
+    replaced_while_unresponsive_.erase(member.replica_id());
     ProposeConfiguration(WithoutMember(configuration(), member.replica_id()), now);
     return true;
   }
@@ -135,8 +139,8 @@
 // Has answered a message of the last shortest election timeout.
 bool RaftCore::IsLive(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
-  return found != progress_.end() && found->second.contact.has_value() &&
-         now - *found->second.contact < options_.election_timeout_min;
+  return found != progress_.end() && found->second.last_contact.has_value() &&
+         now - *found->second.last_contact < options_.election_timeout_min;
 }
 
 // Has within the last round trip confirmed, durably, all that was committed before it, and lacks
@@ -146,17 +150,17 @@
   if (found == progress_.end()) return false;
   const Progress& progress = found->second;
   return progress.mode == Progress::Mode::kReplicate && IsLive(member, now) &&
-         *progress.contact >= last_heartbeat_ && progress.match >= commit_at_last_heartbeat_ &&
+         *progress.last_contact >= last_heartbeat_ && progress.match >= commit_at_last_heartbeat_ &&
          progress.match + options_.max_promotion_lag >= log_.last_index();
 }
 
 bool RaftCore::AdmitLearner(MonotonicTime now) {
   const size_t members = static_cast<size_t>(configuration().members_size());
-  if (joining_.empty() || members >= VoterCount(configuration()) + options_.max_learners) {
+  if (pending_joins_.empty() || members >= VoterCount(configuration()) + options_.max_learners) {
     return false;
   }
-  const auto [replica_id, address] = *joining_.begin();
-  joining_.erase(joining_.begin());
+  const auto [replica_id, address] = *pending_joins_.begin();
+  pending_joins_.erase(pending_joins_.begin());
   if (FindMember(configuration(), replica_id) != nullptr) return false;
   Member member;
   member.set_replica_id(replica_id);
@@ -167,28 +171,28 @@
 }
 
 bool RaftCore::PromoteLearner(MonotonicTime now) {
-  size_t gone = 0;
+  size_t presumed_lost = 0;
   const Member* candidate = nullptr;
   for (const Member& member : configuration().members()) {
     if (member.voter()) {
-      gone += IsGone(member, now) ? 1 : 0;
+      presumed_lost += IsPresumedLost(member, now) ? 1 : 0;
     } else if (candidate == nullptr && IsCaughtUp(member, now)) {
       candidate = &member;
     }
   }
   const size_t voters = VoterCount(configuration());
   const bool wanted =
-      voters < options_.target_voters || (voters == options_.target_voters && gone > 0);
+      voters < options_.target_voters || (voters == options_.target_voters && presumed_lost > 0);
   // The promotion itself, and the removal after it, must find a majority.
-  const bool will_commit = voters + 1 - gone > (voters + 1) / 2;
+  const bool will_commit = voters + 1 - presumed_lost > (voters + 1) / 2;
   if (candidate == nullptr || !wanted || !will_commit) return false;
   Member promoted = *candidate;
   promoted.set_voter(true);
-  const bool has_a_place =
+  const bool takes_over_endpoint =
       std::any_of(successors_.begin(), successors_.end(),
                   [&](const auto& entry) { return entry.second == promoted.replica_id(); });
-  const uint64_t unheard = has_a_place ? 0 : LongestUnheardVoter(now);
-  if (unheard != 0) stood_in_for_.insert(unheard);
+  const uint64_t unresponsive = takes_over_endpoint ? 0 : LongestUnresponsiveVoter(now);
+  if (unresponsive != 0) replaced_while_unresponsive_.insert(unresponsive);
   ProposeConfiguration(WithMember(configuration(), promoted), now);
   return true;
 }
@@ -199,7 +203,7 @@
   bool all_live = true;
   for (const Member& member : configuration().members()) {
     if (!member.voter() || member.replica_id() == replica_id()) continue;
-    if (IsGone(member, now)) {
+    if (IsPresumedLost(member, now)) {
       ProposeConfiguration(WithoutMember(configuration(), member.replica_id()), now);
       return true;
     }
@@ -217,9 +221,9 @@
   return true;
 }
 
-bool RaftCore::RemoveSilentLearner(MonotonicTime now) {
+bool RaftCore::RemoveUnresponsiveLearner(MonotonicTime now) {
   for (const Member& member : configuration().members()) {
-    if (member.voter() || !IsGone(member, now)) continue;
+    if (member.voter() || !IsPresumedLost(member, now)) continue;
     ProposeConfiguration(WithoutMember(configuration(), member.replica_id()), now);
     return true;
   }
--- a/src/posthatch/consensus/raft_replica.cc
+++ b/src/posthatch/consensus/raft_replica.cc
@@ -17,13 +17,13 @@
 
 // Of a heartbeat interval: how often time-outs are looked at.
 constexpr int kTicksPerHeartbeat = 4;
-constexpr runtime::Duration kSnapshotRetry = std::chrono::seconds(5);
-constexpr runtime::Duration kDiskTransferInterval = std::chrono::seconds(10);
+constexpr runtime::Duration kSnapshotRetryInterval = std::chrono::seconds(5);
+constexpr runtime::Duration kSlowDiskTransferInterval = std::chrono::seconds(10);
 
-BootstrapOptions BootstrapOptionsOf(const ReplicaOptions& options) {
+BootstrapOptions MakeBootstrapOptions(const ReplicaOptions& options) {
   BootstrapOptions bootstrap;
   bootstrap.expect = options.bootstrap_expect;
-  bootstrap.founders = options.founders;
+  bootstrap.bootstrap_voters = options.bootstrap_voters;
   bootstrap.target_voters = options.raft.target_voters;
   bootstrap.peers = options.peers;
   return bootstrap;
@@ -36,8 +36,8 @@
     : runtime_(runtime),
       options_(std::move(options)),
       state_machine_(state_machine),
-      snapshot_writer_(runtime->file_system, options_.log.folder),
-      disk_health_(options_.slow_sync_threshold, options_.slow_sync_patience),
+      snapshot_writer_(runtime->file_system, options_.log.directory),
+      disk_health_(options_.slow_sync_threshold, options_.slow_sync_min_duration),
       tick_timer_(runtime->timers),
       flush_timer_(runtime->timers),
       install_retry_timer_(runtime->timers) {}
@@ -50,23 +50,23 @@
 // ---------------------------------------------------------------------------------- start
 
 absl::Status RaftReplica::Start() {
-  absl::StatusOr<storage::RecoveredFolder> folder =
-      storage::RecoverFolder(runtime_->file_system, options_.log.folder);
-  if (!folder.ok()) return folder.status();
-  log_writer_ = std::make_unique<storage::LogWriter>(runtime_->file_system, runtime_->clock,
-                                                     runtime_->timers, options_.log, folder->log);
+  absl::StatusOr<storage::RecoveredDirectory> directory =
+      storage::RecoverDirectory(runtime_->file_system, options_.log.directory);
+  if (!directory.ok()) return directory.status();
+  log_writer_ = std::make_unique<storage::LogWriter>(
+      runtime_->file_system, runtime_->clock, runtime_->timers, options_.log, directory->log);
   RecoveredState recovered;
-  recovered.hard_state = folder->log.hard_state;
+  recovered.hard_state = directory->log.hard_state;
   while (recovered.hard_state.replica_id() == 0) {
     recovered.hard_state.set_replica_id((*runtime_->random)());
   }
   recovered.hard_state.set_boot_count(recovered.hard_state.boot_count() + 1);
-  recovered.base_index = folder->log.base_index;
-  recovered.base_term = folder->log.base_term;
-  recovered.entries = std::move(folder->log.entries);
+  recovered.base_index = directory->log.base_index;
+  recovered.base_term = directory->log.base_term;
+  recovered.entries = std::move(directory->log.entries);
   recovered.endpoint = runtime_->transport->endpoint();
-  if (folder->snapshot.has_value()) {
-    auto snapshot = std::make_shared<const storage::Snapshot>(*std::move(folder->snapshot));
+  if (directory->snapshot.has_value()) {
+    auto snapshot = std::make_shared<const storage::Snapshot>(*std::move(directory->snapshot));
     if (absl::Status status = state_machine_->RestoreSnapshot(snapshot->data); !status.ok()) {
       return status;
     }
@@ -77,11 +77,12 @@
   const storage::HardState hard_state = recovered.hard_state;
   core_ = std::make_unique<RaftCore>(options_.raft, runtime_->random, std::move(recovered), Now());
   bootstrap_ =
-      std::make_unique<Bootstrap>(core_.get(), runtime_->random, BootstrapOptionsOf(options_));
+      std::make_unique<Bootstrap>(core_.get(), runtime_->random, MakeBootstrapOptions(options_));
   RegisterMetrics();
-  log_writer_->SetSyncObserver([this](runtime::Duration took) {
-    disk_health_.OnSync(took, Now());
-    if (sync_seconds_ != nullptr) sync_seconds_->Observe(runtime::ToMilliseconds(took) / 1000);
+  log_writer_->SetSyncObserver([this](runtime::Duration sync_duration) {
+    disk_health_.OnSync(sync_duration, Now());
+    if (sync_seconds_ != nullptr)
+      sync_seconds_->Observe(runtime::ToMilliseconds(sync_duration) / 1000);
   });
   runtime_->trace->Event(Severity::kInfo, "ReplicaRecovered",
                          {{"Replica", core_->replica_id()},
@@ -152,7 +153,7 @@
   tick_timer_.Start(options_.raft.heartbeat_interval / kTicksPerHeartbeat, [this] { Tick(); });
   core_->Tick(Now());
   bootstrap_->Tick(Now());
-  CheckDisk();
+  TransferFromSlowDisk();
   CheckTransfer();
   Flush();
   if (term_gauge_ != nullptr) term_gauge_->Set(static_cast<double>(core_->term()));
@@ -180,7 +181,7 @@
       InstallSnapshot();
     }
     Apply(ready.committed);
-    AnswerReads(ready.reads);
+    CompleteReads(ready.reads);
     CheckLeadership();
     MaybeTakeSnapshot();
   } while (active_ && core_->HasReady(Now()));
@@ -208,9 +209,9 @@
 
 void RaftReplica::Apply(const std::vector<storage::LogEntry>& entries) {
   for (const storage::LogEntry& entry : entries) {
-    std::string answer;
+    std::string result;
     if (entry.type() == storage::LogEntry::COMMAND) {
-      answer = state_machine_->Apply(entry.index(), entry.term(), entry.data());
+      result = state_machine_->Apply(entry.index(), entry.term(), entry.data());
     }
     applied_bytes_ += entry.data().size();
     if (committed_total_ != nullptr) committed_total_->Increment();
@@ -225,11 +226,11 @@
     if (commit_seconds_ != nullptr) {
       commit_seconds_->Observe(runtime::ToMilliseconds(Now() - proposal.started) / 1000);
     }
-    proposal.done(std::move(answer));
+    proposal.done(std::move(result));
   }
 }
 
-void RaftReplica::AnswerReads(const std::vector<uint64_t>& reads) {
+void RaftReplica::CompleteReads(const std::vector<uint64_t>& reads) {
   for (uint64_t id : reads) {
     const auto found = reads_.find(id);
     if (found == reads_.end()) continue;
@@ -327,7 +328,7 @@
   const bool due = index - snapshot_index_ >= options_.snapshot_every_entries ||
                    (applied_bytes_ >= options_.snapshot_every_bytes && index > snapshot_index_);
   if (!due || !active_ || snapshot_writer_.busy() || installing_ != nullptr ||
-      Now() < next_snapshot_try_) {
+      Now() < next_snapshot_attempt_at_) {
     return;
   }
   auto snapshot = std::make_shared<storage::Snapshot>();
@@ -347,13 +348,13 @@
   if (!active_) return;
   if (status.ok()) {
     if (snapshots_total_ != nullptr) snapshots_total_->Increment();
-    core_->OnSnapshotTaken(snapshot, {options_.keep_entries, options_.keep_bytes}, Now());
+    core_->OnSnapshotTaken(snapshot, {options_.retained_entries, options_.retained_bytes}, Now());
     log_writer_->RemovePrefix(core_->log().base_index());
   } else {
     // The log goes on growing; it is tried again.
     runtime_->trace->Event(Severity::kWarning, "SnapshotFailed", {{"Error", status.ToString()}});
     snapshot_index_ = core_->log().base_index();
-    next_snapshot_try_ = Now() + kSnapshotRetry;
+    next_snapshot_attempt_at_ = Now() + kSnapshotRetryInterval;
   }
   if (installing_ != nullptr) InstallSnapshot();
 }
@@ -367,7 +368,7 @@
 void RaftReplica::OnInstallWritten(const absl::Status& status) {
   if (!active_) return;
   if (absl::IsResourceExhausted(status)) {
-    install_retry_timer_.Start(kSnapshotRetry, [this] { InstallSnapshot(); });
+    install_retry_timer_.Start(kSnapshotRetryInterval, [this] { InstallSnapshot(); });
     return;
   }
   if (!status.ok()) return Fail(status);
@@ -385,17 +386,18 @@
 
 // ---------------------------------------------------------------------------------- handing over
 
-void RaftReplica::CheckDisk() {
+void RaftReplica::TransferFromSlowDisk() {
   const MonotonicTime now = Now();
   disk_health_.Update(log_writer_->InFlightTime(), now);
   const auto p95_us = static_cast<uint64_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(disk_health_.p95()).count());
   core_->SetSyncP95(p95_us);
-  if (!core_->IsLeader() || !disk_health_.IsSlow(now) || now < next_disk_transfer_) return;
+  if (!core_->IsLeader() || !disk_health_.IsSlow(now) || now < next_slow_disk_transfer_at_) return;
   // A faster follower only, or leadership would go to and fro between slow disks.
   if (!core_->TransferLeadership(p95_us / 2, now)) return;
-  next_disk_transfer_ = now + kDiskTransferInterval;
-  runtime_->trace->Event(Severity::kWarning, "HandingOverForSlowDisk", {{"SyncP95Us", p95_us}});
+  next_slow_disk_transfer_at_ = now + kSlowDiskTransferInterval;
+  runtime_->trace->Event(Severity::kWarning, "LeadershipTransferForSlowDisk",
+                         {{"SyncP95Us", p95_us}});
 }
 
 void RaftReplica::TransferLeadership(ReadDone done) {
@@ -440,7 +442,7 @@
     const auto found = core_->progress().find(member.replica_id());
     if (found != core_->progress().end()) {
       entry.match_index = found->second.match;
-      entry.silent = Now() - found->second.last_heard;
+      entry.since_last_response = Now() - found->second.last_response_at;
     }
     status.members.push_back(std::move(entry));
   }
--- a/src/posthatch/consensus/raft_replica.h
+++ b/src/posthatch/consensus/raft_replica.h
@@ -33,7 +33,7 @@
   // Internal endpoints of the only replicas that may form a new cluster, the same on all; each of
   // them must take part in it. Empty: any replica may. Needed where the number of controllers is
   // not known.
-  std::vector<std::string> founders;
+  std::vector<std::string> bootstrap_voters;
   // Internal endpoints of the controllers known now; asked while there is no leader.
   std::function<std::vector<std::string>()> peers;
 
@@ -42,12 +42,12 @@
   uint64_t snapshot_every_entries = 10'000;
   uint64_t snapshot_every_bytes = 32u << 20;
   // Entries before it that are kept for followers that lag, as far back as both allow.
-  uint64_t keep_entries = 2'000;
-  uint64_t keep_bytes = 8u << 20;
-  // A leader whose disk syncs have a 95th percentile above this for `slow_sync_patience` hands over
-  // to a follower whose disk is at least twice as fast.
+  uint64_t retained_entries = 2'000;
+  uint64_t retained_bytes = 8u << 20;
+  // A leader whose disk syncs have a 95th percentile above this for `slow_sync_min_duration` hands
+  // over to a follower whose disk is at least twice as fast.
   runtime::Duration slow_sync_threshold = std::chrono::milliseconds(250);
-  runtime::Duration slow_sync_patience = std::chrono::seconds(2);
+  runtime::Duration slow_sync_min_duration = std::chrono::seconds(2);
 };
 
 // For operators.
@@ -56,8 +56,8 @@
     uint64_t replica_id = 0;
     std::string endpoint;
     bool voter = false;
-    uint64_t match_index = 0;     // leader only
-    runtime::Duration silent{0};  // leader only
+    uint64_t match_index = 0;                  // leader only
+    runtime::Duration since_last_response{0};  // leader only
   };
   uint64_t replica_id = 0;
   uint64_t cluster_id = 0;
@@ -130,7 +130,7 @@
   void Persist(Ready* ready);
   void SendAll(const std::vector<OutgoingMessage>& messages);
   void Apply(const std::vector<storage::LogEntry>& entries);
-  void AnswerReads(const std::vector<uint64_t>& reads);
+  void CompleteReads(const std::vector<uint64_t>& reads);
   void CheckLeadership();
   void FailPending(const absl::Status& status);
   void MaybeTakeSnapshot();
@@ -138,7 +138,7 @@
                          const absl::Status& status);
   void InstallSnapshot();
   void OnInstallWritten(const absl::Status& status);
-  void CheckDisk();
+  void TransferFromSlowDisk();
   void CheckTransfer();
   void Fail(const absl::Status& status);
   runtime::MonotonicTime Now() const { return runtime_->clock->Now(); }
@@ -169,13 +169,13 @@
 
   uint64_t snapshot_index_ = 0;
   uint64_t applied_bytes_ = 0;  // since the last snapshot
-  runtime::MonotonicTime next_snapshot_try_;
+  runtime::MonotonicTime next_snapshot_attempt_at_;
   std::shared_ptr<const storage::Snapshot> installing_;
 
   ReadDone transfer_done_;
   runtime::MonotonicTime transfer_deadline_;
   uint64_t transfer_max_sync_us_ = std::numeric_limits<uint64_t>::max();
-  runtime::MonotonicTime next_disk_transfer_;
+  runtime::MonotonicTime next_slow_disk_transfer_at_;
 
   // Owned by the registry; null without one.
   prometheus::Counter* committed_total_ = nullptr;
--- a/src/posthatch/consensus/raft_replication.cc
+++ b/src/posthatch/consensus/raft_replication.cc
@@ -8,7 +8,9 @@
 
 using runtime::MonotonicTime;
 
-bool RaftCore::OwnTermCommitted() const { return IsLeader() && commit_index_ >= term_start_index_; }
+bool RaftCore::CurrentTermCommitted() const {
+  return IsLeader() && commit_index_ >= term_start_index_;
+}
 
 // ---------------------------------------------------------------------------------- leader
 
@@ -37,7 +39,7 @@
   request->set_prev_term(prev_term);
   request->set_commit_index(commit_index_);
   request->set_sent_at_ns(runtime::ToNanoseconds(now));
-  request->set_read_round(read_round_);
+  request->set_read_sequence(read_sequence_);
   return message;
 }
 
@@ -83,13 +85,14 @@
   }
 }
 
-void RaftCore::NoteContact(Progress* progress, int64_t sent_at_ns, uint64_t read_round,
-                           MonotonicTime now) {
+void RaftCore::RecordContact(Progress* progress, int64_t sent_at_ns, uint64_t read_sequence,
+                             MonotonicTime now) {
   const MonotonicTime sent_at = runtime::FromNanoseconds(sent_at_ns);
   if (sent_at > now) return;
-  if (!progress->contact.has_value() || sent_at > *progress->contact) progress->contact = sent_at;
-  progress->last_heard = now;
-  progress->read_round = std::max(progress->read_round, read_round);
+  if (!progress->last_contact.has_value() || sent_at > *progress->last_contact)
+    progress->last_contact = sent_at;
+  progress->last_response_at = now;
+  progress->read_sequence = std::max(progress->read_sequence, read_sequence);
 }
 
 void RaftCore::HandleAppendResponse(const RaftMessage& message, MonotonicTime now) {
@@ -97,7 +100,7 @@
   if (!IsLeader() || found == progress_.end()) return;
   Progress* progress = &found->second;
   const AppendResponse& response = message.append_response();
-  NoteContact(progress, response.sent_at_ns(), response.read_round(), now);
+  RecordContact(progress, response.sent_at_ns(), response.read_sequence(), now);
   progress->sync_p95_us = response.sync_p95_us();
   if (!response.success()) return HandleRejection(response, progress);
   const uint64_t last = log_.last_index();
@@ -153,13 +156,13 @@
   if (leader_id_ != message.from()) {
     leader_id_ = message.from();
     newest_append_sent_at_ns_ = 0;
-    newest_read_round_ = 0;
+    newest_read_sequence_ = 0;
   }
-  leader_heard_at_ = now;
-  leader_assumed_ = false;
+  leader_contact_at_ = now;
+  leader_contact_assumed_ = false;
   ResetElectionTimer(now);
   newest_append_sent_at_ns_ = std::max(newest_append_sent_at_ns_, request.sent_at_ns());
-  newest_read_round_ = std::max(newest_read_round_, request.read_round());
+  newest_read_sequence_ = std::max(newest_read_sequence_, request.read_sequence());
   const bool prev_matches = request.prev_index() <= commit_index_ ||
                             log_.Term(request.prev_index()) == request.prev_term();
   if (!prev_matches || installing_ != nullptr) return RejectAppend(message);
@@ -167,7 +170,7 @@
   const uint64_t end = request.prev_index() + static_cast<uint64_t>(request.entries_size());
   verified_index_ = std::max({verified_index_, end, commit_index_});
   commit_index_ = std::max(commit_index_, std::min(request.commit_index(), verified_index_));
-  SendAppendResponse(message.from(), request.sent_at_ns(), request.read_round());
+  SendAppendResponse(message.from(), request.sent_at_ns(), request.read_sequence());
 }
 
 // Takes over what the log lacks, cutting off what contradicts. False if the request is malformed.
@@ -192,28 +195,28 @@
   while (conflict_term.has_value() && hint > commit_index_ && log_.Term(hint) == conflict_term) {
     --hint;
   }
-  RaftMessage answer = NewMessage(message.from());
-  AppendResponse* response = answer.mutable_append_response();
+  RaftMessage reply = NewMessage(message.from());
+  AppendResponse* response = reply.mutable_append_response();
   response->set_success(false);
   response->set_reject_hint(hint);
   response->set_rejected_index(request.prev_index());
   response->set_sent_at_ns(request.sent_at_ns());
-  response->set_read_round(request.read_round());
+  response->set_read_sequence(request.read_sequence());
   response->set_sync_p95_us(sync_p95_us_);
-  Send(std::move(answer));
+  Send(std::move(reply));
 }
 
 // At once, for the leader's quorum check, and again when more of the log has become durable.
-void RaftCore::SendAppendResponse(uint64_t to, int64_t sent_at_ns, uint64_t read_round) {
-  RaftMessage answer = NewMessage(to);
-  AppendResponse* response = answer.mutable_append_response();
+void RaftCore::SendAppendResponse(uint64_t to, int64_t sent_at_ns, uint64_t read_sequence) {
+  RaftMessage reply = NewMessage(to);
+  AppendResponse* response = reply.mutable_append_response();
   response->set_success(true);
   response->set_verified_index(verified_index_);
   response->set_match_index(std::min(verified_index_, durable_index_));
   response->set_sent_at_ns(sent_at_ns);
-  response->set_read_round(read_round);
+  response->set_read_sequence(read_sequence);
   response->set_sync_p95_us(sync_p95_us_);
-  Send(std::move(answer));
+  Send(std::move(reply));
 }
 
 // ---------------------------------------------------------------------------------- reads
@@ -229,12 +232,12 @@
 
 // Gives waiting reads one round: the commit index of now, valid once a majority has answered a
 // message sent from now on (section 6.4).
-void RaftCore::AskReads(MonotonicTime now) {
-  if (reads_.empty() || reads_.back().round != 0 || !OwnTermCommitted()) return;
-  ++read_round_;
+void RaftCore::StartReadConfirmation(MonotonicTime now) {
+  if (reads_.empty() || reads_.back().sequence != 0 || !CurrentTermCommitted()) return;
+  ++read_sequence_;
   for (PendingRead& read : reads_) {
-    if (read.round != 0) continue;
-    read.round = read_round_;
+    if (read.sequence != 0) continue;
+    read.sequence = read_sequence_;
     read.index = commit_index_;
   }
   for (auto& [id, progress] : progress_) {
@@ -244,15 +247,15 @@
 
 bool RaftCore::OldestReadConfirmed(MonotonicTime now) const {
   const PendingRead& read = reads_.front();
-  if (read.round == 0 || read.index > applied_index_ || !HasQuorum(now)) return false;
+  if (read.sequence == 0 || read.index > applied_index_ || !HasQuorum(now)) return false;
   return MajorityHas(configuration(), [this, &read](uint64_t id) {
     if (id == replica_id()) return true;
     const auto found = progress_.find(id);
-    return found != progress_.end() && found->second.read_round >= read.round;
+    return found != progress_.end() && found->second.read_sequence >= read.sequence;
   });
 }
 
-void RaftCore::TakeReads(Ready* ready, MonotonicTime now) {
+void RaftCore::CollectConfirmedReads(Ready* ready, MonotonicTime now) {
   while (IsLeader() && !reads_.empty() && OldestReadConfirmed(now)) {
     ready->reads.push_back(reads_.front().id);
     reads_.pop_front();
--- a/src/posthatch/consensus/raft_simulation-test.cc
+++ b/src/posthatch/consensus/raft_simulation-test.cc
@@ -111,8 +111,8 @@
       for (size_t right = kReplicas / 2; right < kReplicas; ++right) {
         const std::string& one = cluster.nodes()[left].host->name();
         const std::string& other = cluster.nodes()[right].host->name();
-        cluster.world().Cut(one, other);
-        cluster.world().Cut(other, one);
+        cluster.world().Partition(one, other);
+        cluster.world().Partition(other, one);
       }
     }
     cluster.world().RunFor(seconds(1));  // answers to what was committed before
@@ -147,7 +147,7 @@
         seeds.push_back(world->nodes()[i].host->internal_endpoint());
       }
       options->bootstrap_expect = kSeeds;
-      options->founders = seeds;
+      options->bootstrap_voters = seeds;
       for (size_t i = 0; i < kControllers; ++i) {
         const auto delay = i < kSeeds ? runtime::Duration::zero()
                                       : random.Between(std::chrono::milliseconds(50),
--- a/src/posthatch/consensus/raft_snapshot.cc
+++ b/src/posthatch/consensus/raft_snapshot.cc
@@ -20,19 +20,19 @@
 }  // namespace
 
 // Up to where the log may be forgotten once there is a snapshot at `snapshot_index`.
-uint64_t RaftCore::CompactionIndex(uint64_t snapshot_index, const LogTail& keep,
+uint64_t RaftCore::CompactionIndex(uint64_t snapshot_index, const LogRetention& retention,
                                    MonotonicTime now) const {
   const uint64_t end = std::min(snapshot_index, durable_index_);
   uint64_t compact_to = end;
   uint64_t bytes = 0;
-  while (compact_to > log_.base_index() && end - compact_to < keep.entries) {
+  while (compact_to > log_.base_index() && end - compact_to < retention.entries) {
     bytes += log_.Entry(compact_to).data().size();
-    if (bytes > keep.bytes) break;
+    if (bytes > retention.bytes) break;
     --compact_to;
   }
   // A live follower that is being sent an older snapshot will need the entries behind that one.
   for (const auto& [id, progress] : progress_) {
-    const bool alive = now - progress.last_heard < options_.election_timeout_max;
+    const bool alive = now - progress.last_response_at < options_.election_timeout_max;
     if (alive && progress.snapshot != nullptr) {
       compact_to = std::min(compact_to, progress.snapshot->metadata.index());
     }
@@ -41,11 +41,11 @@
 }
 
 void RaftCore::OnSnapshotTaken(const std::shared_ptr<const storage::Snapshot>& snapshot,
-                               const LogTail& keep, MonotonicTime now) {
+                               const LogRetention& retention, MonotonicTime now) {
   if (snapshot_ != nullptr && snapshot->metadata.index() <= snapshot_->metadata.index()) return;
   snapshot_ = snapshot;
   const uint64_t index = snapshot->metadata.index();
-  const uint64_t compact_to = CompactionIndex(index, keep, now);
+  const uint64_t compact_to = CompactionIndex(index, retention, now);
   if (compact_to > log_.base_index()) log_.CompactTo(compact_to);
   while (configurations_.size() > 1 && configurations_[1].first <= index) {
     configurations_.erase(configurations_.begin());
@@ -70,7 +70,7 @@
   chunk->set_offset(progress->snapshot_offset);
   chunk->set_data(snapshot.data.substr(progress->snapshot_offset, options_.snapshot_chunk_bytes));
   chunk->set_sent_at_ns(runtime::ToNanoseconds(now));
-  chunk->set_read_round(read_round_);
+  chunk->set_read_sequence(read_sequence_);
   progress->chunk_sent_at = now;
   Send(std::move(message));
 }
@@ -80,7 +80,7 @@
   if (!IsLeader() || found == progress_.end()) return;
   Progress* progress = &found->second;
   const SnapshotResponse& response = message.snapshot_response();
-  NoteContact(progress, response.sent_at_ns(), response.read_round(), now);
+  RecordContact(progress, response.sent_at_ns(), response.read_sequence(), now);
   if (progress->mode != Progress::Mode::kSnapshot ||
       response.snapshot_index() != progress->snapshot->metadata.index() ||
       response.next_offset() > progress->snapshot->data.size()) {
@@ -97,14 +97,14 @@
   if (IsLeader()) return;
   if (role_ != Role::kFollower) BecomeFollower(term(), message.from(), now);
   leader_id_ = message.from();
-  leader_heard_at_ = now;
-  leader_assumed_ = false;
+  leader_contact_at_ = now;
+  leader_contact_assumed_ = false;
   ResetElectionTimer(now);
   const SnapshotChunk& chunk = message.snapshot_chunk();
   const storage::SnapshotMetadata& metadata = chunk.metadata();
   if (metadata.index() <= commit_index_) {
     verified_index_ = std::max(verified_index_, commit_index_);
-    return SendAppendResponse(message.from(), chunk.sent_at_ns(), chunk.read_round());
+    return SendAppendResponse(message.from(), chunk.sent_at_ns(), chunk.read_sequence());
   }
   uint64_t next_offset = 0;
   if (installing_ != nullptr) {
@@ -129,13 +129,13 @@
       install_taken_ = false;
     }
   }
-  RaftMessage answer = NewMessage(message.from());
-  SnapshotResponse* response = answer.mutable_snapshot_response();
+  RaftMessage reply = NewMessage(message.from());
+  SnapshotResponse* response = reply.mutable_snapshot_response();
   response->set_snapshot_index(metadata.index());
   response->set_next_offset(next_offset);
   response->set_sent_at_ns(chunk.sent_at_ns());
-  response->set_read_round(chunk.read_round());
-  Send(std::move(answer));
+  response->set_read_sequence(chunk.read_sequence());
+  Send(std::move(reply));
 }
 
 void RaftCore::OnSnapshotInstalled(const std::shared_ptr<const storage::Snapshot>& snapshot,
@@ -167,7 +167,7 @@
   AdoptConfiguration(index, ParseConfiguration(snapshot->metadata.configuration()));
   configurations_.insert(configurations_.end(), later.begin(), later.end());
   if (leader_id_ != 0 && !IsLeader()) {
-    SendAppendResponse(leader_id_, newest_append_sent_at_ns_, newest_read_round_);
+    SendAppendResponse(leader_id_, newest_append_sent_at_ns_, newest_read_sequence_);
   }
 }
 
--- a/src/posthatch/consensus/raft_types.h
+++ b/src/posthatch/consensus/raft_types.h
@@ -38,13 +38,13 @@
   size_t max_learners = 8;
   // A voter silent for this long is replaced when a learner has caught up; a learner silent for
   // this long is removed.
-  runtime::Duration replace_silent_after = std::chrono::seconds(30);
+  runtime::Duration replace_unresponsive_after = std::chrono::seconds(30);
   // A learner is promoted only when it lacks no more than this many entries.
   uint64_t max_promotion_lag = 256;
 };
 
 // How much of the log before a snapshot is kept for followers that lag: as far back as both allow.
-struct LogTail {
+struct LogRetention {
   uint64_t entries = 2'000;
   uint64_t bytes = 8u << 20;
 };
@@ -94,10 +94,10 @@
   bool probe_sent = false;
   std::deque<uint64_t> in_flight;  // last index of each unanswered message with entries
   // When the newest message that the member has answered was sent; by that time it had this leader.
-  std::optional<runtime::MonotonicTime> contact;
+  std::optional<runtime::MonotonicTime> last_contact;
   // Since when it is silent: the time of its last answer, or of the start of this leader's term.
-  runtime::MonotonicTime last_heard;
-  uint64_t read_round = 0;
+  runtime::MonotonicTime last_response_at;
+  uint64_t read_sequence = 0;
   uint64_t sync_p95_us = 0;
   std::shared_ptr<const storage::Snapshot> snapshot;  // being sent
   uint64_t snapshot_offset = 0;
--- a/src/posthatch/consensus/raft_world-test.h
+++ b/src/posthatch/consensus/raft_world-test.h
@@ -251,9 +251,9 @@
     ReplicaOptions options = options_;
     options.bootstrap_expect = nodes_.size();
     options.raft.target_voters = nodes_.size();
-    options.raft.replace_silent_after = std::chrono::seconds(15);
+    options.raft.replace_unresponsive_after = std::chrono::seconds(15);
     options.snapshot_every_entries = 60;
-    options.keep_entries = 20;
+    options.retained_entries = 20;
     options.log.segment_bytes = 4096;
     options.peers = [this] {
       std::vector<std::string> endpoints;
@@ -374,8 +374,8 @@
     for (const RaftWorld::Node& other : cluster_->nodes()) {
       const std::string& other_name = other.host->name();
       if (other_name == name) continue;
-      if (out) cluster_->world().Cut(name, other_name);
-      if (in) cluster_->world().Cut(other_name, name);
+      if (out) cluster_->world().Partition(name, other_name);
+      if (in) cluster_->world().Partition(other_name, name);
     }
     Later(random_->Between(std::chrono::seconds(1), std::chrono::seconds(8)),
           [this] { cluster_->world().HealAll(); });
--- a/src/posthatch/control/admin_api-test.cc
+++ b/src/posthatch/control/admin_api-test.cc
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "posthatch/control/admin_changes.h"
-#include "posthatch/control/inventory_reader.h"
+#include "posthatch/control/inventory_poller.h"
 #include "posthatch/control/state_views.h"
 
 namespace posthatch::control {
@@ -17,14 +17,14 @@
 
 class KeepingWriter : public http::ResponseWriter {
  public:
-  void SendWhole(http::Response whole) override { response = std::move(whole); }
+  void SendResponse(http::Response whole) override { response = std::move(whole); }
   void StartStream(http::Response) override {}
-  void WritePiece(std::string) override {}
+  void WriteChunk(std::string) override {}
   void FinishStream() override {}
   void Abort() override {}
   size_t buffered_bytes() const override { return 0; }
   void OnWritable(std::function<void()>) override {}
-  void OnCallerGone(std::function<void()>) override {}
+  void OnCallerDisconnected(std::function<void()>) override {}
 
   std::optional<http::Response> response;
 };
--- a/src/posthatch/control/admin_api.cc
+++ b/src/posthatch/control/admin_api.cc
@@ -66,7 +66,7 @@
     http::Response response =
         RenderError(kStatusUnauthorized, "unauthorized", "the operators' token is needed", false);
     response.headers.Add("WWW-Authenticate", "Bearer");
-    writer->SendWhole(std::move(response));
+    writer->SendResponse(std::move(response));
     return true;
   }
   if (request.method == "GET") {
@@ -76,8 +76,8 @@
   } else if (request.method == "POST" && Contains(kChanges, name)) {
     HandleChange(name, request, std::move(writer));
   } else {
-    writer->SendWhole(RenderError(kStatusMethodNotAllowed, "method_not_allowed",
-                                  "GET, or POST for changes", false));
+    writer->SendResponse(RenderError(kStatusMethodNotAllowed, "method_not_allowed",
+                                     "GET, or POST for changes", false));
   }
   return true;
 }
@@ -102,24 +102,24 @@
     CommandResult refusal;
     refusal.set_code(CommandResult::INVALID);
     refusal.add_errors(absl::StrCat(command.status().message()));
-    writer->SendWhole(RenderResult(Command(), refusal));
+    writer->SendResponse(RenderResult(Command(), refusal));
     return;
   }
-  runtime_->trace->Event(runtime::Severity::kInfo, "OperatorChange",
+  runtime_->trace->Event(runtime::Severity::kInfo, "OperatorChangeReceived",
                          {{"name", std::string(name)}, {"request_id", command->request_id()}});
   control_client_->Propose(
       *command, options_.change_timeout, /*until_in_force=*/true,
       [command = *command,
        writer = std::move(writer)](const absl::StatusOr<CommandResult>& result) {
         if (result.ok()) {
-          writer->SendWhole(RenderResult(command, *result));
+          writer->SendResponse(RenderResult(command, *result));
         } else if (absl::IsResourceExhausted(result.status())) {
-          writer->SendWhole(RenderError(kStatusUnavailable, "unavailable",
-                                        "no controller took the change", true));
+          writer->SendResponse(RenderError(kStatusUnavailable, "unavailable",
+                                           "no controller took the change", true));
         } else {
-          writer->SendWhole(RenderError(kStatusUnavailable, "uncertain",
-                                        "it may be applied: send it again with the same request_id",
-                                        true));
+          writer->SendResponse(
+              RenderError(kStatusUnavailable, "uncertain",
+                          "it may be applied: send it again with the same request_id", true));
         }
       });
 }
@@ -127,7 +127,7 @@
 void AdminApi::HandleQuery(std::string_view name, std::string_view query,
                            std::shared_ptr<http::ResponseWriter> writer) {
   if (name == "members") {
-    writer->SendWhole(
+    writer->SendResponse(
         JsonBody(200, options_.members_view ? options_.members_view() : R"({"members":[]})"));
     return;
   }
@@ -135,10 +135,11 @@
       std::string(name), std::string(query), options_.query_timeout,
       [writer = std::move(writer)](const absl::StatusOr<QueryResponse>& response) {
         if (response.ok()) {
-          writer->SendWhole(JsonBody(static_cast<int>(response->http_status()), response->json()));
+          writer->SendResponse(
+              JsonBody(static_cast<int>(response->http_status()), response->json()));
         } else {
-          writer->SendWhole(RenderError(kStatusUnavailable, "unavailable",
-                                        "no answer from the leading controller", true));
+          writer->SendResponse(RenderError(kStatusUnavailable, "unavailable",
+                                           "no answer from the leading controller", true));
         }
       });
 }
--- a/src/posthatch/control/commands-test.h
+++ b/src/posthatch/control/commands-test.h
@@ -148,9 +148,9 @@
     case 4:
       return Begin(key, attempt, "hash", now_ms);
     case 5:
-      return Finish(key, attempt,
-                    random->Chance(0.5) ? DeliveryOutcome::ANSWERED : DeliveryOutcome::NOT_EXECUTED,
-                    now_ms);
+      return Finish(
+          key, attempt,
+          random->Chance(0.5) ? DeliveryOutcome::RESPONDED : DeliveryOutcome::NOT_EXECUTED, now_ms);
     case 6:
       return InventoryReading(static_cast<int>(random->Uniform(8)), (*random)());
     case 7:
--- a/src/posthatch/control/control_plane-test.cc
+++ b/src/posthatch/control/control_plane-test.cc
@@ -15,14 +15,14 @@
 
 constexpr runtime::Duration kRunTime = seconds(100);
 
-class RaftLog : public LeadershipGuard {
+class RaftLog : public LeaderLeaseGuard {
  public:
   RaftLog(runtime::Runtime* runtime, const consensus::ReplicaOptions& options, ControlState* state)
       : replica_(runtime, options, state) {
     const absl::Status status = replica_.Start();
     EXPECT_TRUE(status.ok()) << status;
   }
-  bool MayGrant() const override { return replica_.HasQuorumNow(); }
+  bool HasLeaderLease() const override { return replica_.HasQuorumNow(); }
   consensus::RaftReplica* replica() { return &replica_; }
 
  private:
@@ -42,7 +42,7 @@
     consensus::ReplicaOptions options;
     options.bootstrap_expect = controllers_;
     options.snapshot_every_entries = 60;  // so that compaction and restores take place
-    options.keep_entries = 20;
+    options.retained_entries = 20;
     options.peers = [this] {
       std::vector<std::string> endpoints;
       for (size_t i = 0; i < controllers_; ++i) {
@@ -137,8 +137,8 @@
   void CutFor(SimHost* from, const std::vector<SimHost*>& others, bool both) {
     for (SimHost* other : others) {
       if (other == from) continue;
-      fleet_.world.Cut(from->name(), other->name());
-      if (both) fleet_.world.Cut(other->name(), from->name());
+      fleet_.world.Partition(from->name(), other->name());
+      if (both) fleet_.world.Partition(other->name(), from->name());
       fleet_.world.At(seconds(10), [this, from, other] {
         fleet_.world.Heal(from->name(), other->name());
         fleet_.world.Heal(other->name(), from->name());
--- a/src/posthatch/control/control_state-test.cc
+++ b/src/posthatch/control/control_state-test.cc
@@ -71,7 +71,7 @@
 
 TEST_F(ControlStateTest, ARequestIdBeyondTheWindowIsRefusedAndNotAppliedAgain) {
   Apply(EvacuationChange("old", "e", "eu-1a", false));
-  for (size_t i = 0; i <= AnsweredRequests::kMaxAnswers; ++i) {
+  for (size_t i = 0; i <= RequestRecords::kMaxRecords; ++i) {
     Apply(EvacuationChange(absl::StrCat("c", i), "e", "eu-1a", false));
   }
   EXPECT_EQ(Apply(EvacuationChange("old", "e", "eu-1a", false)).code(),
@@ -141,27 +141,27 @@
 }
 
 TEST_F(ControlStateTest, ExactlyOneAttemptBeginsAndOnlyItFinishes) {
-  EXPECT_EQ(Apply(Begin("k", "a", "hash", 0)).delivery().kind(), DeliveryAnswer::BEGUN);
-  EXPECT_EQ(Apply(Begin("k", "b", "hash", 0)).delivery().kind(), DeliveryAnswer::RUNNING);
-  EXPECT_EQ(Apply(Begin("k", "a", "hash", 0)).delivery().kind(), DeliveryAnswer::BEGUN);
-  EXPECT_EQ(Apply(Begin("k", "c", "other", 0)).delivery().kind(), DeliveryAnswer::MISMATCH);
+  EXPECT_EQ(Apply(Begin("k", "a", "hash", 0)).delivery().kind(), DeliveryStatus::BEGUN);
+  EXPECT_EQ(Apply(Begin("k", "b", "hash", 0)).delivery().kind(), DeliveryStatus::RUNNING);
+  EXPECT_EQ(Apply(Begin("k", "a", "hash", 0)).delivery().kind(), DeliveryStatus::BEGUN);
+  EXPECT_EQ(Apply(Begin("k", "c", "other", 0)).delivery().kind(), DeliveryStatus::MISMATCH);
   EXPECT_EQ(Apply(Finish("k", "b", DeliveryOutcome::NOT_EXECUTED, 0)).code(),
             CommandResult::VERSION_CONFLICT);
   EXPECT_EQ(Apply(Finish("k", "a", DeliveryOutcome::UNKNOWN, 0)).code(), CommandResult::OK);
   // The first outcome stays.
-  EXPECT_EQ(Apply(Finish("k", "a", DeliveryOutcome::ANSWERED, 0)).delivery().outcome().kind(),
+  EXPECT_EQ(Apply(Finish("k", "a", DeliveryOutcome::RESPONDED, 0)).delivery().outcome().kind(),
             DeliveryOutcome::UNKNOWN);
-  EXPECT_EQ(Apply(Begin("k", "b", "hash", 0)).delivery().kind(), DeliveryAnswer::FINISHED);
+  EXPECT_EQ(Apply(Begin("k", "b", "hash", 0)).delivery().kind(), DeliveryStatus::FINISHED);
 }
 
 TEST_F(ControlStateTest, AKeyClosedBeforeItsBeginArrivesStaysClosed) {
   EXPECT_EQ(Apply(Finish("k", "a", DeliveryOutcome::NOT_EXECUTED, 0)).code(), CommandResult::OK);
   for (const char* attempt : {"a", "b"}) {
     const CommandResult late = Apply(Begin("k", attempt, "hash", 0));
-    ASSERT_EQ(late.delivery().kind(), DeliveryAnswer::FINISHED);
+    ASSERT_EQ(late.delivery().kind(), DeliveryStatus::FINISHED);
     EXPECT_EQ(late.delivery().outcome().kind(), DeliveryOutcome::NOT_EXECUTED);
   }
-  EXPECT_EQ(Apply(Finish("never", "a", DeliveryOutcome::ANSWERED, 0)).code(),
+  EXPECT_EQ(Apply(Finish("never", "a", DeliveryOutcome::RESPONDED, 0)).code(),
             CommandResult::NOT_FOUND);
 }
 
@@ -169,9 +169,9 @@
   const int64_t window = DeliveryRecords::kDefaultWindowMs;
   Apply(Begin("k", "a", "hash", 1000));
   EXPECT_EQ(Apply(Begin("k", "b", "hash", 1000 + window)).delivery().kind(),
-            DeliveryAnswer::RUNNING);
+            DeliveryStatus::RUNNING);
   EXPECT_EQ(Apply(Begin("k", "b", "hash", 1001 + window)).code(), CommandResult::WINDOW_PASSED);
-  EXPECT_EQ(Apply(Finish("k", "a", DeliveryOutcome::ANSWERED, 0)).code(),
+  EXPECT_EQ(Apply(Finish("k", "a", DeliveryOutcome::RESPONDED, 0)).code(),
             CommandResult::WINDOW_PASSED);
   ControlState restored;
   ASSERT_TRUE(restored.RestoreSnapshot(state_.TakeSnapshot()).ok());
@@ -222,9 +222,9 @@
   FleetState changed;
   changed.set_configuration_index(9);
   changed.set_patch_base_index(4);
-  EXPECT_FALSE(MakeConfigurationWhole(state, &changed));
+  EXPECT_FALSE(ApplyConfigurationDelta(state, &changed));
   changed.set_patch_base_index(5);
-  EXPECT_TRUE(MakeConfigurationWhole(state, &changed));
+  EXPECT_TRUE(ApplyConfigurationDelta(state, &changed));
 }
 
 // By seed: random commands with resends and races.
--- a/src/posthatch/control/control_state.cc
+++ b/src/posthatch/control/control_state.cc
@@ -12,7 +12,7 @@
 
 // Commands whose answers are kept for resends. The others are safe by themselves: a delivery's
 // commands by their attempt, the leader's own by what they say.
-bool IsRemembered(const Command& command) {
+bool IsDeduplicated(const Command& command) {
   switch (command.command_case()) {
     case Command::kChangeConfiguration:
     case Command::kSetModelRevision:
@@ -25,13 +25,13 @@
 }
 
 // Equal for a resend: everything but the id itself.
-std::string HashWithoutId(const Command& command) {
+std::string ContentHash(const Command& command) {
   Command content = command;
   content.clear_request_id();
   return ToHex(FingerprintOf(SerializeDeterministically(content)));
 }
 
-CommandResult Refuse(const std::string& error) {
+CommandResult Reject(const std::string& error) {
   CommandResult result;
   result.set_code(CommandResult::INVALID);
   result.add_errors(error);
@@ -45,26 +45,26 @@
   sections_changed_ = false;
   Command parsed;
   CommandResult result = parsed.ParseFromString(command) ? ApplyCommand(index, parsed)
-                                                         : Refuse("the command can't be read");
+                                                         : Reject("the command can't be read");
   NotifyListeners();
   return SerializeDeterministically(result);
 }
 
 CommandResult ControlState::ApplyCommand(uint64_t index, const Command& command) {
-  if (!IsRemembered(command)) {
+  if (!IsDeduplicated(command)) {
     CommandResult result = Dispatch(index, command);
     result.set_log_index(index);
     return result;
   }
   if (command.request_id().empty() || command.request_id().size() > kMaxRequestIdLength) {
-    return Refuse("request_id: 1 to 128 characters");
+    return Reject("request_id: 1 to 128 characters");
   }
-  const std::string hash = HashWithoutId(command);
+  const std::string hash = ContentHash(command);
   CommandResult result;
-  if (answered_.Find(command.request_id(), hash, &result)) return result;
+  if (requests_.Find(command.request_id(), hash, &result)) return result;
   result = Dispatch(index, command);
   result.set_log_index(index);
-  answered_.Remember(command.request_id(), hash, result);
+  requests_.Record(command.request_id(), hash, result);
   return result;
 }
 
@@ -91,7 +91,7 @@
     case Command::COMMAND_NOT_SET:
       break;
   }
-  return Refuse("the command is empty or unknown");
+  return Reject("the command is empty or unknown");
 }
 
 CommandResult ControlState::ApplyConfiguration(uint64_t index, const Command& command) {
@@ -103,16 +103,16 @@
   fleet_.set_configuration_index(index);
   *fleet_.mutable_configuration() = newest.configuration();
   sections_changed_ = true;
-  FollowIsolation(index);
+  UpdateIsolation(index);
   for (const Model& model : newest.configuration().models()) {
     EnsureObject("model/" + model.name());
   }
   return result;
 }
 
-void ControlState::FollowIsolation(uint64_t index) {
+void ControlState::UpdateIsolation(uint64_t index) {
   std::vector<IsolationRegistry::TenantStatus> tenants =
-      IsolationRegistry::TenantsOf(fleet_.configuration());
+      IsolationRegistry::EvaluateTenants(fleet_.configuration());
   for (const TrafficTenant& tenant : fleet_.traffic().tenants()) {
     tenants.push_back({tenant.name(), tenant.isolated()});
   }
@@ -138,22 +138,22 @@
   CommandResult result = traffic_.Apply(change, &changed);
   if (!changed) return result;
   *fleet_.mutable_traffic() = traffic_.newest();
-  RemoveSources(fleet_.mutable_traffic());
+  StripSources(fleet_.mutable_traffic());
   if (change.has_patch()) {
     TrafficPatch patch = change.patch();
-    RemoveSources(patch.mutable_upsert());
+    StripSources(patch.mutable_upsert());
     patch.mutable_upsert()->set_version(change.version());
-    deltas_.NoteTraffic(fleet_.traffic_index(), index, patch);
+    deltas_.RecordTrafficDelta(fleet_.traffic_index(), index, patch);
   } else {
-    deltas_.ForgetTraffic();
+    deltas_.ClearTraffic();
   }
   fleet_.set_traffic_index(index);
   sections_changed_ = true;
-  FollowIsolation(index);
+  UpdateIsolation(index);
   bool new_model = false;
   for (const TrafficService& service : fleet_.traffic().services()) {
     for (const std::string& model : service.engine().models()) {
-      if (!revisions_.EnsureFirst(model)) continue;
+      if (!revisions_.EnsureFirstRevision(model)) continue;
       new_model = true;
       if (objects_.RaiseEpoch("model/" + model, ModelRevisions::kFirstRevision)) {
         changed_objects_.push_back("model/" + model);
@@ -168,7 +168,7 @@
 CommandResult ControlState::ApplyRevision(uint64_t index, const Command& command) {
   const SetModelRevision& order = command.set_model_revision();
   CommandResult result =
-      order.revision() > 0 ? revisions_.Name(command.request_id(), order)
+      order.revision() > 0 ? revisions_.SetNumberedRevision(command.request_id(), order)
                            : revisions_.Apply(command.request_id(), order, fleet_.configuration());
   if (result.code() != CommandResult::OK) return result;
   const std::string object = "model/" + order.model();
@@ -204,11 +204,11 @@
     EnsureObject("drain/" + backend.id());
   }
   for (const std::string& backend_id : change.began_drain) {
-    objects_.RaiseEpochByOne("drain/" + backend_id);
+    objects_.IncrementEpoch("drain/" + backend_id);
     changed_objects_.push_back("drain/" + backend_id);
   }
-  deltas_.NoteInventory(fleet_.inventory_index(), index,
-                        DifferenceOf(fleet_.inventory(), inventory_.inventory()));
+  deltas_.RecordInventoryDelta(fleet_.inventory_index(), index,
+                               ComputeDelta(fleet_.inventory(), inventory_.inventory()));
   *fleet_.mutable_inventory() = inventory_.inventory();
   fleet_.set_inventory_index(index);
   sections_changed_ = true;
@@ -255,7 +255,7 @@
   *snapshot.mutable_fleet() = fleet_;
   deliveries_.Save(&snapshot);
   objects_.Save(snapshot.mutable_objects());
-  answered_.Save(&snapshot);
+  requests_.Save(&snapshot);
   history_.Save(snapshot.mutable_history());
   traffic_.Save(snapshot.mutable_traffic());
   return SerializeDeterministically(snapshot);
@@ -274,7 +274,7 @@
   leases_.Restore(parsed.fleet().leases());
   deliveries_.Restore(parsed);
   objects_.Restore(parsed.objects());
-  answered_.Restore(parsed);
+  requests_.Restore(parsed);
   traffic_.Restore(parsed.traffic());
   deltas_.Clear();
   fleet_ = std::move(*parsed.mutable_fleet());
--- a/src/posthatch/control/control_state.h
+++ b/src/posthatch/control/control_state.h
@@ -7,7 +7,6 @@
 
 #include "posthatch/channels/object_source.h"
 #include "posthatch/consensus/replicated_log.h"
-#include "posthatch/control/answered_requests.h"
 #include "posthatch/control/configuration_history.h"
 #include "posthatch/control/control.pb.h"
 #include "posthatch/control/delivery_records.h"
@@ -16,6 +15,7 @@
 #include "posthatch/control/isolation_registry.h"
 #include "posthatch/control/model_revisions.h"
 #include "posthatch/control/object_versions.h"
+#include "posthatch/control/request_records.h"
 #include "posthatch/control/section_deltas.h"
 #include "posthatch/control/traffic_state.h"
 #include "posthatch/control/worker_lease_table.h"
@@ -66,7 +66,7 @@
   CommandResult ApplyObservation(const ObserveObject& observation);
 
   void EnsureObject(const std::string& object);
-  void FollowIsolation(uint64_t index);
+  void UpdateIsolation(uint64_t index);
   // Puts the newest model revisions into the section that gateways get.
   void PublishRevisions(uint64_t index);
   int64_t DeliveryWindowMs() const;
@@ -81,7 +81,7 @@
   WorkerLeaseTable leases_;
   DeliveryRecords deliveries_;
   ObjectVersions objects_;
-  AnsweredRequests answered_;
+  RequestRecords requests_;
   TrafficState traffic_;
   SectionDeltas deltas_;
   FleetState fleet_;
--- a/src/posthatch/control/controller_metrics.cc
+++ b/src/posthatch/control/controller_metrics.cc
@@ -16,8 +16,8 @@
 
 ControllerMetrics::ControllerMetrics(prometheus::Registry* registry) {
   if (registry == nullptr) {
-    own_registry_ = std::make_unique<prometheus::Registry>();
-    registry = own_registry_.get();
+    unexposed_registry_ = std::make_unique<prometheus::Registry>();
+    registry = unexposed_registry_.get();
   }
   sessions_ = AddGauge(registry, "posthatch_controller_sessions",
                        "Gateway sessions at this controller; 0 unless it leads");
@@ -28,8 +28,9 @@
                        "Changed sections sent to gateways outside of grants");
   overloaded_ = AddCounter(registry, "posthatch_controller_overloaded_total",
                            "Proposals and queries refused because too many were under way");
-  withheld_ = AddCounter(registry, "posthatch_controller_grants_withheld_total",
-                         "Renewals left unanswered because no majority had answered in time");
+  grants_denied_no_lease_ =
+      AddCounter(registry, "posthatch_controller_grants_withheld_total",
+                 "Renewals left unanswered because no majority had answered in time");
   in_force_seconds_ =
       &prometheus::BuildHistogram()
            .Name("posthatch_controller_in_force_seconds")
--- a/src/posthatch/control/controller_metrics.h
+++ b/src/posthatch/control/controller_metrics.h
@@ -20,17 +20,17 @@
   prometheus::Counter& grants() { return *grants_; }
   prometheus::Counter& pushes() { return *pushes_; }
   prometheus::Counter& overloaded() { return *overloaded_; }
-  prometheus::Counter& withheld() { return *withheld_; }
+  prometheus::Counter& grants_denied_no_lease() { return *grants_denied_no_lease_; }
   prometheus::Histogram& in_force_seconds() { return *in_force_seconds_; }
 
  private:
-  std::unique_ptr<prometheus::Registry> own_registry_;
+  std::unique_ptr<prometheus::Registry> unexposed_registry_;
   prometheus::Gauge* sessions_;
   prometheus::Gauge* leading_;
   prometheus::Counter* grants_;
   prometheus::Counter* pushes_;
   prometheus::Counter* overloaded_;
-  prometheus::Counter* withheld_;
+  prometheus::Counter* grants_denied_no_lease_;
   prometheus::Histogram* in_force_seconds_;
 };
 
--- a/src/posthatch/control/controller_service-test.cc
+++ b/src/posthatch/control/controller_service-test.cc
@@ -95,8 +95,8 @@
 
 TEST_P(ControllerServiceTest, ANewLeaderWaitsForTheLeasesThatItsPredecessorGranted) {
   // g0 is cut off from the new leader and still holds a lease of the former one.
-  fleet_.world.Cut("g0", "c1");
-  fleet_.world.Cut("c1", "g0");
+  fleet_.world.Partition("g0", "c1");
+  fleet_.world.Partition("c1", "g0");
   RunUntil([this] { return Session(0).lease_expiry() - fleet_.world.Now() > seconds(3); },
            seconds(3));
   Elect(1);
@@ -110,8 +110,8 @@
   fleet_.world.SlowLink("c0", "g0", milliseconds(2500));
   fleet_.world.RunFor(seconds(6));
   // No more renewals arrive; grants that are under way do.
-  fleet_.world.Cut("g0", "c0");
-  fleet_.world.Cut("g0", "c1");
+  fleet_.world.Partition("g0", "c0");
+  fleet_.world.Partition("g0", "c1");
   fleet_.operator_process->avoid = fleet_.gateway_hosts[0]->http_endpoint();
   for (int i = 0; i < 8; ++i) {
     TimeOfOneChange();
@@ -179,7 +179,7 @@
 }
 
 TEST_P(ControllerServiceTest, AGrantForAnEarlierLifeOfTheGatewayIsNoLease) {
-  for (const char* controller : {"c0", "c1"}) fleet_.world.Cut(controller, "g0");
+  for (const char* controller : {"c0", "c1"}) fleet_.world.Partition(controller, "g0");
   fleet_.world.RunFor(seconds(5));
   ASSERT_FALSE(Session(0).LeaseValid());
   runtime::Transport* transport = fleet_.world.FindHost("operator")->runtime()->transport;
--- a/src/posthatch/control/controller_service.cc
+++ b/src/posthatch/control/controller_service.cc
@@ -15,10 +15,10 @@
 // Changes that come close together go out in one push.
 constexpr runtime::Duration kPushDelay = std::chrono::milliseconds(1);
 // Waiting changes are looked at this long after an acknowledgement, and this often in any case.
-constexpr runtime::Duration kCheckDelay = std::chrono::milliseconds(1);
-constexpr runtime::Duration kCheckInterval = std::chrono::milliseconds(50);
-constexpr runtime::Duration kRefreshDelay = std::chrono::milliseconds(40);
-constexpr uint32_t kNeverRead = UINT32_MAX;
+constexpr runtime::Duration kAckCheckDelay = std::chrono::milliseconds(1);
+constexpr runtime::Duration kAckCheckInterval = std::chrono::milliseconds(50);
+constexpr runtime::Duration kAnnotationRefreshDelay = std::chrono::milliseconds(40);
+constexpr uint32_t kInventoryNeverRead = UINT32_MAX;
 constexpr int kStatusUnavailable = 503;
 
 runtime::Duration Scaled(runtime::Duration duration, double factor) {
@@ -28,12 +28,12 @@
 }  // namespace
 
 ControllerService::ControllerService(runtime::Runtime* runtime, ControllerServiceOptions options,
-                                     consensus::ReplicatedLog* log, LeadershipGuard* guard,
+                                     consensus::ReplicatedLog* log, LeaderLeaseGuard* guard,
                                      ControlState* state)
     : runtime_(runtime),
       options_(std::move(options)),
       log_(log),
-      guard_(guard),
+      leader_lease_guard_(guard),
       state_(state),
       locator_(runtime,
                [this] {
@@ -45,9 +45,9 @@
               [this](const std::string& endpoint, const ControlMessage& message) {
                 Send(endpoint, message);
               }),
-      inventory_reader_(runtime, options_.inventory,
-                        [this](Inventory inventory, runtime::MonotonicTime asked_at) {
-                          OnInventory(std::move(inventory), asked_at);
+      inventory_poller_(runtime, options_.inventory,
+                        [this](Inventory inventory, runtime::MonotonicTime requested_at) {
+                          OnInventoryRead(std::move(inventory), requested_at);
                         }),
       metrics_(std::make_unique<ControllerMetrics>(runtime->metrics)),
       refresh_timer_(runtime->timers),
@@ -75,27 +75,29 @@
   leading_ = is_leader;
   term_ = term;
   sessions_.Clear();
-  waiters_.Abandon();
-  plan_under_way_ = false;
-  inventory_under_way_ = false;
+  waiters_.FailAll();
+  plan_in_flight_ = false;
+  inventory_proposal_in_flight_ = false;
   inventory_known_ = false;
   metrics_->leading().Set(is_leader ? 1 : 0);
   metrics_->sessions().Set(0);
   last_reading_.Clear();
-  refresh_wanted_ = false;
+  refresh_pending_ = false;
   if (!is_leader) {
-    inventory_reader_.Stop();
+    inventory_poller_.Stop();
     plan_timer_.Cancel();
     if (options_.on_leadership) options_.on_leadership(false, term);
     return;
   }
   leading_since_ = runtime_->clock->Now();
-  handover_at_ = leading_since_ + Scaled(options_.session_lease, 1.0 + options_.clock_rate_margin);
+  previous_leases_expire_at_ =
+      leading_since_ + Scaled(options_.session_lease, 1.0 + options_.clock_rate_margin);
   control_time_base_ms_ = state_->delivery_now_ms();
-  inventory_reader_.Start();
+  inventory_poller_.Start();
   plan_timer_.Start(options_.plan_interval, [this] { PlanWorkerLeases(); });
   if (options_.on_leadership) options_.on_leadership(true, term);
-  runtime_->trace->Event(runtime::Severity::kInfo, "ControllerLeads", {{"term", term}});
+  runtime_->trace->Event(runtime::Severity::kInfo, "ControllerLeadershipAcquired",
+                         {{"term", term}});
 }
 
 void ControllerService::OnMessage(const Sender& sender, const ControlMessage& message) {
@@ -107,10 +109,10 @@
       OnPushAck(message.state_push_ack());
       break;
     case ControlMessage::kProposeRequest:
-      OnPropose(sender, message.propose_request());
+      OnProposeRequest(sender, message.propose_request());
       break;
     case ControlMessage::kQueryRequest:
-      OnQuery(sender, message.query_request());
+      OnQueryRequest(sender, message.query_request());
       break;
     case ControlMessage::kProposeResponse:
       client_.OnProposeResponse(sender.endpoint, message.propose_response());
@@ -123,8 +125,8 @@
   }
 }
 
-bool ControllerService::MayDecide() const {
-  return leading_ && log_->IsLeader() && guard_->MayGrant();
+bool ControllerService::HasLeaderLease() const {
+  return leading_ && log_->IsLeader() && leader_lease_guard_->HasLeaderLease();
 }
 
 void ControllerService::OnRenewal(const Sender& sender, const SessionRenewal& renewal) {
@@ -137,11 +139,11 @@
   const SessionKey key{renewal.gateway(), renewal.incarnation()};
   if (renewal.leaving()) {
     sessions_.End(key);
-    ScheduleCheck(kCheckDelay);
+    ScheduleAckCheck(kAckCheckDelay);
     return;
   }
-  if (!MayDecide()) {
-    metrics_->withheld().Increment();
+  if (!HasLeaderLease()) {
+    metrics_->grants_denied_no_lease().Increment();
     return;
   }
   if (!renewal.rejection().empty()) {
@@ -158,7 +160,7 @@
   SendGrant(renewal, options_.session_lease, sender.endpoint, session);
   metrics_->grants().Increment();
   metrics_->sessions().Set(static_cast<double>(sessions_.sessions().size()));
-  if (waiters_.size() > 0) ScheduleCheck(kCheckDelay);
+  if (waiters_.size() > 0) ScheduleAckCheck(kAckCheckDelay);
 }
 
 void ControllerService::SendGrant(const SessionRenewal& renewal, runtime::Duration lease,
@@ -173,9 +175,9 @@
   grant->set_inventory_age_ms(InventoryAgeMs());
   CopyNewerSections(state_->fleet(), IndicesOf(renewal), grant->mutable_changed(),
                     grant->mutable_changed_sections());
-  SendDifferences(IndicesOf(renewal), grant->mutable_changed());
+  EncodeAsDeltas(IndicesOf(renewal), grant->mutable_changed());
   if (session != nullptr) {
-    session->sent_up_to = HighestIndex(IndicesOf(state_->fleet()));
+    session->sent_index = HighestIndex(IndicesOf(state_->fleet()));
     session->sent_at = runtime_->clock->Now();
   }
   Send(endpoint, message);
@@ -187,20 +189,20 @@
   sessions_.Acknowledge(key, IndicesOf(ack));
   Session* session = sessions_.Find(key);
   if (session != nullptr &&
-      HighestIndex(session->known) < HighestIndex(IndicesOf(state_->fleet()))) {
-    session->sent_up_to = 0;  // changed again meanwhile: the next push is made from what it has now
+      HighestIndex(session->acked_versions) < HighestIndex(IndicesOf(state_->fleet()))) {
+    session->sent_index = 0;  // changed again meanwhile: the next push is made from what it has now
     SchedulePush();
   }
-  if (waiters_.size() > 0) ScheduleCheck(kCheckDelay);
+  if (waiters_.size() > 0) ScheduleAckCheck(kAckCheckDelay);
 }
 
 void ControllerService::SchedulePush() {
   if (!leading_ || push_timer_.running()) return;
   const runtime::Duration until_allowed = next_push_ - runtime_->clock->Now();
-  push_timer_.Start(std::max(kPushDelay, until_allowed), [this] { PushAll(); });
+  push_timer_.Start(std::max(kPushDelay, until_allowed), [this] { SendPushes(); });
 }
 
-void ControllerService::PushAll() {
+void ControllerService::SendPushes() {
   if (!leading_) return;
   const runtime::MonotonicTime now = runtime_->clock->Now();
   const FleetState& fleet = state_->fleet();
@@ -208,26 +210,26 @@
   // Most sessions lack the same sections: each message is made and serialized once.
   std::map<SectionIndices, std::string> payloads;
   double sent = 0;
-  ++last_push_;
+  ++last_push_id_;
   for (auto& [key, session] : sessions_.mutable_sessions()) {
-    if (session.expiry <= now || HighestIndex(session.known) >= newest) continue;
+    if (session.expiry <= now || HighestIndex(session.acked_versions) >= newest) continue;
     // One push at a time: a second one would be made from sections that the first has replaced.
-    const bool is_under_way = session.sent_up_to > HighestIndex(session.known) &&
-                              now - session.sent_at < options_.push_retry;
-    if (is_under_way) continue;
-    std::string& payload = payloads[session.known];
+    const bool push_in_flight = session.sent_index > HighestIndex(session.acked_versions) &&
+                                now - session.sent_at < options_.push_retry;
+    if (push_in_flight) continue;
+    std::string& payload = payloads[session.acked_versions];
     if (payload.empty()) {
       ControlMessage message;
       StatePush* push = message.mutable_state_push();
-      push->set_push(last_push_);
+      push->set_push(last_push_id_);
       push->set_term(term_);
       push->set_inventory_age_ms(InventoryAgeMs());
-      CopyNewerSections(fleet, session.known, push->mutable_changed(),
+      CopyNewerSections(fleet, session.acked_versions, push->mutable_changed(),
                         push->mutable_changed_sections());
-      SendDifferences(session.known, push->mutable_changed());
+      EncodeAsDeltas(session.acked_versions, push->mutable_changed());
       payload = SerializeDeterministically(message);
     }
-    session.sent_up_to = newest;
+    session.sent_index = newest;
     session.sent_at = now;
     ++sent;
     metrics_->pushes().Increment();
@@ -238,27 +240,29 @@
                          std::chrono::duration<double>(sent / options_.pushes_per_second));
 }
 
-void ControllerService::SendDifferences(const SectionIndices& known, FleetState* changed) const {
-  SendConfigurationAsPatch(state_->history(), IndexOf(known, Section::kConfiguration), changed);
-  state_->deltas().SendInventoryAsChange(IndexOf(known, Section::kInventory), changed);
-  state_->deltas().SendTrafficAsPatches(IndexOf(known, Section::kTraffic), changed);
+void ControllerService::EncodeAsDeltas(const SectionIndices& acked_versions,
+                                       FleetState* changed) const {
+  EncodeConfigurationDelta(state_->history(), IndexOf(acked_versions, Section::kConfiguration),
+                           changed);
+  state_->deltas().EncodeInventoryDelta(IndexOf(acked_versions, Section::kInventory), changed);
+  state_->deltas().EncodeTrafficDelta(IndexOf(acked_versions, Section::kTraffic), changed);
 }
 
 uint32_t ControllerService::InventoryAgeMs() const {
-  if (!inventory_known_) return kNeverRead;
+  if (!inventory_known_) return kInventoryNeverRead;
   return static_cast<uint32_t>(
-      runtime::ToMilliseconds(runtime_->clock->Now() - inventory_read_at_));
+      runtime::ToMilliseconds(runtime_->clock->Now() - inventory_requested_at_));
 }
 
-void ControllerService::OnPropose(const Sender& sender, const ProposeRequest& request) {
+void ControllerService::OnProposeRequest(const Sender& sender, const ProposeRequest& request) {
   ProposalKey key(sender.endpoint, sender.incarnation, request.command().request_id(),
                   request.until_in_force());
   if (request.command().request_id().empty()) {
-    std::get<2>(key) = "\n" + std::to_string(++unnamed_proposals_);
+    std::get<2>(key) = "\n" + std::to_string(++anonymous_proposal_count_);
   }
-  const auto under_way = proposals_.find(key);
-  if (under_way != proposals_.end()) {
-    under_way->second = request.call();  // sent again: the newest call is answered
+  const auto in_flight = pending_proposals_.find(key);
+  if (in_flight != pending_proposals_.end()) {
+    in_flight->second = request.call();  // sent again: the newest call is answered
     return;
   }
   ProposeResponse refusal;
@@ -266,7 +270,7 @@
   if (!leading_ || !log_->IsLeader()) {
     refusal.set_status(ProposeResponse::NOT_LEADER);
     refusal.set_leader_endpoint(log_->leader_endpoint());
-  } else if (proposals_.size() >= options_.max_proposals) {
+  } else if (pending_proposals_.size() >= options_.max_proposals) {
     metrics_->overloaded().Increment();
     refusal.set_status(ProposeResponse::OVERLOADED);
   }
@@ -276,17 +280,17 @@
     Send(sender.endpoint, message);
     return;
   }
-  proposals_[key] = request.call();
+  pending_proposals_[key] = request.call();
   Command command = request.command();
-  FillControlTime(&command);
+  StampControlTime(&command);
   log_->Propose(
       SerializeDeterministically(command),
       [this, key, alive = std::weak_ptr<bool>(alive_)](const absl::StatusOr<std::string>& answer) {
-        if (!alive.expired()) OnProposed(key, answer);
+        if (!alive.expired()) OnProposalDone(key, answer);
       });
 }
 
-void ControllerService::FillControlTime(Command* command) const {
+void ControllerService::StampControlTime(Command* command) const {
   const auto led_for = std::chrono::duration_cast<std::chrono::milliseconds>(
       runtime_->clock->Now() - leading_since_);
   const int64_t now_ms = control_time_base_ms_ + led_for.count();
@@ -294,8 +298,8 @@
   if (command->has_delivery_finish()) command->mutable_delivery_finish()->set_now_ms(now_ms);
 }
 
-void ControllerService::OnProposed(const ProposalKey& key,
-                                   const absl::StatusOr<std::string>& answer) {
+void ControllerService::OnProposalDone(const ProposalKey& key,
+                                       const absl::StatusOr<std::string>& answer) {
   ProposeResponse response;
   if (!answer.ok()) {
     response.set_leader_endpoint(log_->leader_endpoint());
@@ -310,13 +314,13 @@
       default:
         response.set_status(ProposeResponse::UNCERTAIN);
     }
-    Respond(key, std::move(response));
+    SendProposeResponse(key, std::move(response));
     return;
   }
   CommandResult* result = response.mutable_result();
   if (!result->ParseFromString(*answer)) {
     response.set_status(ProposeResponse::UNCERTAIN);
-    Respond(key, std::move(response));
+    SendProposeResponse(key, std::move(response));
     return;
   }
   if (std::get<bool>(key) && result->code() == CommandResult::OK) {
@@ -324,14 +328,14 @@
     return;
   }
   response.set_status(ProposeResponse::DONE);
-  Respond(key, std::move(response));
+  SendProposeResponse(key, std::move(response));
 }
 
 void ControllerService::WaitUntilInForce(const ProposalKey& key, const CommandResult& result) {
   if (!leading_) {
     ProposeResponse response;
     response.set_status(ProposeResponse::UNCERTAIN);
-    Respond(key, std::move(response));
+    SendProposeResponse(key, std::move(response));
     return;
   }
   const runtime::MonotonicTime committed_at = runtime_->clock->Now();
@@ -343,54 +347,54 @@
       metrics_->in_force_seconds().Observe(std::chrono::duration<double>(waited).count());
     }
     response.set_status(in_force ? ProposeResponse::DONE : ProposeResponse::UNCERTAIN);
-    Respond(key, std::move(response));
+    SendProposeResponse(key, std::move(response));
   });
-  ScheduleCheck(kCheckDelay);
+  ScheduleAckCheck(kAckCheckDelay);
 }
 
-void ControllerService::Respond(const ProposalKey& key, ProposeResponse response) {
-  const auto proposal = proposals_.find(key);
-  if (proposal == proposals_.end()) return;
+void ControllerService::SendProposeResponse(const ProposalKey& key, ProposeResponse response) {
+  const auto proposal = pending_proposals_.find(key);
+  if (proposal == pending_proposals_.end()) return;
   response.set_call(proposal->second);
-  proposals_.erase(proposal);
+  pending_proposals_.erase(proposal);
   ControlMessage message;
   *message.mutable_propose_response() = std::move(response);
   Send(std::get<0>(key), message);
 }
 
-void ControllerService::ScheduleCheck(runtime::Duration delay) {
-  check_timer_.Start(delay, [this] { CheckWaiters(); });
+void ControllerService::ScheduleAckCheck(runtime::Duration delay) {
+  check_timer_.Start(delay, [this] { CheckInForceWaiters(); });
 }
 
-void ControllerService::CheckWaiters() {
+void ControllerService::CheckInForceWaiters() {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   // Before, gateways may hold leases of a former leader that this one doesn't know.
-  if (now >= handover_at_) waiters_.Check(sessions_, now);
+  if (now >= previous_leases_expire_at_) waiters_.Check(sessions_, now);
   if (waiters_.size() == 0) return;
-  PushAll();
-  ScheduleCheck(kCheckInterval);
+  SendPushes();
+  ScheduleAckCheck(kAckCheckInterval);
 }
 
-void ControllerService::OnQuery(const Sender& sender, const QueryRequest& request) {
-  if (!leading_ || queries_ >= options_.max_queries) {
+void ControllerService::OnQueryRequest(const Sender& sender, const QueryRequest& request) {
+  if (!leading_ || pending_queries_ >= options_.max_queries) {
     if (leading_) metrics_->overloaded().Increment();
-    RefuseQuery(sender.endpoint, request.call());
+    RejectQuery(sender.endpoint, request.call());
     return;
   }
-  ++queries_;
+  ++pending_queries_;
   log_->ReadBarrier([this, endpoint = sender.endpoint, request,
                      alive = std::weak_ptr<bool>(alive_)](const absl::Status& status) {
     if (alive.expired()) return;
-    --queries_;
+    --pending_queries_;
     if (status.ok()) {
-      AnswerQuery(endpoint, request);
+      RespondToQuery(endpoint, request);
     } else {
-      RefuseQuery(endpoint, request.call());
+      RejectQuery(endpoint, request.call());
     }
   });
 }
 
-void ControllerService::AnswerQuery(const std::string& endpoint, const QueryRequest& request) {
+void ControllerService::RespondToQuery(const std::string& endpoint, const QueryRequest& request) {
   View view;
   ControlMessage message;
   QueryResponse* response = message.mutable_query_response();
@@ -407,7 +411,7 @@
   Send(endpoint, message);
 }
 
-void ControllerService::RefuseQuery(const std::string& endpoint, uint64_t call) {
+void ControllerService::RejectQuery(const std::string& endpoint, uint64_t call) {
   ControlMessage message;
   QueryResponse* response = message.mutable_query_response();
   response->set_call(call);
@@ -420,64 +424,65 @@
 void ControllerService::PlanWorkerLeases() {
   plan_timer_.Start(options_.plan_interval, [this] { PlanWorkerLeases(); });
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  if (!MayDecide() || plan_under_way_) return;
+  if (!HasLeaderLease() || plan_in_flight_) return;
   sessions_.RemoveExpired(now);
   metrics_->sessions().Set(static_cast<double>(sessions_.sessions().size()));
   Command command;
   GrantWorkerLeases& plan = *command.mutable_grant_worker_leases();
-  plan = WorkerLeasePlanner::PlanRestarted(state_->fleet(), sessions_);
+  plan = WorkerLeasePlanner::PlanForRestartedGateways(state_->fleet(), sessions_);
   if (plan.grants().empty()) {
     // Gateways that this leader hasn't heard of may hold leases of a former one. A worker that was
     // released is granted again only once no gateway can believe that it holds it.
-    const bool may_plan =
-        now >= handover_at_ && sessions_.InForceEverywhere(state_->fleet().leases_index(), now);
+    const bool may_plan = now >= previous_leases_expire_at_ &&
+                          sessions_.AckedByAllSessions(state_->fleet().leases_index(), now);
     if (!may_plan) return;
     plan = WorkerLeasePlanner::Plan(state_->fleet(), sessions_.sessions(), now);
   }
   if (plan.grants().empty() && plan.released().empty()) return;
-  plan_under_way_ = true;
-  ProposeOwn(command, [this](bool) { plan_under_way_ = false; });
+  plan_in_flight_ = true;
+  ProposeInternal(command, [this](bool) { plan_in_flight_ = false; });
 }
 
 void ControllerService::RefreshInventory() {
   if (last_reading_.backends().empty() || refresh_timer_.running()) return;
-  if (inventory_under_way_) {
-    refresh_wanted_ = true;
+  if (inventory_proposal_in_flight_) {
+    refresh_pending_ = true;
     return;
   }
   // Annotations that change close together go into one command.
-  refresh_timer_.Start(kRefreshDelay, [this] {
-    if (leading_) OnInventory(last_reading_, last_reading_at_);
+  refresh_timer_.Start(kAnnotationRefreshDelay, [this] {
+    if (leading_) OnInventoryRead(last_reading_, last_reading_requested_at_);
   });
 }
 
-void ControllerService::OnInventory(Inventory inventory, runtime::MonotonicTime asked_at) {
-  if (!MayDecide()) return;
+void ControllerService::OnInventoryRead(Inventory inventory, runtime::MonotonicTime requested_at) {
+  if (!HasLeaderLease()) return;
   last_reading_ = inventory;
-  last_reading_at_ = asked_at;
+  last_reading_requested_at_ = requested_at;
   if (options_.annotate_inventory) options_.annotate_inventory(&inventory);
   if (SameBackends(inventory, state_->fleet().inventory())) {
     inventory_known_ = true;
-    inventory_read_at_ = asked_at;
+    inventory_requested_at_ = requested_at;
     return;
   }
-  if (inventory_under_way_) return;
-  inventory_under_way_ = true;
+  if (inventory_proposal_in_flight_) return;
+  inventory_proposal_in_flight_ = true;
   Command command;
   *command.mutable_set_inventory()->mutable_change() =
-      DifferenceOf(state_->fleet().inventory(), inventory);
+      ComputeDelta(state_->fleet().inventory(), inventory);
   command.mutable_set_inventory()->set_base_version(state_->fleet().inventory().version());
-  ProposeOwn(command, [this, asked_at](bool applied) {
-    inventory_under_way_ = false;
+  ProposeInternal(command, [this, requested_at](bool applied) {
+    inventory_proposal_in_flight_ = false;
     if (applied) {
       inventory_known_ = true;
-      inventory_read_at_ = asked_at;
+      inventory_requested_at_ = requested_at;
     }
-    if (std::exchange(refresh_wanted_, false)) RefreshInventory();
+    if (std::exchange(refresh_pending_, false)) RefreshInventory();
   });
 }
 
-void ControllerService::ProposeOwn(const Command& command, std::function<void(bool applied)> done) {
+void ControllerService::ProposeInternal(const Command& command,
+                                        std::function<void(bool applied)> done) {
   log_->Propose(
       SerializeDeterministically(command),
       [this, term = term_, done = std::move(done),
--- a/src/posthatch/control/controller_service.h
+++ b/src/posthatch/control/controller_service.h
@@ -11,10 +11,10 @@
 #include "posthatch/consensus/replicated_log.h"
 #include "posthatch/control/control_state.h"
 #include "posthatch/control/in_force_waiters.h"
-#include "posthatch/control/inventory_reader.h"
+#include "posthatch/control/inventory_poller.h"
 #include "posthatch/control/leader_client.h"
+#include "posthatch/control/leader_lease_guard.h"
 #include "posthatch/control/leader_locator.h"
-#include "posthatch/control/leadership_guard.h"
 #include "posthatch/control/session_table.h"
 #include "posthatch/runtime/runtime.h"
 
@@ -27,7 +27,7 @@
   // How much longer than a lease a new leader waits before it relies on the ends of sessions that a
   // former leader granted.
   double clock_rate_margin = 0.02;
-  InventoryReaderOptions inventory;
+  InventoryPollerOptions inventory;
   // Proposals under way at this controller, those waiting to come into force included; beyond, new
   // ones are answered OVERLOADED.
   size_t max_proposals = 2048;
@@ -57,7 +57,7 @@
 class ControllerService {
  public:
   ControllerService(runtime::Runtime* runtime, ControllerServiceOptions options,
-                    consensus::ReplicatedLog* log, LeadershipGuard* guard, ControlState* state);
+                    consensus::ReplicatedLog* log, LeaderLeaseGuard* guard, ControlState* state);
   ~ControllerService();
   ControllerService(const ControllerService&) = delete;
   ControllerService& operator=(const ControllerService&) = delete;
@@ -80,7 +80,7 @@
 
   void OnLeadership(bool is_leader, uint64_t term);
   void OnMessage(const Sender& sender, const ControlMessage& message);
-  bool MayDecide() const;
+  bool HasLeaderLease() const;
 
   // Sessions.
   void OnRenewal(const Sender& sender, const SessionRenewal& renewal);
@@ -88,63 +88,63 @@
                  const std::string& endpoint, Session* session);
   void OnPushAck(const StatePushAck& ack);
   void SchedulePush();
-  void PushAll();
+  void SendPushes();
   uint32_t InventoryAgeMs() const;
 
   // Proposals and queries.
-  void OnPropose(const Sender& sender, const ProposeRequest& request);
-  void FillControlTime(Command* command) const;
-  void OnProposed(const ProposalKey& key, const absl::StatusOr<std::string>& answer);
+  void OnProposeRequest(const Sender& sender, const ProposeRequest& request);
+  void StampControlTime(Command* command) const;
+  void OnProposalDone(const ProposalKey& key, const absl::StatusOr<std::string>& answer);
   void WaitUntilInForce(const ProposalKey& key, const CommandResult& result);
-  void Respond(const ProposalKey& key, ProposeResponse response);
-  void ScheduleCheck(runtime::Duration delay);
-  void CheckWaiters();
-  void OnQuery(const Sender& sender, const QueryRequest& request);
-  void AnswerQuery(const std::string& endpoint, const QueryRequest& request);
-  void RefuseQuery(const std::string& endpoint, uint64_t call);
+  void SendProposeResponse(const ProposalKey& key, ProposeResponse response);
+  void ScheduleAckCheck(runtime::Duration delay);
+  void CheckInForceWaiters();
+  void OnQueryRequest(const Sender& sender, const QueryRequest& request);
+  void RespondToQuery(const std::string& endpoint, const QueryRequest& request);
+  void RejectQuery(const std::string& endpoint, uint64_t call);
 
   // The leader's own decisions.
   void PlanWorkerLeases();
-  void OnInventory(Inventory inventory, runtime::MonotonicTime asked_at);
-  void ProposeOwn(const Command& command, std::function<void(bool applied)> done);
+  void OnInventoryRead(Inventory inventory, runtime::MonotonicTime requested_at);
+  void ProposeInternal(const Command& command, std::function<void(bool applied)> done);
 
   void Send(const std::string& endpoint, const ControlMessage& message);
   // Replaces whole sections of `changed` by differences from the receiver's, where they are known.
-  void SendDifferences(const SectionIndices& known, FleetState* changed) const;
+  void EncodeAsDeltas(const SectionIndices& acked_versions, FleetState* changed) const;
 
   runtime::Runtime* const runtime_;
   const ControllerServiceOptions options_;
   consensus::ReplicatedLog* const log_;
-  LeadershipGuard* const guard_;
+  LeaderLeaseGuard* const leader_lease_guard_;
   ControlState* const state_;
   // Callbacks that may outlive this object hold a weak pointer to it.
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   LeaderLocator locator_;
   LeaderClient client_;
-  InventoryReader inventory_reader_;
+  InventoryPoller inventory_poller_;
   const std::unique_ptr<ControllerMetrics> metrics_;
 
   bool leading_ = false;
   uint64_t term_ = 0;
   runtime::MonotonicTime leading_since_;
   // From here on no session of a former leader is left.
-  runtime::MonotonicTime handover_at_;
+  runtime::MonotonicTime previous_leases_expire_at_;
   int64_t control_time_base_ms_ = 0;
   SessionTable sessions_;
   InForceWaiters waiters_;
-  std::map<ProposalKey, uint64_t> proposals_;  // the newest call of each, which is answered
-  uint64_t unnamed_proposals_ = 0;             // tells apart proposals without request id
-  size_t queries_ = 0;
-  uint64_t last_push_ = 0;
+  std::map<ProposalKey, uint64_t> pending_proposals_;  // the newest call of each, which is answered
+  uint64_t anonymous_proposal_count_ = 0;              // tells apart proposals without request id
+  size_t pending_queries_ = 0;
+  uint64_t last_push_id_ = 0;
   runtime::MonotonicTime next_push_;  // by the bound of pushes a second
-  bool plan_under_way_ = false;
-  bool inventory_under_way_ = false;
+  bool plan_in_flight_ = false;
+  bool inventory_proposal_in_flight_ = false;
   bool inventory_known_ = false;
   Inventory last_reading_;  // as the platform told it
-  runtime::MonotonicTime last_reading_at_;
+  runtime::MonotonicTime last_reading_requested_at_;
   runtime::Timer refresh_timer_;
-  bool refresh_wanted_ = false;  // annotations changed while a reading was under way
-  runtime::MonotonicTime inventory_read_at_;
+  bool refresh_pending_ = false;  // annotations changed while a reading was under way
+  runtime::MonotonicTime inventory_requested_at_;
   runtime::Timer push_timer_;
   runtime::Timer check_timer_;
   runtime::Timer plan_timer_;
--- a/src/posthatch/control/delivery_records.cc
+++ b/src/posthatch/control/delivery_records.cc
@@ -13,8 +13,8 @@
   return absl::StrCat(tenant.size(), ":", tenant, "/", idempotency_key);
 }
 
-bool IsComplete(const std::string& tenant, const std::string& idempotency_key,
-                const std::string& attempt, CommandResult* result) {
+bool ValidateKey(const std::string& tenant, const std::string& idempotency_key,
+                 const std::string& attempt, CommandResult* result) {
   if (!tenant.empty() && !idempotency_key.empty() && !attempt.empty() &&
       idempotency_key.size() <= DeliveryRecords::kMaxKeyLength) {
     return true;
@@ -24,8 +24,8 @@
   return false;
 }
 
-void AnswerFinished(const DeliveryRecord& record, CommandResult* result) {
-  result->mutable_delivery()->set_kind(DeliveryAnswer::FINISHED);
+void SetFinished(const DeliveryRecord& record, CommandResult* result) {
+  result->mutable_delivery()->set_kind(DeliveryStatus::FINISHED);
   *result->mutable_delivery()->mutable_outcome() = record.outcome();
 }
 
@@ -33,7 +33,7 @@
 
 CommandResult DeliveryRecords::Begin(const DeliveryBegin& begin, int64_t window_ms) {
   CommandResult result;
-  if (!IsComplete(begin.tenant(), begin.idempotency_key(), begin.attempt(), &result)) {
+  if (!ValidateKey(begin.tenant(), begin.idempotency_key(), begin.attempt(), &result)) {
     return result;
   }
   AdvanceTime(begin.now_ms(), window_ms);
@@ -50,26 +50,26 @@
     record.set_attempt(begin.attempt());
     record.set_begun_ms(now_ms_);
     Insert(key, std::move(record));
-    result.mutable_delivery()->set_kind(DeliveryAnswer::BEGUN);
+    result.mutable_delivery()->set_kind(DeliveryStatus::BEGUN);
     return result;
   }
   const DeliveryRecord& record = found->second;
   // A record closed before its begin arrived has no request hash.
   if (!record.request_hash().empty() && record.request_hash() != begin.request_hash()) {
-    result.mutable_delivery()->set_kind(DeliveryAnswer::MISMATCH);
+    result.mutable_delivery()->set_kind(DeliveryStatus::MISMATCH);
   } else if (record.finished()) {
-    AnswerFinished(record, &result);
+    SetFinished(record, &result);
   } else if (record.attempt() == begin.attempt()) {
-    result.mutable_delivery()->set_kind(DeliveryAnswer::BEGUN);  // the same begin, sent again
+    result.mutable_delivery()->set_kind(DeliveryStatus::BEGUN);  // the same begin, sent again
   } else {
-    result.mutable_delivery()->set_kind(DeliveryAnswer::RUNNING);
+    result.mutable_delivery()->set_kind(DeliveryStatus::RUNNING);
   }
   return result;
 }
 
 CommandResult DeliveryRecords::Finish(const DeliveryFinish& finish, int64_t window_ms) {
   CommandResult result;
-  if (!IsComplete(finish.tenant(), finish.idempotency_key(), finish.attempt(), &result)) {
+  if (!ValidateKey(finish.tenant(), finish.idempotency_key(), finish.attempt(), &result)) {
     return result;
   }
   if (finish.outcome().kind() == DeliveryOutcome::KIND_UNSPECIFIED) {
@@ -99,8 +99,8 @@
   if (record.attempt() != finish.attempt()) {
     result.set_code(CommandResult::VERSION_CONFLICT);
     result.add_errors("another attempt holds the record");
-    result.mutable_delivery()->set_kind(DeliveryAnswer::RUNNING);
-    if (record.finished()) AnswerFinished(record, &result);
+    result.mutable_delivery()->set_kind(DeliveryStatus::RUNNING);
+    if (record.finished()) SetFinished(record, &result);
     return result;
   }
   if (!record.finished()) {
@@ -113,31 +113,32 @@
     outcome_bytes_ += record.outcome().body().size();
   }
   result.set_code(CommandResult::OK);
-  AnswerFinished(record, &result);
-  while (outcome_bytes_ > kMaxOutcomeBytes && order_.size() > 1) DropOldest();
+  SetFinished(record, &result);
+  while (outcome_bytes_ > kMaxOutcomeBytes && eviction_order_.size() > 1) EvictOldest();
   return result;
 }
 
 void DeliveryRecords::AdvanceTime(int64_t now_ms, int64_t window_ms) {
   now_ms_ = std::max(now_ms_, now_ms);
-  while (!order_.empty() && records_.at(order_.front()).begun_ms() + window_ms < now_ms_) {
-    DropOldest();
+  while (!eviction_order_.empty() &&
+         records_.at(eviction_order_.front()).begun_ms() + window_ms < now_ms_) {
+    EvictOldest();
   }
-  expired_.ForgetBefore(now_ms_ - kExpiredWindows * window_ms);
+  expired_.EvictBefore(now_ms_ - kExpiredWindows * window_ms);
 }
 
 void DeliveryRecords::Insert(const std::string& key, DeliveryRecord record) {
   records_[key] = std::move(record);
-  order_.push_back(key);
-  while (order_.size() > kMaxRecords) DropOldest();
+  eviction_order_.push_back(key);
+  while (eviction_order_.size() > kMaxRecords) EvictOldest();
 }
 
-void DeliveryRecords::DropOldest() {
-  const std::string& key = order_.front();
+void DeliveryRecords::EvictOldest() {
+  const std::string& key = eviction_order_.front();
   outcome_bytes_ -= records_.at(key).outcome().body().size();
   expired_.Add(key, now_ms_);
   records_.erase(key);
-  order_.pop_front();
+  eviction_order_.pop_front();
 }
 
 bool DeliveryRecords::IsExpired(const std::string& key, CommandResult* result) const {
@@ -148,14 +149,14 @@
 }
 
 void DeliveryRecords::Save(ControlSnapshot* snapshot) const {
-  for (const std::string& key : order_) *snapshot->add_deliveries() = records_.at(key);
+  for (const std::string& key : eviction_order_) *snapshot->add_deliveries() = records_.at(key);
   snapshot->set_delivery_now_ms(now_ms_);
   expired_.Save(snapshot->mutable_expired_deliveries());
 }
 
 void DeliveryRecords::Restore(const ControlSnapshot& snapshot) {
   records_.clear();
-  order_.clear();
+  eviction_order_.clear();
   outcome_bytes_ = 0;
   now_ms_ = snapshot.delivery_now_ms();
   expired_.Restore(snapshot.expired_deliveries());
--- a/src/posthatch/control/delivery_records.h
+++ b/src/posthatch/control/delivery_records.h
@@ -44,12 +44,12 @@
  private:
   void AdvanceTime(int64_t now_ms, int64_t window_ms);
   void Insert(const std::string& key, DeliveryRecord record);
-  void DropOldest();
+  void EvictOldest();
   // True if `key` has no record but had one.
   bool IsExpired(const std::string& key, CommandResult* result) const;
 
   absl::flat_hash_map<std::string, DeliveryRecord> records_;
-  std::deque<std::string> order_;  // keys of records_, oldest begin first
+  std::deque<std::string> eviction_order_;  // keys of records_, oldest begin first
   ExpiredKeys expired_{kMaxExpired};
   size_t outcome_bytes_ = 0;
   int64_t now_ms_ = 0;
--- a/src/posthatch/control/expired_keys.h
+++ b/src/posthatch/control/expired_keys.h
@@ -17,11 +17,11 @@
  public:
   explicit ExpiredKeys(size_t max_keys) : max_keys_(max_keys) {}
 
-  void Add(std::string_view key, int64_t dropped_ms);
+  void Add(std::string_view key, int64_t evicted_ms);
   bool Contains(std::string_view key) const { return keys_.contains(FingerprintOf(key)); }
   // Forgets keys that were dropped before `oldest_ms`.
-  void ForgetBefore(int64_t oldest_ms);
-  size_t size() const { return order_.size(); }
+  void EvictBefore(int64_t oldest_ms);
+  size_t size() const { return eviction_order_.size(); }
 
   void Save(google::protobuf::RepeatedPtrField<ExpiredKey>* keys) const;
   void Restore(const google::protobuf::RepeatedPtrField<ExpiredKey>& keys);
@@ -29,14 +29,14 @@
  private:
   struct Entry {
     Fingerprint fingerprint;
-    int64_t dropped_ms = 0;
+    int64_t evicted_ms = 0;
   };
 
   void Append(const Entry& entry);
-  void ForgetOldest();
+  void EvictOldest();
 
   const size_t max_keys_;
-  std::deque<Entry> order_;
+  std::deque<Entry> eviction_order_;
   absl::flat_hash_set<Fingerprint> keys_;
 };
 
--- a/src/posthatch/control/fleet_harness-test.h
+++ b/src/posthatch/control/fleet_harness-test.h
@@ -25,7 +25,7 @@
 struct LogParts {
   std::shared_ptr<void> owner;
   consensus::ReplicatedLog* log = nullptr;
-  LeadershipGuard* guard = nullptr;
+  LeaderLeaseGuard* guard = nullptr;
 };
 using LogFactory = std::function<LogParts(runtime::Runtime*, ControlState*)>;
 
@@ -131,7 +131,7 @@
     auto answer = std::make_shared<http::Response>();
     http::CallObserver observer;
     observer.on_head = [answer](const http::Response& head) { answer->status = head.status; };
-    observer.on_piece = [answer](const std::string& piece) { answer->body += piece; };
+    observer.on_chunk = [answer](const std::string& piece) { answer->body += piece; };
     observer.on_end = [this, id, answer] { OnAnswer(id, *answer); };
     observer.on_error = [this, id](const http::CallError&) { SendLater(id); };
     http::CallOptions options;
@@ -195,7 +195,7 @@
     if (runtime_->random->Chance(0.2)) {
       response.status = 429;
       response.headers.Add("Retry-After-Ms", "700");
-      writer->SendWhole(response);
+      writer->SendResponse(response);
       return;
     }
     boost::json::array backends;
@@ -207,7 +207,7 @@
                                              {"draining", runtime_->random->Chance(0.05)}});
     }
     response.body = boost::json::serialize(boost::json::object{{"backends", backends}});
-    writer->SendWhole(response);
+    writer->SendResponse(response);
   }
 
   runtime::Runtime* const runtime_;
@@ -248,7 +248,8 @@
   simulation::SimHost* Leader() const {
     for (simulation::SimHost* host : controller_hosts) {
       const ControllerProcess* process = Controller(host);
-      if (process != nullptr && process->service.leading() && process->log.guard->MayGrant()) {
+      if (process != nullptr && process->service.leading() &&
+          process->log.guard->HasLeaderLease()) {
         return host;
       }
     }
--- a/src/posthatch/control/fleet_sections.cc
+++ b/src/posthatch/control/fleet_sections.cc
@@ -134,19 +134,19 @@
   }
 }
 
-void SendConfigurationAsPatch(const ConfigurationHistory& history, uint64_t known_index,
+void EncodeConfigurationDelta(const ConfigurationHistory& history, uint64_t acked_index,
                               FleetState* changed) {
-  if (known_index == 0 || !changed->has_configuration()) return;
-  const ConfigurationVersion* known = history.FindByLogIndex(known_index);
+  if (acked_index == 0 || !changed->has_configuration()) return;
+  const ConfigurationVersion* known = history.FindByLogIndex(acked_index);
   if (known == nullptr) return;
   ConfigurationPatch patch = MakePatch(known->configuration(), changed->configuration());
   if (patch.ByteSizeLong() >= changed->configuration().ByteSizeLong()) return;
   changed->clear_configuration();
   *changed->mutable_configuration_patch() = std::move(patch);
-  changed->set_patch_base_index(known_index);
+  changed->set_patch_base_index(acked_index);
 }
 
-bool MakeConfigurationWhole(const FleetState& state, FleetState* changed) {
+bool ApplyConfigurationDelta(const FleetState& state, FleetState* changed) {
   if (changed->patch_base_index() == 0) return true;
   if (changed->configuration_index() <= state.configuration_index()) return true;  // not newer
   if (changed->patch_base_index() != state.configuration_index()) return false;
--- a/src/posthatch/control/fleet_sections.h
+++ b/src/posthatch/control/fleet_sections.h
@@ -51,12 +51,12 @@
 
 // Replaces a whole configuration in `changed` by its difference from the one with index
 // `known_index`, if that is still in `history` and the difference is smaller.
-void SendConfigurationAsPatch(const ConfigurationHistory& history, uint64_t known_index,
+void EncodeConfigurationDelta(const ConfigurationHistory& history, uint64_t acked_index,
                               FleetState* changed);
 
 // The other way: makes the configuration whole again from `state`'s. False if the patch is for
 // another configuration than `state` has: the sections can't be used.
-bool MakeConfigurationWhole(const FleetState& state, FleetState* changed);
+bool ApplyConfigurationDelta(const FleetState& state, FleetState* changed);
 
 // The lease on a worker, or null. Leases are sorted by worker id (WorkerLeaseTable).
 const WorkerLease* FindLease(const FleetState& state, std::string_view worker_id);
--- a/src/posthatch/control/gateway_session.cc
+++ b/src/posthatch/control/gateway_session.cc
@@ -15,11 +15,11 @@
 namespace {
 
 // Renewals whose answers are still of use.
-constexpr size_t kMaxOpenRenewals = 32;
+constexpr size_t kMaxPendingRenewals = 32;
 // A lease longer than this is a damaged message.
 constexpr uint32_t kMaxLeaseMs = 60000;
-constexpr runtime::Duration kRenewSoon = std::chrono::milliseconds(5);
-constexpr uint32_t kNeverRead = UINT32_MAX;
+constexpr runtime::Duration kPromptRenewalDelay = std::chrono::milliseconds(5);
+constexpr uint32_t kInventoryNeverRead = UINT32_MAX;
 
 prometheus::Counter* AddCounter(prometheus::Registry* registry, const char* name,
                                 const char* help) {
@@ -63,11 +63,11 @@
 }
 
 bool GatewaySession::LeaseValid() const {
-  return has_lease_ && !left_ && runtime_->clock->Now() < lease_expiry_;
+  return has_lease_ && !has_left_ && runtime_->clock->Now() < lease_expiry_;
 }
 
 runtime::Duration GatewaySession::InventoryAge() const {
-  return inventory_known_ ? runtime_->clock->Now() - inventory_read_at_ : kUnknownAge;
+  return inventory_known_ ? runtime_->clock->Now() - inventory_requested_at_ : kUnknownAge;
 }
 
 void GatewaySession::Propose(Command command, runtime::Duration timeout, bool until_in_force,
@@ -92,8 +92,8 @@
 }
 
 void GatewaySession::Leave() {
-  if (left_) return;
-  left_ = true;
+  if (has_left_) return;
+  has_left_ = true;
   has_lease_ = false;
   renew_timer_.Cancel();
   ++renewal_;
@@ -104,14 +104,15 @@
 }
 
 void GatewaySession::Renew() {
-  if (renewal_ > answered_renewal_) locator_.Suspect(asked_);
+  if (renewal_ > acked_renewal_) locator_.MarkUnavailable(renewal_target_);
   const std::string target = locator_.Target();
   if (!target.empty()) {
-    sent_[++renewal_] = runtime_->clock->Now();
-    while (sent_.size() > kMaxOpenRenewals) sent_.erase(sent_.begin());
+    pending_renewals_[++renewal_] = runtime_->clock->Now();
+    while (pending_renewals_.size() > kMaxPendingRenewals)
+      pending_renewals_.erase(pending_renewals_.begin());
     ControlMessage message;
     *message.mutable_session_renewal() = MakeRenewal(false);
-    asked_ = target;
+    renewal_target_ = target;
     Send(target, message);
     if (renewals_counter_ != nullptr) renewals_counter_->Increment();
   }
@@ -164,24 +165,26 @@
 }
 
 void GatewaySession::OnGrant(const std::string& from_endpoint, const SessionGrant& grant) {
-  if (left_) return;
-  const auto sent = sent_.find(grant.renewal());
-  if (sent == sent_.end() || grant.incarnation() != runtime_->transport->incarnation()) return;
+  if (has_left_) return;
+  const auto sent = pending_renewals_.find(grant.renewal());
+  if (sent == pending_renewals_.end() || grant.incarnation() != runtime_->transport->incarnation())
+    return;
   if (grant.term() < term_ || grant.lease_ms() > kMaxLeaseMs) return;
   const runtime::MonotonicTime sent_at = sent->second;
-  sent_.erase(sent_.begin(), std::next(sent));  // older answers are of no more use
+  pending_renewals_.erase(pending_renewals_.begin(),
+                          std::next(sent));  // older answers are of no more use
   term_ = grant.term();
-  answered_renewal_ = renewal_;
-  locator_.Heard(from_endpoint);
-  const Outcome outcome = PutInForce(grant.changed(), grant.changed_sections());
-  if (outcome == Outcome::kOutOfStep) {
+  acked_renewal_ = renewal_;
+  locator_.OnLeaderResponse(from_endpoint);
+  const UpdateOutcome outcome = ApplyUpdate(grant.changed(), grant.changed_sections());
+  if (outcome == UpdateOutcome::kBaseMismatch) {
     // A push came in between; the next renewal says what is in force now.
-    renew_timer_.Start(kRenewSoon, [this] { Renew(); });
+    renew_timer_.Start(kPromptRenewalDelay, [this] { Renew(); });
   }
-  if (outcome == Outcome::kOutOfStep || outcome == Outcome::kRejected) return;
-  if (grant.inventory_age_ms() != kNeverRead) {
+  if (outcome == UpdateOutcome::kBaseMismatch || outcome == UpdateOutcome::kRejected) return;
+  if (grant.inventory_age_ms() != kInventoryNeverRead) {
     // The leader wrote the age down after the renewal was sent, so the reading is not older.
-    inventory_read_at_ = sent_at - std::chrono::milliseconds(grant.inventory_age_ms());
+    inventory_requested_at_ = sent_at - std::chrono::milliseconds(grant.inventory_age_ms());
     inventory_known_ = true;
   }
   const bool first_of_leader = granted_term_ != grant.term();
@@ -198,40 +201,41 @@
   const runtime::Duration passed = runtime_->clock->Now() - sent_at;
   const runtime::Duration until_renewal = options_.renew_interval - passed;
   renew_timer_.Start(
-      first_of_leader ? kRenewSoon : std::max(until_renewal, runtime::Duration::zero()),
+      first_of_leader ? kPromptRenewalDelay : std::max(until_renewal, runtime::Duration::zero()),
       [this] { Renew(); });
-  if (outcome == Outcome::kNothingNew) return;
+  if (outcome == UpdateOutcome::kUnchanged) return;
   Acknowledge(from_endpoint, 0);
   NotifyListeners();
 }
 
 void GatewaySession::OnPush(const std::string& from_endpoint, const StatePush& push) {
-  if (left_ || push.term() < term_) return;
-  const Outcome outcome = PutInForce(push.changed(), push.changed_sections());
-  if (outcome == Outcome::kRejected) return;
+  if (has_left_ || push.term() < term_) return;
+  const UpdateOutcome outcome = ApplyUpdate(push.changed(), push.changed_sections());
+  if (outcome == UpdateOutcome::kRejected) return;
   // Out of step it tells the leader what to make the next difference from.
   Acknowledge(from_endpoint, push.push());
-  if (outcome == Outcome::kChanged) NotifyListeners();
+  if (outcome == UpdateOutcome::kChanged) NotifyListeners();
 }
 
 void GatewaySession::OnLeaderHint(const std::string& from_endpoint, const std::string& hint) {
   if (hint.empty() || hint == from_endpoint) {
-    locator_.Suspect(from_endpoint);
+    locator_.MarkUnavailable(from_endpoint);
     return;  // the next renewal is due within the retry interval
   }
   if (hint == locator_.Target()) return;
   locator_.FollowHint(hint);
-  if (left_) return;
-  if (!LeaseValid() || renewal_ > answered_renewal_) {
-    renew_timer_.Start(kRenewSoon, [this] { Renew(); });
+  if (has_left_) return;
+  if (!LeaseValid() || renewal_ > acked_renewal_) {
+    renew_timer_.Start(kPromptRenewalDelay, [this] { Renew(); });
   }
 }
 
-GatewaySession::Outcome GatewaySession::PutInForce(
+GatewaySession::UpdateOutcome GatewaySession::ApplyUpdate(
     FleetState changed, const google::protobuf::RepeatedPtrField<std::string>& names) {
-  const bool whole = MakeConfigurationWhole(state_, &changed) &&
-                     MakeInventoryWhole(state_, &changed) && MakeTrafficWhole(state_, &changed);
-  if (!whole) return Outcome::kOutOfStep;
+  const bool reconstructed = ApplyConfigurationDelta(state_, &changed) &&
+                             ApplyInventoryDelta(state_, &changed) &&
+                             ApplyTrafficDelta(state_, &changed);
+  if (!reconstructed) return UpdateOutcome::kBaseMismatch;
   const bool new_configuration = changed.configuration_index() > state_.configuration_index();
   if (new_configuration) {
     const std::vector<std::string> errors = ValidateConfiguration(changed.configuration());
@@ -240,14 +244,14 @@
       if (rejections_counter_ != nullptr) rejections_counter_->Increment();
       runtime_->trace->Event(runtime::Severity::kError, "ConfigurationRejected",
                              {{"version", changed.configuration_version()}, {"error", rejection_}});
-      return Outcome::kRejected;
+      return UpdateOutcome::kRejected;
     }
   }
   const bool any = ApplyNewerSections(changed, names, &state_);
   if (new_configuration && version_gauge_ != nullptr) {
     version_gauge_->Set(static_cast<double>(state_.configuration_version()));
   }
-  return any ? Outcome::kChanged : Outcome::kNothingNew;
+  return any ? UpdateOutcome::kChanged : UpdateOutcome::kUnchanged;
 }
 
 void GatewaySession::Acknowledge(const std::string& endpoint, uint64_t push) {
--- a/src/posthatch/control/gateway_session.h
+++ b/src/posthatch/control/gateway_session.h
@@ -73,15 +73,15 @@
   void OnGrant(const std::string& from_endpoint, const SessionGrant& grant);
   void OnPush(const std::string& from_endpoint, const StatePush& push);
   void OnLeaderHint(const std::string& from_endpoint, const std::string& hint);
-  enum class Outcome {
-    kNothingNew,
+  enum class UpdateOutcome {
+    kUnchanged,
     kChanged,
-    kRejected,   // the configuration can't be used: nothing was applied
-    kOutOfStep,  // it is a patch for another configuration than ours: nothing was applied
+    kRejected,      // the configuration can't be used: nothing was applied
+    kBaseMismatch,  // it is a patch for another configuration than ours: nothing was applied
   };
   // Puts newer sections in force.
-  Outcome PutInForce(FleetState changed,
-                     const google::protobuf::RepeatedPtrField<std::string>& names);
+  UpdateOutcome ApplyUpdate(FleetState changed,
+                            const google::protobuf::RepeatedPtrField<std::string>& names);
   void Acknowledge(const std::string& endpoint, uint64_t push);
   void Renew();
   void ScheduleRenewal();
@@ -98,18 +98,18 @@
   FleetState state_;
   runtime::MonotonicTime lease_expiry_;
   bool has_lease_ = false;  // a lease was ever granted and not given up
-  bool left_ = false;
+  bool has_left_ = false;
   uint64_t term_ = 0;  // newest leader's term
   uint64_t renewal_ = 0;
-  std::map<uint64_t, runtime::MonotonicTime> sent_;  // renewal -> when it was sent
-  uint64_t answered_renewal_ = 0;
+  std::map<uint64_t, runtime::MonotonicTime> pending_renewals_;  // renewal -> when it was sent
+  uint64_t acked_renewal_ = 0;
   uint64_t granted_term_ = 0;  // of the newest grant, and the renewal that it answered
   uint64_t granted_renewal_ = 0;
   std::string leader_endpoint_;
-  std::string asked_;  // where the last renewal went
+  std::string renewal_target_;  // where the last renewal went
   std::string rejection_;
   bool inventory_known_ = false;
-  runtime::MonotonicTime inventory_read_at_;
+  runtime::MonotonicTime inventory_requested_at_;
   std::vector<Listener> listeners_;
 
   prometheus::Counter* renewals_counter_ = nullptr;
--- a/src/posthatch/control/in_force_waiters.cc
+++ b/src/posthatch/control/in_force_waiters.cc
@@ -8,7 +8,7 @@
   std::list<Waiter> over;
   for (auto waiter = waiters_.begin(); waiter != waiters_.end();) {
     const auto next = std::next(waiter);
-    if (sessions.InForceEverywhere(waiter->log_index, now)) {
+    if (sessions.AckedByAllSessions(waiter->log_index, now)) {
       over.splice(over.end(), waiters_, waiter);
     }
     waiter = next;
@@ -16,7 +16,7 @@
   for (const Waiter& waiter : over) waiter.done(true);
 }
 
-void InForceWaiters::Abandon() {
+void InForceWaiters::FailAll() {
   const std::list<Waiter> abandoned = std::exchange(waiters_, {});
   for (const Waiter& waiter : abandoned) waiter.done(false);
 }
--- a/src/posthatch/control/in_force_waiters.h
+++ b/src/posthatch/control/in_force_waiters.h
@@ -20,7 +20,7 @@
   // Ends the waits that are over at `now`.
   void Check(const SessionTable& sessions, runtime::MonotonicTime now);
   // Ends all with in_force = false.
-  void Abandon();
+  void FailAll();
   size_t size() const { return waiters_.size(); }
 
  private:
--- a/src/posthatch/control/inventory_fetch.cc
+++ b/src/posthatch/control/inventory_fetch.cc
@@ -27,8 +27,8 @@
   done_ = std::move(done);
   collected_.Clear();
   calls_ = 0;
-  asked_at_ = runtime_->clock->Now();
-  AskPage("");
+  requested_at_ = runtime_->clock->Now();
+  RequestPage("");
 }
 
 void InventoryFetch::Cancel() {
@@ -36,17 +36,17 @@
   next_.Cancel();
 }
 
-void InventoryFetch::AskPage(const std::string& page) {
+void InventoryFetch::RequestPage(const std::string& page) {
   ++calls_;
-  answer_ = http::Response();
+  response_ = http::Response();
   http::CallOptions options;
   options.connect_timeout = timeout_;
   options.head_timeout = timeout_;
-  options.piece_timeout = timeout_;
+  options.body_idle_timeout = timeout_;
   options.max_body_bytes = kMaxBodyBytes;
   http::CallObserver observer;
-  observer.on_head = [this](const http::Response& head) { answer_ = head; };
-  observer.on_piece = [this](const std::string& piece) { answer_.body.append(piece); };
+  observer.on_head = [this](const http::Response& head) { response_ = head; };
+  observer.on_chunk = [this](const std::string& piece) { response_.body.append(piece); };
   observer.on_end = [this] { OnPage(); };
   observer.on_error = [this](const http::CallError& error) {
     Finish(absl::UnavailableError(error.status.message()), runtime::Duration::zero());
@@ -56,15 +56,15 @@
 }
 
 void InventoryFetch::OnPage() {
-  if (answer_.status == kStatusTooManyRequests) {
+  if (response_.status == kStatusTooManyRequests) {
     return Finish(absl::ResourceExhaustedError("the inventory was read too often"),
-                  format_->PauseAsked(answer_));
+                  format_->RetryAfter(response_));
   }
-  if (answer_.status != kStatusOk) {
+  if (response_.status != kStatusOk) {
     return Finish(absl::UnavailableError("the inventory answered with an error"),
                   runtime::Duration::zero());
   }
-  absl::StatusOr<InventoryPage> page = format_->ReadPage(answer_.body);
+  absl::StatusOr<InventoryPage> page = format_->ParsePage(response_.body);
   if (!page.ok()) return Finish(page.status(), runtime::Duration::zero());
   for (Backend& backend : *page->inventory.mutable_backends()) {
     *collected_.add_backends() = std::move(backend);
@@ -74,14 +74,14 @@
     return Finish(std::move(collected_), runtime::Duration::zero());
   }
   next_.Start(runtime::Duration::zero(),
-              [this, next_page = std::move(page->next_page)] { AskPage(next_page); });
+              [this, next_page = std::move(page->next_page)] { RequestPage(next_page); });
 }
 
 void InventoryFetch::Finish(absl::StatusOr<Inventory> inventory, runtime::Duration pause) {
   const Done done = std::exchange(done_, nullptr);
   // The call must outlive its own callback: it goes with the next one or with this object.
   next_.Start(runtime::Duration::zero(), [this] { call_.reset(); });
-  if (done) done({std::move(inventory), pause, asked_at_, calls_});
+  if (done) done({std::move(inventory), pause, requested_at_, calls_});
 }
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/inventory_fetch.h
+++ b/src/posthatch/control/inventory_fetch.h
@@ -10,7 +10,7 @@
 
 namespace posthatch::control {
 
-// Reads a platform's whole inventory once, page by page. Owned by InventoryReader or by a gateway's
+// Reads a platform's whole inventory once, page by page. Owned by InventoryPoller or by a gateway's
 // own watch on the inventory; event loop thread only.
 class InventoryFetch {
  public:
@@ -21,7 +21,7 @@
     // Asked for by a refusal; zero if it named none.
     runtime::Duration pause{0};
     // When the first page was asked for: the list is not older, but for the platform's own lag.
-    runtime::MonotonicTime asked_at;
+    runtime::MonotonicTime requested_at;
     // Calls that it took: the platform counts each page.
     int calls = 0;
   };
@@ -38,7 +38,7 @@
  private:
   static constexpr int kMaxCalls = 10'000;
 
-  void AskPage(const std::string& page);
+  void RequestPage(const std::string& page);
   void OnPage();
   void Finish(absl::StatusOr<Inventory> inventory, runtime::Duration pause);
 
@@ -48,10 +48,10 @@
   const runtime::Duration timeout_;
   Done done_;
   std::unique_ptr<http::Call> call_;
-  http::Response answer_;
+  http::Response response_;
   Inventory collected_;
   int calls_ = 0;
-  runtime::MonotonicTime asked_at_;
+  runtime::MonotonicTime requested_at_;
   runtime::Timer next_;  // the next page is not asked for from within the last one's callback
 };
 
--- a/src/posthatch/control/inventory_format.h
+++ b/src/posthatch/control/inventory_format.h
@@ -20,9 +20,9 @@
   // `page` is empty for the first one.
   virtual http::Request PageRequest(const std::string& page) const = 0;
   // InvalidArgument if `body` is not a whole page.
-  virtual absl::StatusOr<InventoryPage> ReadPage(const std::string& body) const = 0;
+  virtual absl::StatusOr<InventoryPage> ParsePage(const std::string& body) const = 0;
   // How long a refusal for reading too often asks to wait; zero if it doesn't say.
-  virtual runtime::Duration PauseAsked(const http::Response& refusal) const = 0;
+  virtual runtime::Duration RetryAfter(const http::Response& refusal) const = 0;
 };
 
 // The inventory of docs/BACKENDS.md: one page.
--- a/src/posthatch/control/inventory_reader.cc
+++ b/src/posthatch/control/inventory_poller.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/inventory_reader.h"
+#include "posthatch/control/inventory_poller.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,40 +8,40 @@
 
 namespace posthatch::control {
 
-InventoryReader::InventoryReader(runtime::Runtime* runtime, InventoryReaderOptions options,
-                                 ReadingDone done)
+InventoryPoller::InventoryPoller(runtime::Runtime* runtime, InventoryPollerOptions options,
+                                 ReadCallback done)
     : runtime_(runtime),
       options_(std::move(options)),
       done_(std::move(done)),
       fetch_(runtime, options_.endpoint, options_.format, options_.timeout),
       timer_(runtime->timers) {}
 
-void InventoryReader::Start() {
+void InventoryPoller::Start() {
   if (running_ || options_.endpoint.empty()) return;
   running_ = true;
   timer_.Start(runtime::Duration::zero(), [this] { Poll(); });
 }
 
-void InventoryReader::Stop() {
+void InventoryPoller::Stop() {
   running_ = false;
   fetch_.Cancel();
   timer_.Cancel();
 }
 
-void InventoryReader::Poll() {
+void InventoryPoller::Poll() {
   fetch_.Start([this](InventoryFetch::Outcome outcome) { OnOutcome(std::move(outcome)); });
 }
 
-void InventoryReader::OnOutcome(InventoryFetch::Outcome outcome) {
+void InventoryPoller::OnOutcome(InventoryFetch::Outcome outcome) {
   runtime::Duration pause = options_.poll_interval;
   if (absl::IsResourceExhausted(outcome.inventory.status())) {
-    pause = std::clamp(outcome.pause, options_.poll_interval, options_.max_pause);
+    pause = std::clamp(outcome.pause, options_.poll_interval, options_.max_retry_after);
   }
   timer_.Start(pause, [this] { Poll(); });
   if (outcome.inventory.ok()) {
-    done_(*std::move(outcome.inventory), outcome.asked_at);
+    done_(*std::move(outcome.inventory), outcome.requested_at);
   } else if (absl::IsInvalidArgument(outcome.inventory.status())) {
-    runtime_->trace->Event(runtime::Severity::kWarning, "InventoryUnreadable",
+    runtime_->trace->Event(runtime::Severity::kWarning, "InventoryMalformed",
                            {{"error", absl::StrCat(outcome.inventory.status().message())}});
   }
 }
--- a/src/posthatch/control/inventory_reader.h
+++ b/src/posthatch/control/inventory_poller.h
@@ -10,24 +10,25 @@
 
 namespace posthatch::control {
 
-struct InventoryReaderOptions {
+struct InventoryPollerOptions {
   std::string endpoint;  // "ip:port" of the platform's inventory; empty: nothing is read
   const InventoryFormat* format = NativeInventoryFormat();
   runtime::Duration poll_interval = std::chrono::milliseconds(500);
   runtime::Duration timeout = std::chrono::milliseconds(1000);
   // Longest pause that a refusal may ask for.
-  runtime::Duration max_pause = std::chrono::seconds(5);
+  runtime::Duration max_retry_after = std::chrono::seconds(5);
 };
 
 // Reads the platform's inventory again and again while it runs, one reading at a time; a refusal
 // for reading too often puts the next one off. Owned by ControllerService.
-class InventoryReader {
+class InventoryPoller {
  public:
   // A whole list, and when it was asked for: it is not older than that, but for the platform's own
   // lateness.
-  using ReadingDone = std::function<void(Inventory inventory, runtime::MonotonicTime asked_at)>;
+  using ReadCallback =
+      std::function<void(Inventory inventory, runtime::MonotonicTime requested_at)>;
 
-  InventoryReader(runtime::Runtime* runtime, InventoryReaderOptions options, ReadingDone done);
+  InventoryPoller(runtime::Runtime* runtime, InventoryPollerOptions options, ReadCallback done);
   void Start();
   void Stop();
 
@@ -36,8 +37,8 @@
   void OnOutcome(InventoryFetch::Outcome outcome);
 
   runtime::Runtime* const runtime_;
-  const InventoryReaderOptions options_;
-  const ReadingDone done_;
+  const InventoryPollerOptions options_;
+  const ReadCallback done_;
   InventoryFetch fetch_;
   runtime::Timer timer_;
   bool running_ = false;
--- a/src/posthatch/control/inventory_state.cc
+++ b/src/posthatch/control/inventory_state.cc
@@ -31,7 +31,7 @@
       return result;
     }
     next = inventory_;
-    ApplyInventoryChange(reading.change(), &next);
+    PatchInventory(reading.change(), &next);
   } else {
     next = reading.inventory();
     SortBackends(&next);
--- a/src/posthatch/control/inventory_watch-test.cc
+++ b/src/posthatch/control/inventory_watch-test.cc
@@ -51,7 +51,8 @@
     watch.Start();
   }
   bool KnowsAsDraining(const std::string& id) const {
-    const Inventory& list = watch.own() == nullptr ? view.state().inventory() : *watch.own();
+    const Inventory& list =
+        watch.local_snapshot() == nullptr ? view.state().inventory() : *watch.local_snapshot();
     for (const Backend& backend : list.backends()) {
       if (backend.id() == id) return backend.draining();
     }
@@ -85,7 +86,7 @@
     if (++in_second_ > calls_per_second_) {
       ++refused;
       response.status = 429;
-      return writer->SendWhole(response);
+      return writer->SendResponse(response);
     }
     response.body = R"({"backends":[)";
     for (int i = 0; i < 20; ++i) {
@@ -95,7 +96,7 @@
                       draining.contains(id) ? "true}" : "false}");
     }
     response.body += "]}";
-    writer->SendWhole(response);
+    writer->SendResponse(response);
   }
 
   runtime::Runtime* const runtime_;
@@ -202,7 +203,7 @@
   for (int zone = 0; zone < kZones; ++zone) {
     fleet.hosts[zone]->Freeze();
     fleet.silenced.insert(fleet.hosts[zone]->name());
-    fleet.world.Cut(fleet.hosts[kZones + zone]->name(), "list");
+    fleet.world.Partition(fleet.hosts[kZones + zone]->name(), "list");
   }
   EXPECT_LT(fleet.TimeUntilAllKnow("w3"), kDrainBound);
 }
@@ -217,7 +218,7 @@
   fleet.world.RunFor(seconds(5));
   EXPECT_LT(fleet.TimeUntilAllKnow("w0"), kDrainBound);
   for (const simulation::SimHost* host : fleet.hosts) {
-    EXPECT_EQ(fleet.Gateway(host)->watch.own()->backends_size(), 20);
+    EXPECT_EQ(fleet.Gateway(host)->watch.local_snapshot()->backends_size(), 20);
   }
 }
 
@@ -242,7 +243,7 @@
   fleet.world.RunFor(seconds(10));
   EXPECT_EQ(fleet.server->calls, before);
   for (const simulation::SimHost* host : fleet.hosts) {
-    EXPECT_EQ(fleet.Gateway(host)->watch.own(), nullptr);
+    EXPECT_EQ(fleet.Gateway(host)->watch.local_snapshot(), nullptr);
   }
 }
 
--- a/src/posthatch/control/inventory_watch.h
+++ b/src/posthatch/control/inventory_watch.h
@@ -22,7 +22,7 @@
   runtime::Duration stale_age = std::chrono::seconds(2);
   // From this age on nothing is decided until the list was asked for anew: a draining mark may be
   // nearly 3 s old by then (invariant N7).
-  runtime::Duration oldest_age = std::chrono::milliseconds(2800);
+  runtime::Duration max_age = std::chrono::milliseconds(2800);
   runtime::Duration timeout = std::chrono::milliseconds(500);
   // Calls that all gateways together may make of the platform, per second; a list takes as many as
   // it has pages.
@@ -52,10 +52,12 @@
 
   void Start();
   // This gateway's own reading while it is newer than the leader's; null otherwise.
-  const Inventory* own() const { return own_.has_value() ? &*own_ : nullptr; }
-  // False while the newest reading is older than `oldest_age` and the platform wasn't asked since.
+  const Inventory* local_snapshot() const {
+    return local_snapshot_.has_value() ? &*local_snapshot_ : nullptr;
+  }
+  // False while the newest reading is older than `max_age` and the platform wasn't asked since.
   // When the platform doesn't answer, the last list is used.
-  bool MayDecide() const;
+  bool HasUsableInventory() const;
 
  private:
   void Check();
@@ -63,17 +65,17 @@
   void Refresh();
   void ReadPlatform();
   void OnOutcome(InventoryFetch::Outcome outcome);
-  void OnZoneReading(const std::optional<InventoryReading>& reading);
+  void OnPeerReading(const std::optional<InventoryReading>& reading);
   // Hands a list over that is fresh enough for the zone's other gateways, reading it if need be.
-  void Serve(ZoneInventory::ReadingDone done);
-  void AnswerWaiting();
-  void TakeOwn(Inventory inventory, runtime::MonotonicTime asked_at);
+  void ServePeer(ZoneInventory::ReadCallback done);
+  void RespondToWaitingPeers();
+  void AdoptLocalSnapshot(Inventory inventory, runtime::MonotonicTime requested_at);
   // The newer one of the two readings.
-  InventoryReading Newest() const;
+  InventoryReading NewestReading() const;
   runtime::Duration Age() const;
   runtime::Duration ReadInterval() const;
   // The pause after a refusal or a failure, which grows until a reading succeeds.
-  runtime::Duration NextPause(runtime::Duration asked);
+  runtime::Duration NextBackoff(runtime::Duration retry_after);
 
   runtime::Runtime* const runtime_;
   const InventoryWatchOptions options_;
@@ -81,19 +83,19 @@
   InventoryFetch fetch_;
   std::unique_ptr<ZoneInventory> zone_;  // null: each gateway reads for itself
   runtime::Timer timer_;
-  std::optional<Inventory> own_;
-  runtime::MonotonicTime own_asked_at_;
-  runtime::MonotonicTime asked_at_;        // of the read in progress or the last one
-  runtime::MonotonicTime unreachable_at_;  // when the platform last failed to answer
-  bool was_unreachable_ = false;
-  bool reading_ = false;  // the platform is being asked
-  bool asking_ = false;   // the zone's reader is being asked
+  std::optional<Inventory> local_snapshot_;
+  runtime::MonotonicTime local_snapshot_requested_at_;
+  runtime::MonotonicTime requested_at_;             // of the read in progress or the last one
+  runtime::MonotonicTime platform_unreachable_at_;  // when the platform last failed to answer
+  bool platform_unreachable_ = false;
+  bool platform_read_in_flight_ = false;  // the platform is being asked
+  bool peer_read_in_flight_ = false;      // the zone's reader is being asked
   runtime::MonotonicTime next_read_;
   // No call of the platform before, whoever asks for it.
-  runtime::MonotonicTime paused_until_;
-  int refusals_ = 0;        // and failures, since the last reading that succeeded
-  int calls_per_read_ = 1;  // as the last reading took
-  std::vector<ZoneInventory::ReadingDone> waiting_;
+  runtime::MonotonicTime backoff_until_;
+  int consecutive_failures_ = 0;  // and failures, since the last reading that succeeded
+  int calls_per_read_ = 1;        // as the last reading took
+  std::vector<ZoneInventory::ReadCallback> waiting_peers_;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/isolation_registry.cc
+++ b/src/posthatch/control/isolation_registry.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-std::vector<IsolationRegistry::TenantStatus> IsolationRegistry::TenantsOf(
+std::vector<IsolationRegistry::TenantStatus> IsolationRegistry::EvaluateTenants(
     const Configuration& configuration) {
   std::vector<TenantStatus> tenants;
   for (const Tenant& tenant : configuration.tenants()) {
--- a/src/posthatch/control/isolation_registry.h
+++ b/src/posthatch/control/isolation_registry.h
@@ -28,7 +28,7 @@
   std::vector<std::string> Update(uint64_t log_index, const std::vector<TenantStatus>& tenants);
 
   // The tenants of a configuration, each judged by its isolation rules.
-  static std::vector<TenantStatus> TenantsOf(const Configuration& configuration);
+  static std::vector<TenantStatus> EvaluateTenants(const Configuration& configuration);
 
   void Save(google::protobuf::RepeatedPtrField<TenantIsolation>* isolation) const;
   void Restore(const google::protobuf::RepeatedPtrField<TenantIsolation>& isolation);
--- a/src/posthatch/control/leader_client.cc
+++ b/src/posthatch/control/leader_client.cc
@@ -9,10 +9,10 @@
 namespace {
 
 // Pause after a refusal that named another leader, and after one that didn't.
-constexpr runtime::Duration kRedirectPause = std::chrono::milliseconds(5);
-constexpr runtime::Duration kRefusedPause = std::chrono::milliseconds(100);
-constexpr runtime::Duration kOverloadPause = std::chrono::milliseconds(200);
-constexpr runtime::Duration kNoControllerPause = std::chrono::milliseconds(100);
+constexpr runtime::Duration kRedirectBackoff = std::chrono::milliseconds(5);
+constexpr runtime::Duration kRejectedBackoff = std::chrono::milliseconds(100);
+constexpr runtime::Duration kOverloadBackoff = std::chrono::milliseconds(200);
+constexpr runtime::Duration kNoControllerBackoff = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -66,42 +66,43 @@
   Operation* operation = operations_.at(operation_id).get();
   const std::string target = locator_->Target();
   if (target.empty()) {
-    SendLater(operation_id, kNoControllerPause);
+    ScheduleSend(operation_id, kNoControllerBackoff);
     return;
   }
   const uint64_t call = ++last_call_;
-  call_owners_[call] = operation_id;
-  operation->open_calls.insert(call);
+  operation_by_call_[call] = operation_id;
+  operation->outstanding_calls.insert(call);
   operation->sent_to = target;
   if (operation->message.has_propose_request()) {
     operation->message.mutable_propose_request()->set_call(call);
   } else {
     operation->message.mutable_query_request()->set_call(call);
   }
-  const runtime::Duration left = operation->deadline - runtime_->clock->Now();
-  operation->timer.Start(std::min(operation->resend_interval, left),
-                         [this, operation_id] { OnSilence(operation_id); });
+  const runtime::Duration remaining = operation->deadline - runtime_->clock->Now();
+  operation->timer.Start(std::min(operation->resend_interval, remaining),
+                         [this, operation_id] { OnResendTimeout(operation_id); });
   sender_(target, operation->message);
 }
 
-void LeaderClient::OnSilence(uint64_t operation_id) {
+void LeaderClient::OnResendTimeout(uint64_t operation_id) {
   Operation* operation = operations_.at(operation_id).get();
-  locator_->Suspect(operation->sent_to);
+  locator_->MarkUnavailable(operation->sent_to);
   if (runtime_->clock->Now() < operation->deadline) {
     SendOperation(operation_id);
     return;
   }
-  const bool never_taken = operation->open_calls.empty() && !operation->uncertain;
-  Finish(operation_id, never_taken ? absl::ResourceExhaustedError("no controller took the request")
-                                   : absl::DeadlineExceededError("no answer from the controllers"));
+  const bool never_accepted = operation->outstanding_calls.empty() && !operation->uncertain;
+  Finish(operation_id, never_accepted
+                           ? absl::ResourceExhaustedError("no controller took the request")
+                           : absl::DeadlineExceededError("no answer from the controllers"));
 }
 
-void LeaderClient::SendLater(uint64_t operation_id, runtime::Duration delay) {
+void LeaderClient::ScheduleSend(uint64_t operation_id, runtime::Duration delay) {
   Operation* operation = operations_.at(operation_id).get();
-  const runtime::Duration left = operation->deadline - runtime_->clock->Now();
-  if (left <= delay) {
-    operation->timer.Start(std::max(left, runtime::Duration::zero()),
-                           [this, operation_id] { OnSilence(operation_id); });
+  const runtime::Duration remaining = operation->deadline - runtime_->clock->Now();
+  if (remaining <= delay) {
+    operation->timer.Start(std::max(remaining, runtime::Duration::zero()),
+                           [this, operation_id] { OnResendTimeout(operation_id); });
     return;
   }
   operation->timer.Start(delay, [this, operation_id] { SendOperation(operation_id); });
@@ -109,56 +110,57 @@
 
 void LeaderClient::OnProposeResponse(const std::string& from_endpoint,
                                      const ProposeResponse& response) {
-  const uint64_t operation_id = OperationOf(response.call());
+  const uint64_t operation_id = FindOperationByCall(response.call());
   if (operation_id == 0) return;
   switch (response.status()) {
     case ProposeResponse::DONE: {
-      locator_->Heard(from_endpoint);
+      locator_->OnLeaderResponse(from_endpoint);
       std::unique_ptr<Operation> operation = Remove(operation_id);
       if (operation->propose_done) operation->propose_done(response.result());
       return;
     }
     case ProposeResponse::UNCERTAIN:
       operations_.at(operation_id)->uncertain = true;
-      SendLater(operation_id, kRefusedPause);
+      ScheduleSend(operation_id, kRejectedBackoff);
       return;
     case ProposeResponse::OVERLOADED: {
-      operations_.at(operation_id)->open_calls.erase(response.call());
-      call_owners_.erase(response.call());
-      const runtime::Duration pause = runtime_->random->Between(kOverloadPause, 2 * kOverloadPause);
-      SendLater(operation_id, pause);
+      operations_.at(operation_id)->outstanding_calls.erase(response.call());
+      operation_by_call_.erase(response.call());
+      const runtime::Duration backoff =
+          runtime_->random->Between(kOverloadBackoff, 2 * kOverloadBackoff);
+      ScheduleSend(operation_id, backoff);
       return;
     }
     default:
-      OnRefused(response.call(), from_endpoint, response.leader_endpoint());
+      OnRejected(response.call(), from_endpoint, response.leader_endpoint());
   }
 }
 
 void LeaderClient::OnQueryResponse(const std::string& from_endpoint,
                                    const QueryResponse& response) {
-  const uint64_t operation_id = OperationOf(response.call());
+  const uint64_t operation_id = FindOperationByCall(response.call());
   if (operation_id == 0) return;
   if (response.not_leader()) {
-    OnRefused(response.call(), from_endpoint, response.leader_endpoint());
+    OnRejected(response.call(), from_endpoint, response.leader_endpoint());
     return;
   }
-  locator_->Heard(from_endpoint);
+  locator_->OnLeaderResponse(from_endpoint);
   std::unique_ptr<Operation> operation = Remove(operation_id);
   if (operation->query_done) operation->query_done(response);
 }
 
-void LeaderClient::OnRefused(uint64_t call, const std::string& from_endpoint,
-                             const std::string& hint) {
-  const uint64_t operation_id = OperationOf(call);
-  operations_.at(operation_id)->open_calls.erase(call);
-  call_owners_.erase(call);
+void LeaderClient::OnRejected(uint64_t call, const std::string& from_endpoint,
+                              const std::string& hint) {
+  const uint64_t operation_id = FindOperationByCall(call);
+  operations_.at(operation_id)->outstanding_calls.erase(call);
+  operation_by_call_.erase(call);
   const bool redirected = !hint.empty() && hint != from_endpoint;
   if (redirected) {
     locator_->FollowHint(hint);
   } else {
-    locator_->Suspect(from_endpoint);
+    locator_->MarkUnavailable(from_endpoint);
   }
-  SendLater(operation_id, redirected ? kRedirectPause : kRefusedPause);
+  ScheduleSend(operation_id, redirected ? kRedirectBackoff : kRejectedBackoff);
 }
 
 void LeaderClient::Finish(uint64_t operation_id, const absl::Status& status) {
@@ -167,16 +169,16 @@
   if (operation->query_done) operation->query_done(status);
 }
 
-uint64_t LeaderClient::OperationOf(uint64_t call) const {
-  const auto owner = call_owners_.find(call);
-  return owner == call_owners_.end() ? 0 : owner->second;
+uint64_t LeaderClient::FindOperationByCall(uint64_t call) const {
+  const auto owner = operation_by_call_.find(call);
+  return owner == operation_by_call_.end() ? 0 : owner->second;
 }
 
 std::unique_ptr<LeaderClient::Operation> LeaderClient::Remove(uint64_t operation_id) {
   auto found = operations_.find(operation_id);
   std::unique_ptr<Operation> operation = std::move(found->second);
   operations_.erase(found);
-  for (const uint64_t call : operation->open_calls) call_owners_.erase(call);
+  for (const uint64_t call : operation->outstanding_calls) operation_by_call_.erase(call);
   operation->timer.Cancel();
   return operation;
 }
--- a/src/posthatch/control/leader_client.h
+++ b/src/posthatch/control/leader_client.h
@@ -44,7 +44,7 @@
   void OnProposeResponse(const std::string& from_endpoint, const ProposeResponse& response);
   void OnQueryResponse(const std::string& from_endpoint, const QueryResponse& response);
 
-  size_t calls_under_way() const { return operations_.size(); }
+  size_t pending_operations() const { return operations_.size(); }
 
  private:
   // One command or query, over all its sendings.
@@ -56,7 +56,7 @@
     ProposeDone propose_done;
     QueryDone query_done;
     // Sendings that nobody has refused: as long as there is one, the command may be applied.
-    absl::flat_hash_set<uint64_t> open_calls;
+    absl::flat_hash_set<uint64_t> outstanding_calls;
     bool uncertain = false;
     std::string sent_to;
     runtime::Timer timer;
@@ -64,13 +64,13 @@
 
   void Start(std::unique_ptr<Operation> operation, runtime::Duration timeout);
   void SendOperation(uint64_t operation_id);
-  void OnSilence(uint64_t operation_id);
-  void SendLater(uint64_t operation_id, runtime::Duration delay);
+  void OnResendTimeout(uint64_t operation_id);
+  void ScheduleSend(uint64_t operation_id, runtime::Duration delay);
   // A sending was refused: nothing came of it. Sends again after a pause.
-  void OnRefused(uint64_t call, const std::string& from_endpoint, const std::string& hint);
+  void OnRejected(uint64_t call, const std::string& from_endpoint, const std::string& hint);
   void Finish(uint64_t operation_id, const absl::Status& status);
   // The operation that `call` belongs to, or 0.
-  uint64_t OperationOf(uint64_t call) const;
+  uint64_t FindOperationByCall(uint64_t call) const;
   std::unique_ptr<Operation> Remove(uint64_t operation_id);
 
   runtime::Runtime* const runtime_;
@@ -78,7 +78,7 @@
   LeaderLocator* const locator_;
   const Sender sender_;
   std::map<uint64_t, std::unique_ptr<Operation>> operations_;
-  absl::flat_hash_map<uint64_t, uint64_t> call_owners_;  // call -> operation
+  absl::flat_hash_map<uint64_t, uint64_t> operation_by_call_;  // call -> operation
   uint64_t last_operation_ = 0;
   uint64_t last_call_;
 };
--- a/src/posthatch/control/leader_locator.cc
+++ b/src/posthatch/control/leader_locator.cc
@@ -19,15 +19,16 @@
   if (!leader_endpoint.empty()) target_ = leader_endpoint;
 }
 
-void LeaderLocator::Heard(const std::string& endpoint) {
+void LeaderLocator::OnLeaderResponse(const std::string& endpoint) {
   target_ = endpoint;
-  heard_endpoint_ = endpoint;
-  heard_at_ = runtime_->clock->Now();
+  confirmed_leader_ = endpoint;
+  confirmed_at_ = runtime_->clock->Now();
 }
 
-void LeaderLocator::Suspect(const std::string& endpoint) {
+void LeaderLocator::MarkUnavailable(const std::string& endpoint) {
   if (endpoint != target_) return;
-  if (endpoint == heard_endpoint_ && runtime_->clock->Now() - heard_at_ < kTrustTime) return;
+  if (endpoint == confirmed_leader_ && runtime_->clock->Now() - confirmed_at_ < kLeaderTrustPeriod)
+    return;
   const std::vector<std::string> endpoints = controllers_();
   if (endpoints.empty()) {
     target_.clear();
--- a/src/posthatch/control/leader_locator.h
+++ b/src/posthatch/control/leader_locator.h
@@ -22,19 +22,19 @@
   // A controller named the leader. Ignored if empty.
   void FollowHint(const std::string& leader_endpoint);
   // The leader at `endpoint` answered.
-  void Heard(const std::string& endpoint);
+  void OnLeaderResponse(const std::string& endpoint);
   // `endpoint` didn't answer, or isn't the leader and knows none: goes on to the next controller,
-  // unless it was heard as the leader within the last kTrustTime.
-  void Suspect(const std::string& endpoint);
+  // unless it was heard as the leader within the last kLeaderTrustPeriod.
+  void MarkUnavailable(const std::string& endpoint);
 
-  static constexpr runtime::Duration kTrustTime = std::chrono::milliseconds(1100);
+  static constexpr runtime::Duration kLeaderTrustPeriod = std::chrono::milliseconds(1100);
 
  private:
   runtime::Runtime* const runtime_;
   const Endpoints controllers_;
   std::string target_;
-  std::string heard_endpoint_;
-  runtime::MonotonicTime heard_at_;
+  std::string confirmed_leader_;
+  runtime::MonotonicTime confirmed_at_;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/memory_log-test.h
+++ b/src/posthatch/control/memory_log-test.h
@@ -8,7 +8,7 @@
 
 #include "absl/status/status.h"
 #include "posthatch/consensus/replicated_log.h"
-#include "posthatch/control/leadership_guard.h"
+#include "posthatch/control/leader_lease_guard.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::control {
@@ -34,7 +34,7 @@
 
 // One controller's view of a MemoryCluster: hears of new entries and leaders after a delay, so that
 // a former leader goes on believing for a while. Commits take kCommitTime.
-class MemoryLog : public consensus::ReplicatedLog, public LeadershipGuard {
+class MemoryLog : public consensus::ReplicatedLog, public LeaderLeaseGuard {
  public:
   static constexpr runtime::Duration kCommitTime = std::chrono::milliseconds(2);
   static constexpr runtime::Duration kHearInterval = std::chrono::milliseconds(5);
@@ -53,7 +53,7 @@
       done(absl::FailedPreconditionError("not leader"));
       return;
     }
-    if (!MayGrant()) {
+    if (!HasLeaderLease()) {
       done(absl::UnavailableError("lost leadership"));
       return;
     }
@@ -65,7 +65,7 @@
                                });
   }
   void ReadBarrier(ReadDone done) override {
-    done(MayGrant() ? absl::OkStatus() : absl::FailedPreconditionError("not leader"));
+    done(HasLeaderLease() ? absl::OkStatus() : absl::FailedPreconditionError("not leader"));
   }
   bool IsLeader() const override { return leading_; }
   uint64_t term() const override { return term_; }
@@ -77,7 +77,7 @@
   void SetLeadershipListener(LeadershipListener listener) override {
     listener_ = std::move(listener);
   }
-  bool MayGrant() const override {
+  bool HasLeaderLease() const override {
     return cluster_->leader_endpoint == runtime_->transport->endpoint() && cluster_->term == term_;
   }
 
--- a/src/posthatch/control/model_revisions.cc
+++ b/src/posthatch/control/model_revisions.cc
@@ -48,7 +48,8 @@
   return result;
 }
 
-CommandResult ModelRevisions::Name(const std::string& request_id, const SetModelRevision& order) {
+CommandResult ModelRevisions::SetNumberedRevision(const std::string& request_id,
+                                                  const SetModelRevision& order) {
   CommandResult result;
   if (order.model().empty()) {
     result.set_code(CommandResult::INVALID);
@@ -67,7 +68,7 @@
   return result;
 }
 
-bool ModelRevisions::EnsureFirst(const std::string& model) {
+bool ModelRevisions::EnsureFirstRevision(const std::string& model) {
   if (Current(model) > 0) return false;
   ModelRevision& revision = revisions_[model];
   revision.set_model(model);
--- a/src/posthatch/control/model_revisions.h
+++ b/src/posthatch/control/model_revisions.h
@@ -20,10 +20,10 @@
 
   // Takes the operator's own number for a revision. One that is not above the newest changes
   // nothing and is acknowledged, so that an order may be sent again at any time.
-  CommandResult Name(const std::string& request_id, const SetModelRevision& order);
+  CommandResult SetNumberedRevision(const std::string& request_id, const SetModelRevision& order);
 
   // Gives a model that has no revision yet its first one; returns whether it did.
-  bool EnsureFirst(const std::string& model);
+  bool EnsureFirstRevision(const std::string& model);
 
   static constexpr uint64_t kFirstRevision = 1;
 
--- a/src/posthatch/control/native_inventory_format.cc
+++ b/src/posthatch/control/native_inventory_format.cc
@@ -56,7 +56,7 @@
     return request;
   }
 
-  absl::StatusOr<InventoryPage> ReadPage(const std::string& body) const override {
+  absl::StatusOr<InventoryPage> ParsePage(const std::string& body) const override {
     boost::json::error_code error;
     const boost::json::value document = boost::json::parse(body, error);
     if (error || !document.is_object()) {
@@ -74,7 +74,7 @@
     return page;
   }
 
-  runtime::Duration PauseAsked(const http::Response& refusal) const override {
+  runtime::Duration RetryAfter(const http::Response& refusal) const override {
     int64_t pause_ms = 0;
     if (!absl::SimpleAtoi(util::ToAbsl(refusal.headers.Get("Retry-After-Ms")), &pause_ms)) {
       return runtime::Duration::zero();
@@ -91,7 +91,7 @@
 }
 
 absl::StatusOr<Inventory> ParseInventory(const std::string& json) {
-  absl::StatusOr<InventoryPage> page = NativeInventoryFormat()->ReadPage(json);
+  absl::StatusOr<InventoryPage> page = NativeInventoryFormat()->ParsePage(json);
   if (!page.ok()) return page.status();
   SortBackends(&page->inventory);
   return std::move(page->inventory);
--- a/src/posthatch/control/object_versions.cc
+++ b/src/posthatch/control/object_versions.cc
@@ -13,7 +13,7 @@
   return true;
 }
 
-void ObjectVersions::RaiseEpochByOne(const std::string& object) {
+void ObjectVersions::IncrementEpoch(const std::string& object) {
   Version& version = versions_[object];
   version = {version.epoch + 1, 0};
 }
--- a/src/posthatch/control/object_versions.h
+++ b/src/posthatch/control/object_versions.h
@@ -22,7 +22,7 @@
   // Sets the version to (epoch, 0) if that is higher; returns whether it rose.
   bool RaiseEpoch(const std::string& object, uint64_t epoch);
   // Raises the epoch by one.
-  void RaiseEpochByOne(const std::string& object);
+  void IncrementEpoch(const std::string& object);
   // Applies an observation; returns whether the version rose. `result` gets OK with the sequence,
   // or INVALID. An observation of an older epoch changes nothing.
   bool Observe(const ObserveObject& observation, CommandResult* result);
--- a/src/posthatch/control/operator_api.cc
+++ b/src/posthatch/control/operator_api.cc
@@ -25,17 +25,17 @@
 
 bool OperatorApi::HandleRequest(const http::Request& request,
                                 std::shared_ptr<http::ResponseWriter> writer) {
-  OperatorOrder order = format_->ReadOrder(request);
-  switch (order.kind) {
-    case OperatorOrder::Kind::kNone:
+  OperatorRequest parsed = format_->ParseRequest(request);
+  switch (parsed.kind) {
+    case OperatorRequest::Kind::kNone:
       return false;
-    case OperatorOrder::Kind::kMalformed:
-      writer->SendWhole(format_->RenderMalformed(order.error));
+    case OperatorRequest::Kind::kMalformed:
+      writer->SendResponse(format_->RenderMalformed(parsed.error));
       return true;
-    case OperatorOrder::Kind::kChange:
-      HandleChange(std::move(order.command), std::move(writer));
+    case OperatorRequest::Kind::kChange:
+      HandleChange(std::move(parsed.command), std::move(writer));
       return true;
-    case OperatorOrder::Kind::kReadConfiguration:
+    case OperatorRequest::Kind::kReadConfiguration:
       HandleRead(std::move(writer));
       return true;
   }
@@ -45,23 +45,23 @@
 void OperatorApi::HandleChange(Command command, std::shared_ptr<http::ResponseWriter> writer) {
   // Each call is an order of its own: what makes a resend safe is the order's content.
   command.set_request_id(
-      absl::StrCat("op-", absl::Hex(runtime_->transport->incarnation()), "-", ++last_order_));
+      absl::StrCat("op-", absl::Hex(runtime_->transport->incarnation()), "-", ++last_change_id_));
   control_client_->Propose(
       command, options_.change_timeout, /*until_in_force=*/false,
       [this, command, writer = std::move(writer)](const absl::StatusOr<CommandResult>& answer) {
         if (!answer.ok()) {
-          writer->SendWhole(format_->RenderUnavailable());
+          writer->SendResponse(format_->RenderUnavailable());
           return;
         }
         CommandResult result = *answer;
         if (AlreadyLifted(command, result)) result.set_code(CommandResult::OK);
-        runtime_->trace->Event(runtime::Severity::kInfo, "OperatorOrder",
+        runtime_->trace->Event(runtime::Severity::kInfo, "OperatorChangeCompleted",
                                {{"request_id", command.request_id()},
                                 {"kind", static_cast<int>(command.command_case())},
                                 {"code", static_cast<int>(result.code())},
                                 {"version", result.version()},
                                 {"index", result.log_index()}});
-        writer->SendWhole(format_->RenderResult(command, result));
+        writer->SendResponse(format_->RenderResult(command, result));
       });
 }
 
@@ -72,8 +72,8 @@
         TrafficConfiguration configuration;
         const bool known = response.ok() && configuration.ParseFromString(response->payload()) &&
                            configuration.version() > 0;
-        writer->SendWhole(known ? format_->RenderConfiguration(configuration)
-                                : format_->RenderUnavailable());
+        writer->SendResponse(known ? format_->RenderConfiguration(configuration)
+                                   : format_->RenderUnavailable());
       });
 }
 
--- a/src/posthatch/control/operator_api.h
+++ b/src/posthatch/control/operator_api.h
@@ -39,7 +39,7 @@
   const OperatorFormat* const format_;
   ControlClient* const control_client_;
   QueryClient* const query_client_;
-  uint64_t last_order_ = 0;
+  uint64_t last_change_id_ = 0;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/operator_format.h
+++ b/src/posthatch/control/operator_format.h
@@ -8,7 +8,7 @@
 namespace posthatch::control {
 
 // One call of an operator, read.
-struct OperatorOrder {
+struct OperatorRequest {
   enum class Kind {
     kNone,               // not an operator's call
     kMalformed,          // `error` says why
@@ -24,7 +24,7 @@
 class OperatorFormat {
  public:
   virtual ~OperatorFormat() = default;
-  virtual OperatorOrder ReadOrder(const http::Request& request) const = 0;
+  virtual OperatorRequest ParseRequest(const http::Request& request) const = 0;
   virtual http::Response RenderMalformed(const std::string& error) const = 0;
   virtual http::Response RenderResult(const Command& command,
                                       const CommandResult& result) const = 0;
--- a/src/posthatch/control/answered_requests.h
+++ b/src/posthatch/control/request_records.h
@@ -12,27 +12,27 @@
 namespace posthatch::control {
 
 // The answers given to operators' changes and observations, so that a resend gets the first one.
-// The newest kMaxAnswers are kept whole; kMaxExpired older ids are refused with WINDOW_PASSED; what
+// The newest kMaxRecords are kept whole; kMaxExpired older ids are refused with WINDOW_PASSED; what
 // is older still can't be told from new. Part of the replicated state; owned by ControlState.
-class AnsweredRequests {
+class RequestRecords {
  public:
   // At 8,500 changes a day: whole answers for more than a day, refusals for eleven more.
-  static constexpr size_t kMaxAnswers = 10000;
+  static constexpr size_t kMaxRecords = 10000;
   static constexpr size_t kMaxExpired = 100000;
 
   // True if `request_id` was seen before; `result` is then the first answer, REQUEST_ID_REUSED if
   // the command is another one, or WINDOW_PASSED.
   bool Find(const std::string& request_id, const std::string& command_hash,
             CommandResult* result) const;
-  void Remember(const std::string& request_id, const std::string& command_hash,
-                const CommandResult& result);
+  void Record(const std::string& request_id, const std::string& command_hash,
+              const CommandResult& result);
 
   void Save(ControlSnapshot* snapshot) const;
   void Restore(const ControlSnapshot& snapshot);
 
  private:
-  absl::flat_hash_map<std::string, AnsweredRequest> answers_;
-  std::deque<std::string> order_;  // request ids, oldest first
+  absl::flat_hash_map<std::string, RequestRecord> records_;
+  std::deque<std::string> eviction_order_;  // request ids, oldest first
   ExpiredKeys expired_{kMaxExpired};
 };
 
--- a/src/posthatch/control/section_deltas.cc
+++ b/src/posthatch/control/section_deltas.cc
@@ -12,8 +12,8 @@
 
 namespace posthatch::control {
 
-InventoryChange DifferenceOf(const Inventory& before, const Inventory& after) {
-  InventoryChange change;
+InventoryDelta ComputeDelta(const Inventory& before, const Inventory& after) {
+  InventoryDelta change;
   absl::flat_hash_map<std::string, const Backend*> old;
   for (const Backend& backend : before.backends()) old[backend.id()] = &backend;
   for (const Backend& backend : after.backends()) {
@@ -29,7 +29,7 @@
   return change;
 }
 
-void ApplyInventoryChange(const InventoryChange& change, Inventory* inventory) {
+void PatchInventory(const InventoryDelta& change, Inventory* inventory) {
   absl::flat_hash_set<std::string> replaced(change.removed().begin(), change.removed().end());
   for (const Backend& backend : change.changed()) replaced.insert(backend.id());
   Inventory result;
@@ -41,18 +41,18 @@
   inventory->mutable_backends()->Swap(result.mutable_backends());
 }
 
-void SectionDeltas::NoteInventory(uint64_t before_index, uint64_t /*index*/,
-                                  const InventoryChange& change) {
-  InventoryStep step{before_index, {change.removed().begin(), change.removed().end()}};
-  for (const Backend& backend : change.changed()) step.touched.push_back(backend.id());
+void SectionDeltas::RecordInventoryDelta(uint64_t base_index, uint64_t /*index*/,
+                                         const InventoryDelta& change) {
+  RecordedInventoryDelta step{base_index, {change.removed().begin(), change.removed().end()}};
+  for (const Backend& backend : change.changed()) step.changed_ids.push_back(backend.id());
   inventory_.push_back(std::move(step));
-  if (inventory_.size() > kMaxChanges) inventory_.pop_front();
+  if (inventory_.size() > kMaxDeltas) inventory_.pop_front();
 }
 
-void SectionDeltas::NoteTraffic(uint64_t before_index, uint64_t /*index*/,
-                                const TrafficPatch& patch) {
-  traffic_.push_back({before_index, patch});
-  if (traffic_.size() > kMaxChanges) traffic_.pop_front();
+void SectionDeltas::RecordTrafficDelta(uint64_t base_index, uint64_t /*index*/,
+                                       const TrafficPatch& patch) {
+  traffic_.push_back({base_index, patch});
+  if (traffic_.size() > kMaxDeltas) traffic_.pop_front();
 }
 
 void SectionDeltas::Clear() {
@@ -60,53 +60,53 @@
   traffic_.clear();
 }
 
-void SectionDeltas::SendInventoryAsChange(uint64_t known_index, FleetState* changed) const {
-  if (known_index == 0 || !changed->has_inventory()) return;
+void SectionDeltas::EncodeInventoryDelta(uint64_t acked_index, FleetState* changed) const {
+  if (acked_index == 0 || !changed->has_inventory()) return;
   const auto first = std::find_if(
       inventory_.begin(), inventory_.end(),
-      [known_index](const InventoryStep& step) { return step.before_index == known_index; });
+      [acked_index](const RecordedInventoryDelta& step) { return step.base_index == acked_index; });
   if (first == inventory_.end()) return;
-  std::set<std::string> touched;
+  std::set<std::string> changed_ids;
   for (auto step = first; step != inventory_.end(); ++step) {
-    touched.insert(step->touched.begin(), step->touched.end());
+    changed_ids.insert(step->changed_ids.begin(), step->changed_ids.end());
   }
-  if (touched.size() * 2 > static_cast<size_t>(changed->inventory().backends_size())) return;
-  InventoryChange change;
+  if (changed_ids.size() * 2 > static_cast<size_t>(changed->inventory().backends_size())) return;
+  InventoryDelta change;
   change.set_version(changed->inventory().version());
   for (Backend& backend : *changed->mutable_inventory()->mutable_backends()) {
-    if (touched.erase(backend.id()) > 0) *change.add_changed() = std::move(backend);
+    if (changed_ids.erase(backend.id()) > 0) *change.add_changed() = std::move(backend);
   }
-  for (const std::string& id : touched) change.add_removed(id);
+  for (const std::string& id : changed_ids) change.add_removed(id);
   changed->clear_inventory();
-  *changed->mutable_inventory_change() = std::move(change);
-  changed->set_inventory_base_index(known_index);
+  *changed->mutable_inventory_delta() = std::move(change);
+  changed->set_inventory_base_index(acked_index);
 }
 
-void SectionDeltas::SendTrafficAsPatches(uint64_t known_index, FleetState* changed) const {
-  if (known_index == 0 || !changed->has_traffic()) return;
+void SectionDeltas::EncodeTrafficDelta(uint64_t acked_index, FleetState* changed) const {
+  if (acked_index == 0 || !changed->has_traffic()) return;
   const auto first = std::find_if(
       traffic_.begin(), traffic_.end(),
-      [known_index](const TrafficStep& step) { return step.before_index == known_index; });
+      [acked_index](const RecordedTrafficDelta& step) { return step.base_index == acked_index; });
   if (first == traffic_.end()) return;
   for (auto step = first; step != traffic_.end(); ++step) {
     *changed->add_traffic_patches() = step->patch;
   }
   changed->clear_traffic();
-  changed->set_traffic_base_index(known_index);
+  changed->set_traffic_base_index(acked_index);
 }
 
-bool MakeInventoryWhole(const FleetState& state, FleetState* changed) {
+bool ApplyInventoryDelta(const FleetState& state, FleetState* changed) {
   if (changed->inventory_base_index() == 0) return true;
   if (changed->inventory_index() <= state.inventory_index()) return true;  // not newer
   if (changed->inventory_base_index() != state.inventory_index()) return false;
   Inventory inventory = state.inventory();
-  ApplyInventoryChange(changed->inventory_change(), &inventory);
-  inventory.set_version(changed->inventory_change().version());
+  PatchInventory(changed->inventory_delta(), &inventory);
+  inventory.set_version(changed->inventory_delta().version());
   *changed->mutable_inventory() = std::move(inventory);
   return true;
 }
 
-bool MakeTrafficWhole(const FleetState& state, FleetState* changed) {
+bool ApplyTrafficDelta(const FleetState& state, FleetState* changed) {
   if (changed->traffic_base_index() == 0) return true;
   if (changed->traffic_index() <= state.traffic_index()) return true;  // not newer
   if (changed->traffic_base_index() != state.traffic_index()) return false;
--- a/src/posthatch/control/selector.cc
+++ b/src/posthatch/control/selector.cc
@@ -9,18 +9,18 @@
 namespace posthatch::control {
 namespace {
 
-constexpr size_t kMaxWordLength = 128;
+constexpr size_t kMaxTokenLength = 128;
 constexpr int kMaxRequirements = 32;
 constexpr int kMaxValues = 256;
 
-bool IsWordCharacter(char character) {
+bool IsTokenCharacter(char character) {
   return absl::ascii_isalnum(static_cast<unsigned char>(character)) || character == '.' ||
          character == '_' || character == '-' || character == '/' || character == ':';
 }
 
-bool IsWord(std::string_view text) {
-  return !text.empty() && text.size() <= kMaxWordLength &&
-         std::all_of(text.begin(), text.end(), IsWordCharacter);
+bool IsToken(std::string_view text) {
+  return !text.empty() && text.size() <= kMaxTokenLength &&
+         std::all_of(text.begin(), text.end(), IsTokenCharacter);
 }
 
 bool HasValue(const Requirement& requirement, const std::string& value) {
@@ -68,7 +68,7 @@
  private:
   absl::Status ParseRequirement(Requirement* requirement) {
     const bool negated = Take("!");
-    absl::Status status = ReadWord("a label's name", requirement->mutable_key());
+    absl::Status status = ReadToken("a label's name", requirement->mutable_key());
     if (!status.ok()) return status;
     if (negated) {
       requirement->set_operator_(Requirement::NOT_EXISTS);
@@ -84,27 +84,27 @@
 
   absl::Status ReadValue(Requirement::Operator kind, Requirement* requirement) {
     requirement->set_operator_(kind);
-    return ReadWord("a value", requirement->add_values());
+    return ReadToken("a value", requirement->add_values());
   }
 
   absl::Status ReadValues(Requirement::Operator kind, Requirement* requirement) {
     requirement->set_operator_(kind);
     if (!Take("(")) return Error("expected '('");
     do {
-      absl::Status status = ReadWord("a value", requirement->add_values());
+      absl::Status status = ReadToken("a value", requirement->add_values());
       if (!status.ok()) return status;
     } while (Take(","));
     return Take(")") ? absl::OkStatus() : Error("expected ')'");
   }
 
-  absl::Status ReadWord(std::string_view what, std::string* word) {
+  absl::Status ReadToken(std::string_view what, std::string* token) {
     SkipSpaces();
     const size_t start = position_;
-    while (position_ < text_.size() && IsWordCharacter(text_[position_])) ++position_;
-    *word = std::string(text_.substr(start, position_ - start));
+    while (position_ < text_.size() && IsTokenCharacter(text_[position_])) ++position_;
+    *token = std::string(text_.substr(start, position_ - start));
     SkipSpaces();
-    if (IsWord(*word)) return absl::OkStatus();
-    return Error(absl::StrCat("expected ", util::ToAbsl(what), " of 1 to ", kMaxWordLength,
+    if (IsToken(*token)) return absl::OkStatus();
+    return Error(absl::StrCat("expected ", util::ToAbsl(what), " of 1 to ", kMaxTokenLength,
                               " letters, digits or ._-/:"));
   }
 
@@ -118,7 +118,7 @@
 
   bool TakeKeyword(std::string_view keyword) {
     const size_t end = position_ + keyword.size();
-    if (end < text_.size() && IsWordCharacter(text_[end])) return false;
+    if (end < text_.size() && IsTokenCharacter(text_[end])) return false;
     return Take(keyword);
   }
 
@@ -137,9 +137,9 @@
 
 void ValidateRequirement(const Requirement& requirement, const std::string& where,
                          std::vector<std::string>* errors) {
-  if (!IsWord(requirement.key())) {
+  if (!IsToken(requirement.key())) {
     errors->push_back(
-        absl::StrCat(where, ".key: 1 to ", kMaxWordLength, " letters, digits or ._-/:"));
+        absl::StrCat(where, ".key: 1 to ", kMaxTokenLength, " letters, digits or ._-/:"));
   }
   const bool wants_values =
       requirement.operator_() == Requirement::IN || requirement.operator_() == Requirement::NOT_IN;
@@ -155,9 +155,9 @@
     errors->push_back(absl::StrCat(where, ".values: at most ", kMaxValues));
   }
   for (const std::string& value : requirement.values()) {
-    if (IsWord(value)) continue;
+    if (IsToken(value)) continue;
     errors->push_back(
-        absl::StrCat(where, ".values: 1 to ", kMaxWordLength, " letters, digits or ._-/:"));
+        absl::StrCat(where, ".values: 1 to ", kMaxTokenLength, " letters, digits or ._-/:"));
     break;
   }
 }
--- a/src/posthatch/control/session_table.cc
+++ b/src/posthatch/control/session_table.cc
@@ -16,40 +16,40 @@
   session.endpoint = endpoint;
   session.expiry = std::max(session.expiry, now + lease);
   session.renewal = renewal.renewal();
-  session.heard_at = now;
-  const SectionIndices known = IndicesOf(renewal);
+  session.last_renewal_at = now;
+  const SectionIndices acked_versions = IndicesOf(renewal);
   for (size_t i = 0; i < kSectionCount; ++i) {
-    session.known[i] = std::max(session.known[i], known[i]);
+    session.acked_versions[i] = std::max(session.acked_versions[i], acked_versions[i]);
   }
   if (is_new) {
-    session.known_up_to = applied_index;
+    session.acked_index = applied_index;
     session.first_renewal = renewal.renewal();
     session.first_granted_at = now;
   }
-  session.known_up_to = std::max(session.known_up_to, HighestIndex(known));
-  const bool answers_grant =
+  session.acked_index = std::max(session.acked_index, HighestIndex(acked_versions));
+  const bool acks_grant =
       renewal.granted_term() == term && renewal.granted_renewal() >= session.first_renewal;
-  if (!is_new && answers_grant && !session.answered_grant) {
-    session.answered_grant = true;
-    EndEarlierLives(session);
+  if (!is_new && acks_grant && !session.grant_acked) {
+    session.grant_acked = true;
+    ExpirePreviousIncarnations(session);
   }
   return &session;
 }
 
-void SessionTable::EndEarlierLives(const Session& session) {
+void SessionTable::ExpirePreviousIncarnations(const Session& session) {
   std::erase_if(sessions_, [&session](const auto& entry) {
     const Session& other = entry.second;
     return other.key.gateway == session.key.gateway && other.key != session.key &&
-           other.heard_at < session.first_granted_at;
+           other.last_renewal_at < session.first_granted_at;
   });
 }
 
-const Session* SessionTable::SuccessorOf(const SessionKey& holder) const {
+const Session* SessionTable::FindSuccessor(const SessionKey& holder) const {
   if (sessions_.contains(holder)) return nullptr;  // not known to have ended
   const auto first = sessions_.lower_bound({holder.gateway, 0});
   for (auto entry = first; entry != sessions_.end(); ++entry) {
     if (entry->first.gateway != holder.gateway) break;
-    if (entry->second.answered_grant) return &entry->second;
+    if (entry->second.grant_acked) return &entry->second;
   }
   return nullptr;
 }
@@ -62,9 +62,9 @@
 void SessionTable::Acknowledge(const SessionKey& key, const SectionIndices& in_force) {
   Session* session = Find(key);
   if (session == nullptr) return;
-  session->known_up_to = std::max(session->known_up_to, HighestIndex(in_force));
+  session->acked_index = std::max(session->acked_index, HighestIndex(in_force));
   for (size_t i = 0; i < kSectionCount; ++i) {
-    session->known[i] = std::max(session->known[i], in_force[i]);
+    session->acked_versions[i] = std::max(session->acked_versions[i], in_force[i]);
   }
 }
 
@@ -72,9 +72,9 @@
   std::erase_if(sessions_, [now](const auto& entry) { return entry.second.expiry <= now; });
 }
 
-bool SessionTable::InForceEverywhere(uint64_t log_index, runtime::MonotonicTime now) const {
+bool SessionTable::AckedByAllSessions(uint64_t log_index, runtime::MonotonicTime now) const {
   return std::all_of(sessions_.begin(), sessions_.end(), [log_index, now](const auto& entry) {
-    return entry.second.expiry <= now || entry.second.known_up_to >= log_index;
+    return entry.second.expiry <= now || entry.second.acked_index >= log_index;
   });
 }
 
--- a/src/posthatch/control/session_table.h
+++ b/src/posthatch/control/session_table.h
@@ -26,15 +26,15 @@
   // Never before the end of the lease as the gateway counts it.
   runtime::MonotonicTime expiry;
   uint64_t renewal = 0;
-  SectionIndices known{};    // sections that the gateway has said to be in force
-  uint64_t known_up_to = 0;  // every change up to this log index is in force there, or no lease is
-  runtime::MonotonicTime heard_at;  // its last renewal
+  SectionIndices acked_versions{};  // sections that the gateway has said to be in force
+  uint64_t acked_index = 0;  // every change up to this log index is in force there, or no lease is
+  runtime::MonotonicTime last_renewal_at;  // its last renewal
   // The first grant: once the gateway has answered it, this life of it is known to have gone on
   // after `first_granted_at`.
   uint64_t first_renewal = 0;
   runtime::MonotonicTime first_granted_at;
-  bool answered_grant = false;
-  uint64_t sent_up_to = 0;  // what was last sent to it, and when
+  bool grant_acked = false;
+  uint64_t sent_index = 0;  // what was last sent to it, and when
   runtime::MonotonicTime sent_at;
 };
 
@@ -60,15 +60,15 @@
   // The life of the gateway of `holder` that is known to have begun after `holder` ended; null if
   // there is none. A node runs one process at a time, so one of its lives that went on after
   // another one had been heard of is the later one.
-  const Session* SuccessorOf(const SessionKey& holder) const;
+  const Session* FindSuccessor(const SessionKey& holder) const;
 
   // True if every session that hasn't run out at `now` knows all changes up to `log_index`.
-  bool InForceEverywhere(uint64_t log_index, runtime::MonotonicTime now) const;
+  bool AckedByAllSessions(uint64_t log_index, runtime::MonotonicTime now) const;
   const std::map<SessionKey, Session>& sessions() const { return sessions_; }
   std::map<SessionKey, Session>& mutable_sessions() { return sessions_; }
 
  private:
-  void EndEarlierLives(const Session& session);
+  void ExpirePreviousIncarnations(const Session& session);
 
   std::map<SessionKey, Session> sessions_;
 };
--- a/src/posthatch/control/traffic_state-test.cc
+++ b/src/posthatch/control/traffic_state-test.cc
@@ -218,12 +218,12 @@
       google::protobuf::RepeatedPtrField<std::string> names;
       const SectionIndices known = IndicesOf(gateway);
       CopyNewerSections(state_.fleet(), known, &changed, &names);
-      state_.deltas().SendInventoryAsChange(IndexOf(known, Section::kInventory), &changed);
-      state_.deltas().SendTrafficAsPatches(IndexOf(known, Section::kTraffic), &changed);
+      state_.deltas().EncodeInventoryDelta(IndexOf(known, Section::kInventory), &changed);
+      state_.deltas().EncodeTrafficDelta(IndexOf(known, Section::kTraffic), &changed);
       FleetState behind;
-      EXPECT_EQ(MakeTrafficWhole(behind, &changed), changed.traffic_base_index() == 0);
-      ASSERT_TRUE(MakeInventoryWhole(gateway, &changed));
-      ASSERT_TRUE(MakeTrafficWhole(gateway, &changed));
+      EXPECT_EQ(ApplyTrafficDelta(behind, &changed), changed.traffic_base_index() == 0);
+      ASSERT_TRUE(ApplyInventoryDelta(gateway, &changed));
+      ASSERT_TRUE(ApplyTrafficDelta(gateway, &changed));
       ApplyNewerSections(changed, names, &gateway);
       EXPECT_EQ(gateway.traffic().SerializeAsString(),
                 state_.fleet().traffic().SerializeAsString());
--- a/src/posthatch/control/traffic_state.cc
+++ b/src/posthatch/control/traffic_state.cc
@@ -36,7 +36,7 @@
   entries->Swap(&result);
 }
 
-AcceptedTrafficChange IdentityOf(const ChangeTraffic& change) {
+AcceptedTrafficChange ComputeIdentity(const ChangeTraffic& change) {
   const Fingerprint fingerprint = FingerprintOf(SerializeDeterministically(change));
   AcceptedTrafficChange identity;
   identity.set_high(fingerprint.high);
@@ -58,7 +58,7 @@
   return result;
 }
 
-void RemoveSources(TrafficConfiguration* configuration) {
+void StripSources(TrafficConfiguration* configuration) {
   for (TrafficRoute& route : *configuration->mutable_routes()) route.clear_source();
   for (TrafficService& service : *configuration->mutable_services()) service.clear_source();
   for (TrafficTenant& tenant : *configuration->mutable_tenants()) tenant.clear_source();
@@ -68,7 +68,7 @@
 CommandResult TrafficState::Apply(const ChangeTraffic& change, bool* changed) {
   *changed = false;
   CommandResult result;
-  const AcceptedTrafficChange identity = IdentityOf(change);
+  const AcceptedTrafficChange identity = ComputeIdentity(change);
   uint64_t version = 0;
   if (FindAccepted(identity, &version)) {
     result.set_code(CommandResult::OK);
--- a/src/posthatch/control/traffic_state.h
+++ b/src/posthatch/control/traffic_state.h
@@ -33,7 +33,7 @@
 };
 
 // Takes away the entries as the operators wrote them: gateways don't need them.
-void RemoveSources(TrafficConfiguration* configuration);
+void StripSources(TrafficConfiguration* configuration);
 
 // The entries of `base` changed as `patch` says.
 TrafficConfiguration ApplyTrafficPatch(const TrafficConfiguration& base, const TrafficPatch& patch);
