--- a/src/posthatch/control/worker_lease_planner-test.cc
+++ b/src/posthatch/control/worker_lease_planner-test.cc
@@ -13,9 +13,9 @@
 constexpr uint64_t kTerm = 5;
 constexpr runtime::Duration kLease = seconds(4);
 
-class PlanRestartedTest : public testing::Test {
+class RestartedGatewayPlanTest : public testing::Test {
  protected:
-  PlanRestartedTest() {
+  RestartedGatewayPlanTest() {
     for (const char* worker : {"w1", "w2"}) {
       WorkerLease* lease = fleet_.add_leases();
       lease->set_worker_id(worker);
@@ -35,14 +35,16 @@
     renewal.set_granted_term(granted_term);
     sessions_.Renew(renewal, gateway + ":1", now_, kLease, 0, kTerm);
   }
-  GrantWorkerLeases Plan() const { return WorkerLeasePlanner::PlanRestarted(fleet_, sessions_); }
+  GrantWorkerLeases Plan() const {
+    return WorkerLeasePlanner::PlanForRestartedGateways(fleet_, sessions_);
+  }
 
   FleetState fleet_;
   SessionTable sessions_;
   runtime::MonotonicTime now_{std::chrono::hours(1)};
 };
 
-TEST_F(PlanRestartedTest, ARestartedGatewayGetsItsWorkersAgainOnceItHasAnsweredAGrant) {
+TEST_F(RestartedGatewayPlanTest, ARestartedGatewayGetsItsWorkersAgainOnceItHasAnsweredAGrant) {
   Renew("g1", 7, 1, 0, 0);
   EXPECT_EQ(Plan().grants_size(), 0) << "its first renewal may have waited behind a cut";
   Renew("g1", 7, 2, 1);
@@ -55,13 +57,13 @@
   EXPECT_EQ(plan.released(0), "w1");
 }
 
-TEST_F(PlanRestartedTest, ALifeThatIsHeardOfKeepsItsLeases) {
+TEST_F(RestartedGatewayPlanTest, ALifeThatIsHeardOfKeepsItsLeases) {
   Renew("g1", 100, 1, 0, 0);
   Renew("g1", 100, 2, 1);
   EXPECT_EQ(Plan().grants_size(), 0);
 }
 
-TEST_F(PlanRestartedTest, AnEarlierLifeWhoseRenewalsComeLateTakesNothingFromTheLaterOne) {
+TEST_F(RestartedGatewayPlanTest, AnEarlierLifeWhoseRenewalsComeLateTakesNothingFromTheLaterOne) {
   Renew("g1", 100, 1, 0, 0);
   Renew("g1", 100, 2, 1);
   // Of the life before: it has had no grant of this leader, or of another term.
@@ -71,17 +73,17 @@
   EXPECT_NE(sessions_.Find({"g1", 100}), nullptr);
 }
 
-TEST_F(PlanRestartedTest, SessionsOfEarlierLivesEndAndAreNotWaitedFor) {
+TEST_F(RestartedGatewayPlanTest, SessionsOfEarlierLivesEndAndAreNotWaitedFor) {
   Renew("g1", 100, 1, 0, 0);
   Renew("g1", 7, 1, 0, 0);
-  EXPECT_FALSE(sessions_.InForceEverywhere(9, now_));
+  EXPECT_FALSE(sessions_.AckedByAllSessions(9, now_));
   EXPECT_NE(sessions_.Find({"g1", 100}), nullptr);
   Renew("g1", 7, 2, 1);
   EXPECT_EQ(sessions_.Find({"g1", 100}), nullptr);
   EXPECT_NE(sessions_.Find({"g1", 7}), nullptr);
 }
 
-TEST_F(PlanRestartedTest, ALifeThatWasHeardOfAfterTheOthersFirstGrantIsWaitedFor) {
+TEST_F(RestartedGatewayPlanTest, ALifeThatWasHeardOfAfterTheOthersFirstGrantIsWaitedFor) {
   Renew("g1", 7, 1, 0, 0);
   Renew("g1", 100, 1, 0, 0);  // which of the two is the later one is not known
   Renew("g1", 7, 2, 1);
--- a/src/posthatch/control/worker_lease_planner.h
+++ b/src/posthatch/control/worker_lease_planner.h
@@ -20,7 +20,8 @@
   // Leases of gateways that have restarted, for their new lives: released and granted at once,
   // since nobody can believe to hold them any more. Unlike Plan it needn't wait until other leases
   // of a former leader have run out, and no worker changes its gateway.
-  static GrantWorkerLeases PlanRestarted(const FleetState& fleet, const SessionTable& sessions);
+  static GrantWorkerLeases PlanForRestartedGateways(const FleetState& fleet,
+                                                    const SessionTable& sessions);
 
   // Releases first: leases of sessions that are gone, of workers that left the inventory, and of
   // holders with too many or in the wrong zone. If there is anything to release, no grants are
--- a/src/posthatch/control/worker_lease_table.cc
+++ b/src/posthatch/control/worker_lease_table.cc
@@ -15,11 +15,11 @@
       result.add_errors("grants: worker_id and holder are needed");
       continue;
     }
-    const WorkerLease* held = Find(grant.worker_id());
-    if (held != nullptr && (held->holder() != grant.holder() ||
-                            held->holder_incarnation() != grant.holder_incarnation())) {
+    const WorkerLease* current = Find(grant.worker_id());
+    if (current != nullptr && (current->holder() != grant.holder() ||
+                               current->holder_incarnation() != grant.holder_incarnation())) {
       result.set_code(CommandResult::VERSION_CONFLICT);
-      result.add_errors(grant.worker_id() + " is held by " + held->holder());
+      result.add_errors(grant.worker_id() + " is held by " + current->holder());
       continue;
     }
     WorkerLease lease = grant;
--- a/src/posthatch/control/zone_inventory.cc
+++ b/src/posthatch/control/zone_inventory.cc
@@ -17,116 +17,120 @@
       reader_(std::move(reader)),
       timeout_(runtime->timers) {
   runtime_->transport->SetReceiver(
-      runtime::SERVICE_INVENTORY, [this](const runtime::Envelope& envelope) { Receive(envelope); });
+      runtime::SERVICE_INVENTORY,
+      [this](const runtime::Envelope& envelope) { OnEnvelope(envelope); });
 }
 
 ZoneInventory::~ZoneInventory() {
   runtime_->transport->SetReceiver(runtime::SERVICE_INVENTORY, [](const runtime::Envelope&) {});
 }
 
-std::optional<ZonePeer> ZoneInventory::ReaderOfZone(bool may_read) const {
+std::optional<ZonePeer> ZoneInventory::SelectPeer(bool may_read) const {
   std::vector<ZonePeer> peers = options_.peers();
   std::sort(peers.begin(), peers.end(), [](const ZonePeer& left, const ZonePeer& right) {
     return left.node_id < right.node_id;
   });
-  size_t silent = 0;
+  size_t unresponsive = 0;
   for (ZonePeer& peer : peers) {
-    const bool own_turn = may_read && runtime_->transport->node_id() < peer.node_id;
-    if (own_turn || silent >= kMostSilent) break;
-    const auto found = silent_until_.find(peer.node_id);
-    const bool is_silent = found != silent_until_.end() && runtime_->clock->Now() < found->second;
-    if (!is_silent) return std::move(peer);
-    ++silent;
+    const bool is_local_turn = may_read && runtime_->transport->node_id() < peer.node_id;
+    if (is_local_turn || unresponsive >= kMaxConsecutiveTimeouts) break;
+    const auto found = unresponsive_until_.find(peer.node_id);
+    const bool is_unresponsive =
+        found != unresponsive_until_.end() && runtime_->clock->Now() < found->second;
+    if (!is_unresponsive) return std::move(peer);
+    ++unresponsive;
   }
   return std::nullopt;
 }
 
-bool ZoneInventory::Ask(bool may_read, ReadingDone done) {
-  const std::optional<ZonePeer> reader = ReaderOfZone(may_read);
+bool ZoneInventory::RequestFromPeer(bool may_read, ReadCallback done) {
+  const std::optional<ZonePeer> reader = SelectPeer(may_read);
   if (!reader.has_value()) return false;
-  open_ = Question{++last_query_, reader->node_id, runtime_->clock->Now(), std::move(done)};
-  timeout_.Start(options_.answer_timeout, [this] { OnSilence(); });
+  pending_request_ =
+      PendingRequest{++last_request_id_, reader->node_id, runtime_->clock->Now(), std::move(done)};
+  timeout_.Start(options_.response_timeout, [this] { OnRequestTimeout(); });
   InventoryMessage message;
-  message.mutable_query()->set_query(last_query_);
+  message.mutable_query()->set_query(last_request_id_);
   message.mutable_query()->set_base_version(view_->state().inventory().version());
   Send(reader->endpoint, message);
   return true;
 }
 
-void ZoneInventory::OnSilence() {
-  silent_until_[open_->node_id] = runtime_->clock->Now() + options_.silence;
+void ZoneInventory::OnRequestTimeout() {
+  unresponsive_until_[pending_request_->node_id] =
+      runtime_->clock->Now() + options_.unresponsive_period;
   Finish(std::nullopt);
 }
 
 void ZoneInventory::Finish(const std::optional<InventoryReading>& reading) {
   timeout_.Cancel();
-  const ReadingDone done = std::move(open_->done);
-  open_.reset();
+  const ReadCallback done = std::move(pending_request_->done);
+  pending_request_.reset();
   done(reading);
 }
 
-void ZoneInventory::Receive(const runtime::Envelope& envelope) {
+void ZoneInventory::OnEnvelope(const runtime::Envelope& envelope) {
   InventoryMessage message;
   if (!message.ParseFromString(envelope.payload())) return;
   if (message.has_query()) {
-    OnQuery(envelope.from_endpoint(), message.query());
-  } else if (message.has_answer()) {
-    OnAnswer(message.answer());
+    OnRequest(envelope.from_endpoint(), message.query());
+  } else if (message.has_response()) {
+    OnResponse(message.response());
   }
 }
 
-void ZoneInventory::OnQuery(const std::string& endpoint, const InventoryQuery& query) {
+void ZoneInventory::OnRequest(const std::string& endpoint, const InventoryRequest& query) {
   reader_([this, endpoint, query,
            alive = std::weak_ptr<bool>(alive_)](const std::optional<InventoryReading>& reading) {
     if (alive.expired()) return;
     InventoryMessage message;
-    *message.mutable_answer() = MakeAnswer(query, reading);
+    *message.mutable_response() = MakeResponse(query, reading);
     Send(endpoint, message);
   });
 }
 
-InventoryAnswer ZoneInventory::MakeAnswer(const InventoryQuery& query,
-                                          const std::optional<InventoryReading>& reading) const {
-  InventoryAnswer answer;
-  answer.set_query(query.query());
+InventoryResponse ZoneInventory::MakeResponse(
+    const InventoryRequest& query, const std::optional<InventoryReading>& reading) const {
+  InventoryResponse response;
+  response.set_query(query.query());
   if (!reading.has_value()) {
-    answer.set_unreachable(true);
-    return answer;
+    response.set_unreachable(true);
+    return response;
   }
-  const runtime::Duration age = runtime_->clock->Now() - reading->asked_at;
-  answer.set_age_ms(static_cast<uint32_t>(std::max(0.0, runtime::ToMilliseconds(age)) + 1));
+  const runtime::Duration age = runtime_->clock->Now() - reading->requested_at;
+  response.set_age_ms(static_cast<uint32_t>(std::max(0.0, runtime::ToMilliseconds(age)) + 1));
   const Inventory& base = view_->state().inventory();
   if (base.version() != query.base_version()) {
-    *answer.mutable_whole() = reading->inventory;
-    return answer;
+    *response.mutable_whole() = reading->inventory;
+    return response;
   }
-  answer.set_base_version(base.version());
-  *answer.mutable_change() = DifferenceOf(base, reading->inventory);
-  return answer;
+  response.set_base_version(base.version());
+  *response.mutable_change() = ComputeDelta(base, reading->inventory);
+  return response;
 }
 
-std::optional<Inventory> ZoneInventory::WholeOf(const InventoryAnswer& answer) const {
-  if (answer.has_whole()) {
-    Inventory whole = answer.whole();
+std::optional<Inventory> ZoneInventory::Reconstruct(const InventoryResponse& response) const {
+  if (response.has_whole()) {
+    Inventory whole = response.whole();
     SortBackends(&whole);
     return whole;
   }
   Inventory inventory = view_->state().inventory();
-  if (!answer.has_change() || inventory.version() != answer.base_version()) return std::nullopt;
-  ApplyInventoryChange(answer.change(), &inventory);
+  if (!response.has_change() || inventory.version() != response.base_version()) return std::nullopt;
+  PatchInventory(response.change(), &inventory);
   return inventory;
 }
 
-void ZoneInventory::OnAnswer(const InventoryAnswer& answer) {
-  if (!open_.has_value() || answer.query() != open_->query) return;
-  if (answer.unreachable()) return OnSilence();
-  silent_until_.erase(open_->node_id);
-  std::optional<Inventory> whole = WholeOf(answer);
+void ZoneInventory::OnResponse(const InventoryResponse& response) {
+  if (!pending_request_.has_value() || response.query() != pending_request_->query) return;
+  if (response.unreachable()) return OnRequestTimeout();
+  unresponsive_until_.erase(pending_request_->node_id);
+  std::optional<Inventory> whole = Reconstruct(response);
   if (!whole.has_value()) return Finish(std::nullopt);  // the controllers told a newer one
   // The reader wrote the age down after the question was sent, so the list is not older.
-  const runtime::MonotonicTime asked_at =
-      open_->sent_at - std::chrono::milliseconds(answer.age_ms());
-  Finish(InventoryReading{*std::move(whole), asked_at});
+  const runtime::MonotonicTime requested_at =
+      pending_request_->sent_at - std::chrono::milliseconds(response.age_ms());
+  Finish(InventoryReading{*std::move(whole), requested_at});
 }
 
 void ZoneInventory::Send(const std::string& endpoint, const InventoryMessage& message) {
--- a/src/posthatch/control/zone_inventory.h
+++ b/src/posthatch/control/zone_inventory.h
@@ -18,7 +18,7 @@
 struct InventoryReading {
   Inventory inventory;
   // When it was asked for, at the latest, by this process's clock.
-  runtime::MonotonicTime asked_at;
+  runtime::MonotonicTime requested_at;
 };
 
 // Another gateway of the same zone.
@@ -32,10 +32,10 @@
   std::function<std::vector<ZonePeer>()> peers;
   // From a question to the next gateway being asked: a read of a list of a few pages and two ways
   // within a zone.
-  runtime::Duration answer_timeout = std::chrono::milliseconds(300);
+  runtime::Duration response_timeout = std::chrono::milliseconds(300);
   // For how long a gateway that left a question unanswered isn't asked again: by then the
   // membership has dropped it, or it answers.
-  runtime::Duration silence = std::chrono::seconds(5);
+  runtime::Duration unresponsive_period = std::chrono::seconds(5);
 };
 
 // Lets one gateway of a zone read the platform's list for all of them while the controllers are not
@@ -49,9 +49,9 @@
 class ZoneInventory {
  public:
   // Nothing if the platform couldn't be read there, or there was no answer in time.
-  using ReadingDone = std::function<void(const std::optional<InventoryReading>&)>;
+  using ReadCallback = std::function<void(const std::optional<InventoryReading>&)>;
   // Brings this gateway's own list up to date and hands it over.
-  using Reader = std::function<void(ReadingDone)>;
+  using Reader = std::function<void(ReadCallback)>;
 
   ZoneInventory(runtime::Runtime* runtime, ZoneInventoryOptions options, const FleetView* view,
                 Reader reader);
@@ -62,39 +62,39 @@
   // Asks the zone's reader; `done` runs once, never within the call. False if this gateway is the
   // one to read, or too many were silent: nothing was asked. `may_read` is false for a gateway
   // that can't reach the platform itself: it asks those after it as well.
-  bool Ask(bool may_read, ReadingDone done);
+  bool RequestFromPeer(bool may_read, ReadCallback done);
 
  private:
   // Gateways that may be silent in a row before this one reads for itself.
-  static constexpr size_t kMostSilent = 3;
+  static constexpr size_t kMaxConsecutiveTimeouts = 3;
 
-  struct Question {
+  struct PendingRequest {
     uint64_t query = 0;
     std::string node_id;
     runtime::MonotonicTime sent_at;
-    ReadingDone done;
+    ReadCallback done;
   };
 
   // Nothing if this gateway is to read.
-  std::optional<ZonePeer> ReaderOfZone(bool may_read) const;
-  void Receive(const runtime::Envelope& envelope);
-  void OnQuery(const std::string& endpoint, const InventoryQuery& query);
-  void OnAnswer(const InventoryAnswer& answer);
-  void OnSilence();
+  std::optional<ZonePeer> SelectPeer(bool may_read) const;
+  void OnEnvelope(const runtime::Envelope& envelope);
+  void OnRequest(const std::string& endpoint, const InventoryRequest& query);
+  void OnResponse(const InventoryResponse& response);
+  void OnRequestTimeout();
   void Finish(const std::optional<InventoryReading>& reading);
-  InventoryAnswer MakeAnswer(const InventoryQuery& query,
-                             const std::optional<InventoryReading>& reading) const;
+  InventoryResponse MakeResponse(const InventoryRequest& query,
+                                 const std::optional<InventoryReading>& reading) const;
   // The list that an answer tells; nothing if it is a difference from another one than ours.
-  std::optional<Inventory> WholeOf(const InventoryAnswer& answer) const;
+  std::optional<Inventory> Reconstruct(const InventoryResponse& response) const;
   void Send(const std::string& endpoint, const InventoryMessage& message);
 
   runtime::Runtime* const runtime_;
   const ZoneInventoryOptions options_;
   const FleetView* const view_;
   const Reader reader_;
-  std::optional<Question> open_;
-  uint64_t last_query_ = 0;
-  absl::flat_hash_map<std::string, runtime::MonotonicTime> silent_until_;  // by node id
+  std::optional<PendingRequest> pending_request_;
+  uint64_t last_request_id_ = 0;
+  absl::flat_hash_map<std::string, runtime::MonotonicTime> unresponsive_until_;  // by node id
   runtime::Timer timeout_;
   // Callbacks that may outlive this object hold a weak pointer to it.
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/posthatch/ctl/admin_request.cc
+++ b/src/posthatch/ctl/admin_request.cc
@@ -3,7 +3,7 @@
 #include <boost/json.hpp>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/inventory_reader.h"
+#include "posthatch/control/inventory_poller.h"
 #include "posthatch/control/selector.h"
 
 namespace posthatch::ctl {
--- a/src/posthatch/ctl/command_runner.cc
+++ b/src/posthatch/ctl/command_runner.cc
@@ -38,7 +38,7 @@
   Invocation inventory = invocation_;
   inventory.command = CommandKind::kInventory;
   caller_.Call(*MakeRequest(inventory), [this](const CallOutcome& outcome) {
-    if (!outcome.answered || outcome.response.status != kStatusOk) {
+    if (!outcome.has_final_response || outcome.response.status != kStatusOk) {
       done_({ExitCode::kRefused, "",
              "can't read the inventory to see what the selector matches; --yes goes on without\n"});
       return;
@@ -70,7 +70,7 @@
   RunResult result;
   const bool is_change = IsChange(invocation_.command);
   if (is_change) result.notes = absl::StrCat("request id: ", invocation_.request_id, "\n");
-  if (outcome.answered) {
+  if (outcome.has_final_response) {
     result.output = RenderOutput(outcome.response.body, invocation_.output);
     result.exit_code =
         outcome.response.status < kFirstErrorStatus ? ExitCode::kOk : ExitCode::kRefused;
--- a/src/posthatch/ctl/ctl-test.cc
+++ b/src/posthatch/ctl/ctl-test.cc
@@ -76,7 +76,7 @@
         auto server = runtime->http_servers->Listen(
             host->http_endpoint(), {}, [this, host](const http::Request& request, auto writer) {
               bodies_.push_back(request.body);
-              writer->SendWhole(answers_[host->name()][request.method]);
+              writer->SendResponse(answers_[host->name()][request.method]);
             });
         return std::make_shared<std::unique_ptr<http::HttpServer>>(*std::move(server));
       });
--- a/src/posthatch/ctl/target_caller.cc
+++ b/src/posthatch/ctl/target_caller.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr int kStatusUnavailable = 503;
-constexpr runtime::Duration kPauseBetweenTries = std::chrono::milliseconds(300);
+constexpr runtime::Duration kRetryBackoff = std::chrono::milliseconds(300);
 // Longest wait for one target: a change waits for up to a session lease, and for an election.
-constexpr runtime::Duration kTryTimeout = std::chrono::seconds(10);
+constexpr runtime::Duration kAttemptTimeout = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -23,26 +23,26 @@
   request_ = std::move(request);
   done_ = std::move(done);
   outcome_ = {};
-  tries_ = 0;
+  attempts_ = 0;
   deadline_ = runtime_->clock->Now() + timeout_;
-  timer_.Start(runtime::Duration::zero(), [this] { Try(); });
+  timer_.Start(runtime::Duration::zero(), [this] { StartAttempt(); });
 }
 
-void TargetCaller::Try() {
+void TargetCaller::StartAttempt() {
   const runtime::Duration left = deadline_ - runtime_->clock->Now();
   if (left <= runtime::Duration::zero()) {
     call_.reset();
     Finish();
     return;
   }
-  const std::string& target = targets_[tries_++ % targets_.size()];
+  const std::string& target = targets_[attempts_++ % targets_.size()];
   outcome_.response = {};
   http::CallOptions options;
-  options.head_timeout = std::min(kTryTimeout, left);
-  options.piece_timeout = options.head_timeout;
+  options.head_timeout = std::min(kAttemptTimeout, left);
+  options.body_idle_timeout = options.head_timeout;
   http::CallObserver observer;
   observer.on_head = [this](const http::Response& head) { outcome_.response = head; };
-  observer.on_piece = [this](const std::string& piece) { outcome_.response.body += piece; };
+  observer.on_chunk = [this](const std::string& piece) { outcome_.response.body += piece; };
   observer.on_end = [this] { OnEnd(); };
   observer.on_error = [this](const http::CallError& error) { OnFailure(error); };
   call_ = runtime_->http_client->Start(target, request_, options, std::move(observer));
@@ -50,20 +50,20 @@
 
 void TargetCaller::OnEnd() {
   if (outcome_.response.status != kStatusUnavailable) {
-    outcome_.answered = true;
+    outcome_.has_final_response = true;
     Finish();
     return;
   }
   outcome_.error = outcome_.response.body;
   // "unavailable" says that it was not taken, "uncertain" that it may have been.
   if (outcome_.error.find("\"uncertain\"") != std::string::npos) outcome_.may_be_applied = true;
-  TryNext();
+  ScheduleNextAttempt();
 }
 
 void TargetCaller::OnFailure(const http::CallError& error) {
   outcome_.error = absl::StrCat(error.status.message());
   if (error.progress != http::CallProgress::kNotSent) outcome_.may_be_applied = true;
-  TryNext();
+  ScheduleNextAttempt();
 }
 
 // Moved out first: `done_` may start the next call.
@@ -72,8 +72,8 @@
   done(std::exchange(outcome_, {}));
 }
 
-void TargetCaller::TryNext() {
-  timer_.Start(kPauseBetweenTries, [this] { Try(); });
+void TargetCaller::ScheduleNextAttempt() {
+  timer_.Start(kRetryBackoff, [this] { StartAttempt(); });
 }
 
 }  // namespace posthatch::ctl
--- a/src/posthatch/ctl/target_caller.h
+++ b/src/posthatch/ctl/target_caller.h
@@ -11,8 +11,8 @@
 namespace posthatch::ctl {
 
 struct CallOutcome {
-  bool answered = false;        // `response` is final: neither 503 nor a failure
-  bool may_be_applied = false;  // not answered, and some target may have taken it
+  bool has_final_response = false;  // `response` is final: neither 503 nor a failure
+  bool may_be_applied = false;      // not answered, and some target may have taken it
   http::Response response;
   std::string error;  // of the last try
 };
@@ -30,10 +30,10 @@
   void Call(http::Request request, Done done);
 
  private:
-  void Try();
+  void StartAttempt();
   void OnEnd();
   void OnFailure(const http::CallError& error);
-  void TryNext();
+  void ScheduleNextAttempt();
   void Finish();
 
   runtime::Runtime* const runtime_;
@@ -45,7 +45,7 @@
   std::unique_ptr<http::Call> call_;
   CallOutcome outcome_;
   runtime::MonotonicTime deadline_;
-  size_t tries_ = 0;
+  size_t attempts_ = 0;
 };
 
 }  // namespace posthatch::ctl
--- a/src/posthatch/daemon/command_line-test.cc
+++ b/src/posthatch/daemon/command_line-test.cc
@@ -53,7 +53,7 @@
     if (request.target == "/hold") {
       script_->held.push_back(std::move(writer));
     } else {
-      writer->SendWhole({.status = 404, .headers = {}, .body = "the process"});
+      writer->SendResponse({.status = 404, .headers = {}, .body = "the process"});
     }
   }
 
@@ -118,7 +118,7 @@
     observer.on_head = [this](const http::Response& head) {
       answers_.push_back(std::to_string(head.status) + " ");
     };
-    observer.on_piece = [this](const std::string& piece) { answers_.back() += piece; };
+    observer.on_chunk = [this](const std::string& piece) { answers_.back() += piece; };
     observer.on_end = [this, runtime, endpoint, requests, then] {
       SendAll(runtime, endpoint, requests, then);
     };
@@ -232,7 +232,7 @@
     });
     runtime->timers->Schedule(std::chrono::milliseconds(150), [this] {
       for (auto& writer : script_.held) {
-        writer->SendWhole({.status = 200, .headers = {}, .body = "ended"});
+        writer->SendResponse({.status = 200, .headers = {}, .body = "ended"});
       }
       script_.held.clear();
     });
--- a/src/posthatch/daemon/command_line.cc
+++ b/src/posthatch/daemon/command_line.cc
@@ -53,7 +53,7 @@
   }
 }
 
-absl::StatusOr<std::string> ReadWholeFile(const std::string& path) {
+absl::StatusOr<std::string> ReadFileContents(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
   text << file.rdbuf();
@@ -94,7 +94,7 @@
 // `load` reads the role's settings, `make` builds its process.
 template <typename Settings, typename Load, typename Make>
 int RunRole(const RoleCommand& command, const Load& load, const Make& make) {
-  auto text = ReadWholeFile(command.config_file);
+  auto text = ReadFileContents(command.config_file);
   if (!text.ok()) {
     std::cerr << text.status().message() << "\n";
     return kExitBadSettings;
@@ -111,9 +111,9 @@
   if (!runtime.ok()) return ReportStartFailure(runtime.status());
   settings.node.internal_endpoint = (*runtime)->runtime()->transport->endpoint();
   settings.node.seeds = WithPort(settings.node.seeds, settings.node.seeds_port);
-  const SettingsSourceFile settings_file{
+  const SettingsFile settings_file{
       command.config_file, [&command, &load]() -> std::vector<std::string> {
-        auto changed_text = ReadWholeFile(command.config_file);
+        auto changed_text = ReadFileContents(command.config_file);
         Settings changed;
         if (!changed_text.ok() ||
             !load(command.Source(*std::move(changed_text)), &changed).empty()) {
--- a/src/posthatch/daemon/common_http.cc
+++ b/src/posthatch/daemon/common_http.cc
@@ -72,15 +72,15 @@
   const bool get = request.method == "GET" || request.method == "HEAD";
   const bool put = request.method == "PUT";
   if (path == "/healthz") {
-    writer->SendWhole(get ? JsonResponse(200, {{"alive", true}}) : MethodNotAllowed("GET"));
+    writer->SendResponse(get ? JsonResponse(200, {{"alive", true}}) : MethodNotAllowed("GET"));
   } else if (path == "/readyz") {
-    writer->SendWhole(get ? Readiness() : MethodNotAllowed("GET"));
+    writer->SendResponse(get ? Readiness() : MethodNotAllowed("GET"));
   } else if (path == "/metrics") {
-    writer->SendWhole(get ? Metrics() : MethodNotAllowed("GET"));
+    writer->SendResponse(get ? Metrics() : MethodNotAllowed("GET"));
   } else if (path == "/admin/v1/log-level" && options_.set_log_level != nullptr) {
-    writer->SendWhole(put ? SetLogLevel(request) : MethodNotAllowed("PUT"));
+    writer->SendResponse(put ? SetLogLevel(request) : MethodNotAllowed("PUT"));
   } else if (path == "/debug/faults" && options_.set_faults != nullptr) {
-    writer->SendWhole(put ? SetFaults(request) : MethodNotAllowed("PUT"));
+    writer->SendResponse(put ? SetFaults(request) : MethodNotAllowed("PUT"));
   } else {
     options_.process->HandleHttp(std::move(request), std::move(writer));
   }
@@ -95,7 +95,7 @@
   } else if (path.starts_with("/admin/v1/")) {
     options_.process->HandleAdmin(std::move(request), std::move(writer));
   } else {
-    writer->SendWhole(Readiness());
+    writer->SendResponse(Readiness());
   }
 }
 
--- a/src/posthatch/daemon/controller_node.cc
+++ b/src/posthatch/daemon/controller_node.cc
@@ -17,10 +17,10 @@
                                              const membership::Membership* membership) {
   consensus::ReplicaOptions options;
   options.bootstrap_expect = settings.bootstrap_expect;
-  if (settings.founded_by_seeds) options.founders = settings.node.seeds;
+  if (settings.founded_by_seeds) options.bootstrap_voters = settings.node.seeds;
   options.raft.target_voters = settings.target_voters;
   options.peers = [membership, settings = &settings] {
-    return EndpointsOf(*membership, membership::MemberRole::kController, settings->node.seeds);
+    return LiveEndpoints(*membership, membership::MemberRole::kController, settings->node.seeds);
   };
   return options;
 }
@@ -47,7 +47,7 @@
   json["endpoint"] = member.endpoint;
   json["voter"] = member.voter;
   json["match_index"] = member.match_index;
-  json["silent_ms"] = runtime::ToMilliseconds(member.silent);
+  json["silent_ms"] = runtime::ToMilliseconds(member.since_last_response);
   return json;
 }
 
@@ -59,8 +59,8 @@
       settings_(std::move(settings)),
       formats_(formats),
       membership_(runtime,
-                  SelfAsMember(settings_.node, membership::MemberRole::kController,
-                               runtime->transport->incarnation()),
+                  MakeSelfMember(settings_.node, membership::MemberRole::kController,
+                                 runtime->transport->incarnation()),
                   settings_.node.seeds, membership::GossipOptions{}),
       replica_(runtime, MakeReplicaOptions(settings_, &membership_), &state_),
       service_(runtime, ServiceOptions(), &replica_, this, &state_),
@@ -86,8 +86,8 @@
 
 orders::RolloutOptions ControllerNode::RolloutSettings() const {
   orders::RolloutOptions options;
-  options.holder = settings_.node.node_id;
-  options.handover = settings_.order_handover;
+  options.issuer = settings_.node.node_id;
+  options.handover_period = settings_.order_handover;
   return options;
 }
 
@@ -95,7 +95,7 @@
   orders::RolloutCoordinator::Parts parts;
   parts.format = formats_->orders;
   parts.fleet = [this]() -> const control::FleetState& { return state_.fleet(); };
-  parts.may_order = [this] { return service_.leading() && replica_.HasQuorumNow(); };
+  parts.may_command = [this] { return service_.leading() && replica_.HasQuorumNow(); };
   parts.publish = [this] { service_.RefreshInventory(); };
   return parts;
 }
@@ -120,7 +120,7 @@
     };
   }
   options.controllers = [this] {
-    return EndpointsOf(membership_, membership::MemberRole::kController, settings_.node.seeds);
+    return LiveEndpoints(membership_, membership::MemberRole::kController, settings_.node.seeds);
   };
   options.controllers_view = [this] { return ControllersView(); };
   return options;
@@ -143,7 +143,7 @@
          !replica_.leader_endpoint().empty();
 }
 
-bool ControllerNode::MayGrant() const { return replica_.HasQuorumNow(); }
+bool ControllerNode::HasLeaderLease() const { return replica_.HasQuorumNow(); }
 
 channels::ServingState ControllerNode::Serving() const {
   channels::ServingState serving;
@@ -176,7 +176,7 @@
   response.headers.Add("Content-Type", "application/json");
   response.body = R"({"error":{"code":"not_found","message":"controllers serve operators only",)"
                   R"("executed":"no"}})";
-  writer->SendWhole(std::move(response));
+  writer->SendResponse(std::move(response));
 }
 
 std::string ControllerNode::ControllersView() const {
--- a/src/posthatch/daemon/controller_node.h
+++ b/src/posthatch/daemon/controller_node.h
@@ -7,7 +7,7 @@
 #include "posthatch/control/admin_api.h"
 #include "posthatch/control/control_state.h"
 #include "posthatch/control/controller_service.h"
-#include "posthatch/control/leadership_guard.h"
+#include "posthatch/control/leader_lease_guard.h"
 #include "posthatch/control/operator_api.h"
 #include "posthatch/daemon/node_settings.h"
 #include "posthatch/daemon/platform_formats.h"
@@ -19,7 +19,7 @@
 
 // A controller: one replica of the log with the control state on it, the invalidation server, and
 // what gateways and operators ask of the leader. The same in real processes and in the simulator.
-class ControllerNode : public Process, public control::LeadershipGuard {
+class ControllerNode : public Process, public control::LeaderLeaseGuard {
  public:
   // `formats`: how the platform speaks, for a fleet that carries routed traffic; null for one that
   // serves the product's own interface only.
@@ -36,7 +36,7 @@
   void OnSeedsChanged(const std::vector<std::string>& seeds) override;
 
   // Whether this controller leads and a majority has answered it lately.
-  bool MayGrant() const override;
+  bool HasLeaderLease() const override;
 
   const consensus::RaftReplica& replica() const { return replica_; }
   const control::ControlState& state() const { return state_; }
--- a/src/posthatch/daemon/gateway_node.cc
+++ b/src/posthatch/daemon/gateway_node.cc
@@ -26,7 +26,7 @@
   return options;
 }
 
-uint32_t CountGateways(const membership::Membership& membership) {
+uint32_t CountLiveGateways(const membership::Membership& membership) {
   uint32_t count = 1;  // this one
   for (const membership::Member& member : membership.LiveMembers()) {
     if (member.role == membership::MemberRole::kGateway) ++count;
@@ -43,7 +43,7 @@
   options.routing_mode = settings.routing_mode == "round_robin"
                              ? gateway::RoutingMode::kRoundRobin
                              : gateway::RoutingMode::kPrefixAware;
-  options.live_gateways = [membership] { return CountGateways(*membership); };
+  options.live_gateways = [membership] { return CountLiveGateways(*membership); };
   return options;
 }
 
@@ -60,20 +60,20 @@
 GatewayNode::GatewayNode(runtime::Runtime* runtime, GatewaySettings settings)
     : settings_(std::move(settings)),
       membership_(runtime,
-                  SelfAsMember(settings_.node, membership::MemberRole::kGateway,
-                               runtime->transport->incarnation()),
+                  MakeSelfMember(settings_.node, membership::MemberRole::kGateway,
+                                 runtime->transport->incarnation()),
                   settings_.node.seeds, membership::GossipOptions{}),
       session_(runtime, SessionOptions(settings_),
                [this] {
-                 return EndpointsOf(membership_, membership::MemberRole::kController,
-                                    settings_.node.seeds);
+                 return LiveEndpoints(membership_, membership::MemberRole::kController,
+                                      settings_.node.seeds);
                }),
       index_(
           runtime, MakeIndexOptions(settings_), &session_, &session_,
-          [this] { return IndexPeersOf(membership_); },
+          [this] { return LiveIndexPeers(membership_); },
           [this] {
-            return EndpointsOf(membership_, membership::MemberRole::kController,
-                               settings_.node.seeds);
+            return LiveEndpoints(membership_, membership::MemberRole::kController,
+                                 settings_.node.seeds);
           }),
       gateway_(runtime, MakeGatewayOptions(settings_, &membership_), &session_, &session_,
                index_.locator()),
@@ -112,7 +112,7 @@
     http::Response response;
     response.headers.Add("Content-Type", "application/json");
     response.body = index_.stats_json();
-    writer->SendWhole(std::move(response));
+    writer->SendResponse(std::move(response));
     return;
   }
   if (!admin_api_.HandleRequest(request, writer)) {
--- a/src/posthatch/daemon/member_views.cc
+++ b/src/posthatch/daemon/member_views.cc
@@ -39,8 +39,8 @@
 
 }  // namespace
 
-membership::Member SelfAsMember(const NodeSettings& node, membership::MemberRole role,
-                                uint64_t incarnation) {
+membership::Member MakeSelfMember(const NodeSettings& node, membership::MemberRole role,
+                                  uint64_t incarnation) {
   membership::Member self;
   self.node_id = node.node_id;
   self.role = role;
@@ -52,9 +52,9 @@
   return self;
 }
 
-std::vector<std::string> EndpointsOf(const membership::Membership& membership,
-                                     membership::MemberRole role,
-                                     const std::vector<std::string>& seeds) {
+std::vector<std::string> LiveEndpoints(const membership::Membership& membership,
+                                       membership::MemberRole role,
+                                       const std::vector<std::string>& seeds) {
   std::vector<std::string> endpoints;
   for (const membership::Member& member : membership.LiveMembers()) {
     if (member.role == role) endpoints.push_back(member.internal_endpoint);
@@ -62,7 +62,7 @@
   return endpoints.empty() ? seeds : endpoints;
 }
 
-std::vector<index::IndexPeer> IndexPeersOf(const membership::Membership& membership) {
+std::vector<index::IndexPeer> LiveIndexPeers(const membership::Membership& membership) {
   std::vector<index::IndexPeer> peers;
   for (const membership::Member& member : membership.LiveMembers()) {
     if (member.role != membership::MemberRole::kGateway) continue;
--- a/src/posthatch/daemon/traffic_fleet-test.cc
+++ b/src/posthatch/daemon/platform_fleet-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/daemon/traffic_fleet-test.h"
+#include "posthatch/daemon/platform_fleet-test.h"
 
 namespace posthatch::daemon {
 namespace {
@@ -7,15 +7,15 @@
 constexpr runtime::Duration kInForce = seconds(3);
 
 // POSTHATCH_GATEWAYS sets another size than CI's.
-TrafficFleetPlan Plan() {
-  TrafficFleetPlan plan;
+PlatformFleetPlan Plan() {
+  PlatformFleetPlan plan;
   if (const char* gateways = std::getenv("POSTHATCH_GATEWAYS")) plan.gateways = std::atoi(gateways);
   return plan;
 }
 
-class TrafficFleetTest : public testing::TestWithParam<uint64_t> {
+class PlatformFleetTest : public testing::TestWithParam<uint64_t> {
  protected:
-  TrafficFleetTest() : fleet_(GetParam(), Plan()) {
+  PlatformFleetTest() : fleet_(GetParam(), Plan()) {
     fleet_.Change(1);
     fleet_.world.RunUntil([this] { return fleet_.acknowledged.contains(1); }, seconds(10));
     fleet_.RunAndWatch(seconds(3));
@@ -42,19 +42,19 @@
     }
   }
 
-  TrafficFleet fleet_;
+  PlatformFleet fleet_;
 };
 
-INSTANTIATE_TEST_SUITE_P(Seeds, TrafficFleetTest, testing::Range<uint64_t>(1, 4));
+INSTANTIATE_TEST_SUITE_P(Seeds, PlatformFleetTest, testing::Range<uint64_t>(1, 4));
 
-TEST_P(TrafficFleetTest, ChangesComeIntoForceDuringARollOut) {
+TEST_P(PlatformFleetTest, ChangesComeIntoForceDuringARollOut) {
   fleet_.NameRevision(2);
   ChangeRepeatedly(2, 9, milliseconds(400));
   fleet_.RunAndWatch(seconds(4));
   ExpectAllInForce(9);
 }
 
-TEST_P(TrafficFleetTest, ChangesComeIntoForceAfterTheLeaderIsKilledAndTheCoreIsCut) {
+TEST_P(PlatformFleetTest, ChangesComeIntoForceAfterTheLeaderIsKilledAndTheCoreIsCut) {
   fleet_.NameRevision(2);
   ChangeRepeatedly(2, 3, milliseconds(300));
   simulation::SimHost* leader = fleet_.Leader();
@@ -76,9 +76,9 @@
   ExpectAllInForce(11);
 }
 
-TEST_P(TrafficFleetTest, TheListIsReadByFewWhileTheCoreIsCutOff) {
+TEST_P(PlatformFleetTest, TheListIsReadByFewWhileTheCoreIsCutOff) {
   for (const simulation::SimHost* controller : fleet_.controller_hosts) {
-    fleet_.world.Cut(controller->name(), "list");
+    fleet_.world.Partition(controller->name(), "list");
   }
   const uint64_t before = fleet_.list_calls;
   fleet_.RunAndWatch(seconds(10));
--- a/src/posthatch/daemon/traffic_fleet-test.h
+++ b/src/posthatch/daemon/platform_fleet-test.h
@@ -16,12 +16,12 @@
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_cat.h"
 #include "posthatch/daemon/controller_node.h"
-#include "posthatch/daemon/traffic_gateway_node.h"
+#include "posthatch/daemon/platform_gateway_node.h"
 #include "posthatch/simulation/sim_world.h"
 #include "posthatch/traffic/traffic_fixture-test.h"
 
 // A whole fleet for routed traffic in the simulator: the processes that are deployed
-// (ControllerNode, TrafficGatewayNode), the platform's list, workers that load weights, and an
+// (ControllerNode, PlatformGatewayNode), the platform's list, workers that load weights, and an
 // operator.
 namespace posthatch::daemon {
 
@@ -37,24 +37,24 @@
     request.target = "/list";
     return request;
   }
-  absl::StatusOr<control::InventoryPage> ReadPage(const std::string& body) const override {
+  absl::StatusOr<control::InventoryPage> ParsePage(const std::string& body) const override {
     control::InventoryPage page;
     if (!page.inventory.ParseFromString(body)) return absl::InvalidArgumentError("no inventory");
     return page;
   }
-  runtime::Duration PauseAsked(const http::Response& /*refusal*/) const override { return {}; }
+  runtime::Duration RetryAfter(const http::Response& /*refusal*/) const override { return {}; }
 };
 
 // Operators send a serialized Command to /change.
 class TestOperatorFormat : public control::OperatorFormat {
  public:
-  control::OperatorOrder ReadOrder(const http::Request& request) const override {
-    control::OperatorOrder order;
-    if (request.target == "/read") order.kind = control::OperatorOrder::Kind::kReadConfiguration;
+  control::OperatorRequest ParseRequest(const http::Request& request) const override {
+    control::OperatorRequest order;
+    if (request.target == "/read") order.kind = control::OperatorRequest::Kind::kReadConfiguration;
     if (request.target != "/change") return order;
     order.kind = order.command.ParseFromString(request.body)
-                     ? control::OperatorOrder::Kind::kChange
-                     : control::OperatorOrder::Kind::kMalformed;
+                     ? control::OperatorRequest::Kind::kChange
+                     : control::OperatorRequest::Kind::kMalformed;
     return order;
   }
   http::Response RenderMalformed(const std::string& error) const override {
@@ -71,26 +71,27 @@
   http::Response RenderUnavailable() const override { return {503, {}, ""}; }
 };
 
-class TestOrderFormat : public orders::OrderFormat {
+class TestWorkerCommandFormat : public orders::WorkerCommandFormat {
  public:
-  http::Request OrderRequest(const orders::LoadOrder& order) const override {
+  http::Request MakeLoadWeightsRequest(const orders::LoadWeightsCommand& order) const override {
     http::Request request;
     request.method = "POST";
     request.target = absl::StrCat("/order/", order.revision);
     return request;
   }
-  orders::OrderAnswer ReadOrderAnswer(const http::Response& head) const override {
-    return head.status == 202 ? orders::OrderAnswer::kTaken : orders::OrderAnswer::kUnclear;
+  orders::WorkerCommandResult ParseCommandResult(const http::Response& head) const override {
+    return head.status == 202 ? orders::WorkerCommandResult::kAccepted
+                              : orders::WorkerCommandResult::kUnknown;
   }
-  http::Request ReportRequest(const std::string& /*worker_id*/) const override {
+  http::Request MakeStatusRequest(const std::string& /*worker_id*/) const override {
     http::Request request;
     request.method = "GET";
     request.target = "/report";
     return request;
   }
-  absl::StatusOr<orders::WorkerReport> ReadReport(const std::string& body,
-                                                  const std::string& /*model*/) const override {
-    orders::WorkerReport report;
+  absl::StatusOr<orders::WorkerStatus> ParseStatus(const std::string& body,
+                                                   const std::string& /*model*/) const override {
+    orders::WorkerStatus report;
     if (!absl::SimpleAtoi(body, &report.revision)) return absl::InvalidArgumentError("no report");
     report.busy = report.revision == 0;
     return report;
@@ -101,23 +102,23 @@
   TestInventoryFormat inventory;
   TestOperatorFormat operators;
   traffic::TestCallFormat calls;
-  TestOrderFormat orders;
+  TestWorkerCommandFormat orders;
 
   PlatformFormats all() const {
     return {&inventory, &operators, &calls, index::NativeKvEventFormat(), &orders};
   }
 };
 
-struct TrafficFleetPlan {
+struct PlatformFleetPlan {
   int controllers = 9;
   int gateways = 100;
   int zones = 6;
   int workers = 40;
 };
 
-class TrafficFleet {
+class PlatformFleet {
  public:
-  TrafficFleet(uint64_t seed, const TrafficFleetPlan& plan) : world(seed), plan_(plan) {
+  PlatformFleet(uint64_t seed, const PlatformFleetPlan& plan) : world(seed), plan_(plan) {
     for (int i = 0; i < plan.workers; ++i) AddWorker(i);
     AddList();
     for (int i = 0; i < plan.controllers; ++i) AddController(i);
@@ -127,12 +128,12 @@
     for (simulation::SimHost* host : world.hosts()) host->Start();
   }
   // For comparing two builds by their test reports: equal behaviour gives an equal hash.
-  ~TrafficFleet() {
+  ~PlatformFleet() {
     testing::Test::RecordProperty("behaviour_hash",
                                   absl::StrCat(absl::Hex(world.behaviour_hash())));
   }
-  TrafficFleet(const TrafficFleet&) = delete;
-  TrafficFleet& operator=(const TrafficFleet&) = delete;
+  PlatformFleet(const PlatformFleet&) = delete;
+  PlatformFleet& operator=(const PlatformFleet&) = delete;
 
   // Sends configuration `version`, with a route /vN/ for every version N up to it, to controllers
   // in turn until it is acknowledged.
@@ -170,7 +171,7 @@
   uint64_t VersionAt(const simulation::SimHost* host) {
     const auto found = gateways_.find(host);
     if (!host->running() || found == gateways_.end()) return 0;
-    const std::shared_ptr<TrafficGatewayNode> node = found->second.lock();
+    const std::shared_ptr<PlatformGatewayNode> node = found->second.lock();
     uint64_t version = 0;
     while (node != nullptr && node->Ready() && Knows(node.get(), version + 1)) ++version;
     return version;
@@ -181,7 +182,7 @@
       const auto found = controllers_.find(host);
       if (!host->running() || found == controllers_.end()) continue;
       const std::shared_ptr<ControllerNode> node = found->second.lock();
-      if (node != nullptr && node->MayGrant()) return host;
+      if (node != nullptr && node->HasLeaderLease()) return host;
     }
     return nullptr;
   }
@@ -189,7 +190,8 @@
   void CutCore(const std::set<const simulation::SimHost*>& side) {
     for (const simulation::SimHost* left : controller_hosts) {
       for (const simulation::SimHost* right : controller_hosts) {
-        if (side.contains(left) != side.contains(right)) world.Cut(left->name(), right->name());
+        if (side.contains(left) != side.contains(right))
+          world.Partition(left->name(), right->name());
       }
     }
   }
@@ -228,7 +230,7 @@
     latest_gateway = absl::StrCat(host->name(), " with ", version, " at ",
                                   runtime::ToMilliseconds(world.Now().time_since_epoch()));
   }
-  static bool Knows(TrafficGatewayNode* node, uint64_t version) {
+  static bool Knows(PlatformGatewayNode* node, uint64_t version) {
     http::Request request;
     request.method = "POST";
     request.target = absl::StrCat("/v", version, "/x");
@@ -311,7 +313,7 @@
       settings.node = NodeSettingsOf(host);
       settings.drain_bound = seconds(4);
       settings.inventory_reads_per_second = 1000;
-      auto node = std::make_shared<TrafficGatewayNode>(runtime, settings, formats_.all());
+      auto node = std::make_shared<PlatformGatewayNode>(runtime, settings, formats_.all());
       EXPECT_TRUE(node->Start().ok());
       gateways_[host] = node;
       return node;
@@ -344,7 +346,7 @@
     if (absl::StartsWith(request.target, "/kv_events")) {
       response.body = R"({"epoch":1,"events":[]})";
       runtime->timers->Schedule(milliseconds(700),
-                                [writer, response] { writer->SendWhole(response); });
+                                [writer, response] { writer->SendResponse(response); });
       return;
     }
     if (absl::StartsWith(request.target, "/order/")) {
@@ -354,7 +356,7 @@
                                 [backend, revision] { backend->set_model_revision(revision); });
     }
     if (request.target == "/report") response.body = std::to_string(backend->model_revision());
-    writer->SendWhole(response);
+    writer->SendResponse(response);
   }
   void AddList() {
     simulation::SimHost* host = world.AddHost("list", "z0", "10.0.8.1");
@@ -362,20 +364,20 @@
       auto server = runtime->http_servers->Listen(
           host->http_endpoint(), {}, [this](const http::Request&, auto writer) {
             ++list_calls;
-            writer->SendWhole({200, {}, list_.SerializeAsString()});
+            writer->SendResponse({200, {}, list_.SerializeAsString()});
           });
       return std::shared_ptr<http::HttpServer>(*std::move(server));
     });
   }
 
-  const TrafficFleetPlan plan_;
+  const PlatformFleetPlan plan_;
   const TestFormats formats_;
   PlatformFormats formats_all_;
   control::Inventory list_;
   simulation::SimHost* operator_ = nullptr;
   std::map<std::string, Order> orders_;
   std::map<const simulation::SimHost*, std::weak_ptr<ControllerNode>> controllers_;
-  std::map<const simulation::SimHost*, std::weak_ptr<TrafficGatewayNode>> gateways_;
+  std::map<const simulation::SimHost*, std::weak_ptr<PlatformGatewayNode>> gateways_;
   std::map<const simulation::SimHost*, std::unique_ptr<http::HttpServer>> servers_;
 };
 
--- a/src/posthatch/daemon/platform_formats.h
+++ b/src/posthatch/daemon/platform_formats.h
@@ -3,7 +3,7 @@
 #include "posthatch/control/inventory_format.h"
 #include "posthatch/control/operator_format.h"
 #include "posthatch/index/kv_event_format.h"
-#include "posthatch/orders/order_format.h"
+#include "posthatch/orders/worker_command_format.h"
 #include "posthatch/traffic/call_format.h"
 
 namespace posthatch::daemon {
@@ -15,7 +15,7 @@
   const control::OperatorFormat* operators = nullptr;
   const traffic::CallFormat* calls = nullptr;
   const index::KvEventFormat* cache_events = nullptr;
-  const orders::OrderFormat* orders = nullptr;
+  const orders::WorkerCommandFormat* orders = nullptr;
 };
 
 }  // namespace posthatch::daemon
--- a/src/posthatch/daemon/traffic_gateway_node.cc
+++ b/src/posthatch/daemon/platform_gateway_node.cc
@@ -1,4 +1,4 @@
-#include "posthatch/daemon/traffic_gateway_node.h"
+#include "posthatch/daemon/platform_gateway_node.h"
 
 #include <utility>
 
@@ -18,7 +18,7 @@
 constexpr double kToleratedMissingEvents = 0.2;
 // Revisions whose entries are of use at one time: the newest, the one that a roll-out replaces, and
 // the one before, where a further revision was named in the middle of a roll-out.
-constexpr size_t kRevisionsKept = 3;
+constexpr size_t kRetainedRevisions = 3;
 
 control::GatewaySessionOptions SessionOptions(const GatewaySettings& settings) {
   control::GatewaySessionOptions options;
@@ -32,26 +32,26 @@
   index::IndexOptions options;
   options.index_budget_bytes = settings.index_budget_bytes;
   options.zone = settings.node.zone;
-  options.revisions_kept = kRevisionsKept;
+  options.retained_revisions = kRetainedRevisions;
   // One registration and one heartbeat a gateway: the leader serves all of them.
   options.aggregate_channel = true;
   options.events.format = formats.cache_events;
   options.events.wait = kEventWait;
   options.events.tolerated_missing_share = kToleratedMissingEvents;
-  options.dispatches.workers_put_to_store = false;
-  options.dispatches.events_name_salts = true;
+  options.dispatches.workers_save_to_store = false;
+  options.dispatches.events_carry_salts = true;
   return options;
 }
 
 }  // namespace
 
-TrafficGatewayNode::TrafficGatewayNode(runtime::Runtime* runtime, GatewaySettings settings,
-                                       const PlatformFormats& formats)
+PlatformGatewayNode::PlatformGatewayNode(runtime::Runtime* runtime, GatewaySettings settings,
+                                         const PlatformFormats& formats)
     : runtime_(runtime),
       settings_(std::move(settings)),
       membership_(runtime,
-                  SelfAsMember(settings_.node, membership::MemberRole::kGateway,
-                               runtime->transport->incarnation()),
+                  MakeSelfMember(settings_.node, membership::MemberRole::kGateway,
+                                 runtime->transport->incarnation()),
                   settings_.node.seeds, membership::GossipOptions{}),
       session_(runtime, SessionOptions(settings_), [this] { return ControllerEndpoints(); }),
       index_(
@@ -69,7 +69,7 @@
           &session_, &session_),
       leave_timer_(runtime->timers) {}
 
-traffic::TrafficGatewayOptions TrafficGatewayNode::TrafficOptions(const PlatformFormats& formats) {
+traffic::TrafficGatewayOptions PlatformGatewayNode::TrafficOptions(const PlatformFormats& formats) {
   traffic::TrafficGatewayOptions options;
   options.gateway_id = settings_.node.node_id;
   options.zone = settings_.node.zone;
@@ -88,24 +88,24 @@
   return options;
 }
 
-std::vector<std::string> TrafficGatewayNode::ControllerEndpoints() const {
-  return EndpointsOf(membership_, membership::MemberRole::kController, settings_.node.seeds);
+std::vector<std::string> PlatformGatewayNode::ControllerEndpoints() const {
+  return LiveEndpoints(membership_, membership::MemberRole::kController, settings_.node.seeds);
 }
 
 // Only the leader serves the channels, and without a lease no index entry is used: while there is
 // no leader, asking the other controllers one after the other would only keep them busy.
-std::vector<std::string> TrafficGatewayNode::ChannelServers() const {
+std::vector<std::string> PlatformGatewayNode::ChannelServers() const {
   const std::string leader = session_.leader_endpoint();
   return leader.empty() ? std::vector<std::string>() : std::vector<std::string>{leader};
 }
 
-void TrafficGatewayNode::RefreshGateways() const {
+void PlatformGatewayNode::RefreshGateways() const {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  if (!gateway_ids_.empty() && now - gateways_at_ < kMemberRefresh) return;
+  if (!gateway_ids_.empty() && now - gateways_refreshed_at_ < kMemberRefresh) return;
   gateway_ids_ = {settings_.node.node_id};
   other_gateways_.clear();
   index_peers_.clear();
-  gateways_at_ = now;
+  gateways_refreshed_at_ = now;
   for (const membership::Member& member : membership_.LiveMembers()) {
     if (member.role != membership::MemberRole::kGateway) continue;
     gateway_ids_.push_back(member.node_id);
@@ -114,59 +114,59 @@
   }
 }
 
-std::vector<std::string> TrafficGatewayNode::GatewayIds() const {
+std::vector<std::string> PlatformGatewayNode::GatewayIds() const {
   RefreshGateways();
   return gateway_ids_;
 }
 
-std::vector<traffic::LoadPeer> TrafficGatewayNode::OtherGateways() const {
+std::vector<traffic::LoadPeer> PlatformGatewayNode::OtherGateways() const {
   RefreshGateways();
   return other_gateways_;
 }
 
-std::vector<index::IndexPeer> TrafficGatewayNode::OtherIndexPeers() const {
+std::vector<index::IndexPeer> PlatformGatewayNode::OtherIndexPeers() const {
   RefreshGateways();
   return index_peers_;
 }
 
-absl::Status TrafficGatewayNode::Start() {
+absl::Status PlatformGatewayNode::Start() {
   membership_.Start();
   index_.Start();
   traffic_.Start();
   return absl::OkStatus();
 }
 
-void TrafficGatewayNode::Drain(std::function<void()> done) {
-  traffic_.OnQuiet([this, done = std::move(done)] { LeaveFleet(done); });
+void PlatformGatewayNode::Drain(std::function<void()> done) {
+  traffic_.NotifyWhenIdle([this, done = std::move(done)] { LeaveFleet(done); });
 }
 
-void TrafficGatewayNode::LeaveFleet(std::function<void()> done) {
+void PlatformGatewayNode::LeaveFleet(std::function<void()> done) {
   session_.Leave();
   membership_.Leave();
   leave_timer_.Start(kLeaveDelay, std::move(done));
 }
 
-void TrafficGatewayNode::HandleHttp(http::Request request,
-                                    std::shared_ptr<http::ResponseWriter> writer) {
+void PlatformGatewayNode::HandleHttp(http::Request request,
+                                     std::shared_ptr<http::ResponseWriter> writer) {
   traffic_.HandleRequest(std::move(request), std::move(writer));
 }
 
-void TrafficGatewayNode::HandleAdmin(http::Request request,
-                                     std::shared_ptr<http::ResponseWriter> writer) {
+void PlatformGatewayNode::HandleAdmin(http::Request request,
+                                      std::shared_ptr<http::ResponseWriter> writer) {
   if (request.target == kIndexPath && request.method == "GET" && admin_api_.Authorized(request)) {
     http::Response response;
     response.headers.Add("Content-Type", "application/json");
     response.body = index_.stats_json();
-    writer->SendWhole(std::move(response));
+    writer->SendResponse(std::move(response));
     return;
   }
   if (admin_api_.HandleRequest(request, writer)) return;
   http::Response response;
   response.status = kNotFound;
-  writer->SendWhole(std::move(response));
+  writer->SendResponse(std::move(response));
 }
 
-void TrafficGatewayNode::OnSeedsChanged(const std::vector<std::string>& seeds) {
+void PlatformGatewayNode::OnSeedsChanged(const std::vector<std::string>& seeds) {
   settings_.node.seeds = seeds;
   membership_.SetSeeds(seeds);
 }
--- a/src/posthatch/daemon/traffic_gateway_node.h
+++ b/src/posthatch/daemon/platform_gateway_node.h
@@ -18,10 +18,10 @@
 // A gateway for routed traffic on a platform: finds the controllers by gossip, follows the fleet's
 // state, keeps the prefix cache index, and serves callers as the platform's formats say. Without
 // controllers it serves on with what it knows and trusts no index entry past its freshness.
-class TrafficGatewayNode : public Process {
+class PlatformGatewayNode : public Process {
  public:
-  TrafficGatewayNode(runtime::Runtime* runtime, GatewaySettings settings,
-                     const PlatformFormats& formats);
+  PlatformGatewayNode(runtime::Runtime* runtime, GatewaySettings settings,
+                      const PlatformFormats& formats);
 
   absl::Status Start() override;
   bool Ready() const override { return traffic_.Ready(); }
@@ -53,7 +53,7 @@
   mutable std::vector<std::string> gateway_ids_;
   mutable std::vector<traffic::LoadPeer> other_gateways_;
   mutable std::vector<index::IndexPeer> index_peers_;
-  mutable runtime::MonotonicTime gateways_at_;
+  mutable runtime::MonotonicTime gateways_refreshed_at_;
 };
 
 }  // namespace posthatch::daemon
--- a/src/posthatch/daemon/process_runner.cc
+++ b/src/posthatch/daemon/process_runner.cc
@@ -19,7 +19,7 @@
 class ProcessRunner {
  public:
   ProcessRunner(asio::AsioRuntime* asio_runtime, const NodeSettings& node,
-                const http::ServerLimits& limits, const SettingsSourceFile& settings_file)
+                const http::ServerLimits& limits, const SettingsFile& settings_file)
       : asio_runtime_(asio_runtime),
         runtime_(asio_runtime->runtime()),
         node_(node),
@@ -57,7 +57,7 @@
     asio_runtime_->OnReloadSignal([this] { settings_watch_.Reload(); });
     settings_watch_.Start();
     asio_runtime_->Run();
-    runtime_->trace->Event(Severity::kInfo, "ProcessEnded",
+    runtime_->trace->Event(Severity::kInfo, "ProcessStopped",
                            {{"complete", process_drained_ && server_->open_connections() == 0}});
     return absl::OkStatus();
   }
@@ -116,25 +116,25 @@
     runtime_->trace->Event(Severity::kInfo, "DrainStarted",
                            {{"connections", server_->open_connections()}});
     common_http_->SetDraining();
-    server_->StopKeepingConnections();
+    server_->DisableKeepAlive();
     drain_deadline_.Start(node_.drain_deadline, [this] { asio_runtime_->Stop(); });
-    drain_notice_.Start(node_.drain_notice, [this] { EndConnections(); });
+    drain_notice_.Start(node_.drain_notice, [this] { CloseConnections(); });
   }
 
-  void EndConnections() {
+  void CloseConnections() {
     server_->Drain();
     process_->Drain([this] {
       process_drained_ = true;
-      StopWhenQuiet();
+      StopWhenIdle();
     });
   }
 
-  void StopWhenQuiet() {
+  void StopWhenIdle() {
     if (server_->open_connections() == 0) {
       asio_runtime_->Stop();
       return;
     }
-    drain_poll_.Start(kDrainPollInterval, [this] { StopWhenQuiet(); });
+    drain_poll_.Start(kDrainPollInterval, [this] { StopWhenIdle(); });
   }
 
   asio::AsioRuntime* const asio_runtime_;
@@ -156,7 +156,7 @@
 }  // namespace
 
 absl::Status RunProcess(asio::AsioRuntime* asio_runtime, const NodeSettings& node,
-                        const http::ServerLimits& limits, const SettingsSourceFile& settings_file,
+                        const http::ServerLimits& limits, const SettingsFile& settings_file,
                         const MakeProcess& make_process) {
   return ProcessRunner(asio_runtime, node, limits, settings_file).Run(make_process);
 }
--- a/src/posthatch/daemon/process_runner.h
+++ b/src/posthatch/daemon/process_runner.h
@@ -19,7 +19,7 @@
 using ReadSeeds = std::function<std::vector<std::string>()>;
 
 // The settings file of a process, and how to read the seeds in it.
-struct SettingsSourceFile {
+struct SettingsFile {
   std::string path;
   ReadSeeds read_seeds;
 };
@@ -33,7 +33,7 @@
 // Destroys the process before it returns. Returns OK after a drain, also one that was cut short;
 // errors are those of Process::Start and of listening.
 absl::Status RunProcess(asio::AsioRuntime* asio_runtime, const NodeSettings& node,
-                        const http::ServerLimits& limits, const SettingsSourceFile& settings_file,
+                        const http::ServerLimits& limits, const SettingsFile& settings_file,
                         const MakeProcess& make_process);
 
 }  // namespace posthatch::daemon
--- a/src/posthatch/daemon/setting_value.cc
+++ b/src/posthatch/daemon/setting_value.cc
@@ -9,7 +9,7 @@
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_join.h"
 #include "absl/strings/str_split.h"
-#include "posthatch/asio/endpoint_text.h"
+#include "posthatch/asio/endpoint_check.h"
 #include "posthatch/asio/json_trace_sink.h"
 #include "posthatch/util/string_view.h"
 
@@ -57,7 +57,7 @@
     case SettingKind::kName:
       return IsName(text);
     case SettingKind::kEndpoint:
-      return asio::IsDefiniteEndpoint(text);
+      return asio::IsConnectableEndpoint(text);
     case SettingKind::kSha256:
       return IsSha256(text);
     case SettingKind::kRoutingMode:
@@ -102,7 +102,7 @@
   if (list == nullptr || list->size() > kMaxSeeds) return Refuse(setting, value);
   const absl::flat_hash_set<std::string> different(list->begin(), list->end());
   if (different.size() != list->size() ||
-      !std::all_of(list->begin(), list->end(), asio::IsDefiniteEndpoint)) {
+      !std::all_of(list->begin(), list->end(), asio::IsConnectableEndpoint)) {
     return Refuse(setting, value);
   }
   *std::get<std::vector<std::string>*>(target) = *list;
--- a/src/posthatch/daemon/settings_loader.cc
+++ b/src/posthatch/daemon/settings_loader.cc
@@ -16,7 +16,7 @@
 constexpr const char* kCommandLine = "command line";
 
 // Where a value came from, for messages.
-struct Located {
+struct LocatedValue {
   RawSetting value;
   std::string file;
   int line = 0;
@@ -31,7 +31,7 @@
     if (!ReadFile()) return std::move(errors_);
     ReadOverrides();
     for (const SettingDescription& setting : SettingsTable()) Store(setting, draft);
-    if (errors_.empty()) CheckTogether(*draft);
+    if (errors_.empty()) CheckCombinations(*draft);
     std::stable_sort(errors_.begin(), errors_.end(),
                      [](const auto& a, const auto& b) { return a.line < b.line; });
     return std::move(errors_);
@@ -92,7 +92,7 @@
       seen_.insert_or_assign(key, std::nullopt);
       return;
     }
-    seen_.insert_or_assign(key, Located{*std::move(raw), source_.file_name, LineOf(node)});
+    seen_.insert_or_assign(key, LocatedValue{*std::move(raw), source_.file_name, LineOf(node)});
   }
 
   static std::optional<RawSetting> RawFromNode(const toml::node& node) {
@@ -118,7 +118,7 @@
       }
       const auto raw = RawFromText(*setting, text);
       if (raw.ok()) {
-        seen_.insert_or_assign(key, Located{*raw, kCommandLine, 0});
+        seen_.insert_or_assign(key, LocatedValue{*raw, kCommandLine, 0});
       } else {
         Add(kCommandLine, 0, key, absl::StrCat(raw.status().message()));
         seen_.insert_or_assign(key, std::nullopt);
@@ -137,7 +137,7 @@
       return;
     }
     if (!found->second) return;  // already reported
-    const Located& located = *found->second;
+    const LocatedValue& located = *found->second;
     absl::Status status = StoreSetting(setting, located.value, draft);
     if (!status.ok()) {
       Add(located.file, located.line, setting.Key(), absl::StrCat(status.message()));
@@ -145,7 +145,7 @@
   }
 
   // What no single setting can tell.
-  void CheckTogether(const SettingsDraft& draft) {
+  void CheckCombinations(const SettingsDraft& draft) {
     const bool any_port = draft.node.http_endpoint.ends_with(":0");
     if (draft.node.internal_endpoint == draft.node.http_endpoint && !any_port) {
       const auto& located = seen_.find("node.http_endpoint")->second;
@@ -158,7 +158,7 @@
   const SettingsSource& source_;
   std::vector<SettingsError> errors_;
   // Values by key; nullopt for those already reported.
-  absl::btree_map<std::string, std::optional<Located>> seen_;
+  absl::btree_map<std::string, std::optional<LocatedValue>> seen_;
 };
 
 }  // namespace
--- a/src/posthatch/gateway/backend_directory.cc
+++ b/src/posthatch/gateway/backend_directory.cc
@@ -13,13 +13,13 @@
 constexpr uint32_t kMaxEjectionFactor = 4;
 // How long a back end that refused isn't asked again: one that is full has room soon, one that
 // loads weights takes seconds.
-constexpr runtime::Duration kOverloadPause = std::chrono::milliseconds(250);
-constexpr runtime::Duration kRefusalPause = std::chrono::seconds(1);
+constexpr runtime::Duration kOverloadBackoff = std::chrono::milliseconds(250);
+constexpr runtime::Duration kRefusalBackoff = std::chrono::seconds(1);
 constexpr int kTooManyRequests = 429;
-constexpr double kSmallestShare = 0.02;
+constexpr double kMinSlowStartShare = 0.02;
 // An answer may take this long to begin before its back end counts as silent.
-constexpr runtime::Duration kSilenceGrace = std::chrono::milliseconds(500);
-constexpr double kNewWaitShare = 0.3;  // of the moving average
+constexpr runtime::Duration kHeadGracePeriod = std::chrono::milliseconds(500);
+constexpr double kWaitSampleWeight = 0.3;  // of the moving average
 // A measured wait counts half after this time.
 constexpr double kWaitHalfLifeSeconds = 2.0;
 
@@ -31,47 +31,49 @@
 
 }  // namespace
 
-void BackendDirectory::Update(const control::FleetState& state, const control::Inventory* own) {
-  absl::flat_hash_set<std::string> draining_by_own;
-  if (own != nullptr) {
-    for (const control::Backend& backend : own->backends()) {
-      if (backend.draining()) draining_by_own.insert(backend.id());
+void BackendDirectory::Update(const control::FleetState& state,
+                              const control::Inventory* local_inventory) {
+  absl::flat_hash_set<std::string> locally_draining;
+  if (local_inventory != nullptr) {
+    for (const control::Backend& backend : local_inventory->backends()) {
+      if (backend.draining()) locally_draining.insert(backend.id());
     }
   }
-  for (auto& [id, entry] : entries_) entry->listed = false;
+  for (auto& [id, entry] : entries_) entry->in_inventory = false;
   for (const control::Backend& backend : state.inventory().backends()) {
-    Take(backend, backend.draining() || draining_by_own.contains(backend.id()));
+    AddOrUpdate(backend, backend.draining() || locally_draining.contains(backend.id()));
   }
-  if (own != nullptr) {
-    for (const control::Backend& backend : own->backends()) {
+  if (local_inventory != nullptr) {
+    for (const control::Backend& backend : local_inventory->backends()) {
       const BackendPointer known = Find(backend.id());
-      if (known == nullptr || !known->listed) Take(backend, backend.draining());
+      if (known == nullptr || !known->in_inventory) AddOrUpdate(backend, backend.draining());
     }
   }
-  absl::erase_if(entries_, [](const auto& item) { return !item.second->listed; });
+  absl::erase_if(entries_, [](const auto& item) { return !item.second->in_inventory; });
   MarkEvacuated(state);
   RebuildPools();
 }
 
-void BackendDirectory::Take(const control::Backend& backend, bool draining) {
+void BackendDirectory::AddOrUpdate(const control::Backend& backend, bool draining) {
   BackendPointer& entry = entries_[backend.id()];
   const bool moved = entry != nullptr && entry->backend.endpoint() != backend.endpoint();
   if (entry == nullptr || moved) {
     // Running attempts keep the entry of the old place, which gets no new work.
     entry = std::make_shared<BackendEntry>();
-    StartSlowly(entry.get(), "seen");
+    EnterSlowStart(entry.get(), "seen");
   } else if (entry->draining && !draining) {
-    StartSlowly(entry.get(), "returned");
+    EnterSlowStart(entry.get(), "returned");
   }
-  entry->listed = true;
-  if (!SameLine(entry->backend, backend)) {
+  entry->in_inventory = true;
+  if (!SameInventoryEntry(entry->backend, backend)) {
     entry->backend = backend;
     entry->labels_changed = true;
   }
   entry->draining = draining;
 }
 
-bool BackendDirectory::SameLine(const control::Backend& left, const control::Backend& right) {
+bool BackendDirectory::SameInventoryEntry(const control::Backend& left,
+                                          const control::Backend& right) {
   return left.id() == right.id() && left.kind() == right.kind() &&
          left.endpoint() == right.endpoint() && left.zone() == right.zone() &&
          left.model() == right.model() && left.service() == right.service() &&
@@ -136,7 +138,7 @@
 }
 
 bool BackendDirectory::Eligible(const BackendEntry& entry, uint64_t revision) const {
-  if (!entry.listed || entry.draining || entry.evacuated) return false;
+  if (!entry.in_inventory || entry.draining || entry.evacuated) return false;
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (now < entry.ejected_until) return false;
   if (entry.refused_revision == revision && now < entry.refused_until) return false;
@@ -144,17 +146,17 @@
 }
 
 bool BackendDirectory::EligibleForTrial(const BackendEntry& entry) const {
-  return entry.listed && !entry.draining && !entry.evacuated && entry.in_flight == 0 &&
+  return entry.in_inventory && !entry.draining && !entry.evacuated && entry.in_flight == 0 &&
          runtime_->clock->Now() >= entry.refused_until;
 }
 
 double BackendDirectory::SlowStartShare(const BackendEntry& entry) const {
   const runtime::Duration length = lookup_->limits().slow_start;
-  const runtime::Duration elapsed = runtime_->clock->Now() - entry.slow_start_from;
+  const runtime::Duration elapsed = runtime_->clock->Now() - entry.slow_start_began;
   if (elapsed >= length) return 1.0;
   const double share = static_cast<double>(elapsed.count()) /
                        static_cast<double>(std::max<int64_t>(1, length.count()));
-  return std::clamp(share, kSmallestShare, 1.0);
+  return std::clamp(share, kMinSlowStartShare, 1.0);
 }
 
 uint32_t BackendDirectory::Limit(const BackendEntry& entry) const {
@@ -163,10 +165,10 @@
   return std::max<uint32_t>(1, static_cast<uint32_t>(full * SlowStartShare(entry)));
 }
 
-runtime::Duration BackendDirectory::Silence(const BackendEntry& entry) const {
-  if (entry.unanswered == 0) return runtime::Duration::zero();
-  const runtime::Duration waiting = runtime_->clock->Now() - entry.waiting_since;
-  return std::max(runtime::Duration::zero(), waiting - kSilenceGrace);
+runtime::Duration BackendDirectory::UnresponsiveTime(const BackendEntry& entry) const {
+  if (entry.awaiting_head == 0) return runtime::Duration::zero();
+  const runtime::Duration waiting = runtime_->clock->Now() - entry.awaiting_head_since;
+  return std::max(runtime::Duration::zero(), waiting - kHeadGracePeriod);
 }
 
 double BackendDirectory::ExpectedWait(const BackendEntry& entry) const {
@@ -176,67 +178,67 @@
   return entry.wait_milliseconds * std::exp2(-half_lives);
 }
 
-void BackendDirectory::OnWaited(BackendEntry* entry, double milliseconds) {
-  entry->wait_milliseconds =
-      ExpectedWait(*entry) * (1.0 - kNewWaitShare) + std::max(0.0, milliseconds) * kNewWaitShare;
+void BackendDirectory::OnWaitMeasured(BackendEntry* entry, double milliseconds) {
+  entry->wait_milliseconds = ExpectedWait(*entry) * (1.0 - kWaitSampleWeight) +
+                             std::max(0.0, milliseconds) * kWaitSampleWeight;
   entry->wait_measured = runtime_->clock->Now();
 }
 
 void BackendDirectory::OnDispatched(BackendEntry* entry, uint64_t pending_blocks) {
-  if (entry->unanswered == 0) entry->waiting_since = runtime_->clock->Now();
-  ++entry->unanswered;
+  if (entry->awaiting_head == 0) entry->awaiting_head_since = runtime_->clock->Now();
+  ++entry->awaiting_head;
   ++entry->in_flight;
   entry->pending_blocks += pending_blocks;
 }
 
-void BackendDirectory::OnHead(BackendEntry* entry, uint64_t pending_blocks) {
-  --entry->unanswered;
+void BackendDirectory::OnResponseHead(BackendEntry* entry, uint64_t pending_blocks) {
+  --entry->awaiting_head;
   entry->pending_blocks -= pending_blocks;
-  entry->waiting_since = runtime_->clock->Now();
+  entry->awaiting_head_since = runtime_->clock->Now();
 }
 
 void BackendDirectory::OnEnded(BackendEntry* entry) { --entry->in_flight; }
 
 void BackendDirectory::OnSuccess(BackendEntry* entry) {
-  const bool was_ejected = entry->ejections_in_row > 0;
+  const bool was_ejected = entry->consecutive_ejections > 0;
   entry->consecutive_failures = 0;
-  entry->ejections_in_row = 0;
+  entry->consecutive_ejections = 0;
   entry->ejected_until = runtime::MonotonicTime();
-  if (was_ejected) StartSlowly(entry, "returned");
+  if (was_ejected) EnterSlowStart(entry, "returned");
 }
 
 void BackendDirectory::OnFailure(BackendEntry* entry, bool unreachable) {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (now < entry->ejected_until) return;
-  const bool on_trial = entry->ejections_in_row > 0;
+  const bool on_trial = entry->consecutive_ejections > 0;
   ++entry->consecutive_failures;
   const bool at_once = on_trial || unreachable;
   if (!at_once && entry->consecutive_failures < lookup_->limits().outlier_consecutive_failures) {
     return;
   }
-  entry->ejections_in_row = std::min(entry->ejections_in_row + 1, kMaxEjectionFactor);
-  entry->ejected_until = now + lookup_->limits().outlier_ejection * entry->ejections_in_row;
+  entry->consecutive_ejections = std::min(entry->consecutive_ejections + 1, kMaxEjectionFactor);
+  entry->ejected_until = now + lookup_->limits().outlier_ejection * entry->consecutive_ejections;
   entry->consecutive_failures = 0;
   metrics_->ejections.Increment();
   // What comes back after the ejection is taken as cold.
-  entry->slow_start_from = entry->ejected_until;
+  entry->slow_start_began = entry->ejected_until;
 }
 
 void BackendDirectory::OnRefused(BackendEntry* entry, uint64_t revision, int status) {
   entry->consecutive_failures = 0;
   entry->refused_revision = revision;
   entry->refused_until =
-      runtime_->clock->Now() + (status == kTooManyRequests ? kOverloadPause : kRefusalPause);
+      runtime_->clock->Now() + (status == kTooManyRequests ? kOverloadBackoff : kRefusalBackoff);
 }
 
 void BackendDirectory::OnEpoch(BackendEntry* entry, uint64_t epoch) {
   if (epoch == 0 || epoch == entry->epoch) return;
-  if (entry->epoch != 0) StartSlowly(entry, "epoch");
+  if (entry->epoch != 0) EnterSlowStart(entry, "epoch");
   entry->epoch = epoch;
 }
 
-void BackendDirectory::StartSlowly(BackendEntry* entry, const std::string& cause) {
-  entry->slow_start_from = runtime_->clock->Now();
+void BackendDirectory::EnterSlowStart(BackendEntry* entry, const std::string& cause) {
+  entry->slow_start_began = runtime_->clock->Now();
   metrics_->slow_starts.Increment(cause);
 }
 
--- a/src/posthatch/gateway/backend_directory.h
+++ b/src/posthatch/gateway/backend_directory.h
@@ -17,21 +17,21 @@
 // One back end as this gateway sees it. Attempts keep it alive after it has left the list.
 struct BackendEntry {
   control::Backend backend;
-  bool listed = true;
+  bool in_inventory = true;
   bool draining = false;
   bool evacuated = false;
   bool labels_changed = true;  // since the evacuations were last matched against them
 
-  uint32_t in_flight = 0;                // dispatched by this gateway and not ended
-  uint32_t unanswered = 0;               // of those, without an answer's head
-  runtime::MonotonicTime waiting_since;  // newest head, or since `unanswered` left zero
+  uint32_t in_flight = 0;                      // dispatched by this gateway and not ended
+  uint32_t awaiting_head = 0;                  // of those, without an answer's head
+  runtime::MonotonicTime awaiting_head_since;  // newest head, or since `unanswered` left zero
   uint64_t pending_blocks = 0;           // of those, prompt blocks that weren't known to be cached
   double wait_milliseconds = 0;          // moving average of measured waits ...
   runtime::MonotonicTime wait_measured;  // ... the last time then
   uint64_t epoch = 0;                    // newest cache epoch seen in an answer; 0 before the first
-  runtime::MonotonicTime slow_start_from;
+  runtime::MonotonicTime slow_start_began;
   uint32_t consecutive_failures = 0;
-  uint32_t ejections_in_row = 0;
+  uint32_t consecutive_ejections = 0;
   runtime::MonotonicTime ejected_until;
   uint64_t refused_revision = 0;         // it refused this revision before running ...
   runtime::MonotonicTime refused_until;  // ... and isn't asked for it again until then
@@ -43,7 +43,7 @@
 struct BackendPool {
   std::vector<BackendPointer> all;
   std::vector<BackendPointer> local;  // those in the gateway's zone
-  size_t next_turn = 0;               // of round-robin routing
+  size_t round_robin_next = 0;        // of round-robin routing
 };
 
 // Which back ends there are and which may get new work: the list (with draining marks of the
@@ -59,7 +59,7 @@
   // Puts the list and evacuations of `state` in force, together with the draining marks of `own`,
   // this gateway's own reading of the list (may be null). A back end that only `own` names is taken
   // as well.
-  void Update(const control::FleetState& state, const control::Inventory* own);
+  void Update(const control::FleetState& state, const control::Inventory* local_inventory);
 
   // Pools by model and by service; null if there is none.
   BackendPool* WorkerPool(const std::string& model);
@@ -78,7 +78,7 @@
   uint32_t Limit(const BackendEntry& entry) const;
 
   // How long it has kept dispatches waiting without answering any, beyond what answers may take.
-  runtime::Duration Silence(const BackendEntry& entry) const;
+  runtime::Duration UnresponsiveTime(const BackendEntry& entry) const;
 
   // Milliseconds that a request waits there for others, also of other gateways, as measured; fades
   // when it isn't measured again.
@@ -86,9 +86,9 @@
 
   void OnDispatched(BackendEntry* entry, uint64_t pending_blocks);
   // A first piece came `milliseconds` later than its prefill explains.
-  void OnWaited(BackendEntry* entry, double milliseconds);
+  void OnWaitMeasured(BackendEntry* entry, double milliseconds);
   // The head of an answer came, or it is no longer waited for: the prompt's blocks are done.
-  void OnHead(BackendEntry* entry, uint64_t pending_blocks);
+  void OnResponseHead(BackendEntry* entry, uint64_t pending_blocks);
   void OnEnded(BackendEntry* entry);
   void OnSuccess(BackendEntry* entry);
   // An attempt failed. A back end that can't be connected to is ejected at once, any other after
@@ -101,11 +101,11 @@
 
  private:
   // Whether the list names the back end as it was named before.
-  static bool SameLine(const control::Backend& left, const control::Backend& right);
-  void Take(const control::Backend& backend, bool draining);
+  static bool SameInventoryEntry(const control::Backend& left, const control::Backend& right);
+  void AddOrUpdate(const control::Backend& backend, bool draining);
   void MarkEvacuated(const control::FleetState& state);
   void RebuildPools();
-  void StartSlowly(BackendEntry* entry, const std::string& cause);
+  void EnterSlowStart(BackendEntry* entry, const std::string& cause);
 
   runtime::Runtime* const runtime_;
   const GatewayOptions* const options_;
--- a/src/posthatch/gateway/bodies-fuzz.cc
+++ b/src/posthatch/gateway/bodies-fuzz.cc
@@ -3,8 +3,8 @@
 #include <string>
 
 #include "posthatch/control/inventory_format.h"
-#include "posthatch/gateway/answer_check.h"
 #include "posthatch/gateway/inference_body.h"
+#include "posthatch/gateway/response_check.h"
 
 // Bodies of callers, back ends and the platform's list.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
@@ -18,6 +18,6 @@
   posthatch::http::Response answer;
   answer.status = 503;
   answer.body = body;
-  (void)gateway::ProvesNotExecuted(answer);
+  (void)gateway::GuaranteesNotExecuted(answer);
   return 0;
 }
--- a/src/posthatch/gateway/caller_api.cc
+++ b/src/posthatch/gateway/caller_api.cc
@@ -73,12 +73,12 @@
   return route;
 }
 
-std::optional<ApiError> CallerApi::Examine(CallerCall* call) {
+std::optional<ApiError> CallerApi::Validate(CallerRequest* call) {
   if (draining_) {
     return ApiError{503, "draining", "this gateway is being stopped", Executed::kNo,
                     kDrainRetrySeconds};
   }
-  if (std::optional<ApiError> error = context_->WhyNotDecide()) return error;
+  if (std::optional<ApiError> error = context_->FleetStateError()) return error;
   const http::Headers& headers = call->request.headers;
   call->tenant = context_->tenants->Authenticate(headers.Get("Authorization"));
   if (call->tenant == nullptr) {
@@ -95,7 +95,7 @@
 }
 
 void CallerApi::HandleRequest(http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
-  CallerCall call;
+  CallerRequest call;
   call.request = std::move(request);
   call.writer = std::move(writer);
   call.received = context_->runtime->clock->Now();
@@ -105,7 +105,7 @@
     Refuse(call, NotFound("no such route"));
     return;
   }
-  if (std::optional<ApiError> error = Examine(&call)) {
+  if (std::optional<ApiError> error = Validate(&call)) {
     Refuse(call, *std::move(error));
     return;
   }
@@ -116,14 +116,14 @@
   }
 }
 
-bool CallerApi::Admit(CallerCall* call) {
+bool CallerApi::Admit(CallerRequest* call) {
   std::optional<ApiError> error = context_->admission->Admit(*call->tenant, &call->slot);
   if (!error.has_value()) return true;
   Refuse(*call, *std::move(error));
   return false;
 }
 
-void CallerApi::StartInference(const Route& route, CallerCall call) {
+void CallerApi::StartInference(const Route& route, CallerRequest call) {
   // Admission first: a tenant over its limits must not cost the parsing of its bodies.
   if (!Admit(&call)) return;
   absl::StatusOr<InferenceBody> body =
@@ -140,7 +140,7 @@
       std::make_shared<InferenceRequest>(context_, std::move(call), *std::move(body)));
 }
 
-void CallerApi::StartService(const Route& route, CallerCall call) {
+void CallerApi::StartService(const Route& route, CallerRequest call) {
   const control::ServiceRoute* service = context_->lookup->FindService(route.service);
   const control::ServiceOperation* operation =
       service == nullptr ? nullptr : FindOperation(*service, route.operation);
@@ -167,11 +167,11 @@
   context_->requests->Start(std::move(request));
 }
 
-void CallerApi::Refuse(const CallerCall& call, ApiError error) {
+void CallerApi::Refuse(const CallerRequest& call, ApiError error) {
   // An earlier send of the same key may have run, unless the request could never have been taken.
   const bool may_have_run = call.request.headers.Has("Idempotency-Key");
-  const bool never_taken = error.status == 400 || error.status == 413;
-  if (may_have_run && !never_taken) error.executed = Executed::kUnknown;
+  const bool never_accepted = error.status == 400 || error.status == 413;
+  if (may_have_run && !never_accepted) error.executed = Executed::kUnknown;
   SendError(*context_, call.writer.get(), error);
 }
 
--- a/src/posthatch/gateway/caller_api.h
+++ b/src/posthatch/gateway/caller_api.h
@@ -17,7 +17,7 @@
 
   void HandleRequest(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
   // From now on every request is refused with `draining`.
-  void StopTaking() { draining_ = true; }
+  void StopAccepting() { draining_ = true; }
   bool draining() const { return draining_; }
 
  private:
@@ -30,12 +30,12 @@
 
   static std::optional<Route> FindRoute(const http::Request& request);
   // Checks everything that needs no admission and fills `call`; the error otherwise.
-  std::optional<ApiError> Examine(CallerCall* call);
-  void StartInference(const Route& route, CallerCall call);
-  void StartService(const Route& route, CallerCall call);
+  std::optional<ApiError> Validate(CallerRequest* call);
+  void StartInference(const Route& route, CallerRequest call);
+  void StartService(const Route& route, CallerRequest call);
   // Takes the tenant's place; false if the request was refused.
-  bool Admit(CallerCall* call);
-  void Refuse(const CallerCall& call, ApiError error);
+  bool Admit(CallerRequest* call);
+  void Refuse(const CallerRequest& call, ApiError error);
 
   GatewayContext* const context_;
   bool draining_ = false;
--- a/src/posthatch/gateway/delivery-test.cc
+++ b/src/posthatch/gateway/delivery-test.cc
@@ -164,7 +164,7 @@
   const auto writer = Place("k");
   EXPECT_EQ(LastCall().options.max_body_bytes, 64u * 1024);
   LastCall().Head();
-  LastCall().Error(http::CallProgress::kAnswered, absl::DataLossError("too long"));
+  LastCall().Error(http::CallProgress::kHeadReceived, absl::DataLossError("too long"));
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::UNKNOWN);
 }
 
--- a/src/posthatch/gateway/delivery_record_client.cc
+++ b/src/posthatch/gateway/delivery_record_client.cc
@@ -44,7 +44,7 @@
   std::weak_ptr<bool> alive = alive_;
   const auto on_begin = [this, alive, key](const absl::StatusOr<control::CommandResult>& result) {
     if (alive.expired() || !result.ok()) return;
-    if (result->delivery().kind() != control::DeliveryAnswer::BEGUN) return;
+    if (result->delivery().kind() != control::DeliveryStatus::BEGUN) return;
     control::DeliveryOutcome outcome;
     outcome.set_kind(control::DeliveryOutcome::NOT_EXECUTED);
     Finish(key, std::move(outcome), [](const absl::StatusOr<control::CommandResult>&) {});
--- a/src/posthatch/gateway/delivery_request.cc
+++ b/src/posthatch/gateway/delivery_request.cc
@@ -3,8 +3,8 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/gateway/answer_check.h"
 #include "posthatch/gateway/key_digest.h"
+#include "posthatch/gateway/response_check.h"
 
 namespace posthatch::gateway {
 namespace {
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-DeliveryRequest::DeliveryRequest(GatewayContext* context, CallerCall call, std::string service,
+DeliveryRequest::DeliveryRequest(GatewayContext* context, CallerRequest call, std::string service,
                                  std::string operation)
     : context_(context),
       call_(std::move(call)),
@@ -31,7 +31,7 @@
   key_.attempt = context_->NewNonce();
   // Without a back end to send it to, the key is better left free than closed for ever.
   const RouteDecision decision =
-      context_->router->RouteService(service_, call_.tenant->priority(), tried_);
+      context_->router->RouteService(service_, call_.tenant->priority(), attempted_backends_);
   if (decision.outcome != RouteDecision::Outcome::kChosen) {
     const bool shed = decision.outcome == RouteDecision::Outcome::kShed;
     Refuse({503, shed ? "overloaded" : "no_capacity", "no back end may take the operation",
@@ -60,22 +60,22 @@
     Refuse(RecordUnavailable("the delivery record was refused"));
     return;
   }
-  AnswerByRecord(result->delivery());
+  RespondFromRecord(result->delivery());
 }
 
-void DeliveryRequest::AnswerByRecord(const control::DeliveryAnswer& delivery) {
+void DeliveryRequest::RespondFromRecord(const control::DeliveryStatus& delivery) {
   switch (delivery.kind()) {
-    case control::DeliveryAnswer::BEGUN:
+    case control::DeliveryStatus::BEGUN:
       Dispatch();
       return;
-    case control::DeliveryAnswer::FINISHED:
+    case control::DeliveryStatus::FINISHED:
       Replay(delivery.outcome());
       return;
-    case control::DeliveryAnswer::RUNNING:
+    case control::DeliveryStatus::RUNNING:
       Refuse(
           {409, "in_progress", "another attempt with this key is running", Executed::kUnknown, 1});
       return;
-    case control::DeliveryAnswer::MISMATCH:
+    case control::DeliveryStatus::MISMATCH:
       Refuse({409, "key_reused", "the idempotency key was used for another request",
               Executed::kUnknown});
       return;
@@ -90,26 +90,26 @@
     Refuse({410, "key_expired", "this key was closed before it ran; use a new one", Executed::kNo});
     return;
   }
-  if (outcome.kind() != control::DeliveryOutcome::ANSWERED) {
+  if (outcome.kind() != control::DeliveryOutcome::RESPONDED) {
     Refuse({502, "backend_failed", "the first send of this key got no answer", Executed::kUnknown});
     return;
   }
-  http::Response kept;
-  kept.status = static_cast<int>(outcome.status());
-  kept.headers.Add("Content-Type", outcome.content_type());
-  kept.body = outcome.body();
-  context_->metrics->answers.Increment("ok");
-  call_.writer->SendWhole(MakeCallerAnswer(call_, std::move(kept)));
+  http::Response stored;
+  stored.status = static_cast<int>(outcome.status());
+  stored.headers.Add("Content-Type", outcome.content_type());
+  stored.body = outcome.body();
+  context_->metrics->responses.Increment("ok");
+  call_.writer->SendResponse(MakeCallerResponse(call_, std::move(stored)));
   End();
 }
 
-std::optional<ApiError> DeliveryRequest::WhyNotDispatch() const {
+std::optional<ApiError> DeliveryRequest::DispatchError() const {
   const runtime::MonotonicTime now = context_->runtime->clock->Now();
-  if (now - begin_sent_ >= kDispatchLimit || now >= call_.deadline) {
+  if (now - begin_sent_ >= kDispatchDeadline || now >= call_.deadline) {
     return ApiError{504, "timeout", "it took too long to write the delivery record", Executed::kNo,
                     1};
   }
-  if (std::optional<ApiError> error = context_->WhyNotDecide()) return error;
+  if (std::optional<ApiError> error = context_->FleetStateError()) return error;
   // The configuration may have changed while the record was written.
   const auto tenant = context_->tenants->Authenticate(call_.request.headers.Get("Authorization"));
   if (tenant == nullptr || tenant->name() != call_.tenant->name()) {
@@ -119,20 +119,20 @@
 }
 
 void DeliveryRequest::Dispatch() {
-  if (std::optional<ApiError> error = WhyNotDispatch()) {
+  if (std::optional<ApiError> error = DispatchError()) {
     CloseNotExecuted(*error);
     return;
   }
   RouteDecision decision =
-      context_->router->RouteService(service_, call_.tenant->priority(), tried_);
+      context_->router->RouteService(service_, call_.tenant->priority(), attempted_backends_);
   if (decision.outcome != RouteDecision::Outcome::kChosen) {
     const bool shed = decision.outcome == RouteDecision::Outcome::kShed;
     CloseNotExecuted({503, shed ? "overloaded" : "no_capacity",
                       "no back end may take the operation", Executed::kNo, 1});
     return;
   }
-  if (tried_.empty()) {
-    context_->retry_budget->CountFirst();
+  if (attempted_backends_.empty()) {
+    context_->retry_budget->RecordFirstAttempt();
   } else if (!context_->retry_budget->TryRetry(context_->lookup->limits().retry_ratio)) {
     context_->metrics->retries_denied.Increment("budget");
     CloseNotExecuted(
@@ -143,7 +143,7 @@
 }
 
 void DeliveryRequest::SendTo(BackendPointer backend) {
-  const uint32_t number = static_cast<uint32_t>(tried_.size()) + 1;
+  const uint32_t number = static_cast<uint32_t>(attempted_backends_.size()) + 1;
   AttemptPlan plan;
   plan.backend = std::move(backend);
   plan.nonce = key_.attempt;
@@ -154,12 +154,12 @@
   const runtime::Duration left = call_.deadline - context_->runtime->clock->Now();
   plan.call_options.fresh_connection = true;
   plan.call_options.head_timeout = left;
-  plan.call_options.piece_timeout = left;
-  plan.call_options.max_body_bytes = kMaxKeptBodyBytes;
+  plan.call_options.body_idle_timeout = left;
+  plan.call_options.max_body_bytes = kMaxStoredBodyBytes;
   context_->metrics->attempts.Increment(number == 1 ? "first" : "retry");
   AttemptListener* const listener = this;
-  attempt_ = std::make_shared<ProxyAttempt>(context_->runtime, context_->backends, listener,
-                                            std::move(plan));
+  attempt_ = std::make_shared<UpstreamAttempt>(context_->runtime, context_->backends, listener,
+                                               std::move(plan));
   deadline_timer_.Start(left, [this] {
     attempt_->Fail({AttemptFailure::Cause::kTimeout, "no answer before the deadline"});
   });
@@ -167,20 +167,20 @@
 }
 
 void DeliveryRequest::OnStreamHead(const http::Response&) {}
-void DeliveryRequest::OnStreamPiece(std::string) {}
+void DeliveryRequest::OnStreamChunk(std::string) {}
 void DeliveryRequest::OnStreamEnd() {}
 
-void DeliveryRequest::OnWholeAnswer(http::Response answer) {
+void DeliveryRequest::OnResponseComplete(http::Response response) {
   deadline_timer_.Cancel();
-  if (ProvesNotExecuted(answer)) {
-    context_->backends->OnRefused(attempt_->backend(), 0, answer.status);
+  if (GuaranteesNotExecuted(response)) {
+    context_->backends->OnRefused(attempt_->backend(), 0, response.status);
     CloseNotExecuted(
         {503, "no_capacity", "the back end refused the operation before it ran", Executed::kNo, 1});
     return;
   }
-  const bool whole =
-      answer.status != 200 || CheckServiceBody(answer.body, call_.request_id, operation_).ok();
-  if (!whole || answer.body.size() > kMaxKeptBodyBytes) {
+  const bool valid =
+      response.status != 200 || CheckServiceBody(response.body, call_.request_id, operation_).ok();
+  if (!valid || response.body.size() > kMaxStoredBodyBytes) {
     context_->backends->OnFailure(attempt_->backend());
     context_->metrics->attempt_failures.Increment("bad_answer");
     CloseUnknown({502, "backend_failed", "the back end's answer was broken", Executed::kUnknown});
@@ -188,26 +188,26 @@
   }
   context_->backends->OnSuccess(attempt_->backend());
   control::DeliveryOutcome outcome;
-  outcome.set_kind(control::DeliveryOutcome::ANSWERED);
-  outcome.set_status(static_cast<uint32_t>(answer.status));
-  outcome.set_content_type(std::string(answer.headers.Get("Content-Type")));
-  outcome.set_body(answer.body);
-  Commit(std::move(outcome), MakeCallerAnswer(call_, std::move(answer)), "ok");
+  outcome.set_kind(control::DeliveryOutcome::RESPONDED);
+  outcome.set_status(static_cast<uint32_t>(response.status));
+  outcome.set_content_type(std::string(response.headers.Get("Content-Type")));
+  outcome.set_body(response.body);
+  Commit(std::move(outcome), MakeCallerResponse(call_, std::move(response)), "ok");
 }
 
 void DeliveryRequest::OnAttemptFailed(AttemptFailure failure) {
   deadline_timer_.Cancel();
   context_->metrics->attempt_failures.Increment(failure.name());
-  if (!failure.ProvesNotExecuted()) {
-    const bool late = failure.cause == AttemptFailure::Cause::kTimeout;
-    CloseUnknown({late ? 504 : 502, late ? "timeout" : "backend_failed",
+  if (!failure.GuaranteesNotExecuted()) {
+    const bool timed_out = failure.cause == AttemptFailure::Cause::kTimeout;
+    CloseUnknown({timed_out ? 504 : 502, timed_out ? "timeout" : "backend_failed",
                   "the back end was asked and gave no whole answer", Executed::kUnknown});
     return;
   }
-  if (tried_.empty()) context_->retry_budget->TakeBackFirst();
-  tried_.push_back(attempt_->backend()->backend.id());
+  if (attempted_backends_.empty()) context_->retry_budget->RevertFirstAttempt();
+  attempted_backends_.push_back(attempt_->backend()->backend.id());
   context_->requests->Discard(std::move(attempt_));
-  if (tried_.size() >= context_->options->max_attempts) {
+  if (attempted_backends_.size() >= context_->options->max_attempts) {
     CloseNotExecuted({502, "backend_failed", "no back end could be reached", Executed::kNo, 1});
     return;
   }
@@ -226,24 +226,24 @@
   Commit(std::move(outcome), MakeErrorResponse(error), error.code);
 }
 
-void DeliveryRequest::Commit(control::DeliveryOutcome outcome, http::Response answer,
+void DeliveryRequest::Commit(control::DeliveryOutcome outcome, http::Response response,
                              const std::string& code) {
   std::weak_ptr<ActiveRequest> weak = weak_from_this();
-  const auto done = [this, weak, answer = std::move(answer), code](const auto& result) mutable {
-    if (const auto self = weak.lock()) OnCommitted(result, std::move(answer), code);
+  const auto done = [this, weak, response = std::move(response), code](const auto& result) mutable {
+    if (const auto self = weak.lock()) OnCommitted(result, std::move(response), code);
   };
   context_->deliveries->Finish(key_, std::move(outcome), done);
 }
 
 void DeliveryRequest::OnCommitted(const absl::StatusOr<control::CommandResult>& result,
-                                  http::Response answer, const std::string& code) {
+                                  http::Response response, const std::string& code) {
   if (!result.ok() || result->code() != control::CommandResult::OK) {
     Refuse(RecordUnavailable("the outcome could not be recorded"));
     return;
   }
-  context_->metrics->answers.Increment(code);
+  context_->metrics->responses.Increment(code);
   context_->metrics->deliveries.Increment(code);
-  call_.writer->SendWhole(std::move(answer));
+  call_.writer->SendResponse(std::move(response));
   End();
 }
 
--- a/src/posthatch/gateway/delivery_request.h
+++ b/src/posthatch/gateway/delivery_request.h
@@ -5,59 +5,60 @@
 #include <vector>
 
 #include "posthatch/gateway/gateway_context.h"
-#include "posthatch/gateway/proxy_attempt.h"
 #include "posthatch/gateway/request_registry.h"
+#include "posthatch/gateway/upstream_attempt.h"
 
 namespace posthatch::gateway {
 
 // One send of a non-repeatable operation (DESIGN.md, "Non-repeatable operations"):
 //   1. a record is begun in the log; only the attempt that it answers BEGUN goes on;
-//   2. within kDispatchLimit of the begin and under a valid lease the operation is dispatched once,
+//   2. within kDispatchDeadline of the begin and under a valid lease the operation is dispatched
+//   once,
 //      on a fresh connection; otherwise the record is closed as never executed;
 //   3. the outcome is committed before the caller hears it.
 // Goes on when the caller leaves: a resend gets the outcome. Event loop thread only.
 class DeliveryRequest : public ActiveRequest, private AttemptListener {
  public:
   // Longest time from sending the begin to the dispatch.
-  static constexpr runtime::Duration kDispatchLimit = std::chrono::seconds(2);
+  static constexpr runtime::Duration kDispatchDeadline = std::chrono::seconds(2);
   // Longest answer that is kept; a longer one ends as unknown.
-  static constexpr size_t kMaxKeptBodyBytes = size_t{64} * 1024;
+  static constexpr size_t kMaxStoredBodyBytes = size_t{64} * 1024;
 
-  DeliveryRequest(GatewayContext* context, CallerCall call, std::string service,
+  DeliveryRequest(GatewayContext* context, CallerRequest call, std::string service,
                   std::string operation);
   void Begin() override;
 
  private:
   void OnStreamHead(const http::Response& head) override;
-  void OnStreamPiece(std::string piece) override;
+  void OnStreamChunk(std::string chunk) override;
   void OnStreamEnd() override;
-  void OnWholeAnswer(http::Response answer) override;
+  void OnResponseComplete(http::Response response) override;
   void OnAttemptFailed(AttemptFailure failure) override;
 
   void OnBegun(const absl::StatusOr<control::CommandResult>& result);
-  void AnswerByRecord(const control::DeliveryAnswer& delivery);
+  void RespondFromRecord(const control::DeliveryStatus& delivery);
   void Replay(const control::DeliveryOutcome& outcome);
   // Checks everything anew and sends the operation; closes the record if that may not be.
   void Dispatch();
-  std::optional<ApiError> WhyNotDispatch() const;
+  std::optional<ApiError> DispatchError() const;
   void SendTo(BackendPointer backend);
   // Commits the outcome, then answers: `answer` if it was committed, "unknown" if not.
-  void Commit(control::DeliveryOutcome outcome, http::Response answer, const std::string& code);
+  void Commit(control::DeliveryOutcome outcome, http::Response response, const std::string& code);
   void CloseNotExecuted(const ApiError& refusal);
   void CloseUnknown(const ApiError& error);
-  void OnCommitted(const absl::StatusOr<control::CommandResult>& result, http::Response answer,
+  void OnCommitted(const absl::StatusOr<control::CommandResult>& result, http::Response response,
                    const std::string& code);
   void Refuse(const ApiError& error);
   void End();
 
   GatewayContext* const context_;
-  CallerCall call_;
+  CallerRequest call_;
   const std::string service_;
   const std::string operation_;
   DeliveryKey key_;
   runtime::MonotonicTime begin_sent_;
-  std::shared_ptr<ProxyAttempt> attempt_;
-  std::vector<std::string> tried_;
+  std::shared_ptr<UpstreamAttempt> attempt_;
+  std::vector<std::string> attempted_backends_;
   runtime::Timer deadline_timer_;
 };
 
--- a/src/posthatch/gateway/gateway-bench.cc
+++ b/src/posthatch/gateway/gateway-bench.cc
@@ -30,8 +30,8 @@
   index::BlockSeed seed;
   seed.model = model;
   const std::vector<index::BlockHash> chain(kChainLength, 1);
-  const std::vector<std::string> tried;
-  RouteQuery query{&model, &seed, &chain, 0, &tried};
+  const std::vector<std::string> attempted_backends;
+  RouteQuery query{&model, &seed, &chain, 0, &attempted_backends};
   for (auto _ : state) benchmark::DoNotOptimize(router.RouteInference(query));
 }
 BENCHMARK(BM_Route)->Arg(18)->Arg(100)->Arg(1000)->Arg(10000);
--- a/src/posthatch/gateway/gateway-test.cc
+++ b/src/posthatch/gateway/gateway-test.cc
@@ -41,7 +41,7 @@
   EXPECT_TRUE(LastCall().options.fresh_connection);
   LastCall().GoodOperation("place");
   EXPECT_EQ(writer->whole.status, 200);
-  EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::ANSWERED);
+  EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::RESPONDED);
 }
 
 }  // namespace
--- a/src/posthatch/gateway/gateway.cc
+++ b/src/posthatch/gateway/gateway.cc
@@ -70,7 +70,7 @@
   const control::FleetState& state = view_->state();
   inventory_index_ = state.inventory_index();
   evacuations_index_ = state.evacuations_index();
-  backends_.Update(state, inventory_.own());
+  backends_.Update(state, inventory_.local_snapshot());
 }
 
 void Gateway::HandleRequest(http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
@@ -78,7 +78,7 @@
 }
 
 void Gateway::Drain(std::function<void()> done) {
-  caller_api_.StopTaking();
+  caller_api_.StopAccepting();
   requests_.OnEmpty(std::move(done));
 }
 
--- a/src/posthatch/gateway/gateway_context.cc
+++ b/src/posthatch/gateway/gateway_context.cc
@@ -7,12 +7,12 @@
 
 namespace posthatch::gateway {
 
-std::optional<ApiError> GatewayContext::WhyNotDecide() const {
+std::optional<ApiError> GatewayContext::FleetStateError() const {
   if (!view->LeaseValid()) {
     return ApiError{503, "no_lease", "this gateway holds no session lease at the moment",
                     Executed::kNo, 1};
   }
-  if (!inventory->MayDecide()) {
+  if (!inventory->HasUsableInventory()) {
     return ApiError{503, "no_lease", "this gateway's list of back ends is too old", Executed::kNo,
                     1};
   }
@@ -26,11 +26,11 @@
 }
 
 void SendError(const GatewayContext& context, http::ResponseWriter* writer, const ApiError& error) {
-  context.metrics->answers.Increment(error.code);
-  writer->SendWhole(MakeErrorResponse(error));
+  context.metrics->responses.Increment(error.code);
+  writer->SendResponse(MakeErrorResponse(error));
 }
 
-void AddAttemptHeaders(const GatewayContext& context, const CallerCall& call,
+void AddAttemptHeaders(const GatewayContext& context, const CallerRequest& call,
                        const std::string& nonce, uint32_t attempt_number, http::Headers* headers) {
   const runtime::Duration left = call.deadline - context.runtime->clock->Now();
   const int64_t left_milliseconds =
@@ -45,13 +45,13 @@
   if (!call.idempotency_key.empty()) headers->Add("Idempotency-Key", call.idempotency_key);
 }
 
-http::Response MakeCallerAnswer(const CallerCall& call, http::Response answer) {
+http::Response MakeCallerResponse(const CallerRequest& call, http::Response backend_response) {
   http::Response response;
-  response.status = answer.status;
-  const std::string_view content_type = answer.headers.Get("Content-Type");
+  response.status = backend_response.status;
+  const std::string_view content_type = backend_response.headers.Get("Content-Type");
   response.headers.Add("Content-Type", content_type.empty() ? "application/json" : content_type);
   response.headers.Add("X-Request-Id", call.request_id);
-  response.body = std::move(answer.body);
+  response.body = std::move(backend_response.body);
   return response;
 }
 
--- a/src/posthatch/gateway/gateway_context.h
+++ b/src/posthatch/gateway/gateway_context.h
@@ -44,13 +44,13 @@
 
   // Why nothing may be decided now, if so: no lease, or the list is too old and was not asked for
   // anew. Asked right before every dispatch.
-  std::optional<ApiError> WhyNotDecide() const;
+  std::optional<ApiError> FleetStateError() const;
   // A new nonce: 128 random bits, hexadecimal.
   std::string NewNonce() const;
 };
 
 // A caller's request after authentication and admission.
-struct CallerCall {
+struct CallerRequest {
   http::Request request;
   std::shared_ptr<http::ResponseWriter> writer;
   std::string request_id;       // the caller's X-Request-Id, or one of ours
@@ -65,10 +65,10 @@
 void SendError(const GatewayContext& context, http::ResponseWriter* writer, const ApiError& error);
 
 // The fields that every dispatch carries (docs/BACKENDS.md).
-void AddAttemptHeaders(const GatewayContext& context, const CallerCall& call,
+void AddAttemptHeaders(const GatewayContext& context, const CallerRequest& call,
                        const std::string& nonce, uint32_t attempt_number, http::Headers* headers);
 
 // The caller's answer made of a back end's: status, content type and body.
-http::Response MakeCallerAnswer(const CallerCall& call, http::Response answer);
+http::Response MakeCallerResponse(const CallerRequest& call, http::Response backend_response);
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/gateway_fakes-test.h
+++ b/src/posthatch/gateway/gateway_fakes-test.h
@@ -76,7 +76,7 @@
     observer.on_head(head);
   }
   void Piece(std::string piece) const {
-    if (!cancelled) observer.on_piece(std::move(piece));
+    if (!cancelled) observer.on_chunk(std::move(piece));
   }
   void End() const {
     if (!cancelled) observer.on_end();
@@ -118,7 +118,7 @@
     calls.push_back(call);
     return std::make_unique<Handle>(call);
   }
-  bool HasKept(const std::string& endpoint, double) const override {
+  bool HasPooledConnection(const std::string& endpoint, double) const override {
     return kept_endpoints.contains(endpoint);
   }
   std::vector<std::shared_ptr<FakeCall>> calls;
@@ -129,7 +129,7 @@
    public:
     explicit Handle(std::shared_ptr<FakeCall> call) : call_(std::move(call)) {}
     ~Handle() override { call_->cancelled = true; }
-    void PauseReading() override { call_->paused = true; }
+    void StopReading() override { call_->paused = true; }
     void ResumeReading() override { call_->paused = false; }
 
    private:
@@ -139,12 +139,12 @@
 
 class FakeWriter : public http::ResponseWriter {
  public:
-  void SendWhole(http::Response response) override {
+  void SendResponse(http::Response response) override {
     whole = std::move(response);
-    ++answers;
+    ++responses;
   }
   void StartStream(http::Response) override { started = true; }
-  void WritePiece(std::string piece) override {
+  void WriteChunk(std::string piece) override {
     written += piece;
     if (slow) buffered += piece.size();
   }
@@ -152,11 +152,13 @@
   void Abort() override { aborted = true; }
   size_t buffered_bytes() const override { return buffered; }
   void OnWritable(std::function<void()> callback) override { on_writable = std::move(callback); }
-  void OnCallerGone(std::function<void()> callback) override { on_gone = std::move(callback); }
+  void OnCallerDisconnected(std::function<void()> callback) override {
+    on_gone = std::move(callback);
+  }
   bool Says(const std::string& text) const { return whole.body.find(text) != std::string::npos; }
 
   http::Response whole;
-  int answers = 0;
+  int responses = 0;
   bool started = false;
   bool finished = false;
   bool aborted = false;
@@ -243,18 +245,18 @@
     }
     const control::DeliveryBegin& begin = command.delivery_begin();
     control::DeliveryRecord& record = records[begin.idempotency_key()];
-    control::DeliveryAnswer* answer = result.mutable_delivery();
+    control::DeliveryStatus* answer = result.mutable_delivery();
     if (record.attempt().empty() || record.attempt() == begin.attempt()) {
       record.set_attempt(begin.attempt());
       record.set_request_hash(begin.request_hash());
-      answer->set_kind(control::DeliveryAnswer::BEGUN);
+      answer->set_kind(control::DeliveryStatus::BEGUN);
     } else if (record.request_hash() != begin.request_hash()) {
-      answer->set_kind(control::DeliveryAnswer::MISMATCH);
+      answer->set_kind(control::DeliveryStatus::MISMATCH);
     } else if (record.finished()) {
-      answer->set_kind(control::DeliveryAnswer::FINISHED);
+      answer->set_kind(control::DeliveryStatus::FINISHED);
       *answer->mutable_outcome() = record.outcome();
     } else {
-      answer->set_kind(control::DeliveryAnswer::RUNNING);
+      answer->set_kind(control::DeliveryStatus::RUNNING);
     }
     return result;
   }
--- a/src/posthatch/gateway/gateway_metrics.cc
+++ b/src/posthatch/gateway/gateway_metrics.cc
@@ -17,25 +17,25 @@
 
 }  // namespace
 
-LabelledCounter::LabelledCounter(prometheus::Registry* registry, const std::string& name,
-                                 const std::string& help, std::string label)
+LabeledCounter::LabeledCounter(prometheus::Registry* registry, const std::string& name,
+                               const std::string& help, std::string label)
     : family_(&prometheus::BuildCounter().Name(name).Help(help).Register(*registry)),
       label_(std::move(label)) {}
 
-void LabelledCounter::Increment(const std::string& value, double amount) {
+void LabeledCounter::Increment(const std::string& value, double amount) {
   prometheus::Counter*& counter = counters_[value];
   if (counter == nullptr) counter = &family_->Add({{label_, value}});
   counter->Increment(amount);
 }
 
-double LabelledCounter::Value(const std::string& value) const {
+double LabeledCounter::Value(const std::string& value) const {
   const auto found = counters_.find(value);
   return found == counters_.end() ? 0.0 : found->second->Value();
 }
 
 GatewayMetrics::GatewayMetrics(prometheus::Registry* registry)
-    : answers(registry, "posthatch_gateway_answers_total",
-              "Answers to callers by error code of docs/API.md, or \"ok\".", "code"),
+    : responses(registry, "posthatch_gateway_answers_total",
+                "Answers to callers by error code of docs/API.md, or \"ok\".", "code"),
       attempts(registry, "posthatch_gateway_attempts_total",
                "Dispatches to back ends: \"first\" of a request, or \"retry\".", "order"),
       attempt_failures(registry, "posthatch_gateway_attempt_failures_total",
--- a/src/posthatch/gateway/gateway_metrics.h
+++ b/src/posthatch/gateway/gateway_metrics.h
@@ -13,10 +13,10 @@
 
 // A counter family with one label; remembers the counter of each value, because a look-up in the
 // family locks and sorts labels. The values are a small closed set.
-class LabelledCounter {
+class LabeledCounter {
  public:
-  LabelledCounter(prometheus::Registry* registry, const std::string& name, const std::string& help,
-                  std::string label);
+  LabeledCounter(prometheus::Registry* registry, const std::string& name, const std::string& help,
+                 std::string label);
   void Increment(const std::string& value, double amount = 1.0);
   double Value(const std::string& value) const;
 
@@ -31,16 +31,16 @@
 struct GatewayMetrics {
   explicit GatewayMetrics(prometheus::Registry* registry);
 
-  LabelledCounter answers;           // code
-  LabelledCounter attempts;          // order
-  LabelledCounter attempt_failures;  // cause
-  LabelledCounter retries_denied;    // cause
-  LabelledCounter routes;            // reason
-  LabelledCounter stream_breaks;     // cause
-  LabelledCounter deliveries;        // outcome
-  LabelledCounter slow_starts;       // cause
-  LabelledCounter inventory_reads;   // result
-  LabelledCounter prompt_blocks;     // source
+  LabeledCounter responses;         // code
+  LabeledCounter attempts;          // order
+  LabeledCounter attempt_failures;  // cause
+  LabeledCounter retries_denied;    // cause
+  LabeledCounter routes;            // reason
+  LabeledCounter stream_breaks;     // cause
+  LabeledCounter deliveries;        // outcome
+  LabeledCounter slow_starts;       // cause
+  LabeledCounter inventory_reads;   // result
+  LabeledCounter prompt_blocks;     // source
   prometheus::Counter& ejections;
   prometheus::Counter& stream_pauses;
   prometheus::Gauge& requests_in_flight;
--- a/src/posthatch/gateway/gateway_options.h
+++ b/src/posthatch/gateway/gateway_options.h
@@ -24,7 +24,7 @@
   // Bytes of one stream that wait for a slow caller before the worker is no longer read.
   size_t max_stream_buffer_bytes = size_t{256} * 1024;
   // Longest whole answer taken from a back end.
-  size_t max_answer_bytes = size_t{8} * 1024 * 1024;
+  size_t max_response_bytes = size_t{8} * 1024 * 1024;
   // Dispatches of one request, with the first.
   uint32_t max_attempts = 3;
   // Reads of the platform's list that all gateways together may make, per second.
--- a/src/posthatch/gateway/inference_request.cc
+++ b/src/posthatch/gateway/inference_request.cc
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <utility>
 
-#include "posthatch/gateway/answer_check.h"
+#include "posthatch/gateway/response_check.h"
 
 namespace posthatch::gateway {
 namespace {
@@ -21,12 +21,12 @@
 
 }  // namespace
 
-InferenceRequest::InferenceRequest(GatewayContext* context, CallerCall call, InferenceBody body)
-    : RepeatableRequest(context, std::move(call)),
+InferenceRequest::InferenceRequest(GatewayContext* context, CallerRequest call, InferenceBody body)
+    : RetryableRequest(context, std::move(call)),
       body_(std::move(body)),
       stall_timer_(context->runtime->timers) {}
 
-void InferenceRequest::Identify() {
+void InferenceRequest::ComputePromptIdentity() {
   const ModelEntry* model = context()->lookup->FindModel(body_.model);
   block_bytes_ = model == nullptr ? 0 : model->block_bytes;
   const uint64_t revision = model == nullptr ? 0 : model->revision;
@@ -37,14 +37,15 @@
   chain_ = index::HashBlocks(salt_, body_.prompt, block_bytes_);
 }
 
-RouteDecision InferenceRequest::Plan(const std::vector<std::string>& tried, AttemptPlan* plan) {
-  Identify();
+RouteDecision InferenceRequest::Plan(const std::vector<std::string>& attempted_backends,
+                                     AttemptPlan* plan) {
+  ComputePromptIdentity();
   RouteQuery query;
   query.model = &body_.model;
   query.seed = &seed_;
   query.chain = &chain_;
   query.priority = call().tenant->priority();
-  query.tried = &tried;
+  query.attempted_backends = &attempted_backends;
   decision_ = context()->router->RouteInference(query);
   if (decision_.outcome != RouteDecision::Outcome::kChosen) return decision_;
   const uint32_t there = std::max(decision_.cached_blocks, decision_.fetch_blocks);
@@ -66,13 +67,15 @@
   headers->Add("X-Posthatch-Kv-Blocks", std::to_string(decision.fetch_blocks));
 }
 
-absl::Status InferenceRequest::CheckAnswer(const http::Response& answer) {
-  return CheckCompletionBody(answer.body, call().request_id);
+absl::Status InferenceRequest::CheckResponse(const http::Response& response) {
+  return CheckCompletionBody(response.body, call().request_id);
 }
 
-void InferenceRequest::OnGoodAnswer(const http::Response& answer) { RecordKept(answer.headers); }
+void InferenceRequest::OnValidResponse(const http::Response& response) {
+  RecordPrefixCached(response.headers);
+}
 
-void InferenceRequest::RecordKept(const http::Headers& head) {
+void InferenceRequest::RecordPrefixCached(const http::Headers& head) {
   const uint64_t epoch = NumberField(head, "X-Worker-Epoch");
   const uint64_t cached = NumberField(head, "X-Worker-Cached-Blocks");
   context()->metrics->prompt_blocks.Increment("asked", static_cast<double>(chain_.size()));
@@ -87,26 +90,26 @@
                                          context()->options->max_stream_buffer_bytes);
 }
 
-void InferenceRequest::OnStreamPiece(std::string piece) {
-  const bool shown_before = relay_->shown();
-  if (absl::Status status = relay_->Feed(std::move(piece)); !status.ok()) {
+void InferenceRequest::OnStreamChunk(std::string chunk) {
+  const bool was_started = relay_->response_started();
+  if (absl::Status status = relay_->Feed(std::move(chunk)); !status.ok()) {
     OnStreamBroken(status);
     return;
   }
-  if (!shown_before && relay_->shown()) OnFirstPiece();
-  if (relay_->Full() && !paused_) HoldBackWorker();
+  if (!was_started && relay_->response_started()) OnFirstChunk();
+  if (relay_->Full() && !reading_stopped_) ApplyBackpressure();
 }
 
-void InferenceRequest::OnFirstPiece() {
+void InferenceRequest::OnFirstChunk() {
   // From here on silence is bounded, not the whole length.
   deadline_timer()->Cancel();
   ObserveFirstByte();
   context()->backends->OnSuccess(attempt()->backend());
-  MeasureFirstPiece();
-  RecordKept(stream_headers_);
+  MeasureFirstChunk();
+  RecordPrefixCached(stream_headers_);
 }
 
-void InferenceRequest::MeasureFirstPiece() {
+void InferenceRequest::MeasureFirstChunk() {
   const uint64_t cached =
       std::min<uint64_t>(NumberField(stream_headers_, "X-Worker-Cached-Blocks"), chain_.size());
   const uint64_t prefilled = chain_.size() - cached;
@@ -114,7 +117,7 @@
   BackendEntry* const worker = attempt()->backend();
   if (decision_.fetch_endpoint.empty()) {
     const double explained = static_cast<double>(prefilled) * context()->links->PrefillCost();
-    context()->backends->OnWaited(worker, runtime::ToMilliseconds(elapsed) - explained);
+    context()->backends->OnWaitMeasured(worker, runtime::ToMilliseconds(elapsed) - explained);
     context()->links->RecordPrefill(prefilled, elapsed);
     return;
   }
@@ -126,18 +129,18 @@
                                 elapsed);
 }
 
-void InferenceRequest::HoldBackWorker() {
-  paused_ = true;
+void InferenceRequest::ApplyBackpressure() {
+  reading_stopped_ = true;
   context()->metrics->stream_pauses.Increment();
-  attempt()->PauseReading();
+  attempt()->StopReading();
   stall_timer_.Start(kStallTimeout, [this] {
     attempt()->Fail({AttemptFailure::Cause::kTimeout, "the caller doesn't read its answer"});
   });
   std::weak_ptr<ActiveRequest> weak = weak_from_this();
   call().writer->OnWritable([this, weak] {
     const auto self = weak.lock();
-    if (self == nullptr || !paused_) return;
-    paused_ = false;
+    if (self == nullptr || !reading_stopped_) return;
+    reading_stopped_ = false;
     stall_timer_.Cancel();
     if (attempt() != nullptr) attempt()->ResumeReading();
   });
@@ -147,14 +150,14 @@
   if (absl::Status status = relay_->Finish(); !status.ok()) {
     // The attempt itself has ended and can't fail any more.
     context()->backends->OnFailure(attempt()->backend());
-    OnAttemptFailed({AttemptFailure::Cause::kCut, status.ToString()});
+    OnAttemptFailed({AttemptFailure::Cause::kTruncated, status.ToString()});
     return;
   }
   Complete();
 }
 
 void InferenceRequest::OnStreamBroken(const absl::Status& status) {
-  attempt()->Fail({AttemptFailure::Cause::kBadAnswer, status.ToString()});
+  attempt()->Fail({AttemptFailure::Cause::kInvalidResponse, status.ToString()});
 }
 
 void InferenceRequest::OnAttemptFailed(AttemptFailure failure) {
@@ -162,9 +165,9 @@
   if (failure.cause == AttemptFailure::Cause::kRefused) {
     context()->backends->OnRefused(attempt()->backend(), seed_.model_revision, failure.status);
   }
-  RepeatableRequest::OnAttemptFailed(std::move(failure));
+  RetryableRequest::OnAttemptFailed(std::move(failure));
 }
 
-void InferenceRequest::BreakOff(const ApiError& error) { relay_->Break(error); }
+void InferenceRequest::AbortStream(const ApiError& error) { relay_->AbortWithError(error); }
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/limits-test.cc
+++ b/src/posthatch/gateway/limits-test.cc
@@ -15,7 +15,7 @@
   view.fleet.mutable_configuration()->mutable_tenants(0)->clear_key_sha256();
   view.Changed();
   EXPECT_EQ(Complete()->whole.status, 401);
-  EXPECT_EQ(Complete(false, "key-two")->answers, 0);  // in progress
+  EXPECT_EQ(Complete(false, "key-two")->responses, 0);  // in progress
   EXPECT_EQ(Complete(false, "key-three")->whole.status, 401);
 }
 
@@ -23,14 +23,14 @@
   view.fleet.mutable_configuration()->mutable_tenants(0)->set_rate_limit(2);
   view.fleet.mutable_configuration()->mutable_tenants(0)->set_burst(4);
   StartGateway();
-  for (int request = 0; request < 4; ++request) EXPECT_EQ(Complete()->answers, 0);
+  for (int request = 0; request < 4; ++request) EXPECT_EQ(Complete()->responses, 0);
   const auto refused = Complete();
   EXPECT_EQ(refused->whole.status, 429);
   EXPECT_EQ(refused->whole.headers.Get("Retry-After"), "1");
   EXPECT_TRUE(refused->Says(R"("executed":"no")"));
   timers.Advance(std::chrono::milliseconds(500));
-  EXPECT_EQ(Complete()->answers, 0);
-  EXPECT_EQ(Complete()->answers, 1);
+  EXPECT_EQ(Complete()->responses, 0);
+  EXPECT_EQ(Complete()->responses, 1);
 }
 
 TEST_F(LimitsTest, ConcurrencyIsSharedOutAmongGateways) {
@@ -42,17 +42,17 @@
   EXPECT_EQ(Complete()->whole.status, 429);
   LastCall().GoodCompletion();
   timers.Advance(std::chrono::milliseconds(1));
-  EXPECT_EQ(Complete()->answers, 0);
+  EXPECT_EQ(Complete()->responses, 0);
 }
 
 TEST_F(LimitsTest, LowPriorityIsShedFirst) {
   options.max_concurrent_requests = 10;
   view.fleet.mutable_configuration()->mutable_tenants(1)->set_priority(9);
   StartGateway();
-  for (int request = 0; request < 7; ++request) EXPECT_EQ(Complete()->answers, 0);
+  for (int request = 0; request < 7; ++request) EXPECT_EQ(Complete()->responses, 0);
   EXPECT_TRUE(Complete()->Says("overloaded"));
   for (int request = 0; request < 3; ++request) {
-    EXPECT_EQ(Complete(false, "key-two")->answers, 0);
+    EXPECT_EQ(Complete(false, "key-two")->responses, 0);
   }
   EXPECT_TRUE(Complete(false, "key-two")->Says("overloaded"));
 }
@@ -119,10 +119,10 @@
 TEST_F(LimitsTest, FirstAttemptsThatWereNotSentEarnNoRetries) {
   FakeClock fake;
   RetryBudget budget(&fake);
-  for (int request = 0; request < 10; ++request) budget.CountFirst();
-  for (int request = 0; request < 6; ++request) budget.TakeBackFirst();
+  for (int request = 0; request < 10; ++request) budget.RecordFirstAttempt();
+  for (int request = 0; request < 6; ++request) budget.RevertFirstAttempt();
   EXPECT_FALSE(budget.TryRetry(0.2));
-  budget.CountFirst();
+  budget.RecordFirstAttempt();
   EXPECT_TRUE(budget.TryRetry(0.2));
   fake.now += std::chrono::seconds(11);
   EXPECT_FALSE(budget.TryRetry(0.2));
@@ -159,7 +159,7 @@
     Complete();
     ASSERT_EQ(LastCall().endpoint, "w1:80");
     LastCall().Head(200, epoch);  // the second one is new: the worker is cold
-    LastCall().Error(http::CallProgress::kAnswered);
+    LastCall().Error(http::CallProgress::kHeadReceived);
   }
   locator.holders.clear();
   EXPECT_LE(Share("w1:80", 40), 8);
@@ -186,7 +186,7 @@
       absl::StrCat(R"({"model":"m","prompt":")", std::string(1600, 'p'), "\"}");
   int at_holder = 0;
   for (int request = 0; request < 12; ++request) {
-    EXPECT_EQ(Send("/v1/completions", body)->answers, 0);
+    EXPECT_EQ(Send("/v1/completions", body)->responses, 0);
     at_holder += LastCall().endpoint == "w1:80" ? 1 : 0;
   }
   EXPECT_EQ(at_holder, 7);  // 70% of the limit for the lowest priority
@@ -243,7 +243,7 @@
   view.inventory_age = std::chrono::seconds(10);
   timers.Advance(std::chrono::milliseconds(700));
   LastCall().Error(http::CallProgress::kNotSent);
-  EXPECT_EQ(Complete()->answers, 0);
+  EXPECT_EQ(Complete()->responses, 0);
   EXPECT_NE(LastCall().endpoint, "inventory:80");
 }
 
@@ -259,12 +259,12 @@
   EXPECT_EQ(LastCall().Field("X-Posthatch-Kv-Source"), "w1:80");
   EXPECT_EQ(LastCall().Field("X-Posthatch-Kv-Blocks"), "4");
   LinkSpeedEstimator links(&clock);
-  EXPECT_TRUE(links.FetchPays("w1", "w2"));
+  EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w2"));
   links.RecordFetch("w1", "w2", 4, 0, std::chrono::seconds(1));
-  EXPECT_FALSE(links.FetchPays("w1", "w2"));
-  EXPECT_TRUE(links.FetchPays("w1", "w3"));
+  EXPECT_FALSE(links.FetchIsWorthwhile("w1", "w2"));
+  EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w3"));
   clock.now += std::chrono::minutes(1);
-  EXPECT_TRUE(links.FetchPays("w1", "w2"));  // tried again
+  EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w2"));  // tried again
 }
 
 TEST_F(LimitsTest, SeedFollowsRevisionAndIsolation) {
--- a/src/posthatch/gateway/link_speed_estimator.h
+++ b/src/posthatch/gateway/link_speed_estimator.h
@@ -25,13 +25,13 @@
   // Milliseconds a block.
   double PrefillCost() const { return prefill_milliseconds_ / prefill_blocks_; }
   // Milliseconds a block from `source` to `worker`; a link that wasn't measured for
-  // kMeasurementLife counts as good, so that it is tried again.
+  // kMeasurementTtl counts as good, so that it is tried again.
   double FetchCost(const std::string& source, const std::string& worker) const;
   // Whether fetching beats prefilling clearly enough.
-  bool FetchPays(const std::string& source, const std::string& worker) const;
+  bool FetchIsWorthwhile(const std::string& source, const std::string& worker) const;
 
  private:
-  static constexpr runtime::Duration kMeasurementLife = std::chrono::seconds(30);
+  static constexpr runtime::Duration kMeasurementTtl = std::chrono::seconds(30);
   static constexpr size_t kMaxLinks = 65536;
 
   struct Link {
--- a/src/posthatch/gateway/live_gateway_count.h
+++ b/src/posthatch/gateway/live_gateway_count.h
@@ -20,10 +20,10 @@
   // At least 1.
   uint32_t Get() {
     const runtime::MonotonicTime now = clock_->Now();
-    if (count_ == 0 || now - asked_at_ >= kRefreshInterval) {
+    if (count_ == 0 || now - refreshed_at_ >= kRefreshInterval) {
       count_ = source_ ? source_() : 1;
       if (count_ == 0) count_ = 1;
-      asked_at_ = now;
+      refreshed_at_ = now;
     }
     return count_;
   }
@@ -32,7 +32,7 @@
   const runtime::Clock* const clock_;
   const std::function<uint32_t()> source_;
   uint32_t count_ = 0;
-  runtime::MonotonicTime asked_at_;
+  runtime::MonotonicTime refreshed_at_;
 };
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/answer_check.cc
+++ b/src/posthatch/gateway/response_check.cc
@@ -1,4 +1,4 @@
-#include "posthatch/gateway/answer_check.h"
+#include "posthatch/gateway/response_check.h"
 
 #include <xxhash.h>
 
@@ -17,8 +17,8 @@
 }
 
 // The text of the first choice, or nothing if there is none.
-std::string_view FirstText(const boost::json::object& answer) {
-  const boost::json::value* choices = answer.if_contains("choices");
+std::string_view FirstText(const boost::json::object& response) {
+  const boost::json::value* choices = response.if_contains("choices");
   if (choices == nullptr || !choices->is_array() || choices->get_array().empty()) return {};
   const boost::json::value& choice = choices->get_array().front();
   if (!choice.is_object()) return {};
@@ -41,17 +41,17 @@
   boost::json::error_code error;
   const boost::json::value parsed = boost::json::parse(body, error);
   if (error || !parsed.is_object()) return Broken("the answer is not a JSON object");
-  const boost::json::object& answer = parsed.get_object();
-  if (StringField(answer, "request_id") != request_id) {
+  const boost::json::object& response = parsed.get_object();
+  if (StringField(response, "request_id") != request_id) {
     return Broken("the answer belongs to another request");
   }
-  if (StringField(answer, "id").empty()) return Broken("the answer names no run");
-  const boost::json::value* choices = answer.if_contains("choices");
+  if (StringField(response, "id").empty()) return Broken("the answer names no run");
+  const boost::json::value* choices = response.if_contains("choices");
   if (choices == nullptr || !choices->is_array() || choices->get_array().empty()) {
     return Broken("the answer has no choices");
   }
-  const std::string_view checksum = StringField(answer, "checksum");
-  if (!checksum.empty() && !ChecksumFits(checksum, FirstText(answer))) {
+  const std::string_view checksum = StringField(response, "checksum");
+  if (!checksum.empty() && !ChecksumFits(checksum, FirstText(response))) {
     return Broken("the answer's checksum doesn't fit");
   }
   return absl::OkStatus();
@@ -62,20 +62,20 @@
   boost::json::error_code error;
   const boost::json::value parsed = boost::json::parse(body, error);
   if (error || !parsed.is_object()) return Broken("the answer is not a JSON object");
-  const boost::json::object& answer = parsed.get_object();
-  if (StringField(answer, "request_id") != request_id) {
+  const boost::json::object& response = parsed.get_object();
+  if (StringField(response, "request_id") != request_id) {
     return Broken("the answer belongs to another request");
   }
-  if (StringField(answer, "operation") != operation) {
+  if (StringField(response, "operation") != operation) {
     return Broken("the answer belongs to another operation");
   }
   return absl::OkStatus();
 }
 
-bool ProvesNotExecuted(const http::Response& answer) {
-  if (answer.status < 400) return false;
+bool GuaranteesNotExecuted(const http::Response& response) {
+  if (response.status < 400) return false;
   boost::json::error_code error;
-  const boost::json::value parsed = boost::json::parse(answer.body, error);
+  const boost::json::value parsed = boost::json::parse(response.body, error);
   if (error || !parsed.is_object()) return false;
   const boost::json::value* fields = parsed.get_object().if_contains("error");
   if (fields != nullptr && fields->is_object()) {
--- a/src/posthatch/gateway/answer_check.h
+++ b/src/posthatch/gateway/response_check.h
@@ -19,6 +19,6 @@
 
 // Whether the back end says that it refused before running: a status of 400 or more with
 // `"executed": "no"` in its error.
-bool ProvesNotExecuted(const http::Response& answer);
+bool GuaranteesNotExecuted(const http::Response& response);
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/retry_budget.cc
+++ b/src/posthatch/gateway/retry_budget.cc
@@ -13,9 +13,9 @@
   return bucket;
 }
 
-void RetryBudget::CountFirst() { ++Current().firsts; }
+void RetryBudget::RecordFirstAttempt() { ++Current().firsts; }
 
-void RetryBudget::TakeBackFirst() { --Current().firsts; }
+void RetryBudget::RevertFirstAttempt() { --Current().firsts; }
 
 bool RetryBudget::TryRetry(double ratio) {
   Bucket& current = Current();
--- a/src/posthatch/gateway/retry_budget.h
+++ b/src/posthatch/gateway/retry_budget.h
@@ -15,9 +15,9 @@
  public:
   explicit RetryBudget(const runtime::Clock* clock) : clock_(clock) {}
 
-  void CountFirst();
+  void RecordFirstAttempt();
   // The newest first attempt was never sent.
-  void TakeBackFirst();
+  void RevertFirstAttempt();
   // Counts and allows a retry if all retries in the window stay at or below `ratio` of the first
   // attempts in it.
   bool TryRetry(double ratio);
--- a/src/posthatch/gateway/repeatable_request.cc
+++ b/src/posthatch/gateway/retryable_request.cc
@@ -1,36 +1,36 @@
-#include "posthatch/gateway/repeatable_request.h"
+#include "posthatch/gateway/retryable_request.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "posthatch/gateway/answer_check.h"
+#include "posthatch/gateway/response_check.h"
 
 namespace posthatch::gateway {
 namespace {
 
 // One attempt's wait for the head of its answer, as a part of the whole time.
-constexpr int kAttemptShareOfTimeout = 4;
+constexpr int kAttemptTimeoutDivisor = 4;
 // Longest silence inside an answer that has begun.
-constexpr runtime::Duration kPieceTimeout = std::chrono::seconds(10);
+constexpr runtime::Duration kBodyIdleTimeout = std::chrono::seconds(10);
 // With less time than this left, another attempt is of no use.
-constexpr runtime::Duration kLeastTimeForRetry = std::chrono::milliseconds(50);
+constexpr runtime::Duration kMinTimeForRetry = std::chrono::milliseconds(50);
 
 }  // namespace
 
-RepeatableRequest::RepeatableRequest(GatewayContext* context, CallerCall call)
+RetryableRequest::RetryableRequest(GatewayContext* context, CallerRequest call)
     : context_(context), call_(std::move(call)), deadline_timer_(context->runtime->timers) {}
 
-void RepeatableRequest::Begin() {
+void RetryableRequest::Begin() {
   std::weak_ptr<ActiveRequest> weak = weak_from_this();
-  call_.writer->OnCallerGone([this, weak] {
-    if (const auto self = weak.lock()) OnCallerGone();
+  call_.writer->OnCallerDisconnected([this, weak] {
+    if (const auto self = weak.lock()) OnCallerDisconnected();
   });
   deadline_timer_.Start(call_.deadline - context_->runtime->clock->Now(), [this] { OnDeadline(); });
-  TryDispatch();
+  DispatchAttempt();
 }
 
-std::optional<ApiError> RepeatableRequest::WhyNotDispatch() {
-  if (std::optional<ApiError> error = context_->WhyNotDecide()) return error;
+std::optional<ApiError> RetryableRequest::DispatchError() {
+  if (std::optional<ApiError> error = context_->FleetStateError()) return error;
   if (attempts_ == 0) return std::nullopt;
   // Time has passed since the request was let in.
   const auto tenant = context_->tenants->Authenticate(call_.request.headers.Get("Authorization"));
@@ -40,13 +40,13 @@
   return std::nullopt;
 }
 
-void RepeatableRequest::TryDispatch() {
-  if (std::optional<ApiError> error = WhyNotDispatch()) {
+void RetryableRequest::DispatchAttempt() {
+  if (std::optional<ApiError> error = DispatchError()) {
     Refuse(*std::move(error));
     return;
   }
   AttemptPlan plan;
-  RouteDecision decision = Plan(tried_, &plan);
+  RouteDecision decision = Plan(attempted_backends_, &plan);
   if (decision.outcome == RouteDecision::Outcome::kShed) {
     Refuse({503, "overloaded", "the back ends are busy with work of higher priority", Executed::kNo,
             1});
@@ -57,7 +57,7 @@
     return;
   }
   if (attempts_ == 0) {
-    context_->retry_budget->CountFirst();
+    context_->retry_budget->RecordFirstAttempt();
   } else if (!context_->retry_budget->TryRetry(context_->lookup->limits().retry_ratio)) {
     context_->metrics->retries_denied.Increment("budget");
     Refuse(RetryDeniedError());
@@ -67,76 +67,76 @@
   Dispatch(std::move(plan));
 }
 
-void RepeatableRequest::Dispatch(AttemptPlan plan) {
+void RetryableRequest::Dispatch(AttemptPlan plan) {
   ++attempts_;
   plan.nonce = context_->NewNonce();
   AddAttemptHeaders(*context_, call_, plan.nonce, attempts_, &plan.request.headers);
   const runtime::Duration left = call_.deadline - context_->runtime->clock->Now();
   const runtime::Duration share =
-      context_->lookup->limits().request_timeout / kAttemptShareOfTimeout;
+      context_->lookup->limits().request_timeout / kAttemptTimeoutDivisor;
   plan.call_options.head_timeout = std::min(left, share);
-  plan.call_options.piece_timeout = kPieceTimeout;
-  plan.call_options.max_body_bytes = plan.stream ? SIZE_MAX : context_->options->max_answer_bytes;
+  plan.call_options.body_idle_timeout = kBodyIdleTimeout;
+  plan.call_options.max_body_bytes = plan.stream ? SIZE_MAX : context_->options->max_response_bytes;
   context_->metrics->attempts.Increment(attempts_ == 1 ? "first" : "retry");
   AttemptListener* const listener = this;
-  attempt_ = std::make_shared<ProxyAttempt>(context_->runtime, context_->backends, listener,
-                                            std::move(plan));
+  attempt_ = std::make_shared<UpstreamAttempt>(context_->runtime, context_->backends, listener,
+                                               std::move(plan));
   attempt_->Start();
 }
 
-void RepeatableRequest::OnStreamHead(const http::Response&) {}
-void RepeatableRequest::OnStreamPiece(std::string) {}
-void RepeatableRequest::OnStreamEnd() {}
-void RepeatableRequest::BreakOff(const ApiError&) {}
+void RetryableRequest::OnStreamHead(const http::Response&) {}
+void RetryableRequest::OnStreamChunk(std::string) {}
+void RetryableRequest::OnStreamEnd() {}
+void RetryableRequest::AbortStream(const ApiError&) {}
 
-void RepeatableRequest::OnWholeAnswer(http::Response answer) {
+void RetryableRequest::OnResponseComplete(http::Response response) {
   if (ended_) return;
-  if (ProvesNotExecuted(answer)) {
-    OnAttemptFailed({AttemptFailure::Cause::kRefused, "refused before running", answer.status});
+  if (GuaranteesNotExecuted(response)) {
+    OnAttemptFailed({AttemptFailure::Cause::kRefused, "refused before running", response.status});
     return;
   }
   absl::Status status = absl::OkStatus();
-  if (answer.status == 200) status = CheckAnswer(answer);
-  if (answer.status >= 500) status = absl::UnavailableError("the back end answered with an error");
+  if (response.status == 200) status = CheckResponse(response);
+  if (response.status >= 500)
+    status = absl::UnavailableError("the back end answered with an error");
   if (!status.ok()) {
     context_->backends->OnFailure(attempt_->backend());
-    OnAttemptFailed({AttemptFailure::Cause::kBadAnswer, status.ToString()});
+    OnAttemptFailed({AttemptFailure::Cause::kInvalidResponse, status.ToString()});
     return;
   }
   context_->backends->OnSuccess(attempt_->backend());
-  if (answer.status == 200) OnGoodAnswer(answer);
+  if (response.status == 200) OnValidResponse(response);
   ObserveFirstByte();
-  call_.writer->SendWhole(MakeCallerAnswer(call_, std::move(answer)));
+  call_.writer->SendResponse(MakeCallerResponse(call_, std::move(response)));
   Complete();
 }
 
-void RepeatableRequest::OnAttemptFailed(AttemptFailure failure) {
+void RetryableRequest::OnAttemptFailed(AttemptFailure failure) {
   if (ended_) return;
   context_->metrics->attempt_failures.Increment(failure.name());
-  if (!failure.ProvesNotExecuted()) proved_not_executed_ = false;
+  if (!failure.GuaranteesNotExecuted()) guaranteed_not_executed_ = false;
   if (attempts_ == 1 && failure.cause == AttemptFailure::Cause::kNotSent) {
-    context_->retry_budget->TakeBackFirst();
+    context_->retry_budget->RevertFirstAttempt();
   }
-  tried_.push_back(attempt_->backend()->backend.id());
+  attempted_backends_.push_back(attempt_->backend()->backend.id());
   context_->requests->Discard(attempt_);
-  if (Shown()) {
+  if (ResponseStarted()) {
     context_->metrics->stream_breaks.Increment(failure.name());
-    context_->metrics->answers.Increment("broken_stream");
-    BreakOff(FinalError(failure));
+    context_->metrics->responses.Increment("broken_stream");
+    AbortStream(FinalError(failure));
     End();
     return;
   }
   const runtime::Duration left = call_.deadline - context_->runtime->clock->Now();
-  if (attempts_ >= context_->options->max_attempts || left < kLeastTimeForRetry) {
-    context_->metrics->retries_denied.Increment(left < kLeastTimeForRetry ? "deadline"
-                                                                          : "attempts");
+  if (attempts_ >= context_->options->max_attempts || left < kMinTimeForRetry) {
+    context_->metrics->retries_denied.Increment(left < kMinTimeForRetry ? "deadline" : "attempts");
     Refuse(FinalError(failure));
     return;
   }
-  TryDispatch();
+  DispatchAttempt();
 }
 
-ApiError RepeatableRequest::FinalError(const AttemptFailure& failure) const {
+ApiError RetryableRequest::FinalError(const AttemptFailure& failure) const {
   if (failure.cause == AttemptFailure::Cause::kRefused) {
     return {503, "no_capacity", "the back ends refused the request", Executed::kNo, 1};
   }
@@ -146,8 +146,8 @@
   return {502, "backend_failed", "the back end gave no whole answer", Executed::kUnknown, 1};
 }
 
-ApiError RepeatableRequest::RetryDeniedError() const {
-  if (proved_not_executed_) {
+ApiError RetryableRequest::RetryDeniedError() const {
+  if (guaranteed_not_executed_) {
     return {503, "no_capacity", "the back end refused, and too many requests are being retried",
             Executed::kNo, 1};
   }
@@ -155,36 +155,36 @@
           Executed::kUnknown, 1};
 }
 
-void RepeatableRequest::OnDeadline() {
+void RetryableRequest::OnDeadline() {
   if (attempt_ == nullptr || ended_) return;
   attempt_->Fail({AttemptFailure::Cause::kTimeout, "the deadline passed"});
 }
 
-void RepeatableRequest::OnCallerGone() {
+void RetryableRequest::OnCallerDisconnected() {
   if (ended_) return;
-  context_->metrics->answers.Increment("caller_gone");
+  context_->metrics->responses.Increment("caller_gone");
   if (attempt_ != nullptr) context_->requests->Discard(std::exchange(attempt_, nullptr));
   End();
 }
 
-void RepeatableRequest::ObserveFirstByte() {
+void RetryableRequest::ObserveFirstByte() {
   const runtime::Duration elapsed = context_->runtime->clock->Now() - call_.received;
   context_->metrics->first_byte_seconds.Observe(std::chrono::duration<double>(elapsed).count());
 }
 
-void RepeatableRequest::Refuse(ApiError error) {
-  const bool proved = proved_not_executed_ && call_.idempotency_key.empty();
+void RetryableRequest::Refuse(ApiError error) {
+  const bool proved = guaranteed_not_executed_ && call_.idempotency_key.empty();
   error.executed = proved ? Executed::kNo : Executed::kUnknown;
   SendError(*context_, call_.writer.get(), error);
   End();
 }
 
-void RepeatableRequest::Complete() {
-  context_->metrics->answers.Increment("ok");
+void RetryableRequest::Complete() {
+  context_->metrics->responses.Increment("ok");
   End();
 }
 
-void RepeatableRequest::End() {
+void RetryableRequest::End() {
   ended_ = true;
   deadline_timer_.Cancel();
   context_->requests->Retire(this);
--- a/src/posthatch/gateway/service_request.cc
+++ b/src/posthatch/gateway/service_request.cc
@@ -3,26 +3,27 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/gateway/answer_check.h"
+#include "posthatch/gateway/response_check.h"
 
 namespace posthatch::gateway {
 
-RouteDecision ServiceRequest::Plan(const std::vector<std::string>& tried, AttemptPlan* plan) {
+RouteDecision ServiceRequest::Plan(const std::vector<std::string>& attempted_backends,
+                                   AttemptPlan* plan) {
   plan->request.method = "POST";
   plan->request.target = absl::StrCat("/operations/", operation_);
   plan->request.body = call().request.body;
-  return context()->router->RouteService(service_, call().tenant->priority(), tried);
+  return context()->router->RouteService(service_, call().tenant->priority(), attempted_backends);
 }
 
-absl::Status ServiceRequest::CheckAnswer(const http::Response& answer) {
-  return CheckServiceBody(answer.body, call().request_id, operation_);
+absl::Status ServiceRequest::CheckResponse(const http::Response& response) {
+  return CheckServiceBody(response.body, call().request_id, operation_);
 }
 
 void ServiceRequest::OnAttemptFailed(AttemptFailure failure) {
   if (failure.cause == AttemptFailure::Cause::kRefused) {
     context()->backends->OnRefused(attempt()->backend(), 0, failure.status);
   }
-  RepeatableRequest::OnAttemptFailed(std::move(failure));
+  RetryableRequest::OnAttemptFailed(std::move(failure));
 }
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/service_request.h
+++ b/src/posthatch/gateway/service_request.h
@@ -3,23 +3,24 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/gateway/repeatable_request.h"
+#include "posthatch/gateway/retryable_request.h"
 
 namespace posthatch::gateway {
 
 // One call of an application service's operation that may be repeated.
-class ServiceRequest : public RepeatableRequest {
+class ServiceRequest : public RetryableRequest {
  public:
-  ServiceRequest(GatewayContext* context, CallerCall call, std::string service,
+  ServiceRequest(GatewayContext* context, CallerRequest call, std::string service,
                  std::string operation)
-      : RepeatableRequest(context, std::move(call)),
+      : RetryableRequest(context, std::move(call)),
         service_(std::move(service)),
         operation_(std::move(operation)) {}
 
  private:
-  RouteDecision Plan(const std::vector<std::string>& tried, AttemptPlan* plan) override;
-  absl::Status CheckAnswer(const http::Response& answer) override;
-  void OnGoodAnswer(const http::Response&) override {}
+  RouteDecision Plan(const std::vector<std::string>& attempted_backends,
+                     AttemptPlan* plan) override;
+  absl::Status CheckResponse(const http::Response& response) override;
+  void OnValidResponse(const http::Response&) override {}
   void OnAttemptFailed(AttemptFailure failure) override;
 
   const std::string service_;
--- a/src/posthatch/gateway/stream-test.cc
+++ b/src/posthatch/gateway/stream-test.cc
@@ -48,18 +48,18 @@
   crossed->HeadFor("another attempt");
   EXPECT_EQ(client.calls.size(), 22u);
   crossed->GoodCompletion();  // what follows, and a second answer, are dropped too
-  EXPECT_EQ(writer->answers, 0);
+  EXPECT_EQ(writer->responses, 0);
   timers.Advance(std::chrono::milliseconds(1));
   EXPECT_TRUE(crossed->cancelled);
   LastCall().GoodCompletion();
-  EXPECT_EQ(writer->answers, 1);
+  EXPECT_EQ(writer->responses, 1);
 }
 
 TEST_F(RetryingTest, BodyOfAnotherRequestIsDropped) {
   Prepare();
   const auto writer = Complete();
   LastCall().Whole(200, R"({"id":"r","request_id":"other","choices":[{"text":"T"}]})");
-  EXPECT_EQ(writer->answers, 0);
+  EXPECT_EQ(writer->responses, 0);
   EXPECT_EQ(client.calls.size(), 22u);
 }
 
@@ -69,7 +69,7 @@
   LastCall().Whole(200,
                    absl::StrCat(R"({"id":"r","request_id":")", LastCall().Field("X-Request-Id"),
                                 R"(","choices":[{"text":"T"}],"checksum":"12"})"));
-  EXPECT_EQ(writer->answers, 0);
+  EXPECT_EQ(writer->responses, 0);
 }
 
 TEST_F(RetryingTest, RefusalBeforeRunningIsProvedNotExecuted) {
@@ -86,11 +86,11 @@
   Prepare();
   const auto writer = Complete(true);
   LastCall().Head();
-  LastCall().Error(http::CallProgress::kAnswered);
+  LastCall().Error(http::CallProgress::kHeadReceived);
   ASSERT_EQ(client.calls.size(), 22u);
   LastCall().Head();
   LastCall().Piece(LastCall().Event(0));
-  LastCall().Error(http::CallProgress::kAnswered);
+  LastCall().Error(http::CallProgress::kHeadReceived);
   EXPECT_EQ(client.calls.size(), 22u);
   EXPECT_TRUE(writer->aborted);
   EXPECT_FALSE(writer->finished);
--- a/src/posthatch/gateway/stream_relay.cc
+++ b/src/posthatch/gateway/stream_relay.cc
@@ -8,25 +8,25 @@
   absl::StatusOr<std::string> events = checker_.Feed(std::move(chunk));
   if (!events.ok()) return events.status();
   if (events->empty()) return absl::OkStatus();
-  if (!shown_) StartAnswer();
-  writer_->WritePiece(*std::move(events));
+  if (!response_started_) StartResponse();
+  writer_->WriteChunk(*std::move(events));
   return absl::OkStatus();
 }
 
 absl::Status StreamRelay::Finish() {
   if (absl::Status status = checker_.Finish(); !status.ok()) return status;
-  writer_->WritePiece(std::string(SseStreamChecker::kDoneEvent));
+  writer_->WriteChunk(std::string(SseStreamChecker::kDoneEvent));
   writer_->FinishStream();
   return absl::OkStatus();
 }
 
-void StreamRelay::Break(const ApiError& error) {
-  writer_->WritePiece(MakeErrorEvent(error));
+void StreamRelay::AbortWithError(const ApiError& error) {
+  writer_->WriteChunk(MakeErrorEvent(error));
   writer_->Abort();
 }
 
-void StreamRelay::StartAnswer() {
-  shown_ = true;
+void StreamRelay::StartResponse() {
+  response_started_ = true;
   http::Response head;
   head.status = 200;
   head.headers.Add("Content-Type", "text/event-stream");
--- a/src/posthatch/gateway/stream_relay.h
+++ b/src/posthatch/gateway/stream_relay.h
@@ -27,20 +27,20 @@
   // The worker's body has ended properly. OK: the caller's has too.
   absl::Status Finish();
   // Ends the caller's stream visibly incomplete.
-  void Break(const ApiError& error);
+  void AbortWithError(const ApiError& error);
 
-  bool shown() const { return shown_; }
+  bool response_started() const { return response_started_; }
   // Whether so much waits for the caller that the worker should not be read on.
-  bool Full() const { return shown_ && writer_->buffered_bytes() > max_buffered_bytes_; }
+  bool Full() const { return response_started_ && writer_->buffered_bytes() > max_buffered_bytes_; }
 
  private:
-  void StartAnswer();
+  void StartResponse();
 
   const std::shared_ptr<http::ResponseWriter> writer_;
   const std::string request_id_;
   SseStreamChecker checker_;
   const size_t max_buffered_bytes_;
-  bool shown_ = false;
+  bool response_started_ = false;
 };
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/proxy_attempt.cc
+++ b/src/posthatch/gateway/upstream_attempt.cc
@@ -1,4 +1,4 @@
-#include "posthatch/gateway/proxy_attempt.h"
+#include "posthatch/gateway/upstream_attempt.h"
 
 #include <charconv>
 #include <utility>
@@ -14,7 +14,7 @@
   } else if (absl::IsDeadlineExceeded(error.status)) {
     failure.cause = AttemptFailure::Cause::kTimeout;
   } else {
-    failure.cause = AttemptFailure::Cause::kCut;
+    failure.cause = AttemptFailure::Cause::kTruncated;
   }
   return failure;
 }
@@ -31,13 +31,13 @@
   switch (cause) {
     case Cause::kNotSent:
       return "not_sent";
-    case Cause::kCut:
+    case Cause::kTruncated:
       return "cut";
     case Cause::kTimeout:
       return "timeout";
     case Cause::kWrongAttempt:
       return "wrong_attempt";
-    case Cause::kBadAnswer:
+    case Cause::kInvalidResponse:
       return "bad_answer";
     case Cause::kRefused:
       return "refused";
@@ -45,90 +45,90 @@
   return "unknown";
 }
 
-ProxyAttempt::ProxyAttempt(runtime::Runtime* runtime, BackendDirectory* directory,
-                           AttemptListener* listener, AttemptPlan plan)
+UpstreamAttempt::UpstreamAttempt(runtime::Runtime* runtime, BackendDirectory* directory,
+                                 AttemptListener* listener, AttemptPlan plan)
     : runtime_(runtime), directory_(directory), listener_(listener), plan_(std::move(plan)) {}
 
-ProxyAttempt::~ProxyAttempt() { SettleEnd(); }
+UpstreamAttempt::~UpstreamAttempt() { CompleteAttempt(); }
 
-void ProxyAttempt::Start() {
+void UpstreamAttempt::Start() {
   started_ = runtime_->clock->Now();
-  head_settled_ = false;
+  head_completed_ = false;
   ended_ = false;
   directory_->OnDispatched(plan_.backend.get(), plan_.pending_blocks);
   http::CallObserver observer;
-  observer.on_head = [this](const http::Response& head) { OnHead(head); };
-  observer.on_piece = [this](std::string piece) { OnPiece(std::move(piece)); };
+  observer.on_head = [this](const http::Response& head) { OnResponseHead(head); };
+  observer.on_chunk = [this](std::string chunk) { OnChunk(std::move(chunk)); };
   observer.on_end = [this] { OnEnd(); };
   observer.on_error = [this](const http::CallError& error) { OnError(error); };
   call_ = runtime_->http_client->Start(plan_.backend->backend.endpoint(), std::move(plan_.request),
                                        plan_.call_options, std::move(observer));
 }
 
-void ProxyAttempt::PauseReading() {
-  if (!ended_) call_->PauseReading();
+void UpstreamAttempt::StopReading() {
+  if (!ended_) call_->StopReading();
 }
 
-void ProxyAttempt::ResumeReading() {
+void UpstreamAttempt::ResumeReading() {
   if (!ended_) call_->ResumeReading();
 }
 
-void ProxyAttempt::SettleHead() {
-  if (std::exchange(head_settled_, true)) return;
-  directory_->OnHead(plan_.backend.get(), plan_.pending_blocks);
+void UpstreamAttempt::CompleteHead() {
+  if (std::exchange(head_completed_, true)) return;
+  directory_->OnResponseHead(plan_.backend.get(), plan_.pending_blocks);
 }
 
-void ProxyAttempt::SettleEnd() {
-  SettleHead();
+void UpstreamAttempt::CompleteAttempt() {
+  CompleteHead();
   if (std::exchange(ended_, true)) return;
   directory_->OnEnded(plan_.backend.get());
 }
 
-void ProxyAttempt::OnHead(const http::Response& head) {
+void UpstreamAttempt::OnResponseHead(const http::Response& head) {
   if (ended_) return;
   if (head.headers.Get("X-Posthatch-Attempt") != plan_.nonce) {
     Fail({AttemptFailure::Cause::kWrongAttempt, "the answer is not for this attempt"});
     return;
   }
-  SettleHead();
+  CompleteHead();
   directory_->OnEpoch(plan_.backend.get(), ParseNumber(head.headers.Get("X-Worker-Epoch")));
   streaming_ = plan_.stream && head.status == 200;
   if (streaming_) {
     listener_->OnStreamHead(head);
   } else {
-    answer_ = head;
-    answer_.body.clear();
+    response_ = head;
+    response_.body.clear();
   }
 }
 
-void ProxyAttempt::OnPiece(std::string piece) {
+void UpstreamAttempt::OnChunk(std::string chunk) {
   if (ended_) return;
   if (streaming_) {
-    listener_->OnStreamPiece(std::move(piece));
-  } else if (answer_.body.empty()) {
-    answer_.body = std::move(piece);
+    listener_->OnStreamChunk(std::move(chunk));
+  } else if (response_.body.empty()) {
+    response_.body = std::move(chunk);
   } else {
-    answer_.body.append(piece);
+    response_.body.append(chunk);
   }
 }
 
-void ProxyAttempt::OnEnd() {
+void UpstreamAttempt::OnEnd() {
   if (ended_) return;
-  SettleEnd();
+  CompleteAttempt();
   if (streaming_) {
     listener_->OnStreamEnd();
   } else {
-    listener_->OnWholeAnswer(std::move(answer_));
+    listener_->OnResponseComplete(std::move(response_));
   }
 }
 
-void ProxyAttempt::OnError(const http::CallError& error) {
+void UpstreamAttempt::OnError(const http::CallError& error) {
   if (!ended_) Fail(FailureOf(error));
 }
 
-void ProxyAttempt::Fail(AttemptFailure failure) {
+void UpstreamAttempt::Fail(AttemptFailure failure) {
   if (ended_) return;
-  SettleEnd();
+  CompleteAttempt();
   directory_->OnFailure(plan_.backend.get(), failure.cause == AttemptFailure::Cause::kNotSent);
   listener_->OnAttemptFailed(std::move(failure));
 }
--- a/src/posthatch/gateway/proxy_attempt.h
+++ b/src/posthatch/gateway/upstream_attempt.h
@@ -12,32 +12,34 @@
 // Why a dispatch brought no usable answer.
 struct AttemptFailure {
   enum class Cause {
-    kNotSent,       // no byte went out
-    kCut,           // the connection broke, or the body was not whole
-    kTimeout,       // no answer in time
-    kWrongAttempt,  // the answer belongs to another attempt: crossed, late or double
-    kBadAnswer,     // the answer is not what BACKENDS.md says
-    kRefused,       // refused before running
+    kNotSent,          // no byte went out
+    kTruncated,        // the connection broke, or the body was not whole
+    kTimeout,          // no answer in time
+    kWrongAttempt,     // the answer belongs to another attempt: crossed, late or double
+    kInvalidResponse,  // the answer is not what BACKENDS.md says
+    kRefused,          // refused before running
   };
   Cause cause = Cause::kNotSent;
   std::string message;
   int status = 0;  // of a refusal
 
   // Whether this attempt has provably not run and will not run.
-  bool ProvesNotExecuted() const { return cause == Cause::kNotSent || cause == Cause::kRefused; }
+  bool GuaranteesNotExecuted() const {
+    return cause == Cause::kNotSent || cause == Cause::kRefused;
+  }
   // Name in metrics.
   const char* name() const;
 };
 
-// Told how an attempt goes: OnWholeAnswer, or OnStreamHead, pieces and OnStreamEnd, or at any point
-// OnAttemptFailed, after which nothing more comes.
+// Told how an attempt goes: OnResponseComplete, or OnStreamHead, pieces and OnStreamEnd, or at any
+// point OnAttemptFailed, after which nothing more comes.
 class AttemptListener {
  public:
   virtual ~AttemptListener() = default;
   virtual void OnStreamHead(const http::Response& head) = 0;
-  virtual void OnStreamPiece(std::string piece) = 0;
+  virtual void OnStreamChunk(std::string chunk) = 0;
   virtual void OnStreamEnd() = 0;
-  virtual void OnWholeAnswer(http::Response answer) = 0;
+  virtual void OnResponseComplete(http::Response response) = 0;
   virtual void OnAttemptFailed(AttemptFailure failure) = 0;
 };
 
@@ -53,17 +55,17 @@
 // One dispatch to one back end. Accepts only an answer that echoes this attempt's nonce. Keeps the
 // directory's account of requests in flight. Destroying it cancels the call. Event loop thread
 // only.
-class ProxyAttempt {
+class UpstreamAttempt {
  public:
   // The listener outlives the attempt.
-  ProxyAttempt(runtime::Runtime* runtime, BackendDirectory* directory, AttemptListener* listener,
-               AttemptPlan plan);
-  ~ProxyAttempt();
-  ProxyAttempt(const ProxyAttempt&) = delete;
-  ProxyAttempt& operator=(const ProxyAttempt&) = delete;
+  UpstreamAttempt(runtime::Runtime* runtime, BackendDirectory* directory, AttemptListener* listener,
+                  AttemptPlan plan);
+  ~UpstreamAttempt();
+  UpstreamAttempt(const UpstreamAttempt&) = delete;
+  UpstreamAttempt& operator=(const UpstreamAttempt&) = delete;
 
   void Start();
-  void PauseReading();
+  void StopReading();
   void ResumeReading();
   BackendEntry* backend() const { return plan_.backend.get(); }
   runtime::MonotonicTime started() const { return started_; }
@@ -71,23 +73,23 @@
   void Fail(AttemptFailure failure);
 
  private:
-  void OnHead(const http::Response& head);
-  void OnPiece(std::string piece);
+  void OnResponseHead(const http::Response& head);
+  void OnChunk(std::string chunk);
   void OnEnd();
   void OnError(const http::CallError& error);
   // The head came or nobody waits for it any more.
-  void SettleHead();
-  void SettleEnd();
+  void CompleteHead();
+  void CompleteAttempt();
 
   runtime::Runtime* const runtime_;
   BackendDirectory* const directory_;
   AttemptListener* const listener_;
   AttemptPlan plan_;
   std::unique_ptr<http::Call> call_;
-  http::Response answer_;
+  http::Response response_;
   runtime::MonotonicTime started_;
   bool streaming_ = false;
-  bool head_settled_ = true;  // until Start
+  bool head_completed_ = true;  // until Start
   bool ended_ = true;
 };
 
--- a/src/posthatch/gateway/worker_router.cc
+++ b/src/posthatch/gateway/worker_router.cc
@@ -9,12 +9,12 @@
 namespace posthatch::gateway {
 namespace {
 
-constexpr size_t kHoldersCompared = 4;
-constexpr int kDraws = 8;
+constexpr size_t kMaxHolderCandidates = 4;
+constexpr int kMaxSamples = 8;
 // A zone's back end above this share of its limit sends new work to other zones.
 constexpr double kLocalLoadLimit = 0.5;
 // What one running request adds to the time of the next one's first token, in milliseconds.
-constexpr double kRunningCost = 3.0;
+constexpr double kRunningRequestCostMs = 3.0;
 
 bool Contains(const std::vector<std::string>& list, const std::string& id) {
   return std::find(list.begin(), list.end(), id) != list.end();
@@ -23,27 +23,31 @@
 }  // namespace
 
 double WorkerRouter::RelativeLoad(const BackendEntry& entry) const {
-  const double silent_seconds = std::chrono::duration<double>(directory_->Silence(entry)).count();
-  return (entry.in_flight + 1.0) / directory_->Limit(entry) * (1.0 + silent_seconds);
+  const double unresponsive_seconds =
+      std::chrono::duration<double>(directory_->UnresponsiveTime(entry)).count();
+  return (entry.in_flight + 1.0) / directory_->Limit(entry) * (1.0 + unresponsive_seconds);
 }
 
-BackendPointer WorkerRouter::NextInTurn(BackendPool* pool, uint64_t revision,
-                                        const std::vector<std::string>& tried) {
+BackendPointer WorkerRouter::NextRoundRobin(BackendPool* pool, uint64_t revision,
+                                            const std::vector<std::string>& attempted_backends) {
   for (size_t step = 0; step < pool->all.size(); ++step) {
-    const BackendPointer& entry = pool->all[pool->next_turn++ % pool->all.size()];
-    if (!directory_->Eligible(*entry, revision) || Contains(tried, entry->backend.id())) continue;
+    const BackendPointer& entry = pool->all[pool->round_robin_next++ % pool->all.size()];
+    if (!directory_->Eligible(*entry, revision) ||
+        Contains(attempted_backends, entry->backend.id()))
+      continue;
     return entry;
   }
   return nullptr;
 }
 
-BackendPointer WorkerRouter::Draw(const std::vector<BackendPointer>& from, uint64_t revision,
-                                  const std::vector<std::string>& tried,
-                                  const BackendEntry* other) {
+BackendPointer WorkerRouter::SampleEligible(const std::vector<BackendPointer>& from,
+                                            uint64_t revision,
+                                            const std::vector<std::string>& attempted_backends,
+                                            const BackendEntry* other) {
   if (from.empty()) return nullptr;
-  for (int draw = 0; draw < kDraws; ++draw) {
+  for (int draw = 0; draw < kMaxSamples; ++draw) {
     const BackendPointer& entry = from[runtime_->random->Uniform(from.size())];
-    if (entry.get() == other || Contains(tried, entry->backend.id())) continue;
+    if (entry.get() == other || Contains(attempted_backends, entry->backend.id())) continue;
     if (!directory_->Eligible(*entry, revision)) continue;
     const double share = directory_->SlowStartShare(*entry);
     if (share >= 1.0 || runtime_->random->Chance(share)) return entry;
@@ -51,38 +55,42 @@
   return nullptr;
 }
 
-BackendPointer WorkerRouter::BetterOfTwo(const std::vector<BackendPointer>& from, uint64_t revision,
-                                         const std::vector<std::string>& tried) {
-  BackendPointer first = Draw(from, revision, tried, nullptr);
+BackendPointer WorkerRouter::PowerOfTwoChoices(const std::vector<BackendPointer>& from,
+                                               uint64_t revision,
+                                               const std::vector<std::string>& attempted_backends) {
+  BackendPointer first = SampleEligible(from, revision, attempted_backends, nullptr);
   if (first == nullptr) return nullptr;
-  BackendPointer second = Draw(from, revision, tried, first.get());
+  BackendPointer second = SampleEligible(from, revision, attempted_backends, first.get());
   if (second == nullptr) return first;
   return RelativeLoad(*second) < RelativeLoad(*first) ? second : first;
 }
 
 BackendPointer WorkerRouter::SearchAll(const BackendPool& pool, uint64_t revision,
-                                       const std::vector<std::string>& tried) {
+                                       const std::vector<std::string>& attempted_backends) {
   BackendPointer best;
   for (const BackendPointer& entry : pool.all) {
-    if (!directory_->Eligible(*entry, revision) || Contains(tried, entry->backend.id())) continue;
+    if (!directory_->Eligible(*entry, revision) ||
+        Contains(attempted_backends, entry->backend.id()))
+      continue;
     if (best == nullptr || RelativeLoad(*entry) < RelativeLoad(*best)) best = entry;
   }
   if (best != nullptr) return best;
   for (const BackendPointer& entry : pool.all) {
-    if (!directory_->EligibleForTrial(*entry) || Contains(tried, entry->backend.id())) continue;
+    if (!directory_->EligibleForTrial(*entry) || Contains(attempted_backends, entry->backend.id()))
+      continue;
     if (best == nullptr || entry->ejected_until < best->ejected_until) best = entry;
   }
   return best;
 }
 
 BackendPointer WorkerRouter::LeastLoaded(BackendPool* pool, uint64_t revision,
-                                         const std::vector<std::string>& tried) {
-  BackendPointer local = BetterOfTwo(pool->local, revision, tried);
+                                         const std::vector<std::string>& attempted_backends) {
+  BackendPointer local = PowerOfTwoChoices(pool->local, revision, attempted_backends);
   if (local != nullptr && RelativeLoad(*local) <= kLocalLoadLimit) return local;
-  BackendPointer any = BetterOfTwo(pool->all, revision, tried);
+  BackendPointer any = PowerOfTwoChoices(pool->all, revision, attempted_backends);
   if (any != nullptr && (local == nullptr || RelativeLoad(*any) < RelativeLoad(*local))) return any;
   if (local != nullptr) return local;
-  return SearchAll(*pool, revision, tried);
+  return SearchAll(*pool, revision, attempted_backends);
 }
 
 const index::PrefixHolder* WorkerRouter::BestSource(const std::vector<index::PrefixHolder>& holders,
@@ -93,21 +101,23 @@
     if (holder.backend_id == worker) continue;
     const BackendPointer source = directory_->Find(holder.backend_id);
     if (source == nullptr || source->evacuated) continue;
-    if (links_->FetchPays(holder.backend_id, worker)) return &holder;
+    if (links_->FetchIsWorthwhile(holder.backend_id, worker)) return &holder;
   }
   return nullptr;
 }
 
-void WorkerRouter::Estimate(const std::vector<index::PrefixHolder>& holders, size_t chain_length,
-                            Candidate* candidate) const {
+void WorkerRouter::EstimateCost(const std::vector<index::PrefixHolder>& holders,
+                                size_t chain_length, Candidate* candidate) const {
   const BackendEntry& entry = *candidate->backend;
   candidate->source = BestSource(holders, *candidate);
   const uint32_t reachable =
       candidate->source == nullptr ? candidate->cached_blocks : candidate->source->blocks;
   const double prefill = links_->PrefillCost();
   double cost =
-      static_cast<double>(entry.pending_blocks) * prefill + entry.in_flight * kRunningCost +
-      runtime::ToMilliseconds(directory_->Silence(entry)) + directory_->ExpectedWait(entry) +
+      static_cast<double>(entry.pending_blocks) * prefill +
+      entry.in_flight * kRunningRequestCostMs +
+      runtime::ToMilliseconds(directory_->UnresponsiveTime(entry)) +
+      directory_->ExpectedWait(entry) +
       static_cast<double>(chain_length - std::min<size_t>(reachable, chain_length)) * prefill;
   if (candidate->source != nullptr) {
     cost += (reachable - candidate->cached_blocks) *
@@ -116,7 +126,7 @@
   candidate->cost = cost / directory_->SlowStartShare(entry);
 }
 
-bool WorkerRouter::HasRoom(const BackendEntry& entry, uint32_t priority) const {
+bool WorkerRouter::HasCapacity(const BackendEntry& entry, uint32_t priority) const {
   const double allowed =
       std::ceil(AdmissionControl::AllowedShare(priority) * directory_->Limit(entry));
   return entry.in_flight + 1.0 <= allowed;
@@ -126,31 +136,34 @@
     const RouteQuery& query, const std::vector<index::PrefixHolder>& holders) const {
   std::vector<Candidate> candidates;
   for (const index::PrefixHolder& holder : holders) {
-    if (candidates.size() >= kHoldersCompared) break;
+    if (candidates.size() >= kMaxHolderCandidates) break;
     const BackendPointer entry = directory_->Find(holder.backend_id);
     if (entry == nullptr || entry->backend.kind() != control::BACKEND_KIND_WORKER) continue;
     if (entry->backend.model() != *query.model) continue;
     if (!directory_->Eligible(*entry, query.seed->model_revision)) continue;
-    if (!HasRoom(*entry, query.priority) || Contains(*query.tried, holder.backend_id)) continue;
+    if (!HasCapacity(*entry, query.priority) ||
+        Contains(*query.attempted_backends, holder.backend_id))
+      continue;
     const bool lost_since = entry->epoch > holder.epoch;
     candidates.push_back(Candidate{entry, lost_since ? 0 : holder.blocks});
   }
   return candidates;
 }
 
-BackendPointer WorkerRouter::ByPrefix(const RouteQuery& query, BackendPool* pool,
-                                      RouteDecision* decision) {
+BackendPointer WorkerRouter::RouteByPrefix(const RouteQuery& query, BackendPool* pool,
+                                           RouteDecision* decision) {
   std::vector<index::PrefixHolder> holders;
   if (!query.chain->empty()) holders = locator_->Locate(*query.seed, *query.chain);
   std::vector<Candidate> candidates = HolderCandidates(query, holders);
-  const BackendPointer drawn = LeastLoaded(pool, query.seed->model_revision, *query.tried);
-  const bool drawn_has_room = drawn != nullptr && HasRoom(*drawn, query.priority);
-  if (drawn_has_room || (drawn != nullptr && candidates.empty())) {
-    candidates.push_back(Candidate{drawn});
+  const BackendPointer sampled =
+      LeastLoaded(pool, query.seed->model_revision, *query.attempted_backends);
+  const bool sampled_has_capacity = sampled != nullptr && HasCapacity(*sampled, query.priority);
+  if (sampled_has_capacity || (sampled != nullptr && candidates.empty())) {
+    candidates.push_back(Candidate{sampled});
   }
   const Candidate* best = nullptr;
   for (Candidate& candidate : candidates) {
-    Estimate(holders, query.chain->size(), &candidate);
+    EstimateCost(holders, query.chain->size(), &candidate);
     if (best == nullptr || candidate.cost < best->cost) best = &candidate;
   }
   if (best == nullptr) return nullptr;
@@ -169,7 +182,7 @@
     metrics_->routes.Increment("none");
     return;
   }
-  if (!HasRoom(*chosen, priority)) {
+  if (!HasCapacity(*chosen, priority)) {
     decision->outcome = RouteDecision::Outcome::kShed;
     metrics_->routes.Increment("shed");
     return;
@@ -185,10 +198,10 @@
   BackendPointer chosen;
   std::string reason = "none";
   if (pool != nullptr && options_->routing_mode == RoutingMode::kRoundRobin) {
-    chosen = NextInTurn(pool, query.seed->model_revision, *query.tried);
+    chosen = NextRoundRobin(pool, query.seed->model_revision, *query.attempted_backends);
     reason = "round_robin";
   } else if (pool != nullptr) {
-    chosen = ByPrefix(query, pool, &decision);
+    chosen = RouteByPrefix(query, pool, &decision);
     reason = decision.cached_blocks > 0 ? "prefix" : "load";
     if (!decision.fetch_endpoint.empty()) reason = "fetch";
   }
@@ -197,10 +210,10 @@
 }
 
 RouteDecision WorkerRouter::RouteService(const std::string& service, uint32_t priority,
-                                         const std::vector<std::string>& tried) {
+                                         const std::vector<std::string>& attempted_backends) {
   RouteDecision decision;
   BackendPool* pool = directory_->ServicePool(service);
-  BackendPointer chosen = pool == nullptr ? nullptr : LeastLoaded(pool, 0, tried);
+  BackendPointer chosen = pool == nullptr ? nullptr : LeastLoaded(pool, 0, attempted_backends);
   Finish(std::move(chosen), priority, "load", &decision);
   return decision;
 }
--- a/src/posthatch/gateway/worker_router.h
+++ b/src/posthatch/gateway/worker_router.h
@@ -17,7 +17,7 @@
   const std::vector<index::BlockHash>* chain = nullptr;
   uint32_t priority = 0;  // of the tenant, 0 to 9
   // Back ends that this request has failed at; not chosen again while there are others.
-  const std::vector<std::string>* tried = nullptr;
+  const std::vector<std::string>* attempted_backends = nullptr;
 };
 
 struct RouteDecision {
@@ -52,7 +52,7 @@
 
   RouteDecision RouteInference(const RouteQuery& query);
   RouteDecision RouteService(const std::string& service, uint32_t priority,
-                             const std::vector<std::string>& tried);
+                             const std::vector<std::string>& attempted_backends);
 
  private:
   struct Candidate {
@@ -62,26 +62,27 @@
     double cost = 0.0;                            // milliseconds to the first token
   };
 
-  BackendPointer NextInTurn(BackendPool* pool, uint64_t revision,
-                            const std::vector<std::string>& tried);
+  BackendPointer NextRoundRobin(BackendPool* pool, uint64_t revision,
+                                const std::vector<std::string>& attempted_backends);
   // An eligible back end but `other` drawn at random, cold ones less often; null if none was drawn.
-  BackendPointer Draw(const std::vector<BackendPointer>& from, uint64_t revision,
-                      const std::vector<std::string>& tried, const BackendEntry* other);
-  BackendPointer BetterOfTwo(const std::vector<BackendPointer>& from, uint64_t revision,
-                             const std::vector<std::string>& tried);
+  BackendPointer SampleEligible(const std::vector<BackendPointer>& from, uint64_t revision,
+                                const std::vector<std::string>& attempted_backends,
+                                const BackendEntry* other);
+  BackendPointer PowerOfTwoChoices(const std::vector<BackendPointer>& from, uint64_t revision,
+                                   const std::vector<std::string>& attempted_backends);
   // The better of two of this zone unless they are busy, then of all; last a search through all.
   BackendPointer LeastLoaded(BackendPool* pool, uint64_t revision,
-                             const std::vector<std::string>& tried);
+                             const std::vector<std::string>& attempted_backends);
   BackendPointer SearchAll(const BackendPool& pool, uint64_t revision,
-                           const std::vector<std::string>& tried);
-  BackendPointer ByPrefix(const RouteQuery& query, BackendPool* pool, RouteDecision* decision);
-  void Estimate(const std::vector<index::PrefixHolder>& holders, size_t chain_length,
-                Candidate* candidate) const;
+                           const std::vector<std::string>& attempted_backends);
+  BackendPointer RouteByPrefix(const RouteQuery& query, BackendPool* pool, RouteDecision* decision);
+  void EstimateCost(const std::vector<index::PrefixHolder>& holders, size_t chain_length,
+                    Candidate* candidate) const;
   const index::PrefixHolder* BestSource(const std::vector<index::PrefixHolder>& holders,
                                         const Candidate& candidate) const;
   double RelativeLoad(const BackendEntry& entry) const;
   // Whether one more request of this priority may go there.
-  bool HasRoom(const BackendEntry& entry, uint32_t priority) const;
+  bool HasCapacity(const BackendEntry& entry, uint32_t priority) const;
   // Holders of the longest prefixes that may be chosen.
   std::vector<Candidate> HolderCandidates(const RouteQuery& query,
                                           const std::vector<index::PrefixHolder>& holders) const;
--- a/src/posthatch/http/http.h
+++ b/src/posthatch/http/http.h
@@ -45,28 +45,28 @@
   std::string body;
 };
 
-// Answers one request: either SendWhole once, or StartStream, any number of WritePiece, and then
+// Answers one request: either SendResponse once, or StartStream, any number of WriteChunk, and then
 // FinishStream or Abort. Dropped unanswered, it aborts. Never throws; calls after the caller has
 // gone are ignored.
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
-  virtual void SendWhole(Response response) = 0;
+  virtual void SendResponse(Response response) = 0;
   // Sends status and fields now; the body follows in chunks (RFC 9112, 7.1).
   virtual void StartStream(Response head) = 0;
-  virtual void WritePiece(std::string piece) = 0;
+  virtual void WriteChunk(std::string chunk) = 0;
   // Ends the body properly: the caller may take the answer as complete.
   virtual void FinishStream() = 0;
   // Breaks the connection without the closing chunk, after what was written has gone out: the
   // caller can see that the answer is cut.
   virtual void Abort() = 0;
-  // Bytes accepted by WritePiece and not yet handed to the network.
+  // Bytes accepted by WriteChunk and not yet handed to the network.
   virtual size_t buffered_bytes() const = 0;
   // Runs `callback` once, when the buffered bytes have fallen below half of the limit.
   virtual void OnWritable(std::function<void()> callback) = 0;
   // Runs `callback` if the caller goes away before the answer has ended. A copy of the writer held
   // in the callback is released when the answer ends.
-  virtual void OnCallerGone(std::function<void()> callback) = 0;
+  virtual void OnCallerDisconnected(std::function<void()> callback) = 0;
 };
 
 using Handler = std::function<void(Request, std::shared_ptr<ResponseWriter>)>;
@@ -87,7 +87,7 @@
   // The bound address "ip:port" (with the port chosen if 0 was asked).
   virtual const std::string& endpoint() const = 0;
   // From now on each answer ends its connection; new connections are still accepted.
-  virtual void StopKeepingConnections() = 0;
+  virtual void DisableKeepAlive() = 0;
   // Accepts no new connections, lets running answers end, and closes idle connections.
   virtual void Drain() = 0;
   virtual size_t open_connections() const = 0;
@@ -104,9 +104,9 @@
 
 // How far a call got: what may be concluded about whether the back end saw it.
 enum class CallProgress {
-  kNotSent,   // no byte of the request went out: it can't have been executed
-  kSent,      // some byte went out: the back end may have executed it
-  kAnswered,  // the status line came back
+  kNotSent,       // no byte of the request went out: it can't have been executed
+  kSent,          // some byte went out: the back end may have executed it
+  kHeadReceived,  // the status line came back
 };
 
 struct CallError {
@@ -114,11 +114,11 @@
   CallProgress progress = CallProgress::kNotSent;
 };
 
-// Callbacks of one call, in order: at most one on_head, any number of on_piece, then exactly one of
+// Callbacks of one call, in order: at most one on_head, any number of on_chunk, then exactly one of
 // on_end or on_error; none after Cancel.
 struct CallObserver {
   std::function<void(const Response& head)> on_head;  // head.body is empty
-  std::function<void(std::string piece)> on_piece;
+  std::function<void(std::string chunk)> on_chunk;
   std::function<void()> on_end;
   std::function<void(CallError)> on_error;
 };
@@ -128,25 +128,25 @@
   // Until the status line; zero for none.
   runtime::Duration head_timeout = std::chrono::seconds(30);
   // Longest silence between pieces of the body; zero for none.
-  runtime::Duration piece_timeout = std::chrono::seconds(30);
+  runtime::Duration body_idle_timeout = std::chrono::seconds(30);
   size_t max_body_bytes = 64UL * 1024 * 1024;
   // Use a new connection even if a kept one is idle: a kept one may be half dead, and a request
   // that may not be repeated must not be sent on it.
   bool fresh_connection = false;
   // Take an answer without a length or chunks as whole where the server ends its side (RFC 9112,
   // 6.3). Off: such an answer is an error, since one that is cut may look the same.
-  bool accept_unframed = false;
+  bool accept_close_delimited = false;
   // Use a kept connection only within this share of the time that its server said it keeps idle
   // connections. Lower where a request must not be lost to a connection that has just been closed.
-  double kept_connection_share = 0.75;
+  double max_idle_fraction = 0.75;
 };
 
 // A running call. Destroying the handle cancels: the connection is closed, which tells the back end
-// that nobody waits any more. PauseReading stops reading from the back end until ResumeReading.
+// that nobody waits any more. StopReading stops reading from the back end until ResumeReading.
 class Call {
  public:
   virtual ~Call() = default;
-  virtual void PauseReading() = 0;
+  virtual void StopReading() = 0;
   virtual void ResumeReading() = 0;
 };
 
@@ -157,8 +157,8 @@
   virtual std::unique_ptr<Call> Start(const std::string& endpoint, Request request,
                                       CallOptions options, CallObserver observer) = 0;
   // Whether a call to "ip:port" would go out on a kept connection now, with that
-  // kept_connection_share.
-  virtual bool HasKept(const std::string& endpoint, double share) const = 0;
+  // max_idle_fraction.
+  virtual bool HasPooledConnection(const std::string& endpoint, double share) const = 0;
 };
 
 }  // namespace posthatch::http
--- a/src/posthatch/index/dispatch_recorder.cc
+++ b/src/posthatch/index/dispatch_recorder.cc
@@ -22,8 +22,8 @@
   parts_.locator->RecordDispatch(seed, chain, worker_id, worker_epoch);
   if (chain.empty()) return;
   parts_.attributions->RecordBlocks(seed, chain);
-  if (!options_.events_name_salts) Report(seed, chain, worker_id);
-  if (options_.workers_put_to_store) AddToStores(seed, chain);
+  if (!options_.events_carry_salts) Report(seed, chain, worker_id);
+  if (options_.workers_save_to_store) AddToStores(seed, chain);
 }
 
 void DispatchRecorder::Report(const BlockSeed& seed, const std::vector<BlockHash>& chain,
@@ -33,7 +33,7 @@
     if (lease.holder() == runtime_->transport->node_id()) return;
     Extent extent = MakeExtent(worker_id, channels::ObjectVersion(), seed);
     extent.set_block_hashes(PackBlocks(chain));
-    *waiting_[lease.holder()].add_made() = std::move(extent);
+    *pending_reports_[lease.holder()].add_made() = std::move(extent);
     if (!report_timer_.running()) report_timer_.Start(options_.report_period, [this] { Flush(); });
     return;
   }
@@ -49,12 +49,13 @@
   }
 }
 
-void DispatchRecorder::NoteGateway(const std::string& node_id, const std::string& endpoint) {
+void DispatchRecorder::RecordGatewayEndpoint(const std::string& node_id,
+                                             const std::string& endpoint) {
   endpoint_by_gateway_[node_id] = endpoint;
 }
 
 void DispatchRecorder::Flush() {
-  for (const auto& [gateway, report] : waiting_) {
+  for (const auto& [gateway, report] : pending_reports_) {
     IndexMessage message;
     *message.mutable_dispatches() = report;
     const std::string payload = message.SerializeAsString();
@@ -67,10 +68,10 @@
                                 runtime::Delivery::kStream);
     }
   }
-  waiting_.clear();
+  pending_reports_.clear();
 }
 
-void DispatchRecorder::TakeReport(const DispatchReport& report) {
+void DispatchRecorder::ApplyReport(const DispatchReport& report) {
   for (const Extent& extent : report.made()) {
     std::vector<BlockHash> blocks;
     if (UnpackBlocks(extent.block_hashes(), &blocks)) {
--- a/src/posthatch/index/dispatch_recorder.h
+++ b/src/posthatch/index/dispatch_recorder.h
@@ -23,9 +23,9 @@
  public:
   struct Options {
     runtime::Duration report_period = std::chrono::milliseconds(20);
-    bool workers_put_to_store = true;
+    bool workers_save_to_store = true;
     // Workers' events name cache salts: their readers need no reports of dispatches.
-    bool events_name_salts = false;
+    bool events_carry_salts = false;
   };
   struct Parts {
     const control::FleetView* fleet = nullptr;
@@ -43,9 +43,9 @@
                       const std::string& worker_id, uint64_t worker_epoch) override;
 
   // Where a gateway was last heard from; before that, reports for it go to all gateways.
-  void NoteGateway(const std::string& node_id, const std::string& endpoint);
+  void RecordGatewayEndpoint(const std::string& node_id, const std::string& endpoint);
   // A report of another gateway.
-  void TakeReport(const DispatchReport& report);
+  void ApplyReport(const DispatchReport& report);
 
  private:
   void Report(const BlockSeed& seed, const std::vector<BlockHash>& chain,
@@ -58,7 +58,7 @@
   const Parts parts_;
   absl::flat_hash_map<std::string, std::string> endpoint_by_gateway_;
   // Waiting reports by the node id of the lease holder.
-  absl::btree_map<std::string, DispatchReport> waiting_;
+  absl::btree_map<std::string, DispatchReport> pending_reports_;
   runtime::Timer report_timer_;
 };
 
--- a/src/posthatch/index/fake_parts-test.h
+++ b/src/posthatch/index/fake_parts-test.h
@@ -81,12 +81,12 @@
     calls.push_back({endpoint, request.target, std::move(observer)});
     return nullptr;
   }
-  bool HasKept(const std::string&, double) const override { return false; }
+  bool HasPooledConnection(const std::string&, double) const override { return false; }
   // Answers the newest call.
   void Answer(const std::string& body) {
     const http::CallObserver observer = calls.back().observer;
     observer.on_head({});
-    observer.on_piece(body);
+    observer.on_chunk(body);
     observer.on_end();
   }
   void Fail() {
--- a/src/posthatch/index/index_fleet-test.cc
+++ b/src/posthatch/index/index_fleet-test.cc
@@ -195,7 +195,7 @@
         runtime->timers->Schedule(milliseconds(50), [this, number, epoch, after, writer] {
           http::Response response;
           response.body = workers_[number].Body(epoch, after);
-          writer->SendWhole(response);
+          writer->SendResponse(response);
         });
       };
       auto server = runtime->http_servers->Listen(host->http_endpoint(), {}, answer);
@@ -238,7 +238,7 @@
   static IndexOptions OptionsOf(int gateway) {
     IndexOptions options;
     options.zone = ZoneOf(gateway);
-    if (GetParam() % 2 == 0) options.fanout.least_gateways_for_relay = 1;
+    if (GetParam() % 2 == 0) options.fanout.min_gateways_for_relay = 1;
     options.aggregate_channel = GetParam() % 3 == 0;
     return options;
   }
--- a/src/posthatch/index/index_node.cc
+++ b/src/posthatch/index/index_node.cc
@@ -14,8 +14,8 @@
 // Between debug events with the counters.
 constexpr runtime::Duration kStatsInterval = std::chrono::seconds(2);
 
-channels::SubscriptionSetOptions SubscriptionOptionsOf(const IndexOptions& options) {
-  channels::SubscriptionSetOptions set_options;
+channels::InvalidationSubscriberOptions SubscriptionOptionsOf(const IndexOptions& options) {
+  channels::InvalidationSubscriberOptions set_options;
   set_options.subscription = options.subscription;
   set_options.subscription.zone = options.zone;
   set_options.subscription.relay = options.relay;
@@ -41,8 +41,8 @@
       listener_(this),
       subscriptions_(runtime, SubscriptionOptionsOf(options_), controllers),
       locator_({.budget_bytes = options_.index_budget_bytes,
-                .may_decide = [fleet] { return fleet->LeaseValid(); },
-                .revisions_kept = options_.revisions_kept},
+                .has_session_lease = [fleet] { return fleet->LeaseValid(); },
+                .retained_revisions = options_.retained_revisions},
                &subscriptions_),
       attributions_(options_.max_attributions),
       reporter_(runtime, client),
@@ -60,8 +60,8 @@
       metrics_(runtime) {
   subscriptions_.AddListener(&listener_);
   if (options_.relay) {
-    relay_ =
-        std::make_unique<channels::RelayPoint>(runtime, options_.relay_publisher, &subscriptions_);
+    relay_ = std::make_unique<channels::InvalidationRelay>(runtime, options_.relay_publisher,
+                                                           &subscriptions_);
   }
   locator_.SetEpochObserver([this](HolderKind kind, const std::string& holder, uint64_t epoch) {
     reporter_.Report(HolderObject(kind, holder), epoch, /*lost=*/false, "answered");
@@ -80,10 +80,10 @@
   fleet_->AddListener(
       [this, alive = std::weak_ptr<bool>(alive_)](const control::FleetState& state) {
         if (alive.expired()) return;
-        RecordSeeds(state);
+        RecordKnownSeeds(state);
         reader_.FollowFleet(state);
       });
-  RecordSeeds(fleet_->state());
+  RecordKnownSeeds(fleet_->state());
   reader_.FollowFleet(fleet_->state());
   subscriptions_.Start();
   store_poller_.Start();
@@ -91,13 +91,13 @@
   ExportMetrics();
 }
 
-void IndexNode::RecordSeeds(const control::FleetState& state) {
-  if (!options_.dispatches.events_name_salts) return;
+void IndexNode::RecordKnownSeeds(const control::FleetState& state) {
+  if (!options_.dispatches.events_carry_salts) return;
   std::set<std::pair<std::string, uint64_t>> served;
   for (const control::ModelRevision& revision : state.revisions()) {
     served.emplace(revision.model(), revision.revision());
   }
-  if (options_.revisions_kept > 1) {
+  if (options_.retained_revisions > 1) {
     for (const control::Backend& backend : state.inventory().backends()) {
       if (backend.model_revision() == 0) continue;
       served.emplace(backend.model(), backend.model_revision());
@@ -179,12 +179,12 @@
 void IndexNode::Receive(const runtime::Envelope& envelope) {
   IndexMessage message;
   if (!message.ParseFromString(envelope.payload())) return;
-  recorder_.NoteGateway(envelope.from_node(), envelope.from_endpoint());
+  recorder_.RecordGatewayEndpoint(envelope.from_node(), envelope.from_endpoint());
   if (message.has_update()) {
     receiver_.Receive(envelope.from_incarnation(), message.update());
-  } else if (message.has_to_pass_on()) {
-    receiver_.Receive(envelope.from_incarnation(), message.to_pass_on());
-    fanout_.PassOn(envelope.from_incarnation(), message.to_pass_on());
+  } else if (message.has_to_forward()) {
+    receiver_.Receive(envelope.from_incarnation(), message.to_forward());
+    fanout_.Forward(envelope.from_incarnation(), message.to_forward());
   } else if (message.has_relayed()) {
     for (const RelayedUpdate& relayed : message.relayed().updates()) {
       // Its own news come back from the relay of its own zone.
@@ -192,22 +192,22 @@
       receiver_.Receive(relayed.from_incarnation(), relayed.update());
     }
   } else if (message.has_dispatches()) {
-    recorder_.TakeReport(message.dispatches());
+    recorder_.ApplyReport(message.dispatches());
   }
 }
 
 void IndexNode::ChannelListener::OnObjects(const std::string& /*channel*/,
                                            const std::vector<std::string>& objects) {
-  for (const std::string& object : objects) node_->locator_.ObjectChanged(object);
-  node_->receiver_.OnVersionsTold();
+  for (const std::string& object : objects) node_->locator_.OnObjectChanged(object);
+  node_->receiver_.OnVersionsAdvanced();
 }
 
-void IndexNode::ChannelListener::OnSynchronised(const std::string& channel) {
+void IndexNode::ChannelListener::OnSynchronized(const std::string& channel) {
   const channels::ChannelSubscription* subscription = node_->subscriptions_.Find(channel);
   for (const channels::RegisteredObject& object : subscription->Objects()) {
-    node_->locator_.ObjectChanged(object.object());
+    node_->locator_.OnObjectChanged(object.object());
   }
-  node_->receiver_.OnVersionsTold();
+  node_->receiver_.OnVersionsAdvanced();
 }
 
 std::string IndexNode::stats_json() const {
@@ -231,15 +231,15 @@
       {"channels", subscriptions_.Channels().size()},
       {"channel_messages", channels.messages},
       {"channel_gaps", channels.gaps},
-      {"channel_silences", channels.silences},
+      {"channel_silences", channels.heartbeat_timeouts},
       {"channel_epoch_changes", channels.epoch_changes},
       {"registrations_refused", channels.refusals},
       {"relay_subscribers", relay_ == nullptr ? 0 : relay_->registration_count()},
       {"updates_applied", updates.updates_applied},
       {"update_gaps", updates.gaps},
       {"updates_fenced", updates.fenced},
-      {"extents_waited", updates.extents_waited},
-      {"extents_not_trusted", updates.extents_not_trusted},
+      {"extents_waited", updates.extents_deferred},
+      {"extents_not_trusted", updates.extents_untrusted},
       {"updates_sent", publisher_.stats().updates_sent},
       {"update_bytes_sent", publisher_.stats().bytes_sent},
       {"updates_relayed", fanout_.relayed()},
@@ -249,7 +249,7 @@
       {"events_unattributed_blocks", events.unattributed_blocks},
       {"events_losses", events.losses},
       {"observations_accepted", reporter_.accepted()},
-      {"observations_waiting", reporter_.waiting()},
+      {"observations_waiting", reporter_.pending()},
   };
   return boost::json::serialize(document);
 }
--- a/src/posthatch/index/index_node.h
+++ b/src/posthatch/index/index_node.h
@@ -7,9 +7,9 @@
 #include <utility>
 #include <vector>
 
+#include "posthatch/channels/invalidation_relay.h"
+#include "posthatch/channels/invalidation_subscriber.h"
 #include "posthatch/channels/metrics_export.h"
-#include "posthatch/channels/relay_point.h"
-#include "posthatch/channels/subscription_set.h"
 #include "posthatch/control/control_client.h"
 #include "posthatch/index/attribution_table.h"
 #include "posthatch/index/dispatch_recorder.h"
@@ -39,7 +39,7 @@
   DispatchRecorder::Options dispatches;
   runtime::Duration store_poll_interval = std::chrono::seconds(1);
   // See TrustedPrefixLocator::Options.
-  size_t revisions_kept = 1;
+  size_t retained_revisions = 1;
   // Blocks whose seed is remembered, to attribute workers' events.
   size_t max_attributions = size_t{256} * 1024;
 };
@@ -74,11 +74,11 @@
 
  private:
   // Passes version changes on to the locator.
-  class ChannelListener : public channels::SubscriptionSet::Listener {
+  class ChannelListener : public channels::InvalidationSubscriber::Listener {
    public:
     explicit ChannelListener(IndexNode* node) : node_(node) {}
     void OnObjects(const std::string& channel, const std::vector<std::string>& objects) override;
-    void OnSynchronised(const std::string& channel) override;
+    void OnSynchronized(const std::string& channel) override;
     void OnRenewed(const std::string& /*channel*/) override {}
     void OnLost(const std::string& /*channel*/) override {}
 
@@ -91,7 +91,7 @@
   std::vector<IndexPeer> OtherGateways() const;
   std::vector<std::string> OtherEndpoints() const;
   // Makes the seeds in force known, for events that name their cache salts.
-  void RecordSeeds(const control::FleetState& state);
+  void RecordKnownSeeds(const control::FleetState& state);
   void Sweep();
   void ExportMetrics();
 
@@ -100,8 +100,8 @@
   control::FleetView* const fleet_;
   const IndexUpdateFanout::Peers gateways_;
   ChannelListener listener_;
-  channels::SubscriptionSet subscriptions_;
-  std::unique_ptr<channels::RelayPoint> relay_;
+  channels::InvalidationSubscriber subscriptions_;
+  std::unique_ptr<channels::InvalidationRelay> relay_;
   TrustedPrefixLocator locator_;
   AttributionTable attributions_;
   ObservationReporter reporter_;
@@ -114,7 +114,8 @@
   runtime::Timer sweep_timer_;
   runtime::MonotonicTime next_stats_;
   channels::MetricsExport metrics_;
-  // What RecordSeeds has recorded: models with revisions, and the section of isolation domains.
+  // What RecordKnownSeeds has recorded: models with revisions, and the section of isolation
+  // domains.
   std::set<std::pair<std::string, uint64_t>> recorded_revisions_;
   uint64_t recorded_isolation_ = 0;
   // Guards the listener left with `fleet`, which can't be taken back.
--- a/src/posthatch/index/index_relay-test.cc
+++ b/src/posthatch/index/index_relay-test.cc
@@ -30,10 +30,10 @@
     IndexMessage message;
     ASSERT_TRUE(message.ParseFromString(envelope.payload()));
     if (message.has_update()) Take(envelope.from_incarnation(), message.update());
-    if (message.has_to_pass_on()) {
+    if (message.has_to_forward()) {
       ++passed_on;
-      Take(envelope.from_incarnation(), message.to_pass_on());
-      fanout.PassOn(envelope.from_incarnation(), message.to_pass_on());
+      Take(envelope.from_incarnation(), message.to_forward());
+      fanout.Forward(envelope.from_incarnation(), message.to_forward());
     }
     for (const RelayedUpdate& relayed : message.relayed().updates()) {
       Take(relayed.from_incarnation(), relayed.update());
--- a/src/posthatch/index/index_update-test.cc
+++ b/src/posthatch/index/index_update-test.cc
@@ -93,15 +93,15 @@
   Store({1, 2, 3}, /*sequence=*/1);
   for (const IndexUpdate& update : TakeSent()) Receive(update);
   EXPECT_EQ(blocks(), 0u);
-  receiver_.OnVersionsTold();
+  receiver_.OnVersionsAdvanced();
   EXPECT_EQ(blocks(), 0u) << "not told yet";
   Remove({2});
   for (const IndexUpdate& update : TakeSent()) Receive(update);
   trust_.versions["worker/w"] = MakeVersion(100, 1);
-  receiver_.OnVersionsTold();
+  receiver_.OnVersionsAdvanced();
   EXPECT_EQ(blocks(), 2u) << "without the block that was removed meanwhile";
-  EXPECT_EQ(receiver_.stats().extents_waited, 1u);
-  receiver_.OnVersionsTold();
+  EXPECT_EQ(receiver_.stats().extents_deferred, 1u);
+  receiver_.OnVersionsAdvanced();
   EXPECT_EQ(blocks(), 2u);
 }
 
@@ -109,15 +109,15 @@
   trust_.versions["worker/w"] = MakeVersion(100, 2);
   Store({1}, /*sequence=*/1);
   for (const IndexUpdate& update : TakeSent()) Receive(update);
-  EXPECT_EQ(receiver_.stats().extents_waited, 0u);
-  EXPECT_EQ(receiver_.stats().extents_not_trusted, 1u);
+  EXPECT_EQ(receiver_.stats().extents_deferred, 0u);
+  EXPECT_EQ(receiver_.stats().extents_untrusted, 1u);
 }
 
 TEST_F(IndexUpdateTest, WaitingEndsWithTheNextVersionOrAMissingUpdate) {
   Store({1}, /*sequence=*/1);
   for (const IndexUpdate& update : TakeSent()) Receive(update);
   trust_.versions["worker/w"] = MakeVersion(100, 2);  // lost again meanwhile
-  receiver_.OnVersionsTold();
+  receiver_.OnVersionsAdvanced();
   EXPECT_EQ(blocks(), 0u);
   Store({2}, /*sequence=*/3);
   Store({3}, /*sequence=*/3);
@@ -126,7 +126,7 @@
   Receive(updates[0]);
   Receive(updates[2]);  // one is missing
   trust_.versions["worker/w"] = MakeVersion(100, 3);
-  receiver_.OnVersionsTold();
+  receiver_.OnVersionsAdvanced();
   EXPECT_EQ(blocks(), 1u) << "only what came after the gap";
 }
 
@@ -161,7 +161,7 @@
   Receive(removed[0]);
   Receive(stored[0]);
   EXPECT_EQ(blocks(), 0u);
-  EXPECT_EQ(receiver_.stats().doubled, 1u);
+  EXPECT_EQ(receiver_.stats().duplicates, 1u);
 }
 
 TEST_F(IndexUpdateTest, FormerLeaseHolderIsFenced) {
@@ -186,7 +186,7 @@
   trust_.versions["worker/w"] = MakeVersion(100, 1);  // a loss became known meanwhile
   Receive(update[0]);
   EXPECT_EQ(blocks(), 0u);
-  EXPECT_EQ(receiver_.stats().extents_not_trusted, 1u);
+  EXPECT_EQ(receiver_.stats().extents_untrusted, 1u);
 }
 
 TEST_F(IndexUpdateTest, BeyondItsRateItLeavesOutStoresAndSkipsANumberForRemovals) {
