--- a/src/posthatch/index/index_update_fanout.cc
+++ b/src/posthatch/index/index_update_fanout.cc
@@ -14,11 +14,11 @@
       peers_(std::move(peers)),
       relay_timer_(runtime->timers) {}
 
-IndexUpdateFanout::Plan IndexUpdateFanout::MakePlan() const {
+IndexUpdateFanout::Plan IndexUpdateFanout::PlanRecipients() const {
   Plan plan;
   for (IndexPeer& peer : peers_()) plan.relayed_zones[peer.zone].push_back(std::move(peer));
   for (auto zone = plan.relayed_zones.begin(); zone != plan.relayed_zones.end();) {
-    if (zone->second.size() >= options_.least_gateways_for_relay) {
+    if (zone->second.size() >= options_.min_gateways_for_relay) {
       ++zone;
       continue;
     }
@@ -29,7 +29,7 @@
 }
 
 size_t IndexUpdateFanout::recipients() const {
-  const Plan plan = MakePlan();
+  const Plan plan = PlanRecipients();
   return plan.direct.size() + plan.relayed_zones.size();
 }
 
@@ -45,20 +45,20 @@
     zone->resize(count);
   };
   // The same gateways for all workers, then one of them for this one.
-  sort_by_hash(0, std::max<size_t>(1, zone->size() / options_.gateways_of_relay));
+  sort_by_hash(0, std::max<size_t>(1, zone->size() / options_.gateways_per_relay));
   sort_by_hash(XXH3_64bits(holder.data(), holder.size()), 1);
   return zone->front();
 }
 
 size_t IndexUpdateFanout::Send(const IndexUpdate& update) {
-  Plan plan = MakePlan();
+  Plan plan = PlanRecipients();
   IndexMessage message;
   *message.mutable_update() = update;
   const std::string payload = message.SerializeAsString();
   for (const std::string& endpoint : plan.direct) SendMessage(endpoint, payload);
   if (plan.relayed_zones.empty()) return payload.size();
   IndexMessage for_relays;
-  *for_relays.mutable_to_pass_on() = update;
+  *for_relays.mutable_to_forward() = update;
   const std::string relay_payload = for_relays.SerializeAsString();
   for (auto& [zone, gateways] : plan.relayed_zones) {
     SendMessage(RelayFor(update.holder(), &gateways).endpoint, relay_payload);
@@ -66,8 +66,8 @@
   return payload.size();
 }
 
-void IndexUpdateFanout::PassOn(uint64_t from_incarnation, const IndexUpdate& update) {
-  RelayedUpdate* waiting = waiting_.add_updates();
+void IndexUpdateFanout::Forward(uint64_t from_incarnation, const IndexUpdate& update) {
+  RelayedUpdate* waiting = pending_.add_updates();
   waiting->set_from_incarnation(from_incarnation);
   *waiting->mutable_update() = update;
   ++relayed_;
@@ -84,8 +84,8 @@
 
 void IndexUpdateFanout::FlushRelayed() {
   IndexMessage message;
-  message.mutable_relayed()->Swap(&waiting_);
-  waiting_.Clear();
+  message.mutable_relayed()->Swap(&pending_);
+  pending_.Clear();
   const std::string payload = message.SerializeAsString();
   for (const IndexPeer& peer : peers_()) {
     if (peer.zone == options_.zone) SendMessage(peer.endpoint, payload);
--- a/src/posthatch/index/index_update_fanout.h
+++ b/src/posthatch/index/index_update_fanout.h
@@ -21,9 +21,9 @@
 struct IndexUpdateFanoutOptions {
   std::string zone;  // of this gateway
   // A zone with fewer gateways is told directly: there a relay saves little and may fail.
-  size_t least_gateways_for_relay = 16;
+  size_t min_gateways_for_relay = 16;
   // One in so many gateways of a zone relays: few, so that each passes much on at a time.
-  size_t gateways_of_relay = 4;
+  size_t gateways_per_relay = 4;
   // How long a relay gathers what it passes on, with up to `gateways_at_period` gateways in its
   // zone; longer in proportion in a larger one.
   runtime::Duration relay_period = std::chrono::milliseconds(80);
@@ -51,7 +51,7 @@
   // Sends `update`, which this gateway made; returns the bytes of one message.
   size_t Send(const IndexUpdate& update);
   // As a relay: tells `update` of another zone's gateway, in that life, to this zone's gateways.
-  void PassOn(uint64_t from_incarnation, const IndexUpdate& update);
+  void Forward(uint64_t from_incarnation, const IndexUpdate& update);
 
   uint64_t relayed() const { return relayed_; }
 
@@ -62,7 +62,7 @@
     std::map<std::string, std::vector<IndexPeer>> relayed_zones;
   };
 
-  Plan MakePlan() const;
+  Plan PlanRecipients() const;
   const IndexPeer& RelayFor(const std::string& holder, std::vector<IndexPeer>* zone) const;
   void FlushRelayed();
   void SendMessage(const std::string& endpoint, const std::string& payload);
@@ -70,7 +70,7 @@
   runtime::Runtime* const runtime_;
   const IndexUpdateFanoutOptions options_;
   const Peers peers_;
-  RelayedUpdates waiting_;
+  RelayedUpdates pending_;
   uint64_t relayed_ = 0;
   runtime::Timer relay_timer_;
 };
--- a/src/posthatch/index/index_update_publisher.cc
+++ b/src/posthatch/index/index_update_publisher.cc
@@ -52,22 +52,22 @@
 
 void IndexUpdatePublisher::Begin(const std::string& holder, uint64_t epoch,
                                  uint64_t fencing_token) {
-  Holder& begun = holders_[holder];
-  begun = Holder();
-  begun.waiting.set_holder(holder);
-  begun.waiting.set_holder_epoch(epoch);
-  begun.waiting.set_fencing_token(fencing_token);
+  Holder& state = holders_[holder];
+  state = Holder();
+  state.pending_update.set_holder(holder);
+  state.pending_update.set_holder_epoch(epoch);
+  state.pending_update.set_fencing_token(fencing_token);
 }
 
 void IndexUpdatePublisher::Stored(const std::string& holder, const Extent& extent) {
   const auto found = holders_.find(holder);
   if (found == holders_.end()) return;
-  Holder& waiting = found->second;
+  Holder& pending_update = found->second;
   std::vector<BlockHash> blocks;
-  if (!waiting.removed.empty() && UnpackBlocks(extent.block_hashes(), &blocks)) {
-    for (const BlockHash block : blocks) waiting.removed.erase(block);
+  if (!pending_update.removed.empty() && UnpackBlocks(extent.block_hashes(), &blocks)) {
+    for (const BlockHash block : blocks) pending_update.removed.erase(block);
   }
-  *waiting.waiting.add_stored() = extent;
+  *pending_update.pending_update.add_stored() = extent;
   StartBatch();
 }
 
@@ -82,7 +82,7 @@
   if (batch_timer_.running()) return;
   const size_t factor =
       std::clamp<size_t>(fanout_->gateways() / std::max<size_t>(1, options_.gateways_at_period), 1,
-                         options_.longest_factor);
+                         options_.max_period_factor);
   batch_timer_.Start(options_.batch_period * static_cast<int64_t>(factor), [this] { Flush(); });
 }
 
@@ -97,12 +97,12 @@
   batch_timer_.Cancel();
   Refill();
   for (auto& [name, holder] : holders_) {
-    if (holder.HasNews()) FlushHolder(&holder);
+    if (holder.HasPendingChanges()) FlushHolder(&holder);
   }
 }
 
 void IndexUpdatePublisher::FlushHolder(Holder* holder) {
-  IndexUpdate& update = holder->waiting;
+  IndexUpdate& update = holder->pending_update;
   update.set_removed(PackBlocks(std::vector(holder->removed.begin(), holder->removed.end())));
   holder->removed.clear();
   if (static_cast<double>(update.ByteSizeLong()) > allowance_) {
--- a/src/posthatch/index/index_update_publisher.h
+++ b/src/posthatch/index/index_update_publisher.h
@@ -27,13 +27,13 @@
 
 struct IndexUpdatePublisherOptions {
   // With up to `gateways_at_period` gateways; longer in proportion in a larger fleet, up to
-  // `longest_factor` times.
+  // `max_period_factor` times.
   runtime::Duration batch_period = std::chrono::milliseconds(50);
   // Bound of what is published, before it is multiplied by the number of messages.
   double bytes_per_second = 1024.0 * 1024;
   double burst_bytes = 4.0 * 1024 * 1024;
   size_t gateways_at_period = 8;
-  size_t longest_factor = 4;
+  size_t max_period_factor = 4;
 };
 
 struct IndexUpdatePublisherStats {
@@ -64,12 +64,12 @@
  private:
   struct Holder {
     uint64_t last_update = 0;
-    IndexUpdate waiting;  // without the removed blocks
+    IndexUpdate pending_update;  // without the removed blocks
     // Receivers apply what is stored before what is removed: a block that is stored again after its
     // removal leaves this set. Ordered, so that messages don't depend on hashing.
     absl::btree_set<BlockHash> removed;
 
-    bool HasNews() const { return waiting.stored_size() > 0 || !removed.empty(); }
+    bool HasPendingChanges() const { return pending_update.stored_size() > 0 || !removed.empty(); }
   };
 
   void StartBatch();
--- a/src/posthatch/index/index_update_receiver.cc
+++ b/src/posthatch/index/index_update_receiver.cc
@@ -13,12 +13,12 @@
 namespace {
 
 // A version is told everywhere within this, or its channel is silent.
-constexpr runtime::Duration kWaitForVersion = std::chrono::seconds(3);
+constexpr runtime::Duration kVersionWait = std::chrono::seconds(3);
 constexpr size_t kMaxWaiting = 16384;
 
 }  // namespace
 
-uint64_t IndexUpdateReceiver::TokenInForce(const std::string& worker) const {
+uint64_t IndexUpdateReceiver::CurrentFencingToken(const std::string& worker) const {
   const control::WorkerLease* lease = control::FindLease(fleet_->state(), worker);
   return lease == nullptr ? 0 : lease->fencing_token();
 }
@@ -26,41 +26,41 @@
 HolderKind IndexUpdateReceiver::KindOf(const std::string& holder) {
   // The extents of an update are of one holder.
   const uint64_t inventory_index = fleet_->state().inventory_index();
-  if (holder == asked_holder_ && inventory_index == asked_inventory_) return asked_kind_;
+  if (holder == cached_holder_ && inventory_index == cached_inventory_index_) return cached_kind_;
   const control::Backend* backend = control::FindBackend(fleet_->state().inventory(), holder);
   const bool is_store = backend != nullptr && backend->kind() == control::BACKEND_KIND_STORE;
-  asked_holder_ = holder;
-  asked_inventory_ = inventory_index;
-  asked_kind_ = is_store ? HolderKind::kStore : HolderKind::kWorker;
-  return asked_kind_;
+  cached_holder_ = holder;
+  cached_inventory_index_ = inventory_index;
+  cached_kind_ = is_store ? HolderKind::kStore : HolderKind::kWorker;
+  return cached_kind_;
 }
 
 bool IndexUpdateReceiver::Admit(uint64_t incarnation, const IndexUpdate& update) {
-  Source& source = sources_[update.holder()];
-  const uint64_t newest = std::max(source.fencing_token, TokenInForce(update.holder()));
+  SenderState& sender = senders_[update.holder()];
+  const uint64_t newest = std::max(sender.fencing_token, CurrentFencingToken(update.holder()));
   if (update.fencing_token() < newest || update.fencing_token() == 0) {
     ++stats_.fenced;
     return false;
   }
-  const bool same_life =
-      update.fencing_token() == source.fencing_token && incarnation == source.incarnation;
-  if (same_life && update.holder_epoch() < source.epoch) {
-    ++stats_.doubled;
+  const bool same_incarnation =
+      update.fencing_token() == sender.fencing_token && incarnation == sender.incarnation;
+  if (same_incarnation && update.holder_epoch() < sender.epoch) {
+    ++stats_.duplicates;
     return false;
   }
-  if (!same_life || update.holder_epoch() > source.epoch) {
-    source = {update.fencing_token(), incarnation, update.holder_epoch(), 0};
+  if (!same_incarnation || update.holder_epoch() > sender.epoch) {
+    sender = {update.fencing_token(), incarnation, update.holder_epoch(), 0};
   }
-  if (update.update() <= source.last_update) {
-    ++stats_.doubled;
+  if (update.update() <= sender.last_update) {
+    ++stats_.duplicates;
     return false;
   }
-  if (update.update() != source.last_update + 1) {
+  if (update.update() != sender.last_update + 1) {
     ++stats_.gaps;
     locator_->DropHolder(HolderKind::kWorker, update.holder());
-    DropWaiting(update.holder());
+    DropPending(update.holder());
   }
-  source.last_update = update.update();
+  sender.last_update = update.update();
   return true;
 }
 
@@ -74,10 +74,10 @@
   ++stats_.updates_applied;
   for (const Extent& extent : update.stored()) ApplyStored(extent);
   locator_->Remove(HolderKind::kWorker, update.holder(), removed);
-  if (!removed.empty()) RemoveFromWaiting(update.holder(), removed);
+  if (!removed.empty()) RemoveFromPending(update.holder(), removed);
 }
 
-bool IndexUpdateReceiver::IsEarly(const Extent& extent) {
+bool IndexUpdateReceiver::IsAheadOfChannel(const Extent& extent) {
   const auto version = channels::MakeVersion(extent.holder_epoch(), extent.holder_sequence());
   channels::ObjectVersion newest;
   const std::string object = HolderObject(KindOf(extent.holder()), extent.holder());
@@ -90,10 +90,10 @@
     ++stats_.malformed;
     return;
   }
-  if (!IsEarly(extent)) return Apply(extent, blocks);
-  ++stats_.extents_waited;
-  if (waiting_.size() >= kMaxWaiting) waiting_.pop_front();
-  waiting_.push_back({extent, std::move(blocks), clock_->Now() + kWaitForVersion});
+  if (!IsAheadOfChannel(extent)) return Apply(extent, blocks);
+  ++stats_.extents_deferred;
+  if (pending_.size() >= kMaxWaiting) pending_.pop_front();
+  pending_.push_back({extent, std::move(blocks), clock_->Now() + kVersionWait});
 }
 
 void IndexUpdateReceiver::Apply(const Extent& extent, const std::vector<BlockHash>& blocks) {
@@ -101,40 +101,40 @@
   if (locator_->Add(KindOf(extent.holder()), extent.holder(), version, SeedOf(extent), blocks)) {
     stats_.blocks_stored += blocks.size();
   } else {
-    ++stats_.extents_not_trusted;
+    ++stats_.extents_untrusted;
   }
 }
 
-void IndexUpdateReceiver::OnVersionsTold() {
-  if (waiting_.empty()) return;
+void IndexUpdateReceiver::OnVersionsAdvanced() {
+  if (pending_.empty()) return;
   const runtime::MonotonicTime now = clock_->Now();
-  std::deque<Waiting> still_waiting;
-  for (Waiting& waiting : waiting_) {
-    if (now >= waiting.given_up_at) {
-      ++stats_.extents_not_trusted;
-    } else if (IsEarly(waiting.extent)) {
-      still_waiting.push_back(std::move(waiting));
+  std::deque<PendingExtent> still_pending;
+  for (PendingExtent& pending : pending_) {
+    if (now >= pending.expires_at) {
+      ++stats_.extents_untrusted;
+    } else if (IsAheadOfChannel(pending.extent)) {
+      still_pending.push_back(std::move(pending));
     } else {
-      Apply(waiting.extent, waiting.blocks);
+      Apply(pending.extent, pending.blocks);
     }
   }
-  waiting_ = std::move(still_waiting);
+  pending_ = std::move(still_pending);
 }
 
-void IndexUpdateReceiver::DropWaiting(const std::string& holder) {
-  waiting_.erase(std::remove_if(waiting_.begin(), waiting_.end(),
-                                [&holder](const Waiting& waiting) {
-                                  return waiting.extent.holder() == holder;
+void IndexUpdateReceiver::DropPending(const std::string& holder) {
+  pending_.erase(std::remove_if(pending_.begin(), pending_.end(),
+                                [&holder](const PendingExtent& pending) {
+                                  return pending.extent.holder() == holder;
                                 }),
-                 waiting_.end());
+                 pending_.end());
 }
 
-void IndexUpdateReceiver::RemoveFromWaiting(const std::string& holder,
+void IndexUpdateReceiver::RemoveFromPending(const std::string& holder,
                                             const std::vector<BlockHash>& removed) {
   const absl::flat_hash_set<BlockHash> gone(removed.begin(), removed.end());
-  for (Waiting& waiting : waiting_) {
-    if (waiting.extent.holder() != holder) continue;
-    std::vector<BlockHash>& blocks = waiting.blocks;
+  for (PendingExtent& pending : pending_) {
+    if (pending.extent.holder() != holder) continue;
+    std::vector<BlockHash>& blocks = pending.blocks;
     blocks.erase(std::remove_if(blocks.begin(), blocks.end(),
                                 [&gone](BlockHash block) { return gone.contains(block); }),
                  blocks.end());
--- a/src/posthatch/index/index_update_receiver.h
+++ b/src/posthatch/index/index_update_receiver.h
@@ -17,12 +17,12 @@
 struct IndexUpdateReceiverStats {
   uint64_t updates_applied = 0;
   uint64_t gaps = 0;
-  uint64_t doubled = 0;
+  uint64_t duplicates = 0;
   uint64_t fenced = 0;  // from a former lease holder
   uint64_t malformed = 0;
   uint64_t blocks_stored = 0;
-  uint64_t extents_not_trusted = 0;  // of versions that are no longer the newest here
-  uint64_t extents_waited = 0;       // came before the channel told their holder's version
+  uint64_t extents_untrusted = 0;  // of versions that are no longer the newest here
+  uint64_t extents_deferred = 0;   // came before the channel told their holder's version
 };
 
 // Takes IndexUpdate messages of other gateways into this gateway's index: in the order of fencing
@@ -39,13 +39,13 @@
   // `incarnation` is that of the gateway that made the update.
   void Receive(uint64_t incarnation, const IndexUpdate& update);
   // The channels have told newer versions of some objects.
-  void OnVersionsTold();
+  void OnVersionsAdvanced();
 
   const IndexUpdateReceiverStats& stats() const { return stats_; }
 
  private:
   // The sender's life that is listened to for one holder.
-  struct Source {
+  struct SenderState {
     uint64_t fencing_token = 0;
     uint64_t incarnation = 0;
     uint64_t epoch = 0;
@@ -53,33 +53,33 @@
   };
 
   // The newest fencing token known for `worker`; 0 if nobody holds it.
-  uint64_t TokenInForce(const std::string& worker) const;
+  uint64_t CurrentFencingToken(const std::string& worker) const;
   HolderKind KindOf(const std::string& holder);
   // Whether the update is to be applied; follows its numbers.
   bool Admit(uint64_t incarnation, const IndexUpdate& update);
   void ApplyStored(const Extent& extent);
   // Whether the extent rests on a version of its holder that is not known here yet.
-  bool IsEarly(const Extent& extent);
+  bool IsAheadOfChannel(const Extent& extent);
   void Apply(const Extent& extent, const std::vector<BlockHash>& blocks);
-  void DropWaiting(const std::string& holder);
-  void RemoveFromWaiting(const std::string& holder, const std::vector<BlockHash>& removed);
+  void DropPending(const std::string& holder);
+  void RemoveFromPending(const std::string& holder, const std::vector<BlockHash>& removed);
 
-  struct Waiting {
+  struct PendingExtent {
     Extent extent;
     std::vector<BlockHash> blocks;
-    runtime::MonotonicTime given_up_at;
+    runtime::MonotonicTime expires_at;
   };
 
   const runtime::Clock* const clock_;
   const control::FleetView* const fleet_;
   const channels::ObjectTrust* const trust_;
   TrustedPrefixLocator* const locator_;
-  absl::flat_hash_map<std::string, Source> sources_;
-  std::deque<Waiting> waiting_;
+  absl::flat_hash_map<std::string, SenderState> senders_;
+  std::deque<PendingExtent> pending_;
   // The last holder that KindOf was asked for, with the inventory that it was looked up in.
-  std::string asked_holder_;
-  uint64_t asked_inventory_ = 0;
-  HolderKind asked_kind_ = HolderKind::kWorker;
+  std::string cached_holder_;
+  uint64_t cached_inventory_index_ = 0;
+  HolderKind cached_kind_ = HolderKind::kWorker;
   IndexUpdateReceiverStats stats_;
 };
 
--- a/src/posthatch/index/observation_reporter.cc
+++ b/src/posthatch/index/observation_reporter.cc
@@ -53,12 +53,12 @@
       std::move(command), kProposeTimeout, /*until_in_force=*/false,
       [this, object, request_id = state->request_id,
        alive = std::weak_ptr<bool>(alive_)](const absl::StatusOr<control::CommandResult>& result) {
-        if (!alive.expired()) OnAnswer(object, request_id, result.ok());
+        if (!alive.expired()) OnProposalResult(object, request_id, result.ok());
       });
 }
 
-void ObservationReporter::OnAnswer(const std::string& object, const std::string& request_id,
-                                   bool accepted) {
+void ObservationReporter::OnProposalResult(const std::string& object, const std::string& request_id,
+                                           bool accepted) {
   const auto found = objects_.find(object);
   if (found == objects_.end() || found->second->request_id != request_id) return;
   State* state = found->second.get();
--- a/src/posthatch/index/observation_reporter.h
+++ b/src/posthatch/index/observation_reporter.h
@@ -23,7 +23,7 @@
   void Report(const std::string& object, uint64_t epoch, bool lost, const std::string& reason);
 
   uint64_t accepted() const { return accepted_; }
-  size_t waiting() const { return objects_.size(); }
+  size_t pending() const { return objects_.size(); }
 
  private:
   struct Observation {
@@ -41,7 +41,7 @@
   };
 
   void Send(const std::string& object);
-  void OnAnswer(const std::string& object, const std::string& request_id, bool accepted);
+  void OnProposalResult(const std::string& object, const std::string& request_id, bool accepted);
 
   runtime::Runtime* const runtime_;
   control::ControlClient* const client_;
--- a/src/posthatch/index/prefix_index.cc
+++ b/src/posthatch/index/prefix_index.cc
@@ -20,7 +20,7 @@
 // Insertions ask memory for this many blocks ahead of the one they place.
 constexpr size_t kPrefetchDistance = 12;
 // Blocks that a round of the search looks at: fetched together, they cost one wait for memory.
-constexpr uint32_t kProbesPerRound = 4;
+constexpr uint32_t kProbesPerStep = 4;
 // Dropped blocks are swept when they are more than this part of all.
 constexpr uint64_t kSweepDivisor = 16;
 
@@ -178,10 +178,10 @@
   });
   Ranges ranges(matches.size(), Range{0, static_cast<uint32_t>(chain.size())});
   for (size_t i = 0; i < matches.size(); ++i) {
-    while (ranges[i].missing - ranges[i].held > 1) Narrow(chain, ranges[i], matches, &ranges);
-    matches[i].blocks = ranges[i].held + 1;
+    while (ranges[i].absent - ranges[i].present > 1) Narrow(chain, ranges[i], matches, &ranges);
+    matches[i].blocks = ranges[i].present + 1;
     if (generations_[matches[i].generation].has_gaps) {
-      matches[i].blocks = CompareAll(chain, matches[i].generation, matches[i].blocks);
+      matches[i].blocks = CountWithoutGap(chain, matches[i].generation, matches[i].blocks);
     }
   }
   std::stable_sort(matches.begin(), matches.end(), [](const Match& left, const Match& right) {
@@ -190,18 +190,18 @@
   return matches;
 }
 
-uint32_t PrefixIndex::CompareAll(absl::Span<const BlockHash> chain, GenerationId generation,
-                                 uint32_t blocks) {
+uint32_t PrefixIndex::CountWithoutGap(absl::Span<const BlockHash> chain, GenerationId generation,
+                                      uint32_t blocks) {
   for (size_t i = 1; i < std::min<size_t>(kPrefetchDistance, blocks); ++i) Prefetch(chain[i]);
   for (uint32_t i = 1; i < blocks; ++i) {
     if (i + kPrefetchDistance <= blocks) Prefetch(chain[i + kPrefetchDistance - 1]);
-    bool kept = false;
+    bool retained = false;
     VisitHolders(chain[i], [&](GenerationId holder, Bucket* bucket, size_t slot) {
       if (holder != generation) return;
-      kept = true;
+      retained = true;
       SetRecency(bucket, slot, kUsedRecency);
     });
-    if (!kept) return i;
+    if (!retained) return i;
   }
   return blocks;
 }
@@ -209,14 +209,14 @@
 void PrefixIndex::Narrow(absl::Span<const BlockHash> chain, Range range, const Matches& matches,
                          Ranges* ranges) {
   // The last possible block and the quarters before it: their memory is fetched at the same time.
-  std::array<uint32_t, kProbesPerRound> probes;
-  const uint32_t last = range.missing - 1;
+  std::array<uint32_t, kProbesPerStep> probes;
+  const uint32_t last = range.absent - 1;
   size_t count = 0;
-  for (uint32_t quarter = kProbesPerRound; quarter > 0; --quarter) {
+  for (uint32_t quarter = kProbesPerStep; quarter > 0; --quarter) {
     const uint32_t probe =
-        range.held +
-        static_cast<uint32_t>((uint64_t{last - range.held} * quarter) / kProbesPerRound);
-    if (probe == range.held || (count > 0 && probes[count - 1] == probe)) continue;
+        range.present +
+        static_cast<uint32_t>((uint64_t{last - range.present} * quarter) / kProbesPerStep);
+    if (probe == range.present || (count > 0 && probes[count - 1] == probe)) continue;
     probes[count++] = probe;
     Prefetch(chain[probe]);
   }
@@ -232,15 +232,15 @@
     });
     for (size_t match = 0; match < matches.size(); ++match) {
       Range& known = (*ranges)[match];
-      if (probe <= known.held || probe >= known.missing) continue;
-      ((holding >> match) & 1 ? known.held : known.missing) = probe;
+      if (probe <= known.present || probe >= known.absent) continue;
+      ((holding >> match) & 1 ? known.present : known.absent) = probe;
     }
     // Nothing before the furthest block found needs a look, unless for another match.
     if (holding != 0 && matches.size() == 1) return;
   }
 }
 
-std::vector<PrefixIndex::Slot> PrefixIndex::TakeSlots(Segment* segment) {
+std::vector<PrefixIndex::Slot> PrefixIndex::ExtractLiveSlots(Segment* segment) {
   std::vector<Slot> slots;
   slots.reserve(segment->used_slots);
   for (size_t i = 0; i < segment->bucket_count; ++i) {
@@ -259,7 +259,7 @@
 }
 
 void PrefixIndex::MakeRoom(Segment* segment) {
-  std::vector<Slot> slots = TakeSlots(segment);
+  std::vector<Slot> slots = ExtractLiveSlots(segment);
   const double capacity = static_cast<double>(segment->bucket_count) * kSlotsPerBucket;
   uint32_t bucket_count = segment->bucket_count;
   if (static_cast<double>(slots.size()) > capacity * kMaxFill / kGrowth) {
@@ -276,20 +276,20 @@
 
 void PrefixIndex::EvictDownTo(std::vector<Slot>* slots, size_t limit) {
   // The clock algorithm, one round a recency step: what was used least goes first.
-  for (int round = 0; round <= kUsedRecency && slots->size() > limit; ++round) {
-    size_t kept = 0;
+  for (int pass = 0; pass <= kUsedRecency && slots->size() > limit; ++pass) {
+    size_t retained = 0;
     for (size_t i = 0; i < slots->size(); ++i) {
       Slot& slot = (*slots)[i];
       const size_t left = slots->size() - i;
-      if (slot.recency == 0 && kept + left > limit) {
+      if (slot.recency == 0 && retained + left > limit) {
         Release(slot.generation);
         ++evicted_blocks_;
         continue;
       }
       if (slot.recency > 0) --slot.recency;
-      (*slots)[kept++] = slot;
+      (*slots)[retained++] = slot;
     }
-    slots->resize(kept);
+    slots->resize(retained);
   }
 }
 
@@ -303,10 +303,10 @@
   segment->bucket_count = bucket_count;
   segment->used_slots = static_cast<uint32_t>(slots.size());
   bytes_ += size;
-  for (const Slot& slot : slots) PlaceUnique(segment, slot);
+  for (const Slot& slot : slots) PlaceNew(segment, slot);
 }
 
-void PrefixIndex::PlaceUnique(Segment* segment, const Slot& slot) {
+void PrefixIndex::PlaceNew(Segment* segment, const Slot& slot) {
   size_t index = HomeOf(*segment, slot.hash);
   while (true) {
     Bucket& bucket = segment->buckets[index];
@@ -326,7 +326,7 @@
   if (dropped_blocks_ * kSweepDivisor <= blocks_ + dropped_blocks_) return;
   Segment& segment = segments_[sweep_position_];
   sweep_position_ = (sweep_position_ + 1) % kSegments;
-  std::vector<Slot> slots = TakeSlots(&segment);
+  std::vector<Slot> slots = ExtractLiveSlots(&segment);
   const auto needed = static_cast<uint32_t>(
       std::ceil(static_cast<double>(slots.size() + 1) * kGrowth / (kSlotsPerBucket * kMaxFill)));
   const uint32_t bucket_count = std::clamp(needed, uint32_t{1}, segment.bucket_count);
--- a/src/posthatch/index/prefix_index.h
+++ b/src/posthatch/index/prefix_index.h
@@ -129,19 +129,20 @@
   void MakeRoom(Segment* segment);
   void Rebuild(Segment* segment, uint32_t bucket_count, const std::vector<Slot>& slots);
   // The live slots of a segment; those of dropped generations are released.
-  std::vector<Slot> TakeSlots(Segment* segment);
+  std::vector<Slot> ExtractLiveSlots(Segment* segment);
   void EvictDownTo(std::vector<Slot>* slots, size_t limit);
-  static void PlaceUnique(Segment* segment, const Slot& slot);
+  static void PlaceNew(Segment* segment, const Slot& slot);
   // Calls `visit(generation, bucket, slot)` for each live slot of `hash`.
   template <typename Visitor>
   void VisitHolders(BlockHash hash, Visitor visit);
   void Prefetch(BlockHash hash) const;
   // How many of the first `blocks` blocks `generation` keeps without a gap.
-  uint32_t CompareAll(absl::Span<const BlockHash> chain, GenerationId generation, uint32_t blocks);
+  uint32_t CountWithoutGap(absl::Span<const BlockHash> chain, GenerationId generation,
+                           uint32_t blocks);
   // What the search knows of a match: it keeps block `held`, and not block `missing`.
   struct Range {
-    uint32_t held = 0;
-    uint32_t missing = 0;
+    uint32_t present = 0;
+    uint32_t absent = 0;
   };
   using Ranges = absl::InlinedVector<Range, 8>;
   // Compares the blocks at a few places between `range`'s ends, for all matches at once.
--- a/src/posthatch/index/store_poller.cc
+++ b/src/posthatch/index/store_poller.cc
@@ -69,11 +69,11 @@
   request.target = "/status";
   http::CallOptions options;
   options.head_timeout = interval_;
-  options.piece_timeout = interval_;
+  options.body_idle_timeout = interval_;
   options.max_body_bytes = kMaxStatusBytes;
   http::CallObserver observer;
   observer.on_head = [&poll](const http::Response& head) { poll.status = head.status; };
-  observer.on_piece = [&poll](const std::string& piece) { poll.body += piece; };
+  observer.on_chunk = [&poll](const std::string& chunk) { poll.body += chunk; };
   observer.on_end = [this, store] { OnEnd(store); };
   observer.on_error = [&poll](const http::CallError&) { poll.running = false; };
   poll.call =
--- a/src/posthatch/index/trusted_prefix_locator-test.cc
+++ b/src/posthatch/index/trusted_prefix_locator-test.cc
@@ -47,7 +47,7 @@
 TEST_F(TrustedPrefixLocatorTest, LossWithinTheEpochUntrusts) {
   trust_.versions["worker/w"] = MakeVersion(100, 3);
   EXPECT_EQ(Found(shared_), 0u);
-  locator_.ObjectChanged("worker/w");
+  locator_.OnObjectChanged("worker/w");
   EXPECT_EQ(locator_.index_stats().blocks, 0u);
 }
 
@@ -59,7 +59,7 @@
 TEST_F(TrustedPrefixLocatorTest, NewRevisionUntrusts) {
   trust_.versions["model/m"] = MakeVersion(4, 0);
   EXPECT_EQ(Found(shared_), 0u);
-  locator_.ObjectChanged("model/m");
+  locator_.OnObjectChanged("model/m");
   EXPECT_EQ(locator_.index_stats().blocks, 0u);
 }
 
@@ -69,20 +69,20 @@
 }
 
 // Where dispatches name revision and salt, workers that a roll-out has not reached keep their use.
-class SeveralRevisionsTest : public TrustedPrefixLocatorTest {
+class RetainedRevisionsTest : public TrustedPrefixLocatorTest {
  protected:
-  SeveralRevisionsTest() { locator_.RecordDispatch(shared_, chain_, "w", 100); }
+  RetainedRevisionsTest() { locator_.RecordDispatch(shared_, chain_, "w", 100); }
   void NewRevision(uint64_t revision) {
     trust_.versions["model/m"] = MakeVersion(revision, 0);
-    locator_.ObjectChanged("model/m");
+    locator_.OnObjectChanged("model/m");
   }
   size_t Found(const BlockSeed& seed) { return locator_.Locate(seed, chain_).size(); }
 
-  TrustedPrefixLocator locator_{{.budget_bytes = 1 << 20, .may_decide = {}, .revisions_kept = 2},
-                                &trust_};
+  TrustedPrefixLocator locator_{
+      {.budget_bytes = 1 << 20, .has_session_lease = {}, .retained_revisions = 2}, &trust_};
 };
 
-TEST_F(SeveralRevisionsTest, OlderEntriesStayTrustedAndNameTheirRevision) {
+TEST_F(RetainedRevisionsTest, OlderEntriesStayTrustedAndNameTheirRevision) {
   NewRevision(4);
   ASSERT_EQ(Found(shared_), 1u);
   EXPECT_EQ(locator_.Locate(shared_, chain_)[0].model_revision, 3u);
@@ -91,7 +91,7 @@
   EXPECT_EQ(locator_.Locate(shared_, {21, 22}).size(), 1u);
 }
 
-TEST_F(SeveralRevisionsTest, EntriesBeyondTheNumberKeptAreDropped) {
+TEST_F(RetainedRevisionsTest, EntriesBeyondTheNumberKeptAreDropped) {
   NewRevision(4);
   locator_.RecordDispatch({"m", 4, "", 8}, chain_, "w", 100);
   NewRevision(7);
@@ -101,7 +101,7 @@
   EXPECT_EQ(Found(shared_), 0u);
 }
 
-TEST_F(SeveralRevisionsTest, OlderEntriesRestOnTheModelsChannelToo) {
+TEST_F(RetainedRevisionsTest, OlderEntriesRestOnTheModelsChannelToo) {
   NewRevision(4);
   trust_.silent = true;
   EXPECT_EQ(Found(shared_), 0u);
@@ -109,7 +109,7 @@
   EXPECT_EQ(Found(shared_), 1u);
 }
 
-TEST_F(SeveralRevisionsTest, ARevisionThatIsNotAnnouncedIsNeverTrusted) {
+TEST_F(RetainedRevisionsTest, ARevisionThatIsNotAnnouncedIsNeverTrusted) {
   EXPECT_EQ(Found({"m", 5, "", 8}), 0u);
   locator_.RecordDispatch({"m", 5, "", 8}, chain_, "w", 100);
   EXPECT_EQ(Found({"m", 5, "", 8}), 0u);
--- a/src/posthatch/index/trusted_prefix_locator.cc
+++ b/src/posthatch/index/trusted_prefix_locator.cc
@@ -39,25 +39,25 @@
 bool TrustedPrefixLocator::IsRevisionTrusted(const BlockSeed& seed) const {
   const std::string object = ModelObject(seed);
   if (trust_->IsFresh(object, channels::MakeVersion(seed.model_revision, 0))) return true;
-  if (options_.revisions_kept <= 1) return false;
+  if (options_.retained_revisions <= 1) return false;
   // An older revision rests on the same channel: a gateway that hears nothing trusts neither.
   channels::ObjectVersion newest;
   if (!trust_->CurrentVersion(object, &newest) || seed.model_revision >= newest.epoch()) {
     return false;
   }
-  return seed.model_revision >= OldestKeptRevision(object);
+  return seed.model_revision >= OldestRetainedRevision(object);
 }
 
-void TrustedPrefixLocator::NoteRevision(const std::string& model_object, uint64_t revision) {
+void TrustedPrefixLocator::RecordRevision(const std::string& model_object, uint64_t revision) {
   std::set<uint64_t>& revisions = revisions_[model_object];
   revisions.insert(revision);
-  while (revisions.size() > options_.revisions_kept) revisions.erase(revisions.begin());
+  while (revisions.size() > options_.retained_revisions) revisions.erase(revisions.begin());
 }
 
-uint64_t TrustedPrefixLocator::OldestKeptRevision(const std::string& model_object) const {
+uint64_t TrustedPrefixLocator::OldestRetainedRevision(const std::string& model_object) const {
   const auto found = revisions_.find(model_object);
   // While fewer are known than are kept, any older one may still be added.
-  if (found == revisions_.end() || found->second.size() < options_.revisions_kept) return 0;
+  if (found == revisions_.end() || found->second.size() < options_.retained_revisions) return 0;
   return *found->second.begin();
 }
 
@@ -65,7 +65,7 @@
                                                        const std::vector<BlockHash>& chain) {
   ++stats_.lookups;
   std::vector<PrefixHolder> holders;
-  if (chain.empty() || !MayDecide() || !IsSeedFresh(seed)) return holders;
+  if (chain.empty() || !HasSessionLease() || !IsSeedFresh(seed)) return holders;
   const auto trusted = [this, &seed](GenerationId id) {
     const Generation& generation = generations_.find(id)->second;
     if (!SameSeed(generation.seed, seed)) return false;
@@ -127,14 +127,14 @@
     const BlockSeed& seed) {
   Generation generation{kind, holder, HolderObject(kind, holder), version, seed};
   const Key key = KeyOf(generation);
-  const auto found = by_key_.find(key);
-  if (found != by_key_.end()) return found->second;
+  const auto found = generation_by_key_.find(key);
+  if (found != generation_by_key_.end()) return found->second;
   const GenerationId id = index_.OpenGeneration();
-  by_key_[key] = id;
-  by_object_[generation.holder_object].push_back(id);
-  by_object_[ModelObject(seed)].push_back(id);
-  by_object_[TenantObject(seed)].push_back(id);
-  NoteRevision(ModelObject(seed), seed.model_revision);
+  generation_by_key_[key] = id;
+  generations_by_object_[generation.holder_object].push_back(id);
+  generations_by_object_[ModelObject(seed)].push_back(id);
+  generations_by_object_[TenantObject(seed)].push_back(id);
+  RecordRevision(ModelObject(seed), seed.model_revision);
   generations_[id] = std::move(generation);
   return id;
 }
@@ -144,52 +144,52 @@
   const Generation& generation = found->second;
   for (const std::string& object :
        {generation.holder_object, ModelObject(generation.seed), TenantObject(generation.seed)}) {
-    const auto resting = by_object_.find(object);
+    const auto resting = generations_by_object_.find(object);
     auto& ids = resting->second;
     ids.erase(std::remove(ids.begin(), ids.end(), id), ids.end());
-    if (ids.empty()) by_object_.erase(resting);
+    if (ids.empty()) generations_by_object_.erase(resting);
   }
-  by_key_.erase(KeyOf(generation));
+  generation_by_key_.erase(KeyOf(generation));
   generations_.erase(found);
   index_.DropGeneration(id);
 }
 
 void TrustedPrefixLocator::Remove(HolderKind kind, const std::string& holder,
                                   absl::Span<const BlockHash> blocks) {
-  const auto resting = by_object_.find(HolderObject(kind, holder));
-  if (resting == by_object_.end()) return;
+  const auto resting = generations_by_object_.find(HolderObject(kind, holder));
+  if (resting == generations_by_object_.end()) return;
   const std::vector<GenerationId>& ids = resting->second;
-  const auto of_holder = [&ids](GenerationId id) {
+  const auto is_of_holder = [&ids](GenerationId id) {
     return std::find(ids.begin(), ids.end(), id) != ids.end();
   };
-  for (const BlockHash block : blocks) index_.Remove(block, of_holder);
+  for (const BlockHash block : blocks) index_.Remove(block, is_of_holder);
 }
 
 void TrustedPrefixLocator::DropHolder(HolderKind kind, const std::string& holder) {
-  const auto resting = by_object_.find(HolderObject(kind, holder));
-  if (resting == by_object_.end()) return;
+  const auto resting = generations_by_object_.find(HolderObject(kind, holder));
+  if (resting == generations_by_object_.end()) return;
   const std::vector<GenerationId> ids = resting->second;
   for (const GenerationId id : ids) Drop(id);
 }
 
-void TrustedPrefixLocator::ObjectChanged(const std::string& object) {
+void TrustedPrefixLocator::OnObjectChanged(const std::string& object) {
   channels::ObjectVersion newest;
-  const auto resting = by_object_.find(object);
-  if (resting == by_object_.end() || !trust_->CurrentVersion(object, &newest)) return;
-  if (revisions_.contains(object)) NoteRevision(object, newest.epoch());
+  const auto resting = generations_by_object_.find(object);
+  if (resting == generations_by_object_.end() || !trust_->CurrentVersion(object, &newest)) return;
+  if (revisions_.contains(object)) RecordRevision(object, newest.epoch());
   const std::vector<GenerationId> ids = resting->second;
-  const uint64_t oldest_kept = OldestKeptRevision(object);
+  const uint64_t oldest_retained = OldestRetainedRevision(object);
   for (const GenerationId id : ids) {
     const Generation& generation = generations_.find(id)->second;
-    channels::ObjectVersion rested_on = generation.version;
+    channels::ObjectVersion basis = generation.version;
     if (object == ModelObject(generation.seed)) {
-      if (generation.seed.model_revision < oldest_kept) Drop(id);
+      if (generation.seed.model_revision < oldest_retained) Drop(id);
       continue;
     }
     if (object == TenantObject(generation.seed)) {
-      rested_on = channels::MakeVersion(generation.seed.isolation_generation, 0);
+      basis = channels::MakeVersion(generation.seed.isolation_generation, 0);
     }
-    if (channels::CompareVersions(rested_on, newest) < 0) Drop(id);
+    if (channels::CompareVersions(basis, newest) < 0) Drop(id);
   }
 }
 
--- a/src/posthatch/index/trusted_prefix_locator.h
+++ b/src/posthatch/index/trusted_prefix_locator.h
@@ -40,12 +40,12 @@
   struct Options {
     uint64_t budget_bytes = 64ull * 1024 * 1024;
     // Whether this gateway may decide at all (its session lease); asked at each look-up.
-    std::function<bool()> may_decide;
+    std::function<bool()> has_session_lease;
     // Revisions of a model whose entries are kept, the newest one included. More than one only
     // where each dispatch names its worker's revision and a salt of that revision, so that a worker
     // can't use what was made under another one: then entries of workers that a roll-out has not
     // reached yet go on being of use.
-    size_t revisions_kept = 1;
+    size_t retained_revisions = 1;
   };
 
   TrustedPrefixLocator(Options options, const channels::ObjectTrust* trust);
@@ -69,7 +69,7 @@
   // Drops every entry of the holder: something about it was missed.
   void DropHolder(HolderKind kind, const std::string& holder);
   // The newest version of an object has risen: drops what rests on an older one.
-  void ObjectChanged(const std::string& object);
+  void OnObjectChanged(const std::string& object);
   // Frees the memory of dropped entries, a little at a time.
   void SweepStep() { index_.SweepStep(); }
 
@@ -91,13 +91,15 @@
   using Key =
       std::tuple<std::string, uint64_t, uint64_t, std::string, uint64_t, std::string, uint64_t>;
 
-  bool MayDecide() const { return !options_.may_decide || options_.may_decide(); }
+  bool HasSessionLease() const {
+    return !options_.has_session_lease || options_.has_session_lease();
+  }
   // The seed's isolation generation is the newest and its revision is one that is kept, and both
   // are known to be so now.
   bool IsSeedFresh(const BlockSeed& seed) const;
   bool IsRevisionTrusted(const BlockSeed& seed) const;
-  void NoteRevision(const std::string& model_object, uint64_t revision);
-  uint64_t OldestKeptRevision(const std::string& model_object) const;
+  void RecordRevision(const std::string& model_object, uint64_t revision);
+  uint64_t OldestRetainedRevision(const std::string& model_object) const;
   GenerationId OpenGeneration(HolderKind kind, const std::string& holder,
                               const channels::ObjectVersion& version, const BlockSeed& seed);
   void Drop(GenerationId id);
@@ -108,9 +110,9 @@
   EpochObserver epoch_observer_;
   PrefixIndex index_;
   absl::flat_hash_map<GenerationId, Generation> generations_;
-  absl::flat_hash_map<Key, GenerationId> by_key_;
+  absl::flat_hash_map<Key, GenerationId> generation_by_key_;
   // Generations that rest on an object.
-  absl::flat_hash_map<std::string, std::vector<GenerationId>> by_object_;
+  absl::flat_hash_map<std::string, std::vector<GenerationId>> generations_by_object_;
   // By model object, the newest revisions that entries were made under or that were announced.
   absl::flat_hash_map<std::string, std::set<uint64_t>> revisions_;
   LocatorStats stats_;
--- a/src/posthatch/index/worker_event_feed.cc
+++ b/src/posthatch/index/worker_event_feed.cc
@@ -15,13 +15,13 @@
 // must not be held for long.
 constexpr runtime::Duration kWaitWithoutVersion = std::chrono::milliseconds(100);
 // On top of the time that the worker may hold a poll.
-constexpr runtime::Duration kAnswerMargin = std::chrono::milliseconds(1500);
+constexpr runtime::Duration kResponseMargin = std::chrono::milliseconds(1500);
 constexpr int kStatusOk = 200;
 // A list holds up the worker's work: no more often than this.
 constexpr runtime::Duration kListInterval = std::chrono::seconds(2);
 // Recent events count with a weight that fades by this with each further one.
-constexpr double kRecentFade = 0.995;
-constexpr double kRecentLeast = 50;
+constexpr double kRecentDecay = 0.995;
+constexpr double kMinRecentEvents = 50;
 
 }  // namespace
 
@@ -39,44 +39,45 @@
       missing_timer_(runtime->timers) {}
 
 void WorkerEventFeed::Start() {
-  last_answer_ = runtime_->clock->Now();
+  last_response_at_ = runtime_->clock->Now();
   Poll();
 }
 
 void WorkerEventFeed::Poll() {
-  CheckSilence();
+  CheckTimeout();
   if (!may_read_()) {
     poll_timer_.Start(options_.retry_delay, [this] { Poll(); });
     return;
   }
-  if (!unsaid_loss_.empty()) Lost(std::string(unsaid_loss_));
-  version_at_poll_.Clear();
+  if (!unreported_loss_.empty()) ReportLoss(std::string(unreported_loss_));
+  version_at_request_.Clear();
   const bool version_known =
-      trust_->CurrentVersion(HolderObject(HolderKind::kWorker, worker_id_), &version_at_poll_);
-  const bool usable = version_known && version_at_poll_.epoch() == epoch_;
-  listing_ = usable && ListIsDue();
-  if (listing_) return Ask(*options_.format->ListRequest(), runtime::Duration::zero());
-  const bool soon = !usable || list_wanted_;
+      trust_->CurrentVersion(HolderObject(HolderKind::kWorker, worker_id_), &version_at_request_);
+  const bool usable = version_known && version_at_request_.epoch() == epoch_;
+  list_in_flight_ = usable && RelistIsDue();
+  if (list_in_flight_)
+    return SendRequest(*options_.format->ListRequest(), runtime::Duration::zero());
+  const bool poll_soon = !usable || relist_needed_;
   const runtime::Duration wait =
-      soon ? std::min(options_.wait, kWaitWithoutVersion) : options_.wait;
-  Ask(options_.format->PollRequest(epoch_, read_up_to_, wait), wait);
+      poll_soon ? std::min(options_.wait, kWaitWithoutVersion) : options_.wait;
+  SendRequest(options_.format->PollRequest(epoch_, last_seq_read_, wait), wait);
 }
 
-bool WorkerEventFeed::ListIsDue() const {
-  return list_wanted_ && version_at_poll_.sequence() > sequence_at_loss_ &&
-         runtime_->clock->Now() - listed_at_ >= kListInterval;
+bool WorkerEventFeed::RelistIsDue() const {
+  return relist_needed_ && version_at_request_.sequence() > sequence_at_loss_ &&
+         runtime_->clock->Now() - last_listed_at_ >= kListInterval;
 }
 
-void WorkerEventFeed::Ask(http::Request request, runtime::Duration wait) {
+void WorkerEventFeed::SendRequest(http::Request request, runtime::Duration wait) {
   http::CallOptions call_options;
-  call_options.head_timeout = wait + kAnswerMargin;
-  call_options.piece_timeout = kAnswerMargin;
+  call_options.head_timeout = wait + kResponseMargin;
+  call_options.body_idle_timeout = kResponseMargin;
   call_options.max_body_bytes = options_.max_body_bytes;
   status_ = 0;
   body_.clear();
   http::CallObserver observer;
   observer.on_head = [this](const http::Response& head) { status_ = head.status; };
-  observer.on_piece = [this](const std::string& piece) { body_ += piece; };
+  observer.on_chunk = [this](const std::string& chunk) { body_ += chunk; };
   observer.on_end = [this] { OnEnd(); };
   observer.on_error = [this](const http::CallError&) { OnFailure(); };
   call_ = runtime_->http_client->Start(endpoint_, std::move(request), call_options,
@@ -84,7 +85,7 @@
 }
 
 void WorkerEventFeed::OnFailure() {
-  CheckSilence();
+  CheckTimeout();
   poll_timer_.Start(options_.retry_delay, [this] { Poll(); });
 }
 
@@ -94,7 +95,7 @@
     OnFailure();
     return;
   }
-  if (listing_) return TakeList();
+  if (list_in_flight_) return ApplyList();
   absl::StatusOr<KvEventBatch> batch = options_.format->ReadBatch(body_);
   if (!batch.ok()) {
     runtime_->trace->Event(runtime::Severity::kWarning, "KvEventsMalformed",
@@ -102,73 +103,74 @@
     OnFailure();
     return;
   }
-  last_answer_ = runtime_->clock->Now();
-  silence_reported_ = false;
-  TakeBatch(*std::move(batch));
+  last_response_at_ = runtime_->clock->Now();
+  timeout_reported_ = false;
+  ApplyBatch(*std::move(batch));
   // Not from within the call's own callback, which must not destroy the call.
   poll_timer_.Start(runtime::Duration::zero(), [this] { Poll(); });
 }
 
-void WorkerEventFeed::TakeList() {
-  list_wanted_ = false;
-  listed_at_ = runtime_->clock->Now();
+void WorkerEventFeed::ApplyList() {
+  relist_needed_ = false;
+  last_listed_at_ = runtime_->clock->Now();
   absl::StatusOr<KvEventBatch> list = options_.format->ReadList(body_);
   if (!list.ok()) {
     runtime_->trace->Event(runtime::Severity::kWarning, "KvListMalformed",
                            {{"worker", worker_id_}});
   } else if (list->epoch == epoch_) {
-    last_answer_ = listed_at_;
-    for (KvEvent& event : list->events) observer_.on_event(version_at_poll_, std::move(event));
-    read_up_to_ = std::max(read_up_to_, list->next);
+    last_response_at_ = last_listed_at_;
+    for (KvEvent& event : list->events) observer_.on_event(version_at_request_, std::move(event));
+    last_seq_read_ = std::max(last_seq_read_, list->next);
     missing_.erase(missing_.begin(), missing_.upper_bound(list->next));
   }
   poll_timer_.Start(runtime::Duration::zero(), [this] { Poll(); });
 }
 
-void WorkerEventFeed::TakeBatch(KvEventBatch batch) {
+void WorkerEventFeed::ApplyBatch(KvEventBatch batch) {
   if (batch.epoch != epoch_) {
     epoch_ = batch.epoch;
-    read_up_to_ = 0;
+    last_seq_read_ = 0;
     missing_.clear();
-    list_wanted_ = false;
+    relist_needed_ = false;
     observer_.on_epoch(epoch_);
   }
   std::stable_sort(batch.events.begin(), batch.events.end(),
                    [](const KvEvent& left, const KvEvent& right) { return left.seq < right.seq; });
-  for (KvEvent& event : batch.events) TakeEvent(std::move(event));
-  if (batch.next > read_up_to_) {
-    NoteMissing(read_up_to_ + 1, batch.next);
-    read_up_to_ = batch.next;
+  for (KvEvent& event : batch.events) ApplyEvent(std::move(event));
+  if (batch.next > last_seq_read_) {
+    RecordMissing(last_seq_read_ + 1, batch.next);
+    last_seq_read_ = batch.next;
   }
   CheckMissing();
 }
 
-void WorkerEventFeed::TakeEvent(KvEvent event) {
+void WorkerEventFeed::ApplyEvent(KvEvent event) {
   ++events_read_;
-  recent_events_ = recent_events_ * kRecentFade + 1;
-  recent_missing_ *= kRecentFade;
+  recent_events_ = recent_events_ * kRecentDecay + 1;
+  recent_missing_ *= kRecentDecay;
   const uint64_t seq = event.seq;
   if (event.type == KvEvent::Type::kLost) {
     // Everything up to here is accounted for by this one loss.
-    read_up_to_ = std::max(read_up_to_, seq);
+    last_seq_read_ = std::max(last_seq_read_, seq);
     missing_.erase(missing_.begin(), missing_.upper_bound(seq));
-    Lost("lost mark");
+    ReportLoss("lost mark");
     return;
   }
-  if (seq > read_up_to_) {
-    if (seq > read_up_to_ + 1) NoteMissing(read_up_to_ + 1, seq - 1);
-    read_up_to_ = seq;
-    observer_.on_event(version_at_poll_, std::move(event));
+  if (seq > last_seq_read_) {
+    if (seq > last_seq_read_ + 1) RecordMissing(last_seq_read_ + 1, seq - 1);
+    last_seq_read_ = seq;
+    observer_.on_event(version_at_request_, std::move(event));
     return;
   }
   if (missing_.erase(seq) == 0) return;  // a double
   // Late: what it stored may have been removed by an event that was read before.
-  if (event.type == KvEvent::Type::kRemoved) observer_.on_event(version_at_poll_, std::move(event));
+  if (event.type == KvEvent::Type::kRemoved)
+    observer_.on_event(version_at_request_, std::move(event));
 }
 
-void WorkerEventFeed::NoteMissing(uint64_t from, uint64_t to) {
+void WorkerEventFeed::RecordMissing(uint64_t from, uint64_t to) {
   if (to - from >= kMaxMissing) {
-    Lost("gap");
+    ReportLoss("gap");
     return;
   }
   const runtime::MonotonicTime lost_at = runtime_->clock->Now() + options_.reorder_window;
@@ -184,32 +186,32 @@
     lost = true;
   }
   const double tolerated =
-      options_.tolerated_missing_share * std::max(recent_events_, kRecentLeast);
+      options_.tolerated_missing_share * std::max(recent_events_, kMinRecentEvents);
   if (lost && recent_missing_ > tolerated) {
     recent_missing_ = 0;
-    Lost("gap");
+    ReportLoss("gap");
   }
   if (missing_.empty()) return;
   missing_timer_.Start(missing_.begin()->second - now, [this] { CheckMissing(); });
 }
 
-void WorkerEventFeed::CheckSilence() {
-  if (silence_reported_ || epoch_ == 0) return;
-  if (runtime_->clock->Now() - last_answer_ <= options_.silence_limit) return;
-  silence_reported_ = true;
-  Lost("silent");
+void WorkerEventFeed::CheckTimeout() {
+  if (timeout_reported_ || epoch_ == 0) return;
+  if (runtime_->clock->Now() - last_response_at_ <= options_.response_timeout) return;
+  timeout_reported_ = true;
+  ReportLoss("silent");
 }
 
-void WorkerEventFeed::Lost(const std::string& reason) {
+void WorkerEventFeed::ReportLoss(const std::string& reason) {
   // Only the lease holder may say so: after a freeze another one may read this worker. If the lease
   // comes back to this feed, the loss is still said.
   if (may_read_()) {
-    unsaid_loss_.clear();
-    list_wanted_ = options_.format->ListRequest().has_value();
-    sequence_at_loss_ = version_at_poll_.sequence();
+    unreported_loss_.clear();
+    relist_needed_ = options_.format->ListRequest().has_value();
+    sequence_at_loss_ = version_at_request_.sequence();
     observer_.on_lost(epoch_, reason);
   } else {
-    unsaid_loss_ = reason;
+    unreported_loss_ = reason;
   }
 }
 
--- a/src/posthatch/index/worker_event_feed.h
+++ b/src/posthatch/index/worker_event_feed.h
@@ -33,7 +33,7 @@
     // How long a missing `seq` may still come late before it counts as lost.
     runtime::Duration reorder_window = std::chrono::milliseconds(500);
     // Without an answer for this long, the worker's entries lose their trust.
-    runtime::Duration silence_limit = std::chrono::seconds(6);
+    runtime::Duration response_timeout = std::chrono::seconds(6);
     runtime::Duration retry_delay = std::chrono::milliseconds(250);
     size_t max_body_bytes = size_t{8} * 1024 * 1024;
     const KvEventFormat* format = NativeKvEventFormat();
@@ -58,19 +58,19 @@
 
  private:
   void Poll();
-  void Ask(http::Request request, runtime::Duration wait);
+  void SendRequest(http::Request request, runtime::Duration wait);
   // Whether what the worker keeps is to be listed now: events were lost, and the loss has come into
   // force, so that what is read from now on is trusted again.
-  bool ListIsDue() const;
-  void TakeList();
+  bool RelistIsDue() const;
+  void ApplyList();
   void OnEnd();
   void OnFailure();
-  void TakeBatch(KvEventBatch batch);
-  void TakeEvent(KvEvent event);
-  void NoteMissing(uint64_t from, uint64_t to);
+  void ApplyBatch(KvEventBatch batch);
+  void ApplyEvent(KvEvent event);
+  void RecordMissing(uint64_t from, uint64_t to);
   void CheckMissing();
-  void CheckSilence();
-  void Lost(const std::string& reason);
+  void CheckTimeout();
+  void ReportLoss(const std::string& reason);
 
   runtime::Runtime* const runtime_;
   const Options options_;
@@ -81,24 +81,24 @@
   const Observer observer_;
 
   uint64_t epoch_ = 0;
-  uint64_t read_up_to_ = 0;  // `after` of the next poll
+  uint64_t last_seq_read_ = 0;  // `after` of the next poll
   uint64_t events_read_ = 0;
   // Missing sequence numbers, and when each counts as lost.
   absl::btree_map<uint64_t, runtime::MonotonicTime> missing_;
-  channels::ObjectVersion version_at_poll_;
+  channels::ObjectVersion version_at_request_;
   std::unique_ptr<http::Call> call_;
   int status_ = 0;
   std::string body_;
-  runtime::MonotonicTime last_answer_;
-  bool silence_reported_ = false;
+  runtime::MonotonicTime last_response_at_;
+  bool timeout_reported_ = false;
   double recent_events_ = 0;  // of the last some hundred, and how many of them are missing
   double recent_missing_ = 0;
   // A loss is to be made good by a list, once the version is newer than this sequence.
-  bool list_wanted_ = false;
+  bool relist_needed_ = false;
   uint64_t sequence_at_loss_ = 0;
-  runtime::MonotonicTime listed_at_;  // the last time
-  bool listing_ = false;              // the running call asks for a list
-  std::string unsaid_loss_;           // its reason; found while the lease was not held
+  runtime::MonotonicTime last_listed_at_;  // the last time
+  bool list_in_flight_ = false;            // the running call asks for a list
+  std::string unreported_loss_;            // its reason; found while the lease was not held
   runtime::Timer poll_timer_;
   runtime::Timer missing_timer_;
 };
--- a/src/posthatch/index/worker_event_reader-test.cc
+++ b/src/posthatch/index/worker_event_reader-test.cc
@@ -121,9 +121,9 @@
   EXPECT_EQ(TakeLosses(), 0);
 }
 
-class WorkerListTest : public WorkerEventReaderTest {
+class WorkerRelistTest : public WorkerEventReaderTest {
  protected:
-  WorkerListTest() {
+  WorkerRelistTest() {
     WorkerEventFeed::Options options;
     options.format = &format_;
     reader_with_lists_ = std::make_unique<WorkerEventReader>(
@@ -141,7 +141,7 @@
   std::unique_ptr<WorkerEventReader> reader_with_lists_;
 };
 
-TEST_F(WorkerListTest, WhatIsStillKeptIsTrustedAgainAfterALoss) {
+TEST_F(WorkerRelistTest, WhatIsStillKeptIsTrustedAgainAfterALoss) {
   EXPECT_EQ(Located(), 3u);
   Lose();
   EXPECT_EQ(TakeLosses(), 1);
@@ -156,7 +156,7 @@
   EXPECT_NE(fakes_.http.calls.back().target.find("after=9"), std::string::npos);
 }
 
-TEST_F(WorkerListTest, MalformedListIsNotUsedAndEventsGoOn) {
+TEST_F(WorkerRelistTest, MalformedListIsNotUsedAndEventsGoOn) {
   Lose();
   trust_.versions[kWorker] = MakeVersion(100, 1);
   Answer(9, "");
@@ -169,7 +169,7 @@
   EXPECT_EQ(Located(), 1u);
 }
 
-TEST_F(WorkerListTest, ListsAreAskedForAtIntervals) {
+TEST_F(WorkerRelistTest, ListsAreAskedForAtIntervals) {
   Lose();
   trust_.versions[kWorker] = MakeVersion(100, 1);
   Answer(9, "");
--- a/src/posthatch/index/worker_event_reader.cc
+++ b/src/posthatch/index/worker_event_reader.cc
@@ -35,17 +35,17 @@
       endpoints[backend.id()] = backend.endpoint();
     }
   }
-  absl::btree_map<std::string, uint64_t> held;
+  absl::btree_map<std::string, uint64_t> leased;
   for (const control::WorkerLease& lease : state.leases()) {
     if (lease.holder() == runtime_->transport->node_id() &&
         lease.holder_incarnation() == runtime_->transport->incarnation() &&
         endpoints.contains(lease.worker_id())) {
-      held[lease.worker_id()] = lease.fencing_token();
+      leased[lease.worker_id()] = lease.fencing_token();
     }
   }
   for (auto it = feeds_.begin(); it != feeds_.end();) {
-    const auto lease = held.find(it->first);
-    if (lease == held.end() || lease->second != it->second.fencing_token ||
+    const auto lease = leased.find(it->first);
+    if (lease == leased.end() || lease->second != it->second.fencing_token ||
         endpoints[it->first] != it->second.feed->endpoint()) {
       parts_.publisher->End(it->first);
       it = feeds_.erase(it);
@@ -53,7 +53,7 @@
       ++it;
     }
   }
-  for (const auto& [worker, token] : held) {
+  for (const auto& [worker, token] : leased) {
     if (!feeds_.contains(worker)) StartFeed(worker, endpoints[worker], token);
   }
 }
@@ -106,11 +106,11 @@
     stats_.removed_blocks += event.blocks.size();
     parts_.locator->Remove(HolderKind::kWorker, worker, event.blocks);
     parts_.publisher->Removed(worker, event.blocks);
-    ForgetUnattributed(worker, event.blocks);
+    DropUnattributed(worker, event.blocks);
     return;
   }
   stats_.stored_blocks += event.blocks.size();
-  if (TakeStored(worker, version, event)) return;
+  if (ApplyStored(worker, version, event)) return;
   if (unattributed_.size() >= kMaxUnattributedEvents) {
     stats_.unattributed_blocks += unattributed_.front().event.blocks.size();
     unattributed_.pop_front();
@@ -122,12 +122,12 @@
   }
 }
 
-void WorkerEventReader::ForgetUnattributed(const std::string& worker,
-                                           const std::vector<BlockHash>& removed) {
+void WorkerEventReader::DropUnattributed(const std::string& worker,
+                                         const std::vector<BlockHash>& removed) {
   const absl::flat_hash_set<BlockHash> gone(removed.begin(), removed.end());
-  for (Unattributed& waiting : unattributed_) {
-    if (waiting.worker != worker) continue;
-    std::vector<BlockHash>& blocks = waiting.event.blocks;
+  for (Unattributed& pending : unattributed_) {
+    if (pending.worker != worker) continue;
+    std::vector<BlockHash>& blocks = pending.event.blocks;
     blocks.erase(std::remove_if(blocks.begin(), blocks.end(),
                                 [&gone](BlockHash block) { return gone.contains(block); }),
                  blocks.end());
@@ -160,8 +160,8 @@
   return attributed;
 }
 
-bool WorkerEventReader::TakeStored(const std::string& worker,
-                                   const channels::ObjectVersion& version, const KvEvent& event) {
+bool WorkerEventReader::ApplyStored(const std::string& worker,
+                                    const channels::ObjectVersion& version, const KvEvent& event) {
   if (event.blocks.empty()) return true;
   BlockSeed seed;
   const std::vector<BlockHash> blocks = Attribute(event, &seed);
@@ -178,15 +178,15 @@
 
 void WorkerEventReader::RetryUnattributed() {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  std::deque<Unattributed> still_waiting;
-  for (Unattributed& waiting : unattributed_) {
-    if (now >= waiting.given_up_at) {
-      stats_.unattributed_blocks += waiting.event.blocks.size();
-    } else if (!TakeStored(waiting.worker, waiting.version, waiting.event)) {
-      still_waiting.push_back(std::move(waiting));
+  std::deque<Unattributed> still_pending;
+  for (Unattributed& pending : unattributed_) {
+    if (now >= pending.expires_at) {
+      stats_.unattributed_blocks += pending.event.blocks.size();
+    } else if (!ApplyStored(pending.worker, pending.version, pending.event)) {
+      still_pending.push_back(std::move(pending));
     }
   }
-  unattributed_ = std::move(still_waiting);
+  unattributed_ = std::move(still_pending);
   if (!unattributed_.empty()) {
     retry_timer_.Start(kAttributionRetry, [this] { RetryUnattributed(); });
   }
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -62,7 +62,7 @@
     std::string worker;
     channels::ObjectVersion version;
     KvEvent event;
-    runtime::MonotonicTime given_up_at;
+    runtime::MonotonicTime expires_at;
   };
 
   bool HoldsLease(const std::string& worker, uint64_t fencing_token) const;
@@ -71,12 +71,12 @@
   void OnLost(const std::string& worker, uint64_t epoch, const std::string& reason);
   void OnEvent(const std::string& worker, const channels::ObjectVersion& version, KvEvent event);
   // What `worker` has removed must not be added when its attribution comes.
-  void ForgetUnattributed(const std::string& worker, const std::vector<BlockHash>& removed);
+  void DropUnattributed(const std::string& worker, const std::vector<BlockHash>& removed);
   // The blocks of `event` whose seed is known, and the seed.
   std::vector<BlockHash> Attribute(const KvEvent& event, BlockSeed* seed) const;
   // False if the event's seed is not known yet.
-  bool TakeStored(const std::string& worker, const channels::ObjectVersion& version,
-                  const KvEvent& event);
+  bool ApplyStored(const std::string& worker, const channels::ObjectVersion& version,
+                   const KvEvent& event);
 
   runtime::Runtime* const runtime_;
   const WorkerEventFeed::Options options_;
--- a/src/posthatch/membership/broadcast_queue.cc
+++ b/src/posthatch/membership/broadcast_queue.cc
@@ -5,13 +5,13 @@
 void BroadcastQueue::Add(const std::string& node_id, std::string record) {
   const auto found = keys_by_node_.find(node_id);
   if (found != keys_by_node_.end()) updates_.erase(found->second);
-  const Key key{0, next_order_--};
+  const Key key{0, next_tie_breaker_--};
   updates_.emplace(key, Update{node_id, std::move(record)});
   keys_by_node_[node_id] = key;
   if (updates_.size() > max_updates_) {
-    const auto most_passed_on = std::prev(updates_.end());
-    keys_by_node_.erase(most_passed_on->second.node_id);
-    updates_.erase(most_passed_on);
+    const auto most_transmitted = std::prev(updates_.end());
+    keys_by_node_.erase(most_transmitted->second.node_id);
+    updates_.erase(most_transmitted);
   }
 }
 
--- a/src/posthatch/membership/broadcast_queue.h
+++ b/src/posthatch/membership/broadcast_queue.h
@@ -35,7 +35,7 @@
   using Key = std::pair<int, uint64_t>;  // times passed on, then the newest first
 
   const size_t max_updates_;
-  uint64_t next_order_ = UINT64_MAX;
+  uint64_t next_tie_breaker_ = UINT64_MAX;
   std::map<Key, Update> updates_;
   std::map<std::string, Key> keys_by_node_;
 };
--- a/src/posthatch/membership/failure_detector.cc
+++ b/src/posthatch/membership/failure_detector.cc
@@ -18,13 +18,13 @@
       table_(table),
       sender_(sender),
       observer_(observer),
-      last_answer_(runtime->clock->Now()) {}
+      last_response_at_(runtime->clock->Now()) {}
 
 runtime::Duration FailureDetector::Scaled(runtime::Duration duration) const {
   return duration * (1 + health_score_);
 }
 
-void FailureDetector::WorsenHealth(int by) {
+void FailureDetector::AdjustHealthScore(int by) {
   health_score_ = std::clamp(health_score_ + by, 0, options_->max_health_score);
 }
 
@@ -38,53 +38,53 @@
 }
 
 void FailureDetector::Probe(const MemberEntry& target, const std::string& record) {
-  if (round_by_node_.contains(target.member.node_id)) return;
+  if (probe_by_node_.contains(target.member.node_id)) return;
   const uint64_t sequence = ++last_sequence_;
-  round_by_node_[target.member.node_id] = sequence;
-  Round& round = rounds_[sequence];
-  round.node_id = target.member.node_id;
-  round.endpoint = target.member.internal_endpoint;
-  round.record = record;
-  round.timer = std::make_unique<runtime::Timer>(runtime_->timers);
-  round.timer->Start(Scaled(options_->probe_retry), [this, sequence] { Retry(sequence); });
-  SendPing(round.endpoint, round.node_id, sequence, record);
+  probe_by_node_[target.member.node_id] = sequence;
+  ActiveProbe& probe = probes_[sequence];
+  probe.node_id = target.member.node_id;
+  probe.endpoint = target.member.internal_endpoint;
+  probe.record = record;
+  probe.timer = std::make_unique<runtime::Timer>(runtime_->timers);
+  probe.timer->Start(Scaled(options_->probe_retry), [this, sequence] { Retry(sequence); });
+  SendPing(probe.endpoint, probe.node_id, sequence, record);
 }
 
 void FailureDetector::Retry(uint64_t sequence) {
   observer_->OnActivity();
-  const auto found = rounds_.find(sequence);
-  if (found == rounds_.end()) return;
-  Round& round = found->second;
-  round.timer->Start(Scaled(options_->probe_deadline - options_->probe_retry),
+  const auto found = probes_.find(sequence);
+  if (found == probes_.end()) return;
+  ActiveProbe& probe = found->second;
+  probe.timer->Start(Scaled(options_->probe_deadline - options_->probe_retry),
                      [this, sequence] { Expire(sequence); });
-  SendPing(round.endpoint, round.node_id, sequence, round.record);
+  SendPing(probe.endpoint, probe.node_id, sequence, probe.record);
   MembershipMessage message;
   message.mutable_ping_request()->set_sequence(sequence);
-  message.mutable_ping_request()->set_target_node(round.node_id);
-  message.mutable_ping_request()->set_target_endpoint(round.endpoint);
-  const std::vector<MemberEntry*> helpers =
-      table_->PickLive(static_cast<size_t>(options_->indirect_probes), round.node_id);
-  round.requests = static_cast<int>(helpers.size());
-  for (const MemberEntry* helper : helpers) {
-    sender_->SendWithUpdates(helper->member.internal_endpoint, message);
+  message.mutable_ping_request()->set_target_node(probe.node_id);
+  message.mutable_ping_request()->set_target_endpoint(probe.endpoint);
+  const std::vector<MemberEntry*> proxies =
+      table_->PickLive(static_cast<size_t>(options_->indirect_probes), probe.node_id);
+  probe.requests = static_cast<int>(proxies.size());
+  for (const MemberEntry* proxy : proxies) {
+    sender_->SendWithUpdates(proxy->member.internal_endpoint, message);
   }
 }
 
 void FailureDetector::Expire(uint64_t sequence) {
   observer_->OnActivity();
-  const auto found = rounds_.find(sequence);
-  if (found == rounds_.end()) return;
+  const auto found = probes_.find(sequence);
+  if (found == probes_.end()) return;
   const std::string node_id = found->second.node_id;
   // Helpers that didn't even say that they got no answer: the fault may be here.
-  if (found->second.nacks < found->second.requests) WorsenHealth(1);
-  rounds_.erase(found);
-  round_by_node_.erase(node_id);
-  observer_->OnRoundFailed(node_id);
+  if (found->second.nacks < found->second.requests) AdjustHealthScore(1);
+  probes_.erase(found);
+  probe_by_node_.erase(node_id);
+  observer_->OnProbeFailed(node_id);
 }
 
-void FailureDetector::Abandon() {
-  rounds_.clear();
-  round_by_node_.clear();
+void FailureDetector::AbandonProbes() {
+  probes_.clear();
+  probe_by_node_.clear();
 }
 
 void FailureDetector::OnPing(const std::string& from_endpoint, const Ping& ping,
@@ -97,7 +97,7 @@
 }
 
 void FailureDetector::OnAck(const Ack& ack) {
-  last_answer_ = runtime_->clock->Now();
+  last_response_at_ = runtime_->clock->Now();
   const auto relay = relays_.find(ack.sequence());
   if (relay != relays_.end()) {
     MembershipMessage message;
@@ -106,13 +106,13 @@
     relays_.erase(relay);
     return;
   }
-  const auto round = rounds_.find(ack.sequence());
-  if (round == rounds_.end()) return;
-  const std::string node_id = round->second.node_id;
-  rounds_.erase(round);
-  round_by_node_.erase(node_id);
-  WorsenHealth(-1);
-  observer_->OnRoundPassed(node_id);
+  const auto probe = probes_.find(ack.sequence());
+  if (probe == probes_.end()) return;
+  const std::string node_id = probe->second.node_id;
+  probes_.erase(probe);
+  probe_by_node_.erase(node_id);
+  AdjustHealthScore(-1);
+  observer_->OnProbeSucceeded(node_id);
 }
 
 void FailureDetector::OnPingRequest(const std::string& from_endpoint, const PingRequest& request) {
@@ -137,9 +137,9 @@
 }
 
 void FailureDetector::OnNack(const Nack& nack) {
-  last_answer_ = runtime_->clock->Now();
-  const auto round = rounds_.find(nack.sequence());
-  if (round != rounds_.end()) ++round->second.nacks;
+  last_response_at_ = runtime_->clock->Now();
+  const auto probe = probes_.find(nack.sequence());
+  if (probe != probes_.end()) ++probe->second.nacks;
 }
 
 }  // namespace posthatch::membership
--- a/src/posthatch/membership/failure_detector.h
+++ b/src/posthatch/membership/failure_detector.h
@@ -21,8 +21,8 @@
   class Observer {
    public:
     virtual ~Observer() = default;
-    virtual void OnRoundPassed(const std::string& node_id) = 0;
-    virtual void OnRoundFailed(const std::string& node_id) = 0;
+    virtual void OnProbeSucceeded(const std::string& node_id) = 0;
+    virtual void OnProbeFailed(const std::string& node_id) = 0;
     // Called first in each timer callback, so that a pause of the process is noticed before any
     // conclusion is drawn from it.
     virtual void OnActivity() = 0;
@@ -35,7 +35,7 @@
   // into the pings: what is said of the member and it should deny.
   void Probe(const MemberEntry& target, const std::string& record);
   // Drops all running rounds without a conclusion.
-  void Abandon();
+  void AbandonProbes();
 
   void OnPing(const std::string& from_endpoint, const Ping& ping, const std::string& self_node_id,
               std::string record_of_sender);
@@ -44,12 +44,12 @@
   void OnNack(const Nack& nack);
 
   int health_score() const { return health_score_; }
-  void WorsenHealth(int by);
+  void AdjustHealthScore(int by);
   // When some process last answered this one.
-  runtime::MonotonicTime last_answer() const { return last_answer_; }
+  runtime::MonotonicTime last_response_at() const { return last_response_at_; }
 
  private:
-  struct Round {
+  struct ActiveProbe {
     std::string node_id;
     std::string endpoint;
     std::string record;
@@ -76,11 +76,11 @@
   MessageSender* const sender_;
   Observer* const observer_;
   uint64_t last_sequence_ = 0;
-  std::map<uint64_t, Round> rounds_;
-  std::map<std::string, uint64_t> round_by_node_;
+  std::map<uint64_t, ActiveProbe> probes_;
+  std::map<std::string, uint64_t> probe_by_node_;
   std::map<uint64_t, Relay> relays_;
   int health_score_ = 0;
-  runtime::MonotonicTime last_answer_;
+  runtime::MonotonicTime last_response_at_;
 };
 
 }  // namespace posthatch::membership
--- a/src/posthatch/membership/gossip_membership-test.cc
+++ b/src/posthatch/membership/gossip_membership-test.cc
@@ -21,8 +21,8 @@
     world_.SetNetwork(behaviour);
   }
   void CutBothWays(size_t from, size_t to) {
-    world_.Cut(absl::StrCat("n", from), absl::StrCat("n", to));
-    world_.Cut(absl::StrCat("n", to), absl::StrCat("n", from));
+    world_.Partition(absl::StrCat("n", from), absl::StrCat("n", to));
+    world_.Partition(absl::StrCat("n", to), absl::StrCat("n", from));
   }
   // Cuts nodes below `border` from the others.
   void Split(const GossipFleet& fleet, size_t border) {
@@ -156,7 +156,7 @@
 TEST_P(GossipTest, OneWayCutBetweenTwoIsBridgedByHelpers) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
-  world_.Cut("n4", "n5");
+  world_.Partition("n4", "n5");
   world_.RunFor(seconds(120));
   EXPECT_TRUE(fleet.false_deaths().empty());
   EXPECT_EQ(fleet.false_suspicions(), 0u);
@@ -166,7 +166,7 @@
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   for (size_t other = 0; other < fleet.size(); ++other) {
-    if (other != 5) world_.Cut(absl::StrCat("n", other), "n5");
+    if (other != 5) world_.Partition(absl::StrCat("n", other), "n5");
   }
   EXPECT_TRUE(fleet.RunUntilGone(5, seconds(20)));
   for (const GossipFleet::FalseDeath& death : fleet.false_deaths()) EXPECT_EQ(death.member, "n5");
@@ -179,7 +179,7 @@
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   for (size_t other = 0; other < fleet.size(); ++other) {
-    if (other != 5) world_.Cut("n5", absl::StrCat("n", other));
+    if (other != 5) world_.Partition("n5", absl::StrCat("n", other));
   }
   EXPECT_TRUE(fleet.RunUntilGone(5, seconds(20)));
   world_.HealAll();
--- a/src/posthatch/membership/gossip_membership.cc
+++ b/src/posthatch/membership/gossip_membership.cc
@@ -17,7 +17,7 @@
 constexpr size_t kMessageMargin = 8;
 // A leaving process tells so many others, so many times, because it may end right after.
 constexpr size_t kLeaveFanout = 8;
-constexpr int kLeaveRounds = 3;
+constexpr int kLeaveSends = 3;
 constexpr runtime::Duration kLeaveInterval = std::chrono::milliseconds(100);
 // Attempts to join go to so many addresses at a time.
 constexpr size_t kJoinFanout = 4;
@@ -57,8 +57,8 @@
   last_activity_ = now;
   next_probe_ = now + runtime_->random->Between({}, options_.probe_interval);
   next_sync_ = now + runtime_->random->Between({}, options_.sync_interval);
-  next_save_ = now + runtime_->random->Between({}, options_.peers_write_interval);
-  next_search_ = now;
+  next_peers_write_ = now + runtime_->random->Between({}, options_.peers_write_interval);
+  next_join_attempt_ = now;
   peers_.Load();
   merger_.Join(self_);
   runtime_->transport->SetReceiver(
@@ -88,7 +88,7 @@
 std::optional<MemberState> GossipMembership::StateOf(const std::string& node_id) const {
   const MemberEntry* entry = table_.Find(node_id);
   if (entry == nullptr) return std::nullopt;
-  return entry->held ? MemberState::kDead : entry->member.state;
+  return entry->damped ? MemberState::kDead : entry->member.state;
 }
 
 // Sending.
@@ -160,11 +160,11 @@
     metrics_.malformed.Increment();
     return;
   }
-  const bool pass_on = !message.has_bucket_chunk() || !sync_.pulling_much();
+  const bool rebroadcast = !message.has_bucket_chunk() || !sync_.pulling_many_buckets();
   for (const std::string& serialized : message.records()) {
     MemberRecord record;
     if (record.ParseFromString(serialized)) {
-      merger_.Apply(record, pass_on);
+      merger_.Apply(record, rebroadcast);
     } else {
       metrics_.malformed.Increment();
     }
@@ -215,18 +215,18 @@
 
 // What the parts report.
 
-void GossipMembership::OnRoundPassed(const std::string& node_id) {
-  if (MemberEntry* entry = table_.Find(node_id)) entry->failed_rounds = 0;
+void GossipMembership::OnProbeSucceeded(const std::string& node_id) {
+  if (MemberEntry* entry = table_.Find(node_id)) entry->failed_probes = 0;
 }
 
-void GossipMembership::OnRoundFailed(const std::string& node_id) {
-  metrics_.failed_rounds.Increment();
+void GossipMembership::OnProbeFailed(const std::string& node_id) {
+  metrics_.failed_probes.Increment();
   MemberEntry* entry = table_.Find(node_id);
   if (entry == nullptr || !entry->live() || left_) return;
-  ++entry->failed_rounds;
-  if (Isolated() || runtime_->clock->Now() < accuse_nobody_until_) return;
+  ++entry->failed_probes;
+  if (IsIsolated() || runtime_->clock->Now() < suspicions_paused_until_) return;
   const bool suspected = entry->member.state == MemberState::kSuspect;
-  if (!suspected && entry->failed_rounds < options_.failed_rounds_to_suspect) {
+  if (!suspected && entry->failed_probes < options_.failed_probes_to_suspect) {
     detector_.Probe(*entry, "");
     return;
   }
@@ -243,12 +243,12 @@
   last_activity_ = now;
   if (gap < options_.pause_threshold) return;
   metrics_.pauses.Increment();
-  runtime_->trace->Event(runtime::Severity::kWarning, "ProcessWasPaused",
+  runtime_->trace->Event(runtime::Severity::kWarning, "ProcessPauseDetected",
                          {{"gap_ms", runtime::ToMilliseconds(gap)}});
-  detector_.Abandon();
-  detector_.WorsenHealth(options_.max_health_score);
+  detector_.AbandonProbes();
+  detector_.AdjustHealthScore(options_.max_health_score);
   suspicions_.Extend(gap + options_.pause_grace);
-  accuse_nobody_until_ = now + options_.pause_grace;
+  suspicions_paused_until_ = now + options_.pause_grace;
   next_sync_ = now;
 }
 
@@ -262,16 +262,16 @@
 
 void GossipMembership::Verify(MemberEntry* entry, const std::string& record) {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  if (now < entry->check_again_at) return;
-  entry->check_again_at = now + kVerifyInterval;
+  if (now < entry->next_verify_at) return;
+  entry->next_verify_at = now + kVerifyInterval;
   detector_.Probe(*entry, record);
 }
 
-void GossipMembership::OnRefuted() { detector_.WorsenHealth(1); }
+void GossipMembership::OnRefuted() { detector_.AdjustHealthScore(1); }
 
 // What happens by time.
 
-bool GossipMembership::due(runtime::MonotonicTime* next, runtime::Duration interval) {
+bool GossipMembership::AdvanceIfDue(runtime::MonotonicTime* next, runtime::Duration interval) {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (now < *next) return false;
   // Spread by a quarter, so that processes started together don't stay in step.
@@ -284,20 +284,21 @@
   tick_timer_.Start(kTick, [this] { Tick(); });
   if (left_) return;
   ExpireSuspicions();
-  merger_.ReleaseHeld();
-  if (due(&next_probe_, options_.probe_interval)) ProbeNext();
+  merger_.ReleaseDamped();
+  if (AdvanceIfDue(&next_probe_, options_.probe_interval)) ProbeNext();
   const bool alone = table_.live_count() == 0;
-  if (due(&next_search_, alone ? options_.join_interval : options_.reconnect_interval)) {
-    FindOthers();
+  if (AdvanceIfDue(&next_join_attempt_,
+                   alone ? options_.join_interval : options_.reconnect_interval)) {
+    ContactUnknownPeers();
   }
   const bool differed = sync_.differed();
-  if (due(&next_sync_,
-          differed ? options_.sync_interval_after_difference : options_.sync_interval)) {
+  if (AdvanceIfDue(&next_sync_,
+                   differed ? options_.sync_interval_after_difference : options_.sync_interval)) {
     SyncWithRandomMember();
   }
-  if (due(&next_save_, options_.peers_write_interval)) {
+  if (AdvanceIfDue(&next_peers_write_, options_.peers_write_interval)) {
     peers_.Save(&table_);
-    table_.ForgetBefore(runtime_->clock->Now() - options_.forget_after);
+    table_.ForgetBefore(runtime_->clock->Now() - options_.dead_member_retention);
   }
   metrics_.health_score.Set(detector_.health_score());
 }
@@ -312,32 +313,34 @@
                             : std::string());
 }
 
-bool GossipMembership::Isolated() const {
-  const runtime::Duration silence = runtime_->clock->Now() - detector_.last_answer();
+bool GossipMembership::IsIsolated() const {
+  const runtime::Duration since_last_response =
+      runtime_->clock->Now() - detector_.last_response_at();
   // With fewer others, their silence may as well be their death.
-  constexpr size_t kMinOthers = 3;
-  return table_.live_count() >= kMinOthers && silence >= options_.isolation_timeout &&
-         silence < options_.isolation_timeout + options_.isolation_hold;
+  constexpr size_t kMinLivePeers = 3;
+  return table_.live_count() >= kMinLivePeers &&
+         since_last_response >= options_.isolation_timeout &&
+         since_last_response < options_.isolation_timeout + options_.max_isolation;
 }
 
 void GossipMembership::ExpireSuspicions() {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  const bool isolated = Isolated();
+  const bool isolated = IsIsolated();
   if (isolated && !was_isolated_) isolated_since_ = now;
   if (!isolated && was_isolated_) suspicions_.Extend(now - isolated_since_);
   was_isolated_ = isolated;
-  if (isolated || now < accuse_nobody_until_) return;
+  if (isolated || now < suspicions_paused_until_) return;
   for (const std::string& node_id : suspicions_.TakeExpired(now)) merger_.DeclareDead(node_id);
   StartGossip();
 }
 
 void GossipMembership::SyncWithRandomMember() {
   for (const MemberEntry* member : table_.PickLive(1, "")) {
-    sync_.Offer(member->member.internal_endpoint);
+    sync_.StartExchange(member->member.internal_endpoint);
   }
 }
 
-void GossipMembership::FindOthers() {
+void GossipMembership::ContactUnknownPeers() {
   std::vector<std::string> addresses = peers_.Addresses(self_.internal_endpoint);
   size_t attempts = kJoinFanout;
   if (table_.live_count() > 0) {
@@ -359,7 +362,7 @@
   addresses.assign(candidates.begin(), candidates.end());
   std::shuffle(addresses.begin(), addresses.end(), *runtime_->random);
   if (addresses.size() > attempts) addresses.resize(attempts);
-  for (const std::string& address : addresses) sync_.Offer(address);
+  for (const std::string& address : addresses) sync_.StartExchange(address);
 }
 
 // Leaving.
@@ -369,11 +372,11 @@
   left_ = true;
   self_.state = MemberState::kLeft;
   merger_.Leave();
-  detector_.Abandon();
-  SendLeaving(kLeaveRounds);
+  detector_.AbandonProbes();
+  BroadcastLeave(kLeaveSends);
 }
 
-void GossipMembership::SendLeaving(int more_rounds) {
+void GossipMembership::BroadcastLeave(int remaining_sends) {
   MembershipMessage message;
   message.mutable_gossip();
   const MemberEntry* self = table_.Find(self_.node_id);
@@ -381,8 +384,9 @@
   for (const MemberEntry* member : table_.PickLive(kLeaveFanout, "")) {
     SendPlain(member->member.internal_endpoint, message);
   }
-  if (more_rounds <= 1) return;
-  tick_timer_.Start(kLeaveInterval, [this, more_rounds] { SendLeaving(more_rounds - 1); });
+  if (remaining_sends <= 1) return;
+  tick_timer_.Start(kLeaveInterval,
+                    [this, remaining_sends] { BroadcastLeave(remaining_sends - 1); });
 }
 
 }  // namespace posthatch::membership
--- a/src/posthatch/membership/gossip_membership.h
+++ b/src/posthatch/membership/gossip_membership.h
@@ -11,7 +11,7 @@
 #include "posthatch/membership/gossip_options.h"
 #include "posthatch/membership/member_table.h"
 #include "posthatch/membership/membership.h"
-#include "posthatch/membership/peer_memory.h"
+#include "posthatch/membership/peer_cache.h"
 #include "posthatch/membership/record_merger.h"
 #include "posthatch/membership/state_sync.h"
 #include "posthatch/membership/suspicion_list.h"
@@ -56,8 +56,8 @@
   void SendWithUpdates(const std::string& endpoint, MembershipMessage message) override;
   void SendPlain(const std::string& endpoint, const MembershipMessage& message) override;
   // FailureDetector::Observer.
-  void OnRoundPassed(const std::string& node_id) override;
-  void OnRoundFailed(const std::string& node_id) override;
+  void OnProbeSucceeded(const std::string& node_id) override;
+  void OnProbeFailed(const std::string& node_id) override;
   void OnActivity() override;
   // RecordMerger::Owner.
   void Notify(const Member& member) override;
@@ -71,17 +71,17 @@
 
   void Tick();
   void ProbeNext();
-  void FindOthers();
+  void ContactUnknownPeers();
   void SyncWithRandomMember();
   void ExpireSuspicions();
   void StartGossip();
   void GossipOnce();
   void SendGossip(const std::string& endpoint, size_t max_bytes);
-  void SendLeaving(int more_rounds);
+  void BroadcastLeave(int remaining_sends);
   int TransmitLimit() const;
   // Whether this process seems to be cut off itself, so that it should accuse nobody.
-  bool Isolated() const;
-  bool due(runtime::MonotonicTime* next, runtime::Duration interval);
+  bool IsIsolated() const;
+  bool AdvanceIfDue(runtime::MonotonicTime* next, runtime::Duration interval);
 
   runtime::Runtime* const runtime_;
   const GossipOptions options_;
@@ -93,7 +93,7 @@
   RecordMerger merger_;
   FailureDetector detector_;
   StateSync sync_;
-  PeerMemory peers_;
+  PeerCache peers_;
   std::vector<Listener> listeners_;
   runtime::Timer tick_timer_;
   runtime::Timer gossip_timer_;
@@ -101,11 +101,11 @@
   bool was_isolated_ = false;
   runtime::MonotonicTime isolated_since_{};
   runtime::MonotonicTime last_activity_{};
-  runtime::MonotonicTime accuse_nobody_until_{};
+  runtime::MonotonicTime suspicions_paused_until_{};
   runtime::MonotonicTime next_probe_{};
-  runtime::MonotonicTime next_search_{};
+  runtime::MonotonicTime next_join_attempt_{};
   runtime::MonotonicTime next_sync_{};
-  runtime::MonotonicTime next_save_{};
+  runtime::MonotonicTime next_peers_write_{};
   double gossip_budget_bytes_ = 0;
 };
 
--- a/src/posthatch/membership/gossip_metrics.cc
+++ b/src/posthatch/membership/gossip_metrics.cc
@@ -36,7 +36,7 @@
                              "Payload bytes of gossip sent, without envelope, UDP and IP.")),
       sent_datagrams(MakeCounter(registry, "sent_datagrams_total", "Gossip datagrams sent.")),
       malformed(MakeCounter(registry, "malformed_total", "Gossip datagrams that don't parse.")),
-      failed_rounds(MakeCounter(registry, "failed_rounds_total",
+      failed_probes(MakeCounter(registry, "failed_rounds_total",
                                 "Probe rounds without an answer, direct or over others.")),
       suspicions(MakeCounter(registry, "suspicions_total",
                              "Suspicions of a member that started here or arrived by gossip.")),
--- a/src/posthatch/membership/gossip_metrics.h
+++ b/src/posthatch/membership/gossip_metrics.h
@@ -16,7 +16,7 @@
   prometheus::Counter& sent_bytes;
   prometheus::Counter& sent_datagrams;
   prometheus::Counter& malformed;
-  prometheus::Counter& failed_rounds;
+  prometheus::Counter& failed_probes;
   prometheus::Counter& suspicions;
   prometheus::Counter& deaths;
   prometheus::Counter& refutations;
--- a/src/posthatch/membership/gossip_options.h
+++ b/src/posthatch/membership/gossip_options.h
@@ -18,7 +18,7 @@
   runtime::Duration probe_deadline = std::chrono::milliseconds(500);
   int indirect_probes = 3;
   // Rounds in a row that must fail before a member is suspected aloud.
-  int failed_rounds_to_suspect = 3;
+  int failed_probes_to_suspect = 3;
   // Shortest suspicion before a member counts as dead, for 10 processes or fewer; it is multiplied
   // by log10 of the number of processes.
   runtime::Duration min_suspicion = std::chrono::milliseconds(1500);
@@ -35,7 +35,7 @@
   // Without any answer for so long, this process takes itself for cut off and suspects nobody ...
   runtime::Duration isolation_timeout = std::chrono::seconds(2);
   // ... for at most so long.
-  runtime::Duration isolation_hold = std::chrono::seconds(30);
+  runtime::Duration max_isolation = std::chrono::seconds(30);
 
   // Dissemination.
   runtime::Duration gossip_interval = std::chrono::milliseconds(200);
@@ -59,17 +59,17 @@
   runtime::Duration reconnect_interval = std::chrono::seconds(10);
   // How many processes of the whole fleet try one such address per reconnect_interval.
   int reconnects_per_interval = 8;
-  runtime::Duration forget_after = std::chrono::hours(24);
+  runtime::Duration dead_member_retention = std::chrono::hours(24);
   // Where peers are remembered over restarts, on machines with a disk.
-  std::string peers_folder = "membership";
+  std::string peers_directory = "membership";
   runtime::Duration peers_write_interval = std::chrono::seconds(60);
 
   // Flapping: deaths of a member, halved each half-life. Beyond the limit, a member that comes
-  // back is reported only after it has stayed for flap_hold, doubled per further death.
+  // back is reported only after it has stayed for flap_damping_period, doubled per further death.
   runtime::Duration flap_half_life = std::chrono::seconds(60);
   double flap_limit = 2.5;
-  runtime::Duration flap_hold = std::chrono::seconds(5);
-  runtime::Duration flap_max_hold = std::chrono::seconds(60);
+  runtime::Duration flap_damping_period = std::chrono::seconds(5);
+  runtime::Duration flap_max_damping_period = std::chrono::seconds(60);
 };
 
 }  // namespace posthatch::membership
--- a/src/posthatch/membership/member_table.cc
+++ b/src/posthatch/membership/member_table.cc
@@ -12,8 +12,8 @@
 }
 
 uint32_t MemberTable::HashOf(const MemberEntry& entry) {
-  const std::array<uint64_t, 2> life = {entry.member.incarnation, entry.version};
-  const uint64_t seed = XXH3_64bits(life.data(), sizeof(life));
+  const std::array<uint64_t, 2> identity = {entry.member.incarnation, entry.version};
+  const uint64_t seed = XXH3_64bits(identity.data(), sizeof(identity));
   return static_cast<uint32_t>(
       XXH3_64bits_withSeed(entry.member.node_id.data(), entry.member.node_id.size(), seed));
 }
@@ -28,7 +28,7 @@
   return found == entries_.end() ? nullptr : &found->second;
 }
 
-void MemberTable::Unlink(MemberEntry* entry) {
+void MemberTable::UnindexIfLive(MemberEntry* entry) {
   if (!entry->live()) return;
   digests_[BucketOf(entry->member.node_id)] ^= HashOf(*entry);
   if (entry->live_position == MemberEntry::kNotListed) return;
@@ -38,7 +38,7 @@
   entry->live_position = MemberEntry::kNotListed;
 }
 
-void MemberTable::Link(MemberEntry* entry) {
+void MemberTable::IndexIfLive(MemberEntry* entry) {
   if (!entry->live()) return;
   digests_[BucketOf(entry->member.node_id)] ^= HashOf(*entry);
   if (entry->member.node_id == self_node_id_) return;
@@ -50,28 +50,29 @@
   std::swap(probe_order_.back(), probe_order_[random_->Uniform(probe_order_.size())]);
 }
 
-MemberEntry* MemberTable::Put(const Member& member, uint32_t version, runtime::MonotonicTime now) {
+MemberEntry* MemberTable::Upsert(const Member& member, uint32_t version,
+                                 runtime::MonotonicTime now) {
   const auto [found, added] = entries_.try_emplace(member.node_id);
   MemberEntry* entry = &found->second;
   if (added) {
     buckets_[BucketOf(member.node_id)].push_back(entry);
   } else {
-    Unlink(entry);
+    UnindexIfLive(entry);
   }
   entry->member = member;
   entry->version = version;
   entry->state_since = now;
-  Link(entry);
+  IndexIfLive(entry);
   return entry;
 }
 
 void MemberTable::SetState(MemberEntry* entry, uint32_t version, MemberState state,
                            runtime::MonotonicTime now) {
-  Unlink(entry);
+  UnindexIfLive(entry);
   if (entry->member.state != state) entry->state_since = now;
   entry->member.state = state;
   entry->version = version;
-  Link(entry);
+  IndexIfLive(entry);
 }
 
 void MemberTable::ForgetBefore(runtime::MonotonicTime since) {
@@ -88,12 +89,12 @@
 
 std::vector<MemberEntry*> MemberTable::PickLive(size_t count, const std::string& except) {
   std::vector<MemberEntry*> picked;
-  const MemberEntry* excepted = except.empty() ? nullptr : Find(except);
-  const bool listed = excepted != nullptr && excepted->live_position != MemberEntry::kNotListed;
+  const MemberEntry* excluded = except.empty() ? nullptr : Find(except);
+  const bool listed = excluded != nullptr && excluded->live_position != MemberEntry::kNotListed;
   count = std::min(count, live_.size() - (listed ? 1 : 0));
   while (picked.size() < count) {
     MemberEntry* candidate = live_[random_->Uniform(live_.size())];
-    if (candidate == excepted) continue;
+    if (candidate == excluded) continue;
     if (std::find(picked.begin(), picked.end(), candidate) == picked.end()) {
       picked.push_back(candidate);
     }
@@ -102,7 +103,7 @@
 }
 
 MemberEntry* MemberTable::NextToProbe() {
-  for (int round = 0; round < 2; ++round) {
+  for (int pass = 0; pass < 2; ++pass) {
     while (!probe_order_.empty()) {
       MemberEntry* entry = Find(probe_order_.back());
       probe_order_.pop_back();
--- a/src/posthatch/membership/member_table.h
+++ b/src/posthatch/membership/member_table.h
@@ -19,15 +19,15 @@
   uint32_t version = 0;
   runtime::MonotonicTime state_since{};
   // Probe rounds failed in a row, by this process.
-  int failed_rounds = 0;
+  int failed_probes = 0;
   // No second check of the same contradiction before this time.
-  runtime::MonotonicTime check_again_at{};
-  // Damping of flapping: deaths, decaying, as of `flaps_at`; not reported as live until
-  // `held_until`.
+  runtime::MonotonicTime next_verify_at{};
+  // Damping of flapping: deaths, decaying, as of `flaps_updated_at`; not reported as live until
+  // `damped_until`.
   double flaps = 0;
-  runtime::MonotonicTime flaps_at{};
-  runtime::MonotonicTime held_until{};
-  bool held = false;
+  runtime::MonotonicTime flaps_updated_at{};
+  runtime::MonotonicTime damped_until{};
+  bool damped = false;
   // Place among the table's live members; kNotListed for this process and those that don't live.
   static constexpr size_t kNotListed = SIZE_MAX;
   size_t live_position = kNotListed;
@@ -51,7 +51,7 @@
   MemberEntry* Find(const std::string& node_id);
   const MemberEntry* Find(const std::string& node_id) const;
   // Adds or replaces; keeps the other fields of an existing entry.
-  MemberEntry* Put(const Member& member, uint32_t version, runtime::MonotonicTime now);
+  MemberEntry* Upsert(const Member& member, uint32_t version, runtime::MonotonicTime now);
   // Changes version and state of an entry.
   void SetState(MemberEntry* entry, uint32_t version, MemberState state,
                 runtime::MonotonicTime now);
@@ -74,8 +74,8 @@
   static size_t BucketOf(const std::string& node_id);
   static uint32_t HashOf(const MemberEntry& entry);
   // Takes the entry out of, or puts it into, the digests and the list of live ones.
-  void Unlink(MemberEntry* entry);
-  void Link(MemberEntry* entry);
+  void UnindexIfLive(MemberEntry* entry);
+  void IndexIfLive(MemberEntry* entry);
 
   const std::string self_node_id_;
   runtime::Random* const random_;
--- a/src/posthatch/membership/membership-bench.cc
+++ b/src/posthatch/membership/membership-bench.cc
@@ -197,8 +197,8 @@
     const size_t border = fleet_.size() / 2;
     for (size_t low = 0; low < border; ++low) {
       for (size_t high = border; high < fleet_.size(); ++high) {
-        world_.Cut(fleet_.host(low)->name(), fleet_.host(high)->name());
-        world_.Cut(fleet_.host(high)->name(), fleet_.host(low)->name());
+        world_.Partition(fleet_.host(low)->name(), fleet_.host(high)->name());
+        world_.Partition(fleet_.host(high)->name(), fleet_.host(low)->name());
       }
     }
     world_.RunFor(seconds(120));
--- a/src/posthatch/membership/peer_memory.h
+++ b/src/posthatch/membership/peer_cache.h
@@ -13,10 +13,10 @@
 
 // Addresses at which others may be found when nobody is known: the seeds, and the peers that were
 // alive in an earlier life, kept in a file on machines with a disk. Owned by GossipMembership.
-class PeerMemory {
+class PeerCache {
  public:
-  PeerMemory(runtime::Runtime* runtime, const GossipOptions* options,
-             std::vector<std::string> seeds);
+  PeerCache(runtime::Runtime* runtime, const GossipOptions* options,
+            std::vector<std::string> seeds);
 
   // Reads the file; a missing or unreadable one counts as empty. At start only: blocks.
   void Load();
@@ -36,8 +36,8 @@
   runtime::Runtime* const runtime_;
   const GossipOptions* const options_;
   std::vector<std::string> seeds_;
-  std::vector<std::string> remembered_;
-  std::string written_;
+  std::vector<std::string> cached_peers_;
+  std::string last_written_;
   bool writing_ = false;
   // Held weakly by a running write, which may end after this object.
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/posthatch/membership/record_merger.cc
+++ b/src/posthatch/membership/record_merger.cc
@@ -25,20 +25,20 @@
       owner_(owner) {}
 
 void RecordMerger::Join(const Member& self) {
-  self_ = table_->Put(self, 1, runtime_->clock->Now());
-  PassOn(MakeRecord(self, 1, true), true);
+  self_ = table_->Upsert(self, 1, runtime_->clock->Now());
+  EnqueueBroadcast(MakeRecord(self, 1, true), true);
 }
 
 void RecordMerger::Leave() {
   table_->SetState(self_, self_->version + 1, MemberState::kLeft, runtime_->clock->Now());
-  PassOn(MakeRecord(self_->member, self_->version, false), true);
+  EnqueueBroadcast(MakeRecord(self_->member, self_->version, false), true);
 }
 
-void RecordMerger::PassOn(const MemberRecord& record, bool pass_on) {
-  if (pass_on) queue_->Add(record.node_id(), record.SerializeAsString());
+void RecordMerger::EnqueueBroadcast(const MemberRecord& record, bool rebroadcast) {
+  if (rebroadcast) queue_->Add(record.node_id(), record.SerializeAsString());
 }
 
-void RecordMerger::Apply(const MemberRecord& record, bool pass_on) {
+void RecordMerger::Apply(const MemberRecord& record, bool rebroadcast) {
   if (record.node_id().empty()) return;
   if (record.node_id() == self_->member.node_id) {
     ApplyToSelf(record);
@@ -46,38 +46,38 @@
   }
   MemberEntry* entry = table_->Find(record.node_id());
   if (entry == nullptr) {
-    AddNew(record, pass_on);
+    AddNew(record, rebroadcast);
     return;
   }
   if (!Supersedes(record, entry->version, entry->member.incarnation, entry->member.state)) {
     const bool same =
         record.version() == entry->version && record.incarnation() == entry->member.incarnation;
-    if (same && record.state() == RECORD_SUSPECT) ConfirmSuspicion(record, pass_on);
+    if (same && record.state() == RECORD_SUSPECT) ConfirmSuspicion(record, rebroadcast);
     return;
   }
   switch (record.state()) {
     case RECORD_ALIVE:
-      ApplyAlive(entry, record, pass_on);
+      ApplyAlive(entry, record, rebroadcast);
       break;
     case RECORD_SUSPECT:
-      ApplySuspect(entry, record, pass_on);
+      ApplySuspect(entry, record, rebroadcast);
       break;
     default:
-      ApplyEnd(entry, record, pass_on);
+      ApplyDeadOrLeft(entry, record, rebroadcast);
       break;
   }
 }
 
 void RecordMerger::ApplyToSelf(const MemberRecord& record) {
   if (self_->member.state == MemberState::kLeft || record.version() < self_->version) return;
-  const bool this_life = record.incarnation() == self_->member.incarnation;
-  if (this_life && record.state() == RECORD_ALIVE) return;
-  if (!this_life && !MayOverrideNow(record)) return;
+  const bool same_incarnation = record.incarnation() == self_->member.incarnation;
+  if (same_incarnation && record.state() == RECORD_ALIVE) return;
+  if (!same_incarnation && !MayOverrideNow(record)) return;
   // Only this process raises its version: above what is said wrongly of it, or of its former life.
   table_->SetState(self_, record.version() + 1, MemberState::kAlive, runtime_->clock->Now());
-  PassOn(MakeRecord(self_->member, self_->version, !this_life), true);
+  EnqueueBroadcast(MakeRecord(self_->member, self_->version, !same_incarnation), true);
   metrics_->refutations.Increment();
-  if (this_life) owner_->OnRefuted();
+  if (same_incarnation) owner_->OnRefuted();
 }
 
 bool RecordMerger::MayOverrideNow(const MemberRecord& record) {
@@ -85,16 +85,16 @@
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (now < next_override_) return false;
   next_override_ = now + kOverrideInterval;
-  runtime_->trace->Event(runtime::Severity::kWarning, "OtherLifeOverridden",
+  runtime_->trace->Event(runtime::Severity::kWarning, "ConflictingIncarnationOverridden",
                          {{"incarnation", record.incarnation()}, {"version", record.version()}});
   return record.version() < UINT32_MAX;
 }
 
-void RecordMerger::AddNew(const MemberRecord& record, bool pass_on) {
+void RecordMerger::AddNew(const MemberRecord& record, bool rebroadcast) {
   if (!record.has_details()) return;  // anti-entropy will bring the whole record
-  MemberEntry* entry = table_->Put(MakeMember(record), record.version(), runtime_->clock->Now());
+  MemberEntry* entry = table_->Upsert(MakeMember(record), record.version(), runtime_->clock->Now());
   if (!entry->live()) return;
-  PassOn(record, pass_on);
+  EnqueueBroadcast(record, rebroadcast);
   if (entry->member.state == MemberState::kSuspect) {
     suspicions_->Start(record.node_id(), record.accuser(), table_->live_count() + 1,
                        runtime_->clock->Now());
@@ -102,26 +102,26 @@
   Report(*entry);
 }
 
-void RecordMerger::ApplyAlive(MemberEntry* entry, const MemberRecord& record, bool pass_on) {
-  const bool new_life = record.incarnation() != entry->member.incarnation;
+void RecordMerger::ApplyAlive(MemberEntry* entry, const MemberRecord& record, bool rebroadcast) {
+  const bool new_incarnation = record.incarnation() != entry->member.incarnation;
   // A life that isn't known needs its details; anti-entropy will bring them.
-  if (new_life && !record.has_details()) return;
+  if (new_incarnation && !record.has_details()) return;
   const bool was_live = entry->live();
-  const bool changed = new_life || entry->member.state != MemberState::kAlive;
-  if (new_life && was_live) CountFlap(entry);
+  const bool changed = new_incarnation || entry->member.state != MemberState::kAlive;
+  if (new_incarnation && was_live) CountFlap(entry);
   if (record.has_details()) {
-    table_->Put(MakeMember(record), record.version(), runtime_->clock->Now());
+    table_->Upsert(MakeMember(record), record.version(), runtime_->clock->Now());
   } else {
     table_->SetState(entry, record.version(), MemberState::kAlive, runtime_->clock->Now());
   }
   suspicions_->Remove(record.node_id());
-  entry->failed_rounds = 0;
-  PassOn(record, pass_on);
-  if (!was_live || new_life) HoldIfFlapping(entry);
-  if (changed && !entry->held) Report(*entry);
+  entry->failed_probes = 0;
+  EnqueueBroadcast(record, rebroadcast);
+  if (!was_live || new_incarnation) DampIfFlapping(entry);
+  if (changed && !entry->damped) Report(*entry);
 }
 
-void RecordMerger::ApplySuspect(MemberEntry* entry, const MemberRecord& record, bool pass_on) {
+void RecordMerger::ApplySuspect(MemberEntry* entry, const MemberRecord& record, bool rebroadcast) {
   if (record.incarnation() != entry->member.incarnation) {
     // Of another life than the one that is known to live: that one must raise its version.
     if (entry->live()) owner_->Verify(entry, record.SerializeAsString());
@@ -132,16 +132,17 @@
   suspicions_->Start(record.node_id(), record.accuser(), table_->live_count() + 1,
                      runtime_->clock->Now());
   metrics_->suspicions.Increment();
-  PassOn(record, pass_on);
-  if (!was_live) HoldIfFlapping(entry);
-  if (!entry->held) Report(*entry);
+  EnqueueBroadcast(record, rebroadcast);
+  if (!was_live) DampIfFlapping(entry);
+  if (!entry->damped) Report(*entry);
 }
 
-void RecordMerger::ApplyEnd(MemberEntry* entry, const MemberRecord& record, bool pass_on) {
-  const bool known_life = record.incarnation() == entry->member.incarnation;
-  const bool says_itself = record.state() == RECORD_LEFT && known_life;
-  const bool suspected = entry->member.state == MemberState::kSuspect && known_life;
-  if (entry->live() && !says_itself && !suspected) {
+void RecordMerger::ApplyDeadOrLeft(MemberEntry* entry, const MemberRecord& record,
+                                   bool rebroadcast) {
+  const bool known_incarnation = record.incarnation() == entry->member.incarnation;
+  const bool reported_by_itself = record.state() == RECORD_LEFT && known_incarnation;
+  const bool suspected = entry->member.state == MemberState::kSuspect && known_incarnation;
+  if (entry->live() && !reported_by_itself && !suspected) {
     // Somebody who was cut off may bring this; the member itself can deny it.
     owner_->Verify(entry, record.SerializeAsString());
     return;
@@ -151,22 +152,23 @@
     CountFlap(entry);
     metrics_->deaths.Increment();
   }
-  const bool was_held = entry->held;
-  if (was_held) --held_count_;
-  entry->held = false;
+  const bool was_damped = entry->damped;
+  if (was_damped) --damped_count_;
+  entry->damped = false;
   suspicions_->Remove(record.node_id());
-  if (known_life) {
+  if (known_incarnation) {
     table_->SetState(entry, record.version(), FromRecordState(record.state()),
                      runtime_->clock->Now());
   } else if (record.has_details()) {
-    table_->Put(MakeMember(record), record.version(), runtime_->clock->Now());
+    table_->Upsert(MakeMember(record), record.version(), runtime_->clock->Now());
   }
-  if (was_live) PassOn(record, pass_on);
-  if (was_live && !was_held) Report(*entry);
+  if (was_live) EnqueueBroadcast(record, rebroadcast);
+  if (was_live && !was_damped) Report(*entry);
 }
 
-void RecordMerger::ConfirmSuspicion(const MemberRecord& record, bool pass_on) {
-  if (suspicions_->Confirm(record.node_id(), record.accuser())) PassOn(record, pass_on);
+void RecordMerger::ConfirmSuspicion(const MemberRecord& record, bool rebroadcast) {
+  if (suspicions_->Confirm(record.node_id(), record.accuser()))
+    EnqueueBroadcast(record, rebroadcast);
 }
 
 void RecordMerger::Suspect(MemberEntry* entry) {
@@ -186,38 +188,38 @@
 }
 
 double RecordMerger::FlapsNow(const MemberEntry& entry) const {
-  const auto age = static_cast<double>((runtime_->clock->Now() - entry.flaps_at).count());
+  const auto age = static_cast<double>((runtime_->clock->Now() - entry.flaps_updated_at).count());
   return entry.flaps * std::exp2(-age / static_cast<double>(options_->flap_half_life.count()));
 }
 
 void RecordMerger::CountFlap(MemberEntry* entry) {
   entry->flaps = FlapsNow(*entry) + 1;
-  entry->flaps_at = runtime_->clock->Now();
+  entry->flaps_updated_at = runtime_->clock->Now();
 }
 
-void RecordMerger::HoldIfFlapping(MemberEntry* entry) {
+void RecordMerger::DampIfFlapping(MemberEntry* entry) {
   const double excess = FlapsNow(*entry) - options_->flap_limit;
   if (excess < 0) return;
-  const auto hold =
-      std::min(static_cast<double>(options_->flap_max_hold.count()),
-               static_cast<double>(options_->flap_hold.count()) * std::exp2(std::floor(excess)));
-  entry->held_until = runtime_->clock->Now() + runtime::Duration(static_cast<int64_t>(hold));
-  if (entry->held) return;
-  entry->held = true;
-  ++held_count_;
+  const auto damping = std::min(
+      static_cast<double>(options_->flap_max_damping_period.count()),
+      static_cast<double>(options_->flap_damping_period.count()) * std::exp2(std::floor(excess)));
+  entry->damped_until = runtime_->clock->Now() + runtime::Duration(static_cast<int64_t>(damping));
+  if (entry->damped) return;
+  entry->damped = true;
+  ++damped_count_;
   metrics_->damped.Increment();
   Member reported = entry->member;
   reported.state = MemberState::kDead;
   owner_->Notify(reported);
 }
 
-void RecordMerger::ReleaseHeld() {
-  if (held_count_ == 0) return;
+void RecordMerger::ReleaseDamped() {
+  if (damped_count_ == 0) return;
   for (const auto& [node_id, known] : table_->entries()) {
     MemberEntry* entry = table_->Find(node_id);
-    if (!entry->held || entry->held_until > runtime_->clock->Now()) continue;
-    entry->held = false;
-    --held_count_;
+    if (!entry->damped || entry->damped_until > runtime_->clock->Now()) continue;
+    entry->damped = false;
+    --damped_count_;
     Report(*entry);
   }
 }
--- a/src/posthatch/membership/record_merger.h
+++ b/src/posthatch/membership/record_merger.h
@@ -38,30 +38,30 @@
   // Tells the others that this process leaves.
   void Leave();
 
-  // Takes a record in. News is passed on if `pass_on`.
-  void Apply(const MemberRecord& record, bool pass_on);
+  // Takes a record in. News is passed on if `rebroadcast`.
+  void Apply(const MemberRecord& record, bool rebroadcast);
   // This process's own finding: starts or confirms a suspicion.
   void Suspect(MemberEntry* entry);
   // A suspicion's time has run out.
   void DeclareDead(const std::string& node_id);
   // Reports returned members whose time of being held back is over.
-  void ReleaseHeld();
+  void ReleaseDamped();
 
   // Whether a member is to be reported as live.
-  static bool IsReported(const MemberEntry& entry) { return entry.live() && !entry.held; }
+  static bool IsReported(const MemberEntry& entry) { return entry.live() && !entry.damped; }
 
  private:
   void ApplyToSelf(const MemberRecord& record);
   bool MayOverrideNow(const MemberRecord& record);
-  void AddNew(const MemberRecord& record, bool pass_on);
-  void ApplyAlive(MemberEntry* entry, const MemberRecord& record, bool pass_on);
-  void ApplySuspect(MemberEntry* entry, const MemberRecord& record, bool pass_on);
-  void ApplyEnd(MemberEntry* entry, const MemberRecord& record, bool pass_on);
-  void ConfirmSuspicion(const MemberRecord& record, bool pass_on);
-  void PassOn(const MemberRecord& record, bool pass_on);
+  void AddNew(const MemberRecord& record, bool rebroadcast);
+  void ApplyAlive(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
+  void ApplySuspect(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
+  void ApplyDeadOrLeft(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
+  void ConfirmSuspicion(const MemberRecord& record, bool rebroadcast);
+  void EnqueueBroadcast(const MemberRecord& record, bool rebroadcast);
   void CountFlap(MemberEntry* entry);
   double FlapsNow(const MemberEntry& entry) const;
-  void HoldIfFlapping(MemberEntry* entry);
+  void DampIfFlapping(MemberEntry* entry);
   void Report(const MemberEntry& entry);
 
   runtime::Runtime* const runtime_;
@@ -72,7 +72,7 @@
   GossipMetrics* const metrics_;
   Owner* const owner_;
   MemberEntry* self_ = nullptr;
-  size_t held_count_ = 0;
+  size_t damped_count_ = 0;
   runtime::MonotonicTime next_override_{};
 };
 
--- a/src/posthatch/membership/state_sync.cc
+++ b/src/posthatch/membership/state_sync.cc
@@ -22,7 +22,7 @@
       sender_(sender),
       pull_timer_(runtime->timers) {}
 
-void StateSync::Offer(const std::string& endpoint) { SendDigest(endpoint, true, ""); }
+void StateSync::StartExchange(const std::string& endpoint) { SendDigest(endpoint, true, ""); }
 
 void StateSync::SendDigest(const std::string& endpoint, bool reply_wanted,
                            const std::string& record) {
@@ -42,13 +42,13 @@
   if (digest.joining() && table_->live_count() > 0) return;
   for (uint32_t bucket = 0; bucket < MemberTable::kBuckets; ++bucket) {
     if (digest.buckets(static_cast<int>(bucket)) != table_->digests()[bucket]) {
-      waiting_buckets_.push_back(bucket);
+      pending_buckets_.push_back(bucket);
     }
   }
-  differed_ = !waiting_buckets_.empty();
+  differed_ = !pending_buckets_.empty();
   if (!differed_) return;
-  std::shuffle(waiting_buckets_.begin(), waiting_buckets_.end(), *runtime_->random);
-  pull_size_ = waiting_buckets_.size();
+  std::shuffle(pending_buckets_.begin(), pending_buckets_.end(), *runtime_->random);
+  pull_bucket_count_ = pending_buckets_.size();
   pull_endpoint_ = from_endpoint;
   retries_ = 0;
   RequestWindow();
@@ -58,18 +58,18 @@
   MembershipMessage message;
   BucketRequest* request = message.mutable_bucket_request();
   request->set_request(++last_request_);
-  parts_seen_.clear();
+  received_parts_.clear();
   const size_t count =
-      std::min(waiting_buckets_.size(), static_cast<size_t>(options_->pull_window_buckets));
-  request->mutable_buckets()->Add(waiting_buckets_.end() - static_cast<ptrdiff_t>(count),
-                                  waiting_buckets_.end());
+      std::min(pending_buckets_.size(), static_cast<size_t>(options_->pull_window_buckets));
+  request->mutable_buckets()->Add(pending_buckets_.end() - static_cast<ptrdiff_t>(count),
+                                  pending_buckets_.end());
   sender_->SendPlain(pull_endpoint_, message);
   pull_timer_.Start(options_->pull_timeout, [this] { OnTimeout(); });
 }
 
 void StateSync::OnTimeout() {
   if (++retries_ > options_->pull_retries) {
-    waiting_buckets_.clear();
+    pending_buckets_.clear();
     return;
   }
   RequestWindow();
@@ -103,13 +103,13 @@
 
 void StateSync::OnBucketChunk(const BucketChunk& chunk) {
   if (!pulling() || chunk.request() != last_request_) return;
-  parts_seen_.insert(chunk.part());
-  if (parts_seen_.size() < chunk.parts()) return;
+  received_parts_.insert(chunk.part());
+  if (received_parts_.size() < chunk.parts()) return;
   retries_ = 0;
   const size_t count =
-      std::min(waiting_buckets_.size(), static_cast<size_t>(options_->pull_window_buckets));
-  waiting_buckets_.resize(waiting_buckets_.size() - count);
-  if (waiting_buckets_.empty()) {
+      std::min(pending_buckets_.size(), static_cast<size_t>(options_->pull_window_buckets));
+  pending_buckets_.resize(pending_buckets_.size() - count);
+  if (pending_buckets_.empty()) {
     FinishPull();
   } else {
     RequestWindow();
--- a/src/posthatch/membership/state_sync.h
+++ b/src/posthatch/membership/state_sync.h
@@ -25,7 +25,7 @@
   void set_on_pulled(std::function<void()> on_pulled) { on_pulled_ = std::move(on_pulled); }
 
   // Offers this process's digest to another; what follows goes by itself.
-  void Offer(const std::string& endpoint);
+  void StartExchange(const std::string& endpoint);
   void OnDigest(const std::string& from_endpoint, const Digest& digest,
                 const std::string& record_of_sender);
   void OnBucketRequest(const std::string& from_endpoint, const BucketRequest& request);
@@ -34,13 +34,13 @@
 
   // Whether the last comparison found a difference, or a pull is running.
   bool differed() const { return differed_; }
-  bool pulling() const { return !waiting_buckets_.empty(); }
+  bool pulling() const { return !pending_buckets_.empty(); }
   // Whether the running pull brings so much that the news in it should not be gossiped on.
-  bool pulling_much() const { return pulling() && pull_size_ > kMuch; }
+  bool pulling_many_buckets() const { return pulling() && pull_bucket_count_ > kLargePullBuckets; }
 
  private:
   // Buckets.
-  static constexpr size_t kMuch = 16;
+  static constexpr size_t kLargePullBuckets = 16;
 
   void SendDigest(const std::string& endpoint, bool reply_wanted, const std::string& record);
   void RequestWindow();
@@ -55,10 +55,10 @@
   runtime::Timer pull_timer_;
   bool differed_ = false;
   std::string pull_endpoint_;
-  std::vector<uint32_t> waiting_buckets_;  // the last ones are asked for first
+  std::vector<uint32_t> pending_buckets_;  // the last ones are asked for first
   uint64_t last_request_ = 0;
-  std::set<uint32_t> parts_seen_;
-  size_t pull_size_ = 0;
+  std::set<uint32_t> received_parts_;
+  size_t pull_bucket_count_ = 0;
   int retries_ = 0;
 };
 
--- a/src/posthatch/orders/revision_enforcer-test.cc
+++ b/src/posthatch/orders/revision_enforcer-test.cc
@@ -69,7 +69,7 @@
                              request.body});
           http::Response response;
           response.status = next_status_;
-          writer->SendWhole(response);
+          writer->SendResponse(response);
         });
     return std::shared_ptr<http::HttpServer>(std::move(*server));
   }
@@ -78,7 +78,7 @@
     auto enforcer = std::make_shared<RevisionEnforcer>(runtime, RevisionEnforcerOptions{}, &fleet_,
                                                        [this](const std::string&, uint64_t* token) {
                                                          *token = token_;
-                                                         return holds_worker_;
+                                                         return holds_worker_lease_;
                                                        });
     enforcer->Start();
     return enforcer;
@@ -90,7 +90,7 @@
   FakeFleet fleet_;
   std::vector<Order> orders_;
   int next_status_ = 200;
-  bool holds_worker_ = true;
+  bool holds_worker_lease_ = true;
   uint64_t token_ = 41;
 };
 
@@ -106,11 +106,11 @@
 }
 
 TEST_F(RevisionEnforcerTest, WithoutTheWorkersLeaseNothingIsOrdered) {
-  holds_worker_ = false;
+  holds_worker_lease_ = false;
   fleet_.SetRevision(3);
   world_.RunFor(seconds(10));
   EXPECT_TRUE(orders_.empty());
-  holds_worker_ = true;
+  holds_worker_lease_ = true;
   world_.RunFor(seconds(1));
   EXPECT_FALSE(orders_.empty());
 }
@@ -142,7 +142,7 @@
   fleet_.SetRevision(3);
   world_.RunFor(seconds(1));
   gateway_->Freeze();
-  holds_worker_ = false;  // the session ran out meanwhile
+  holds_worker_lease_ = false;  // the session ran out meanwhile
   const size_t before = orders_.size();
   world_.RunFor(seconds(25));
   gateway_->Thaw();
--- a/src/posthatch/orders/revision_enforcer.cc
+++ b/src/posthatch/orders/revision_enforcer.cc
@@ -12,7 +12,7 @@
 namespace posthatch::orders {
 namespace {
 
-constexpr int kNoAnswer = 0;
+constexpr int kNoResponse = 0;
 constexpr int kServed = 200;
 constexpr int kLoading = 202;
 constexpr int kStaleToken = 409;
@@ -25,15 +25,15 @@
       return "loading";
     case kStaleToken:
       return "stale_token";
-    case kNoAnswer:
+    case kNoResponse:
       return "no_answer";
     default:
       return "refused";
   }
 }
 
-http::Request MakeOrder(const control::ModelRevision& revision, uint64_t fencing_token,
-                        const std::string& gateway) {
+http::Request MakeLoadWeightsRequest(const control::ModelRevision& revision, uint64_t fencing_token,
+                                     const std::string& gateway) {
   boost::json::object body;
   body["model"] = revision.model();
   body["revision"] = revision.revision();
@@ -51,16 +51,16 @@
 }  // namespace
 
 RevisionEnforcer::RevisionEnforcer(runtime::Runtime* runtime, RevisionEnforcerOptions options,
-                                   control::FleetView* fleet, HoldsWorker holds_worker)
+                                   control::FleetView* fleet, HoldsWorkerLease holds_worker_lease)
     : runtime_(runtime),
       options_(options),
       fleet_(fleet),
-      holds_worker_(std::move(holds_worker)),
+      holds_worker_lease_(std::move(holds_worker_lease)),
       scan_timer_(runtime->timers) {
-  orders_counter_ = &prometheus::BuildCounter()
-                         .Name("posthatch_revision_orders_total")
-                         .Help("Orders to load weights that this gateway sent, by result")
-                         .Register(*runtime->metrics);
+  commands_counter_ = &prometheus::BuildCounter()
+                           .Name("posthatch_revision_orders_total")
+                           .Help("Orders to load weights that this gateway sent, by result")
+                           .Register(*runtime->metrics);
 }
 
 void RevisionEnforcer::Start() {
@@ -95,51 +95,51 @@
   if (revision == nullptr) return;
   WorkerProgress& progress = workers_[worker.id()];
   if (progress.call != nullptr || in_flight_ >= options_.max_in_flight) return;
-  const bool newer = revision->revision() > progress.ordered_revision;
-  if (!newer && runtime_->clock->Now() < progress.next_order) return;
+  const bool newer = revision->revision() > progress.commanded_revision;
+  if (!newer && runtime_->clock->Now() < progress.next_command_at) return;
   uint64_t fencing_token = 0;
-  if (!holds_worker_(worker.id(), &fencing_token)) return;
-  SendOrder(worker, *revision, fencing_token, &progress);
+  if (!holds_worker_lease_(worker.id(), &fencing_token)) return;
+  SendCommand(worker, *revision, fencing_token, &progress);
 }
 
-void RevisionEnforcer::SendOrder(const control::Backend& worker,
-                                 const control::ModelRevision& revision, uint64_t fencing_token,
-                                 WorkerProgress* progress) {
-  const uint64_t order = ++last_order_;
-  progress->order = order;
-  progress->ordered_revision = revision.revision();
+void RevisionEnforcer::SendCommand(const control::Backend& worker,
+                                   const control::ModelRevision& revision, uint64_t fencing_token,
+                                   WorkerProgress* progress) {
+  const uint64_t command_number = ++last_command_number_;
+  progress->command_number = command_number;
+  progress->commanded_revision = revision.revision();
   ++in_flight_;
   http::CallOptions call_options;
-  call_options.head_timeout = options_.order_timeout;
-  call_options.piece_timeout = options_.order_timeout;
-  auto status = std::make_shared<int>(kNoAnswer);
-  const auto ended = [this, worker_id = worker.id(), order, number = revision.revision(), status] {
-    OrderEnded(worker_id, order, number, *status);
-  };
+  call_options.head_timeout = options_.command_timeout;
+  call_options.body_idle_timeout = options_.command_timeout;
+  auto status = std::make_shared<int>(kNoResponse);
+  const auto ended = [this, worker_id = worker.id(), command_number, number = revision.revision(),
+                      status] { OnCommandEnded(worker_id, command_number, number, *status); };
   http::CallObserver observer;
   observer.on_head = [status](const http::Response& head) { *status = head.status; };
-  observer.on_piece = [](const std::string&) {};
+  observer.on_chunk = [](const std::string&) {};
   observer.on_end = ended;
   observer.on_error = [ended, status](const http::CallError&) {
-    *status = kNoAnswer;
+    *status = kNoResponse;
     ended();
   };
   progress->call = runtime_->http_client->Start(
-      worker.endpoint(), MakeOrder(revision, fencing_token, runtime_->transport->node_id()),
-      call_options, std::move(observer));
+      worker.endpoint(),
+      MakeLoadWeightsRequest(revision, fencing_token, runtime_->transport->node_id()), call_options,
+      std::move(observer));
 }
 
-void RevisionEnforcer::OrderEnded(const std::string& worker_id, uint64_t order, uint64_t revision,
-                                  int status) {
-  orders_counter_->Add({{"result", ResultLabel(status)}}).Increment();
+void RevisionEnforcer::OnCommandEnded(const std::string& worker_id, uint64_t command_number,
+                                      uint64_t revision, int status) {
+  commands_counter_->Add({{"result", ResultLabel(status)}}).Increment();
   const auto entry = workers_.find(worker_id);
-  if (entry == workers_.end() || entry->second.order != order) return;
+  if (entry == workers_.end() || entry->second.command_number != command_number) return;
   WorkerProgress& progress = entry->second;
   finished_.push_back(std::move(progress.call));
   --in_flight_;
-  progress.next_order = runtime_->clock->Now() +
-                        (status == kServed ? options_.check_interval : options_.retry_interval);
-  runtime_->trace->Event(runtime::Severity::kDebug, "RevisionOrderEnded",
+  progress.next_command_at = runtime_->clock->Now() + (status == kServed ? options_.check_interval
+                                                                         : options_.retry_interval);
+  runtime_->trace->Event(runtime::Severity::kDebug, "WeightLoadResponse",
                          {{"worker", worker_id}, {"revision", revision}, {"status", status}});
 }
 
--- a/src/posthatch/orders/revision_enforcer.h
+++ b/src/posthatch/orders/revision_enforcer.h
@@ -20,7 +20,7 @@
   runtime::Duration check_interval = std::chrono::seconds(2);
   // How often due orders are looked for; also at each change of the fleet state.
   runtime::Duration scan_interval = std::chrono::milliseconds(250);
-  runtime::Duration order_timeout = std::chrono::seconds(2);
+  runtime::Duration command_timeout = std::chrono::seconds(2);
   // Orders in flight at one time, over all workers.
   size_t max_in_flight = 64;
 };
@@ -33,39 +33,41 @@
 class RevisionEnforcer {
  public:
   // Whether this gateway holds the worker's lease now; sets the fencing token.
-  using HoldsWorker = std::function<bool(const std::string& worker_id, uint64_t* fencing_token)>;
+  using HoldsWorkerLease =
+      std::function<bool(const std::string& worker_id, uint64_t* fencing_token)>;
 
   RevisionEnforcer(runtime::Runtime* runtime, RevisionEnforcerOptions options,
-                   control::FleetView* fleet, HoldsWorker holds_worker);
+                   control::FleetView* fleet, HoldsWorkerLease holds_worker_lease);
   void Start();
 
  private:
   struct WorkerProgress {
-    uint64_t ordered_revision = 0;  // of the newest order; a newer one doesn't wait
-    runtime::MonotonicTime next_order;
+    uint64_t commanded_revision = 0;  // of the newest order; a newer one doesn't wait
+    runtime::MonotonicTime next_command_at;
     std::unique_ptr<http::Call> call;  // null: none in flight
-    uint64_t order = 0;                // number of the newest order; older answers are ignored
+    uint64_t command_number = 0;       // number of the newest order; older answers are ignored
   };
 
   void ScheduleScan();
   void Scan();
   void ScanWorker(const control::Backend& worker);
-  void SendOrder(const control::Backend& worker, const control::ModelRevision& revision,
-                 uint64_t fencing_token, WorkerProgress* progress);
-  void OrderEnded(const std::string& worker_id, uint64_t order, uint64_t revision, int status);
+  void SendCommand(const control::Backend& worker, const control::ModelRevision& revision,
+                   uint64_t fencing_token, WorkerProgress* progress);
+  void OnCommandEnded(const std::string& worker_id, uint64_t command_number, uint64_t revision,
+                      int status);
   const control::ModelRevision* NewestRevision(const std::string& model) const;
 
   runtime::Runtime* const runtime_;
   const RevisionEnforcerOptions options_;
   control::FleetView* const fleet_;
-  const HoldsWorker holds_worker_;
+  const HoldsWorkerLease holds_worker_lease_;
   runtime::Timer scan_timer_;
   std::map<std::string, WorkerProgress> workers_;
   size_t in_flight_ = 0;
-  uint64_t last_order_ = 0;
+  uint64_t last_command_number_ = 0;
   // Finished calls are destroyed at the next scan, never within their own callbacks.
   std::vector<std::unique_ptr<http::Call>> finished_;
-  prometheus::Family<prometheus::Counter>* orders_counter_ = nullptr;
+  prometheus::Family<prometheus::Counter>* commands_counter_ = nullptr;
 };
 
 }  // namespace posthatch::orders
--- a/src/posthatch/orders/rollout_coordinator-test.cc
+++ b/src/posthatch/orders/rollout_coordinator-test.cc
@@ -15,29 +15,29 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class TestOrderFormat : public OrderFormat {
+class TestWorkerCommandFormat : public WorkerCommandFormat {
  public:
-  http::Request OrderRequest(const LoadOrder& order) const override {
+  http::Request MakeLoadWeightsRequest(const LoadWeightsCommand& command) const override {
     http::Request request;
     request.method = "POST";
-    request.target = "/order/" + std::to_string(order.revision);
-    request.headers.Add("Token", std::to_string(order.fencing_token));
+    request.target = "/order/" + std::to_string(command.revision);
+    request.headers.Add("Token", std::to_string(command.fencing_token));
     return request;
   }
-  OrderAnswer ReadOrderAnswer(const http::Response& head) const override {
-    return head.status == 202   ? OrderAnswer::kTaken
-           : head.status == 412 ? OrderAnswer::kFenced
-                                : OrderAnswer::kUnclear;
+  WorkerCommandResult ParseCommandResult(const http::Response& head) const override {
+    return head.status == 202   ? WorkerCommandResult::kAccepted
+           : head.status == 412 ? WorkerCommandResult::kFenced
+                                : WorkerCommandResult::kUnknown;
   }
-  http::Request ReportRequest(const std::string&) const override {
+  http::Request MakeStatusRequest(const std::string&) const override {
     http::Request request;
     request.method = "GET";
     request.target = "/report";
     return request;
   }
-  absl::StatusOr<WorkerReport> ReadReport(const std::string& body,
-                                          const std::string&) const override {
-    WorkerReport report;
+  absl::StatusOr<WorkerStatus> ParseStatus(const std::string& body,
+                                           const std::string&) const override {
+    WorkerStatus report;
     report.revision = std::stoull(body);
     report.busy = report.revision == 0;
     return report;
@@ -55,11 +55,11 @@
     for (int i = 0; i < kWorkers; ++i) AddWorker("w" + std::to_string(i), i);
     controller_->SetBoot([this](runtime::Runtime* runtime) {
       RolloutOptions options;
-      options.holder = "controller";
+      options.issuer = "controller";
       RolloutCoordinator::Parts parts;
       parts.format = &format_;
       parts.fleet = [this]() -> const control::FleetState& { return fleet_; };
-      parts.may_order = [this] { return may_order_; };
+      parts.may_command = [this] { return may_order_; };
       parts.publish = [this] { Publish(); };
       coordinator_ = std::make_shared<RolloutCoordinator>(runtime, options, parts);
       return coordinator_;
@@ -78,7 +78,7 @@
           host->http_endpoint(), {},
           [this, id](const http::Request& request,
                      const std::shared_ptr<http::ResponseWriter>& writer) {
-            writer->SendWhole(AnswerFor(id, request));
+            writer->SendResponse(AnswerFor(id, request));
           });
       return std::shared_ptr<http::HttpServer>(std::move(*server));
     });
@@ -132,7 +132,7 @@
                        [&](const auto& entry) { return entry.second == revision; });
   }
 
-  TestOrderFormat format_;
+  TestWorkerCommandFormat format_;
   simulation::SimWorld world_;
   simulation::SimHost* controller_;
   control::FleetState fleet_;
--- a/src/posthatch/orders/rollout_coordinator.h
+++ b/src/posthatch/orders/rollout_coordinator.h
@@ -7,27 +7,27 @@
 #include <string>
 
 #include "posthatch/control/control.pb.h"
-#include "posthatch/orders/order_format.h"
+#include "posthatch/orders/worker_command_format.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::orders {
 
 struct RolloutOptions {
-  std::string holder;  // this machine's name in orders
+  std::string issuer;  // this machine's name in orders
   // How long a new leader leaves alone the workers that the former one may have ordered: its orders
   // are over by then. The others need no wait.
-  runtime::Duration handover = std::chrono::seconds(3);
+  runtime::Duration handover_period = std::chrono::seconds(3);
   // From the mark that keeps new requests away from a worker until it is ordered: the mark has
   // reached the gateways by then.
-  runtime::Duration notice = std::chrono::milliseconds(150);
-  runtime::Duration tick = std::chrono::milliseconds(50);
+  runtime::Duration announce_period = std::chrono::milliseconds(150);
+  runtime::Duration tick_interval = std::chrono::milliseconds(50);
   runtime::Duration poll_interval = std::chrono::milliseconds(200);
   runtime::Duration call_timeout = std::chrono::milliseconds(600);
   // A worker that isn't done by then gets its order again.
   runtime::Duration load_timeout = std::chrono::seconds(6);
   // Workers that load at one time, as a share of all workers of the model; twice as many may be
   // under way, since a worker ends its running requests first.
-  double loading_share = 0.2;
+  double max_loading_fraction = 0.2;
 };
 
 // Brings workers to the newest model revisions, a few at a time: one worker first, and the others
@@ -39,11 +39,11 @@
 class RolloutCoordinator {
  public:
   struct Parts {
-    const OrderFormat* format = nullptr;
+    const WorkerCommandFormat* format = nullptr;
     // The control state's fleet, as of the last applied command.
     std::function<const control::FleetState&()> fleet;
     // Whether this controller may order at this moment: it leads, and a majority confirms it.
-    std::function<bool()> may_order;
+    std::function<bool()> may_command;
     // The marks have changed: the inventory is to be published again.
     std::function<void()> publish;
   };
@@ -56,36 +56,36 @@
   // workers that load or are about to.
   void Annotate(control::Inventory* inventory) const;
 
-  size_t workers_under_way() const { return active_.size(); }
+  size_t workers_in_progress() const { return active_.size(); }
 
  private:
-  enum class Stage { kNotice, kOrdering, kLoading };
+  enum class Stage { kAnnounced, kCommandSent, kLoading };
   struct Progress {
     std::string model;
     std::string endpoint;
     uint64_t target = 0;
-    Stage stage = Stage::kNotice;
-    runtime::MonotonicTime since;      // of the stage
-    runtime::MonotonicTime next_poll;  // while loading
-    uint64_t call_number = 0;          // of the running call; answers to others are ignored
+    Stage stage = Stage::kAnnounced;
+    runtime::MonotonicTime stage_started_at;  // of the stage
+    runtime::MonotonicTime next_poll_at;      // while loading
+    uint64_t call_number = 0;                 // of the running call; answers to others are ignored
     std::unique_ptr<http::Call> call;
   };
 
   void Tick();
-  void StartWorkers();
-  size_t Limit(const std::string& model, size_t workers) const;
-  bool InHandover() const { return runtime_->clock->Now() < handover_until_; }
-  bool RecentlyOrdered(const std::string& worker_id) const;
+  void StartNextWorkers();
+  size_t MaxConcurrentWorkers(const std::string& model, size_t workers) const;
+  bool InLeaderHandover() const { return runtime_->clock->Now() < handover_until_; }
+  bool RecentlyCommanded(const std::string& worker_id) const;
   // The replicated inventory's entry of a worker; null if it has none.
-  const control::Backend* Published(const std::string& worker_id) const;
+  const control::Backend* FindPublished(const std::string& worker_id) const;
   void Advance(const std::string& worker_id, Progress* progress);
-  void SendOrder(const std::string& worker_id, Progress* progress);
-  void AskReport(const std::string& worker_id, Progress* progress);
+  void SendCommand(const std::string& worker_id, Progress* progress);
+  void RequestStatus(const std::string& worker_id, Progress* progress);
   void Call(const std::string& worker_id, Progress* progress, http::Request request,
             std::function<void(const http::Response*)> done);
-  void OnOrderAnswer(const std::string& worker_id, OrderAnswer answer);
-  void OnReport(const std::string& worker_id, const WorkerReport& report);
-  void Done(const std::string& worker_id);
+  void OnCommandResult(const std::string& worker_id, WorkerCommandResult response);
+  void OnStatus(const std::string& worker_id, const WorkerStatus& report);
+  void FinishWorker(const std::string& worker_id);
   uint64_t RevisionOf(const control::Backend& worker) const;
 
   runtime::Runtime* const runtime_;
@@ -96,9 +96,9 @@
   runtime::MonotonicTime handover_until_;
   uint64_t last_call_ = 0;
   std::map<std::string, Progress> active_;
-  std::map<std::string, runtime::MonotonicTime> ordered_at_;  // by worker, its last order
-  std::map<std::string, uint64_t> revisions_;                 // by worker, as seen in reports
-  std::map<std::string, uint64_t> proven_;  // by model: a worker serves this revision
+  std::map<std::string, runtime::MonotonicTime> commanded_at_;  // by worker, its last order
+  std::map<std::string, uint64_t> revisions_;                   // by worker, as seen in reports
+  std::map<std::string, uint64_t> proven_revisions_;  // by model: a worker serves this revision
   runtime::Timer tick_timer_;
 };
 
--- a/src/posthatch/rehearse/answer_losing_client.h
+++ b/src/posthatch/rehearse/answer_losing_client.h
@@ -25,8 +25,8 @@
   std::unique_ptr<http::Call> Start(const std::string& endpoint, http::Request request,
                                     http::CallOptions options,
                                     http::CallObserver observer) override;
-  bool HasKept(const std::string& endpoint, double share) const override {
-    return client_->HasKept(endpoint, share);
+  bool HasPooledConnection(const std::string& endpoint, double share) const override {
+    return client_->HasPooledConnection(endpoint, share);
   }
   uint64_t lost_answers() const { return lost_answers_; }
 
--- a/src/posthatch/rehearse/rehearsal.cc
+++ b/src/posthatch/rehearse/rehearsal.cc
@@ -32,8 +32,8 @@
 constexpr runtime::Duration kRotationInterval = std::chrono::seconds(3);
 constexpr const char* kProbeTenant = "key-probe";
 
-std::vector<std::string> EndpointsOf(const std::vector<ProcessInfo>& processes,
-                                     const std::vector<Role>& roles) {
+std::vector<std::string> LiveEndpoints(const std::vector<ProcessInfo>& processes,
+                                       const std::vector<Role>& roles) {
   std::vector<std::string> endpoints;
   for (const ProcessInfo& process : processes) {
     if (std::find(roles.begin(), roles.end(), process.role) != roles.end()) {
@@ -180,9 +180,9 @@
 
 void Rehearsal::Impl::ProcessesChanged() {
   const std::vector<ProcessInfo> processes = fleet_->processes();
-  const std::vector<std::string> gateways = EndpointsOf(processes, {Role::kGateway});
+  const std::vector<std::string> gateways = LiveEndpoints(processes, {Role::kGateway});
   const std::vector<std::string> nodes =
-      EndpointsOf(processes, {Role::kGateway, Role::kController});
+      LiveEndpoints(processes, {Role::kGateway, Role::kController});
   load_->SetGateways(gateways);
   probe_->SetGateways(gateways);
   for (const auto& one : {&first_operator_, &second_operator_, &rotating_operator_}) {
@@ -264,7 +264,7 @@
       fleet_->runtime(), OperatorNamed("final-reader", {}, {}), fleet_->recorder());
   size_t open = 0;
   for (const std::string& node :
-       EndpointsOf(fleet_->processes(), {Role::kGateway, Role::kController})) {
+       LiveEndpoints(fleet_->processes(), {Role::kGateway, Role::kController})) {
     ++open;
     reader->ReadState(node, [&open](bool) { --open; });
   }
--- a/src/posthatch/rehearse/simulated_fleet.cc
+++ b/src/posthatch/rehearse/simulated_fleet.cc
@@ -288,7 +288,7 @@
 absl::Status SimulatedFleet::SetLink(const std::string& from, const std::string& to,
                                      LinkState state) {
   if (state.cut) {
-    world_.Cut(from, to);
+    world_.Partition(from, to);
   } else {
     world_.Heal(from, to);
   }
--- a/src/posthatch/rehearse/stand_in_control.cc
+++ b/src/posthatch/rehearse/stand_in_control.cc
@@ -45,11 +45,11 @@
   pending_[id] = pending;
   http::CallOptions options;
   options.head_timeout = kAnswerTimeout;
-  options.piece_timeout = kAnswerTimeout;
+  options.body_idle_timeout = kAnswerTimeout;
   options.fresh_connection = true;
   http::CallObserver observer;
   observer.on_head = [pending](const http::Response& head) { pending->status = head.status; };
-  observer.on_piece = [pending](const std::string& piece) { pending->body += piece; };
+  observer.on_chunk = [pending](const std::string& piece) { pending->body += piece; };
   observer.on_end = [this, id, pending] {
     const bool good = pending->status >= kOk && pending->status < kFirstRedirect;
     Finish(id, good ? absl::OkStatus()
--- a/src/posthatch/runtime/file_system.h
+++ b/src/posthatch/runtime/file_system.h
@@ -14,7 +14,7 @@
 struct FileOperation {
   enum class Kind {
     kAppend,           // add `data` at the end of `path`, creating the file
-    kWriteWhole,       // replace the content of `path` by `data`, creating the file
+    kFullWrite,        // replace the content of `path` by `data`, creating the file
     kSync,             // make the content of `path` durable
     kSyncDirectory,    // make the entries (creations, renames, removals) of folder `path` durable
     kRename,           // rename `path` to `target`, replacing it
--- a/src/posthatch/simulation/host_executor.cc
+++ b/src/posthatch/simulation/host_executor.cc
@@ -10,29 +10,29 @@
   --executing_;
 }
 
-void HostExecutor::Run(uint64_t life, Work work, Callback callback) {
-  if (life != life_ || life == 0) return;
+void HostExecutor::Run(uint64_t process_id, Work work, Callback callback) {
+  if (process_id != process_id_ || process_id == 0) return;
   const bool waking = !deferred_timers_.empty() || !deferred_network_.empty();
   if (!frozen_ && !(waking && work != Work::kTimer)) {
     Execute(&callback);
     return;
   }
   if (work == Work::kTimer) {
-    deferred_timers_.push_back(Deferred{life, std::move(callback)});
+    deferred_timers_.push_back(Deferred{process_id, std::move(callback)});
     return;
   }
   if (work == Work::kDatagram && ++waiting_datagrams_ > kMaxWaitingDatagrams) return;
-  deferred_network_.push_back(Deferred{life, std::move(callback)});
+  deferred_network_.push_back(Deferred{process_id, std::move(callback)});
 }
 
-void HostExecutor::BeginLife(uint64_t life) {
-  life_ = life;
+void HostExecutor::StartProcess(uint64_t process_id) {
+  process_id_ = process_id;
   powered_ = true;
   frozen_ = false;
 }
 
-void HostExecutor::EndLife(bool power_lost) {
-  life_ = 0;
+void HostExecutor::EndProcess(bool power_lost) {
+  process_id_ = 0;
   powered_ = !power_lost;
   frozen_ = false;
   waiting_datagrams_ = 0;
@@ -53,7 +53,7 @@
     while (!frozen_ && !deferred->empty()) {
       Deferred next = std::move(deferred->front());
       deferred->pop_front();
-      if (next.life == life_) Execute(&next.callback);
+      if (next.process_id == process_id_) Execute(&next.callback);
     }
   }
   if (!frozen_) waiting_datagrams_ = 0;
--- a/src/posthatch/simulation/host_executor.h
+++ b/src/posthatch/simulation/host_executor.h
@@ -25,8 +25,8 @@
   uint32_t number() const { return number_; }
   const std::string& name() const { return name_; }
   // The running life, or 0 when the process is not running.
-  uint64_t life() const { return life_; }
-  bool running() const { return life_ != 0; }
+  uint64_t process_id() const { return process_id_; }
+  bool running() const { return process_id_ != 0; }
   bool frozen() const { return frozen_; }
   // False after a power loss until the next start: nothing answers, not even the kernel.
   bool powered() const { return powered_; }
@@ -34,10 +34,10 @@
   bool executing() const { return executing_ > 0; }
 
   // Runs `callback` if `life` is the running one: at once, or after Thaw when frozen.
-  void Run(uint64_t life, Work work, Callback callback);
+  void Run(uint64_t process_id, Work work, Callback callback);
 
-  void BeginLife(uint64_t life);
-  void EndLife(bool power_lost);
+  void StartProcess(uint64_t process_id);
+  void EndProcess(bool power_lost);
   void Freeze() { frozen_ = running(); }
   // Whether timers or the network come first on waking is the caller's choice.
   void Thaw(bool timers_first);
@@ -45,7 +45,7 @@
  private:
   static constexpr size_t kMaxWaitingDatagrams = 64;
   struct Deferred {
-    uint64_t life;
+    uint64_t process_id;
     Callback callback;
   };
   void RunDeferred(bool timers_first);
@@ -54,7 +54,7 @@
   EventQueue* const queue_;
   const uint32_t number_;
   const std::string name_;
-  uint64_t life_ = 0;
+  uint64_t process_id_ = 0;
   bool frozen_ = false;
   bool powered_ = true;
   int executing_ = 0;
--- a/src/posthatch/simulation/http_connection.cc
+++ b/src/posthatch/simulation/http_connection.cc
@@ -19,7 +19,7 @@
     : core_(core),
       id_(core->NextId()),
       client_(client),
-      client_life_(client->life()),
+      client_process_id_(client->process_id()),
       endpoint_(std::move(endpoint)) {}
 
 void HttpConnection::Connect(std::shared_ptr<ClientEnd> end) {
@@ -31,7 +31,7 @@
     return self == nullptr || self->client_closed_ ? 0 : self->AcceptAtServer();
   });
   request_pipe_->set_on_error([weak = weak_from_this()] {
-    if (const auto self = weak.lock()) self->ClientSeesClose();
+    if (const auto self = weak.lock()) self->OnServerClosed();
   });
   // The first, empty message stands for the handshake; the server's kernel answers it.
   request_pipe_->Push(0, id_, [] {});
@@ -42,13 +42,14 @@
   return server == nullptr ? 0 : server->Accept(shared_from_this());
 }
 
-void HttpConnection::Accepted(HostExecutor* server, std::shared_ptr<ServerEnd> end) {
+void HttpConnection::OnAccepted(HostExecutor* server, std::shared_ptr<ServerEnd> end) {
   server_ = server;
-  server_life_ = server->life();
+  server_process_id_ = server->process_id();
   server_end_ = std::move(end);
-  response_pipe_ = std::make_shared<Pipe>(core_, TraceKind::kHttp, server_, client_, client_life_);
+  response_pipe_ =
+      std::make_shared<Pipe>(core_, TraceKind::kHttp, server_, client_, client_process_id_);
   response_pipe_->set_on_error([weak = weak_from_this()] {
-    if (const auto self = weak.lock()) self->ServerSeesClose();
+    if (const auto self = weak.lock()) self->OnClientClosed();
   });
   PushToClient(0, id_, {}, [](ClientEnd* end, http::Response*) { end->OnConnected(); });
 }
@@ -90,13 +91,13 @@
                [](ClientEnd* end, http::Response* content) { end->OnHead(*content); });
 }
 
-void HttpConnection::SendPiece(std::string piece) {
-  const uint64_t digest = Digest(piece, id_);
-  const size_t bytes = piece.size();
+void HttpConnection::SendChunk(std::string chunk) {
+  const uint64_t digest = Digest(chunk, id_);
+  const size_t bytes = chunk.size();
   http::Response content;
-  content.body = std::move(piece);
+  content.body = std::move(chunk);
   PushToClient(bytes, digest, std::move(content), [](ClientEnd* end, http::Response* content) {
-    end->OnPiece(std::move(content->body));
+    end->OnChunk(std::move(content->body));
   });
 }
 
@@ -104,10 +105,10 @@
   PushToClient(1, id_, {}, [](ClientEnd* end, http::Response*) { end->OnEnd(); });
 }
 
-void HttpConnection::SendWhole(http::Response response) {
+void HttpConnection::SendResponse(http::Response response) {
   std::string body = std::move(response.body);
   SendHead(std::move(response));
-  if (!body.empty()) SendPiece(std::move(body));
+  if (!body.empty()) SendChunk(std::move(body));
   SendEnd();
 }
 
@@ -117,12 +118,12 @@
   const std::shared_ptr<ClientEnd> end = std::move(client_end_);
   client_end_ = nullptr;
   Callback deliver = [weak = weak_from_this()] {
-    if (const auto self = weak.lock()) self->ServerSeesClose();
+    if (const auto self = weak.lock()) self->OnClientClosed();
   };
-  if (client_life_ == client_->life()) {
+  if (client_process_id_ == client_->process_id()) {
     request_pipe_->Push(0, id_, std::move(deliver));
   } else {
-    request_pipe_->SenderGone(client_->powered() ? std::move(deliver) : nullptr);
+    request_pipe_->CloseSender(client_->powered() ? std::move(deliver) : nullptr);
   }
   if (response_pipe_ != nullptr) response_pipe_->ResumeReading();
 }
@@ -133,31 +134,31 @@
   const std::shared_ptr<ServerEnd> end = std::move(server_end_);
   server_end_ = nullptr;
   Callback deliver = [weak = weak_from_this()] {
-    if (const auto self = weak.lock()) self->ClientSeesClose();
+    if (const auto self = weak.lock()) self->OnServerClosed();
   };
-  if (server_life_ == server_->life()) {
+  if (server_process_id_ == server_->process_id()) {
     response_pipe_->Push(0, id_, std::move(deliver));
   } else {
-    response_pipe_->SenderGone(server_->powered() ? std::move(deliver) : nullptr);
+    response_pipe_->CloseSender(server_->powered() ? std::move(deliver) : nullptr);
   }
 }
 
-void HttpConnection::ClientSeesClose() {
+void HttpConnection::OnServerClosed() {
   if (client_closed_) return;
   const std::shared_ptr<ClientEnd> end = client_end_;
   CloseClient();
   if (end != nullptr) end->OnClosed();
 }
 
-void HttpConnection::ServerSeesClose() {
+void HttpConnection::OnClientClosed() {
   if (server_closed_) return;
   const std::shared_ptr<ServerEnd> end = server_end_;
   CloseServer();
   if (end != nullptr) end->OnClosed();
 }
 
-void HttpConnection::PauseReading() {
-  if (response_pipe_ != nullptr) response_pipe_->PauseReading();
+void HttpConnection::StopReading() {
+  if (response_pipe_ != nullptr) response_pipe_->StopReading();
 }
 
 void HttpConnection::ResumeReading() {
--- a/src/posthatch/simulation/http_connection.h
+++ b/src/posthatch/simulation/http_connection.h
@@ -19,7 +19,7 @@
     virtual ~ClientEnd() = default;
     virtual void OnConnected() = 0;
     virtual void OnHead(const http::Response& head) = 0;
-    virtual void OnPiece(std::string piece) = 0;
+    virtual void OnChunk(std::string chunk) = 0;
     virtual void OnEnd() = 0;
     virtual void OnClosed() = 0;
   };
@@ -42,15 +42,15 @@
   void CloseClient();
   // Whether another request may be sent, as far as the client knows.
   bool client_open() const { return !client_closed_; }
-  void PauseReading();
+  void StopReading();
   void ResumeReading();
 
   // Server's side.
-  void Accepted(HostExecutor* server, std::shared_ptr<ServerEnd> end);
+  void OnAccepted(HostExecutor* server, std::shared_ptr<ServerEnd> end);
   void SendHead(http::Response head);
-  void SendPiece(std::string piece);
+  void SendChunk(std::string chunk);
   void SendEnd();
-  void SendWhole(http::Response response);
+  void SendResponse(http::Response response);
   void CloseServer();
   size_t response_buffered_bytes() const;
   void NotifyWritable(size_t threshold, Callback callback);
@@ -60,16 +60,16 @@
 
   uint64_t AcceptAtServer();
   void PushToClient(size_t bytes, uint64_t digest, http::Response content, ClientAction action);
-  void ClientSeesClose();
-  void ServerSeesClose();
+  void OnServerClosed();
+  void OnClientClosed();
 
   WorldCore* const core_;
   const uint64_t id_;
   HostExecutor* const client_;
-  const uint64_t client_life_;
+  const uint64_t client_process_id_;
   const std::string endpoint_;
   HostExecutor* server_ = nullptr;
-  uint64_t server_life_ = 0;
+  uint64_t server_process_id_ = 0;
   std::shared_ptr<Pipe> request_pipe_;
   std::shared_ptr<Pipe> response_pipe_;  // null until accepted
   std::shared_ptr<ClientEnd> client_end_;
--- a/src/posthatch/simulation/network.cc
+++ b/src/posthatch/simulation/network.cc
@@ -10,7 +10,7 @@
   }
 }
 
-runtime::Duration Network::DrawDelay(uint32_t from, uint32_t to) {
+runtime::Duration Network::SampleDelay(uint32_t from, uint32_t to) {
   runtime::Duration delay = random_->Between(behaviour_.min_delay, behaviour_.max_delay);
   if (!slow_links_.empty()) {
     const auto found = slow_links_.find(Key(from, to));
--- a/src/posthatch/simulation/network.h
+++ b/src/posthatch/simulation/network.h
@@ -25,17 +25,17 @@
   void set_behaviour(const NetworkBehaviour& behaviour) { behaviour_ = behaviour; }
   const NetworkBehaviour& behaviour() const { return behaviour_; }
 
-  void Cut(uint32_t from, uint32_t to) { cuts_.insert(Key(from, to)); }
-  void Heal(uint32_t from, uint32_t to) { cuts_.erase(Key(from, to)); }
-  void HealAll() { cuts_.clear(); }
+  void Partition(uint32_t from, uint32_t to) { partitions_.insert(Key(from, to)); }
+  void Heal(uint32_t from, uint32_t to) { partitions_.erase(Key(from, to)); }
+  void HealAll() { partitions_.clear(); }
   void SlowLink(uint32_t from, uint32_t to, runtime::Duration extra_delay);
 
   // Whether nothing gets through from one host to another just now.
-  bool IsCut(uint32_t from, uint32_t to) const {
-    return !cuts_.empty() && cuts_.contains(Key(from, to));
+  bool IsPartitioned(uint32_t from, uint32_t to) const {
+    return !partitions_.empty() && partitions_.contains(Key(from, to));
   }
   // A delay for one message, drawn by seed.
-  runtime::Duration DrawDelay(uint32_t from, uint32_t to);
+  runtime::Duration SampleDelay(uint32_t from, uint32_t to);
 
   // The first host added with an ip is the machine that answers for unused ports of it.
   void AddAddress(const std::string& ip, HostExecutor* host);
@@ -58,7 +58,7 @@
 
   runtime::Random* const random_;
   NetworkBehaviour behaviour_;
-  absl::flat_hash_set<uint64_t> cuts_;
+  absl::flat_hash_set<uint64_t> partitions_;
   absl::flat_hash_map<uint64_t, runtime::Duration> slow_links_;
   absl::flat_hash_map<std::string, HostExecutor*> addresses_;
   absl::flat_hash_map<std::string, std::pair<HostExecutor*, SimTransport*>> transports_;
--- a/src/posthatch/simulation/pipe.cc
+++ b/src/posthatch/simulation/pipe.cc
@@ -8,31 +8,32 @@
 
 // Of the stream messages hit by loss, the share whose connection breaks instead of waiting for a
 // retransmission.
-constexpr double kBreakPerLoss = 0.1;
+constexpr double kBreakProbabilityOnLoss = 0.1;
 // Chance that a reset is noticed late, and how late at most.
-constexpr double kLateReset = 0.2;
-constexpr runtime::Duration kMaxResetLateness = std::chrono::seconds(3);
+constexpr double kDelayedResetProbability = 0.2;
+constexpr runtime::Duration kMaxResetDelay = std::chrono::seconds(3);
 
 }  // namespace
 
-Pipe::Pipe(WorldCore* core, TraceKind kind, HostExecutor* from, HostExecutor* to, uint64_t to_life)
+Pipe::Pipe(WorldCore* core, TraceKind kind, HostExecutor* from, HostExecutor* to,
+           uint64_t to_process_id)
     : core_(core),
       kind_(kind),
       from_(from),
-      from_life_(from->life()),
+      from_process_id_(from->process_id()),
       to_(to),
-      to_life_(to_life),
+      to_process_id_(to_process_id),
       last_arrival_(core->queue.now()),
       stall_limit_(core->random.Between(kMinStall, kMaxStall)) {}
 
 void Pipe::AddSetupDelay() {
   if (to_ == nullptr) return;
-  last_arrival_ += core_->network.DrawDelay(from_->number(), to_->number()) +
-                   core_->network.DrawDelay(to_->number(), from_->number());
+  last_arrival_ += core_->network.SampleDelay(from_->number(), to_->number()) +
+                   core_->network.SampleDelay(to_->number(), from_->number());
 }
 
 void Pipe::Push(size_t bytes, uint64_t digest, Callback deliver) {
-  if (broken_ || sender_gone_) return;
+  if (broken_ || sender_closed_) return;
   Message message{{}, bytes, digest, std::move(deliver)};
   if (buffered_.empty() && window_bytes_ < kWindowBytes) {
     Transmit(std::move(message));
@@ -46,13 +47,13 @@
   runtime::MonotonicTime earliest = core_->queue.now();
   const NetworkBehaviour& behaviour = core_->network.behaviour();
   if (behaviour.loss > 0 && core_->random.Chance(behaviour.loss)) {
-    if (core_->random.Chance(kBreakPerLoss)) {
+    if (core_->random.Chance(kBreakProbabilityOnLoss)) {
       Fail(runtime::Duration(0));
       return;
     }
-    earliest += kRetransmission;
+    earliest += kRetransmitDelay;
   }
-  if (to_ != nullptr) earliest += core_->network.DrawDelay(from_->number(), to_->number());
+  if (to_ != nullptr) earliest += core_->network.SampleDelay(from_->number(), to_->number());
   last_arrival_ = std::max(last_arrival_, earliest);
   message.arrival = last_arrival_;
   window_bytes_ += message.bytes;
@@ -79,8 +80,8 @@
 }
 
 bool Pipe::Stalled() {
-  const bool blocked =
-      to_ == nullptr || !to_->powered() || core_->network.IsCut(from_->number(), to_->number());
+  const bool blocked = to_ == nullptr || !to_->powered() ||
+                       core_->network.IsPartitioned(from_->number(), to_->number());
   if (!blocked) {
     stalled_ = false;
     return false;
@@ -91,18 +92,18 @@
   if (now - stalled_since_ >= stall_limit_) {
     Fail(runtime::Duration(0));
   } else {
-    ScheduleArrival(now + kRetransmission);
+    ScheduleArrival(now + kRetransmitDelay);
   }
   return true;
 }
 
 bool Pipe::BindReceiver() {
-  if (to_life_ == 0 && accept_) {
+  if (to_process_id_ == 0 && accept_) {
     Accept accept = std::move(accept_);
     accept_ = nullptr;
-    to_life_ = accept();
+    to_process_id_ = accept();
   }
-  if (to_life_ != 0 && to_life_ == to_->life()) return !broken_;
+  if (to_process_id_ != 0 && to_process_id_ == to_->process_id()) return !broken_;
   // Nobody listens, or the process that did is gone: its kernel answers with a reset.
   Reset();
   return false;
@@ -110,9 +111,9 @@
 
 void Pipe::Reset() {
   if (broken_) return;
-  runtime::Duration delay = core_->network.DrawDelay(to_->number(), from_->number());
-  if (core_->random.Chance(kLateReset)) {
-    delay += core_->random.Between(runtime::Duration(0), kMaxResetLateness);
+  runtime::Duration delay = core_->network.SampleDelay(to_->number(), from_->number());
+  if (core_->random.Chance(kDelayedResetProbability)) {
+    delay += core_->random.Between(runtime::Duration(0), kMaxResetDelay);
   }
   Fail(delay);
 }
@@ -121,21 +122,22 @@
   Callback on_error = std::move(on_error_);
   Break();
   if (!on_error) return;
-  core_->queue.ScheduleAfter(
-      delay, [from = from_, life = from_life_, on_error = std::move(on_error)]() mutable {
-        from->Run(life, HostExecutor::Work::kNetwork, std::move(on_error));
-      });
+  core_->queue.ScheduleAfter(delay, [from = from_, process_id = from_process_id_,
+                                     on_error = std::move(on_error)]() mutable {
+    from->Run(process_id, HostExecutor::Work::kNetwork, std::move(on_error));
+  });
 }
 
 void Pipe::RequestDrain() {
   if (drain_requested_ || paused_ || unread_.empty()) return;
   drain_requested_ = true;
-  to_->Run(to_life_, HostExecutor::Work::kNetwork, [self = shared_from_this()] { self->Drain(); });
+  to_->Run(to_process_id_, HostExecutor::Work::kNetwork,
+           [self = shared_from_this()] { self->Drain(); });
 }
 
 void Pipe::Drain() {
   drain_requested_ = false;
-  while (!broken_ && !paused_ && !unread_.empty() && to_->life() == to_life_) {
+  while (!broken_ && !paused_ && !unread_.empty() && to_->process_id() == to_process_id_) {
     Message message = unread_.pop_front();
     window_bytes_ -= message.bytes;
     core_->Mix(kind_, to_->number(), from_->number(),
@@ -143,7 +145,7 @@
     message.deliver();
   }
   if (!broken_ && !buffered_.empty() && window_bytes_ < kWindowBytes) {
-    from_->Run(from_life_, HostExecutor::Work::kNetwork,
+    from_->Run(from_process_id_, HostExecutor::Work::kNetwork,
                [self = shared_from_this()] { self->Refill(); });
   }
 }
@@ -167,9 +169,9 @@
   if (broken_ || !on_writable_ || buffered_bytes_ >= writable_threshold_) return;
   Callback callback = std::move(on_writable_);
   on_writable_ = nullptr;
-  core_->queue.ScheduleAfter(runtime::Duration(0), [from = from_, life = from_life_,
+  core_->queue.ScheduleAfter(runtime::Duration(0), [from = from_, process_id = from_process_id_,
                                                     callback = std::move(callback)]() mutable {
-    from->Run(life, HostExecutor::Work::kNetwork, std::move(callback));
+    from->Run(process_id, HostExecutor::Work::kNetwork, std::move(callback));
   });
 }
 
@@ -179,9 +181,9 @@
                              [self = shared_from_this()] { self->RequestDrain(); });
 }
 
-void Pipe::SenderGone(Callback deliver) {
-  if (broken_ || sender_gone_) return;
-  sender_gone_ = true;
+void Pipe::CloseSender(Callback deliver) {
+  if (broken_ || sender_closed_) return;
+  sender_closed_ = true;
   buffered_.clear();
   buffered_bytes_ = 0;
   on_error_ = nullptr;
@@ -192,9 +194,9 @@
     network_.clear();
   }
   if (!deliver) return;
-  if (core_->random.Chance(kLateReset)) {
+  if (core_->random.Chance(kDelayedResetProbability)) {
     last_arrival_ = std::max(last_arrival_, core_->queue.now()) +
-                    core_->random.Between(runtime::Duration(0), kMaxResetLateness);
+                    core_->random.Between(runtime::Duration(0), kMaxResetDelay);
   }
   Transmit(Message{{}, 0, 0, std::move(deliver)});
 }
--- a/src/posthatch/simulation/pipe.h
+++ b/src/posthatch/simulation/pipe.h
@@ -18,8 +18,9 @@
   // Binds the receiving process when the first message arrives: its life, or 0 if it refuses.
   using Accept = absl::AnyInvocable<uint64_t()>;
 
-  // `to` may be null: nobody has the address. `to_life` is 0 until `accept` binds it.
-  Pipe(WorldCore* core, TraceKind kind, HostExecutor* from, HostExecutor* to, uint64_t to_life);
+  // `to` may be null: nobody has the address. `to_process_id` is 0 until `accept` binds it.
+  Pipe(WorldCore* core, TraceKind kind, HostExecutor* from, HostExecutor* to,
+       uint64_t to_process_id);
 
   // Holds the first message back for the time that setting up a connection takes.
   void AddSetupDelay();
@@ -33,20 +34,20 @@
   // Ends the pipe from the sender's side although messages may be on the way: what is still in the
   // sender's buffer is lost. `deliver`, if given, follows at the receiver (the reset), some time
   // late by seed.
-  void SenderGone(Callback deliver);
+  void CloseSender(Callback deliver);
   // Breaks as if the receiver had answered with a reset.
   void Reset();
   // Drops everything; nothing runs any more at either end.
   void Break();
 
   bool broken() const { return broken_; }
-  bool established() const { return to_life_ != 0; }
+  bool established() const { return to_process_id_ != 0; }
   // Bytes not yet handed to the network.
   size_t buffered_bytes() const { return buffered_bytes_; }
   // Runs `callback` once at the sender when fewer than `threshold` bytes are buffered.
   void NotifyWritable(size_t threshold, Callback callback);
 
-  void PauseReading() { paused_ = true; }
+  void StopReading() { paused_ = true; }
   void ResumeReading();
 
  private:
@@ -57,7 +58,7 @@
     Callback deliver;
   };
   static constexpr size_t kWindowBytes = size_t{256} * 1024;
-  static constexpr runtime::Duration kRetransmission = std::chrono::milliseconds(200);
+  static constexpr runtime::Duration kRetransmitDelay = std::chrono::milliseconds(200);
   static constexpr runtime::Duration kMinStall = std::chrono::seconds(8);
   static constexpr runtime::Duration kMaxStall = std::chrono::seconds(16);
 
@@ -76,9 +77,9 @@
   WorldCore* const core_;
   const TraceKind kind_;
   HostExecutor* const from_;
-  const uint64_t from_life_;
+  const uint64_t from_process_id_;
   HostExecutor* const to_;
-  uint64_t to_life_;
+  uint64_t to_process_id_;
   Accept accept_;
   Callback on_error_;
 
@@ -97,7 +98,7 @@
   bool drain_requested_ = false;
   bool paused_ = false;
   bool broken_ = false;
-  bool sender_gone_ = false;
+  bool sender_closed_ = false;
 };
 
 }  // namespace posthatch::simulation
--- a/src/posthatch/simulation/sim_call.cc
+++ b/src/posthatch/simulation/sim_call.cc
@@ -46,9 +46,10 @@
 
 void SimCall::OnHead(const http::Response& head) {
   timer_.Cancel();
-  progress_ = CallProgress::kAnswered;
-  last_piece_ = client_->clock()->Now();
-  if (options_.piece_timeout > runtime::Duration(0)) StartPieceTimer(options_.piece_timeout);
+  progress_ = CallProgress::kHeadReceived;
+  last_chunk_at_ = client_->clock()->Now();
+  if (options_.body_idle_timeout > runtime::Duration(0))
+    StartBodyIdleTimer(options_.body_idle_timeout);
   const auto self = shared_from_this();
   ++running_callbacks_;
   if (observer_.on_head) observer_.on_head(head);
@@ -56,30 +57,30 @@
   ReleaseObserver();
 }
 
-void SimCall::StartPieceTimer(runtime::Duration delay) {
-  timer_.Start(delay, [this] { CheckPieceSilence(); });
+void SimCall::StartBodyIdleTimer(runtime::Duration delay) {
+  timer_.Start(delay, [this] { CheckBodyIdle(); });
 }
 
-void SimCall::CheckPieceSilence() {
-  if (paused_) last_piece_ = client_->clock()->Now();
-  const runtime::Duration silence = client_->clock()->Now() - last_piece_;
-  if (silence >= options_.piece_timeout) {
+void SimCall::CheckBodyIdle() {
+  if (paused_) last_chunk_at_ = client_->clock()->Now();
+  const runtime::Duration idle = client_->clock()->Now() - last_chunk_at_;
+  if (idle >= options_.body_idle_timeout) {
     Fail(absl::DeadlineExceededError("no piece of the body in time"));
   } else {
-    StartPieceTimer(options_.piece_timeout - silence);
+    StartBodyIdleTimer(options_.body_idle_timeout - idle);
   }
 }
 
-void SimCall::OnPiece(std::string piece) {
-  last_piece_ = client_->clock()->Now();
-  body_bytes_ += piece.size();
+void SimCall::OnChunk(std::string chunk) {
+  last_chunk_at_ = client_->clock()->Now();
+  body_bytes_ += chunk.size();
   if (body_bytes_ > options_.max_body_bytes) {
     Fail(absl::DataLossError("body longer than allowed"));
     return;
   }
   const auto self = shared_from_this();
   ++running_callbacks_;
-  if (observer_.on_piece) observer_.on_piece(std::move(piece));
+  if (observer_.on_chunk) observer_.on_chunk(std::move(chunk));
   --running_callbacks_;
   ReleaseObserver();
 }
@@ -120,7 +121,7 @@
   connection->set_client_end(nullptr);
   if (keep && connection->client_open()) {
     if (paused_) connection->ResumeReading();
-    client_->Keep(endpoint_, connection);
+    client_->ReturnToPool(endpoint_, connection);
   } else {
     connection->CloseClient();
   }
@@ -138,16 +139,16 @@
   Finish(false);
 }
 
-void SimCall::PauseReading() {
+void SimCall::StopReading() {
   if (done_ || paused_) return;
   paused_ = true;
-  connection_->PauseReading();
+  connection_->StopReading();
 }
 
 void SimCall::ResumeReading() {
   if (done_ || !paused_) return;
   paused_ = false;
-  last_piece_ = client_->clock()->Now();
+  last_chunk_at_ = client_->clock()->Now();
   connection_->ResumeReading();
 }
 
--- a/src/posthatch/simulation/sim_call.h
+++ b/src/posthatch/simulation/sim_call.h
@@ -20,19 +20,19 @@
 
   void Begin();
   void Cancel();
-  void PauseReading();
+  void StopReading();
   void ResumeReading();
 
   void OnConnected() override;
   void OnHead(const http::Response& head) override;
-  void OnPiece(std::string piece) override;
+  void OnChunk(std::string chunk) override;
   void OnEnd() override;
   void OnClosed() override;
 
  private:
   void SendRequest();
-  void StartPieceTimer(runtime::Duration delay);
-  void CheckPieceSilence();
+  void StartBodyIdleTimer(runtime::Duration delay);
+  void CheckBodyIdle();
   void Fail(absl::Status status);
   // Called after each callback: frees an observer that ended the call from within.
   void ReleaseObserver();
@@ -47,7 +47,7 @@
   std::shared_ptr<HttpConnection> connection_;
   // Connecting, then waiting for the status line, then for pieces.
   runtime::Timer timer_;
-  runtime::MonotonicTime last_piece_{};
+  runtime::MonotonicTime last_chunk_at_{};
   http::CallProgress progress_ = http::CallProgress::kNotSent;
   size_t body_bytes_ = 0;
   int running_callbacks_ = 0;
--- a/src/posthatch/simulation/sim_disk-test.cc
+++ b/src/posthatch/simulation/sim_disk-test.cc
@@ -52,7 +52,7 @@
 TEST_F(SimDiskTest, UnsyncedTailMayKeepAnyPrefix) {
   std::set<std::string> seen;
   for (int round = 0; round < 100; ++round) {
-    disk_.Lose();
+    disk_.Wipe();
     Apply(Kind::kAppend, "f", "ab");
     Apply(Kind::kSync, "f");
     Apply(Kind::kSyncDirectory, ".");
--- a/src/posthatch/simulation/sim_disk.cc
+++ b/src/posthatch/simulation/sim_disk.cc
@@ -66,7 +66,7 @@
   return absl::OkStatus();
 }
 
-absl::Status SimDisk::WriteWhole(const std::string& path, const std::string& data) {
+absl::Status SimDisk::Overwrite(const std::string& path, const std::string& data) {
   absl::StatusOr<std::shared_ptr<File>> file = FindOrCreateFile(path);
   if (!file.ok()) return file.status();
   (*file)->content = full_ ? std::string() : data;
@@ -129,8 +129,8 @@
   switch (operation.kind) {
     case Kind::kAppend:
       return Append(path, operation.data);
-    case Kind::kWriteWhole:
-      return WriteWhole(path, operation.data);
+    case Kind::kFullWrite:
+      return Overwrite(path, operation.data);
     case Kind::kSync: {
       absl::StatusOr<std::shared_ptr<File>> file = FindFile(path);
       if (file.ok()) (*file)->durable_content = (*file)->content;
@@ -201,7 +201,7 @@
   }
 }
 
-void SimDisk::Lose() {
+void SimDisk::Wipe() {
   entries_.clear();
   durable_entries_.clear();
 }
--- a/src/posthatch/simulation/sim_disk.h
+++ b/src/posthatch/simulation/sim_disk.h
@@ -29,7 +29,7 @@
   // Drops what was not synced; of a file's unsynced tail any prefix may stay, by seed.
   void PowerLoss();
   // Empties the data folder.
-  void Lose();
+  void Wipe();
   void set_full(bool full) { full_ = full; }
 
  private:
@@ -47,7 +47,7 @@
   absl::StatusOr<std::shared_ptr<File>> FindFile(const std::string& path) const;
   absl::StatusOr<std::shared_ptr<File>> FindOrCreateFile(const std::string& path);
   absl::Status Append(const std::string& path, const std::string& data);
-  absl::Status WriteWhole(const std::string& path, const std::string& data);
+  absl::Status Overwrite(const std::string& path, const std::string& data);
   absl::Status Rename(const std::string& path, const std::string& target);
   absl::Status Remove(const std::string& path);
   absl::Status Truncate(const std::string& path, uint64_t size);
--- a/src/posthatch/simulation/sim_file_system.cc
+++ b/src/posthatch/simulation/sim_file_system.cc
@@ -6,10 +6,10 @@
 
 SimFileSystem::SimFileSystem(WorldCore* core, HostExecutor* host, SimDisk* disk,
                              const DiskSpeed* speed)
-    : core_(core), host_(host), life_(host->life()), disk_(disk), speed_(speed) {}
+    : core_(core), host_(host), process_id_(host->process_id()), disk_(disk), speed_(speed) {}
 
 void SimFileSystem::Submit(std::vector<runtime::FileOperation> operations, Done done) {
-  if (life_ != host_->life()) return;
+  if (process_id_ != host_->process_id()) return;
   batches_.push_back(Batch{std::move(operations), std::move(done)});
   if (batches_.size() == 1) StartNext();
 }
@@ -23,7 +23,7 @@
   }
   completion_ = core_->queue.ScheduleAfter(cost, [this] {
     completion_ = 0;
-    host_->Run(life_, HostExecutor::Work::kNetwork, [this] { Complete(); });
+    host_->Run(process_id_, HostExecutor::Work::kNetwork, [this] { Complete(); });
   });
 }
 
--- a/src/posthatch/simulation/sim_file_system.h
+++ b/src/posthatch/simulation/sim_file_system.h
@@ -44,7 +44,7 @@
 
   WorldCore* const core_;
   HostExecutor* const host_;
-  const uint64_t life_;
+  const uint64_t process_id_;
   SimDisk* const disk_;
   const DiskSpeed* const speed_;
   std::deque<Batch> batches_;  // the first one is running
--- a/src/posthatch/simulation/sim_host_impl.cc
+++ b/src/posthatch/simulation/sim_host_impl.cc
@@ -24,35 +24,36 @@
   return runtime_ == nullptr ? nullptr : runtime_->runtime();
 }
 
-void SimHostImpl::MixLife(const char* what) {
-  core_->Mix(TraceKind::kLife, executor_.number(), 0, what);
+void SimHostImpl::MixProcessEvent(const char* what) {
+  core_->Mix(TraceKind::kProcess, executor_.number(), 0, what);
 }
 
 void SimHostImpl::Start() {
   if (running() || !boot_) return;
-  MixLife("start");
-  executor_.BeginLife(core_->NextId());
+  MixProcessEvent("start");
+  executor_.StartProcess(core_->NextId());
   runtime_ = std::make_unique<HostRuntime>(core_, &executor_, &clock_, &disk_, &disk_speed_,
                                            internal_endpoint_);
-  executor_.Run(executor_.life(), HostExecutor::Work::kNetwork,
+  executor_.Run(executor_.process_id(), HostExecutor::Work::kNetwork,
                 [this] { process_ = boot_(runtime_->runtime()); });
 }
 
 void SimHostImpl::End(bool power_lost) {
   if (!running()) return;
   if (executor_.executing()) {
-    core_->queue.ScheduleAfter(runtime::Duration(0), [this, life = executor_.life(), power_lost] {
-      if (executor_.life() != life) return;
-      if (power_lost) {
-        PowerLoss();
-      } else {
-        Crash();
-      }
-    });
+    core_->queue.ScheduleAfter(runtime::Duration(0),
+                               [this, process_id = executor_.process_id(), power_lost] {
+                                 if (executor_.process_id() != process_id) return;
+                                 if (power_lost) {
+                                   PowerLoss();
+                                 } else {
+                                   Crash();
+                                 }
+                               });
     return;
   }
-  MixLife(power_lost ? "power loss" : "crash");
-  executor_.EndLife(power_lost);
+  MixProcessEvent(power_lost ? "power loss" : "crash");
+  executor_.EndProcess(power_lost);
   std::shared_ptr<void> process = std::move(process_);
   process_ = nullptr;
   process.reset();
@@ -66,7 +67,7 @@
 }
 
 void SimHostImpl::LoseDisk() {
-  if (!running()) disk_.Lose();
+  if (!running()) disk_.Wipe();
 }
 
 }  // namespace posthatch::simulation
--- a/src/posthatch/simulation/sim_host_impl.h
+++ b/src/posthatch/simulation/sim_host_impl.h
@@ -45,7 +45,7 @@
 
  private:
   void End(bool power_lost);
-  void MixLife(const char* what);
+  void MixProcessEvent(const char* what);
 
   WorldCore* const core_;
   const std::string zone_;
--- a/src/posthatch/simulation/sim_http-test.cc
+++ b/src/posthatch/simulation/sim_http-test.cc
@@ -19,7 +19,7 @@
 
   http::CallObserver Observer() {
     return {[this](const http::Response& head) { events += "h" + std::to_string(head.status); },
-            [this](const std::string& piece) { events += " " + piece; },
+            [this](const std::string& chunk) { events += " " + chunk; },
             [this] {
               events += " end";
               ended = true;
@@ -47,7 +47,7 @@
             connections_.push_back(request.connection_id);
             requests_.push_back(std::move(request));
             if (requests_.back().target == "/echo") {
-              writer->SendWhole({200, {}, requests_.back().body});
+              writer->SendResponse({200, {}, requests_.back().body});
             } else {
               writer_ = std::move(writer);
             }
@@ -101,8 +101,8 @@
     const auto call = Call(&observed, "/stream");
     world_.RunFor(milliseconds(100));
     writer_->StartStream({});
-    writer_->WritePiece("1");
-    writer_->WritePiece("2");
+    writer_->WriteChunk("1");
+    writer_->WriteChunk("2");
     if (abort) {
       writer_ = nullptr;  // dropped unanswered
     } else {
@@ -112,7 +112,7 @@
     if (abort) {
       EXPECT_EQ(observed.events, "h200 1 2 error");
       EXPECT_TRUE(absl::IsDataLoss(observed.error->status));
-      EXPECT_EQ(observed.error->progress, CallProgress::kAnswered);
+      EXPECT_EQ(observed.error->progress, CallProgress::kHeadReceived);
     } else {
       EXPECT_EQ(observed.events, "h200 1 2 end");
     }
@@ -137,7 +137,7 @@
   EXPECT_EQ(dead.error->progress, CallProgress::kNotSent);
 
   server_->Start();
-  world_.Cut("server", "client");
+  world_.Partition("server", "client");
   Observed cut;
   const auto third = Call(&cut, "/echo");
   world_.RunFor(seconds(1));
@@ -156,7 +156,7 @@
   const auto second = Call(&in_stream, "/stream");
   world_.RunFor(milliseconds(100));
   writer_->StartStream({});
-  writer_->WritePiece("1");
+  writer_->WriteChunk("1");
   world_.RunFor(milliseconds(100));
   server_->Crash();
   writer_->FinishStream();
@@ -170,7 +170,7 @@
 TEST_P(SimHttpTest, SilenceRunsIntoHeadAndPieceTimeouts) {
   http::CallOptions options;
   options.head_timeout = seconds(2);
-  options.piece_timeout = seconds(1);
+  options.body_idle_timeout = seconds(1);
   Observed no_head;
   const auto first = Call(&no_head, "/wait", options);
   world_.RunFor(seconds(3));
@@ -181,12 +181,12 @@
   const auto second = Call(&cut_in_stream, "/stream", options);
   world_.RunFor(milliseconds(100));
   bool gone = false;
-  writer_->OnCallerGone([&gone] { gone = true; });
+  writer_->OnCallerDisconnected([&gone] { gone = true; });
   writer_->StartStream({});
-  writer_->WritePiece("1");
+  writer_->WriteChunk("1");
   world_.RunFor(milliseconds(500));
-  world_.Cut("server", "client");
-  writer_->WritePiece("2");
+  world_.Partition("server", "client");
+  writer_->WriteChunk("2");
   world_.RunFor(seconds(2));
   EXPECT_EQ(cut_in_stream.events, "h200 1 error");
   EXPECT_TRUE(absl::IsDeadlineExceeded(cut_in_stream.error->status));
@@ -198,11 +198,11 @@
   auto call = Call(&observed, "/wait");
   world_.RunFor(milliseconds(100));
   int gone = 0;
-  writer_->OnCallerGone([&gone] { ++gone; });
+  writer_->OnCallerDisconnected([&gone] { ++gone; });
   call = nullptr;
   world_.RunFor(seconds(1));
   EXPECT_EQ(gone, 1);
-  writer_->SendWhole({});
+  writer_->SendResponse({});
   world_.RunFor(seconds(1));
   EXPECT_EQ(observed.events, "");
 }
@@ -224,7 +224,7 @@
   const auto call = Call(&observed, "/wait");
   world_.RunFor(milliseconds(100));
   client_->Freeze();
-  writer_->SendWhole({200, {}, "late"});
+  writer_->SendResponse({200, {}, "late"});
   world_.RunFor(seconds(40));
   EXPECT_EQ(observed.events, "");
   client_->Thaw();
@@ -236,10 +236,10 @@
   Observed observed;
   const auto call = Call(&observed, "/stream");
   world_.RunFor(milliseconds(100));
-  call->PauseReading();
+  call->StopReading();
   writer_->StartStream({});
-  const std::string piece(size_t{64} * 1024, 'x');
-  for (int i = 0; i < 32; ++i) writer_->WritePiece(piece);
+  const std::string chunk(size_t{64} * 1024, 'x');
+  for (int i = 0; i < 32; ++i) writer_->WriteChunk(chunk);
   world_.RunFor(seconds(1));
   const size_t buffered = writer_->buffered_bytes();
   EXPECT_GT(buffered, 1024u * 1024u);
@@ -255,14 +255,14 @@
   writer_->FinishStream();
   world_.RunFor(seconds(1));
   EXPECT_TRUE(observed.ended);
-  EXPECT_EQ(observed.events.size(), std::string("h200 end").size() + 32 * (piece.size() + 1));
+  EXPECT_EQ(observed.events.size(), std::string("h200 end").size() + 32 * (chunk.size() + 1));
 }
 
 TEST_P(SimHttpTest, DrainingServerEndsRunningAnswersAndRefusesNewConnections) {
   Observed running;
   const auto first = Call(&running, "/wait");
   world_.RunFor(milliseconds(100));
-  server_->runtime()->timers->Schedule({}, [this] { writer_->SendWhole({}); });
+  server_->runtime()->timers->Schedule({}, [this] { writer_->SendResponse({}); });
   const auto second_server =
       server_->runtime()->http_servers->Listen("10.0.0.2:0", {}, IgnoreRequest);
   ASSERT_TRUE(second_server.ok());
--- a/src/posthatch/simulation/sim_http_client.cc
+++ b/src/posthatch/simulation/sim_http_client.cc
@@ -14,8 +14,8 @@
   ~CallHandle() override {
     if (call_ != nullptr) call_->Cancel();
   }
-  void PauseReading() override {
-    if (call_ != nullptr) call_->PauseReading();
+  void StopReading() override {
+    if (call_ != nullptr) call_->StopReading();
   }
   void ResumeReading() override {
     if (call_ != nullptr) call_->ResumeReading();
@@ -30,14 +30,14 @@
 std::unique_ptr<http::Call> SimHttpClient::Start(const std::string& endpoint, http::Request request,
                                                  http::CallOptions options,
                                                  http::CallObserver observer) {
-  if (life_ != host_->life()) return std::make_unique<CallHandle>(nullptr);
+  if (process_id_ != host_->process_id()) return std::make_unique<CallHandle>(nullptr);
   auto call =
       std::make_shared<SimCall>(this, endpoint, std::move(request), options, std::move(observer));
   call->Begin();
   return std::make_unique<CallHandle>(std::move(call));
 }
 
-bool SimHttpClient::HasKept(const std::string& endpoint, double /*share*/) const {
+bool SimHttpClient::HasPooledConnection(const std::string& endpoint, double /*share*/) const {
   const auto kept = idle_.find(endpoint);
   return kept != idle_.end() &&
          std::any_of(kept->second.begin(), kept->second.end(),
@@ -65,8 +65,9 @@
   return connection;
 }
 
-void SimHttpClient::Keep(const std::string& endpoint, std::shared_ptr<HttpConnection> connection) {
-  if (life_ != host_->life()) return;
+void SimHttpClient::ReturnToPool(const std::string& endpoint,
+                                 std::shared_ptr<HttpConnection> connection) {
+  if (process_id_ != host_->process_id()) return;
   std::vector<std::shared_ptr<HttpConnection>>& kept = idle_[endpoint];
   if (kept.size() >= kMaxIdlePerEndpoint) {
     connection->CloseClient();
--- a/src/posthatch/simulation/sim_http_client.h
+++ b/src/posthatch/simulation/sim_http_client.h
@@ -19,19 +19,19 @@
  public:
   SimHttpClient(WorldCore* core, HostExecutor* host, const runtime::Clock* clock,
                 runtime::TimerService* timers)
-      : core_(core), host_(host), life_(host->life()), clock_(clock), timers_(timers) {}
+      : core_(core), host_(host), process_id_(host->process_id()), clock_(clock), timers_(timers) {}
 
   std::unique_ptr<http::Call> Start(const std::string& endpoint, http::Request request,
                                     http::CallOptions options,
                                     http::CallObserver observer) override;
-  bool HasKept(const std::string& endpoint, double share) const override;
+  bool HasPooledConnection(const std::string& endpoint, double share) const override;
   void Shutdown();
 
   // For SimCall.
   // A kept connection that is idle, or null.
   std::shared_ptr<HttpConnection> TakeIdle(const std::string& endpoint);
   std::shared_ptr<HttpConnection> NewConnection(const std::string& endpoint);
-  void Keep(const std::string& endpoint, std::shared_ptr<HttpConnection> connection);
+  void ReturnToPool(const std::string& endpoint, std::shared_ptr<HttpConnection> connection);
   const runtime::Clock* clock() const { return clock_; }
   runtime::TimerService* timers() const { return timers_; }
 
@@ -41,7 +41,7 @@
 
   WorldCore* const core_;
   HostExecutor* const host_;
-  const uint64_t life_;
+  const uint64_t process_id_;
   const runtime::Clock* const clock_;
   runtime::TimerService* const timers_;
   absl::btree_map<std::string, std::vector<std::shared_ptr<HttpConnection>>> idle_;
--- a/src/posthatch/simulation/sim_http_server.cc
+++ b/src/posthatch/simulation/sim_http_server.cc
@@ -17,7 +17,7 @@
   ~ServerHandle() override { server_->Shutdown(); }
 
   const std::string& endpoint() const override { return server_->endpoint(); }
-  void StopKeepingConnections() override {}
+  void DisableKeepAlive() override {}
   void Drain() override { server_->Drain(); }
   size_t open_connections() const override { return server_->open_connections(); }
 
@@ -31,20 +31,20 @@
                              std::string endpoint, http::ServerLimits limits, http::Handler handler)
     : core_(core),
       host_(host),
-      life_(host->life()),
+      process_id_(host->process_id()),
       timers_(timers),
       endpoint_(std::move(endpoint)),
       limits_(limits),
       handler_(std::move(handler)) {}
 
 uint64_t SimHttpServer::Accept(const std::shared_ptr<HttpConnection>& connection) {
-  if (draining_ || life_ != host_->life()) return 0;
+  if (draining_ || process_id_ != host_->process_id()) return 0;
   const uint64_t id = connection->id();
   const auto server_connection = std::make_shared<SimServerConnection>(this, connection);
   connections_[id] = server_connection;
-  connection->Accepted(host_, server_connection);
+  connection->OnAccepted(host_, server_connection);
   if (connections_.size() > limits_.max_connections) server_connection->Close();
-  return life_;
+  return process_id_;
 }
 
 void SimHttpServer::Handle(http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
@@ -82,7 +82,8 @@
 
 absl::StatusOr<std::unique_ptr<http::HttpServer>> SimHttpServerFactory::Listen(
     const std::string& endpoint, http::ServerLimits limits, http::Handler handler) {
-  if (life_ != host_->life()) return absl::FailedPreconditionError("the process has ended");
+  if (process_id_ != host_->process_id())
+    return absl::FailedPreconditionError("the process has ended");
   const size_t colon = endpoint.rfind(':');
   if (colon == std::string::npos) return absl::InvalidArgumentError("endpoint without a port");
   const std::string bound = endpoint.substr(colon) == ":0" ? PickPort(endpoint) : endpoint;
--- a/src/posthatch/simulation/sim_http_server.h
+++ b/src/posthatch/simulation/sim_http_server.h
@@ -37,7 +37,7 @@
  private:
   WorldCore* const core_;
   HostExecutor* const host_;
-  const uint64_t life_;
+  const uint64_t process_id_;
   runtime::TimerService* const timers_;
   const std::string endpoint_;
   const http::ServerLimits limits_;
@@ -50,7 +50,7 @@
 class SimHttpServerFactory : public http::HttpServerFactory {
  public:
   SimHttpServerFactory(WorldCore* core, HostExecutor* host, runtime::TimerService* timers)
-      : core_(core), host_(host), life_(host->life()), timers_(timers) {}
+      : core_(core), host_(host), process_id_(host->process_id()), timers_(timers) {}
 
   // Errors: AlreadyExists if the endpoint is in use, InvalidArgument without a port. Port 0 picks a
   // free one.
@@ -64,7 +64,7 @@
 
   WorldCore* const core_;
   HostExecutor* const host_;
-  const uint64_t life_;
+  const uint64_t process_id_;
   runtime::TimerService* const timers_;
   std::map<std::string, std::weak_ptr<SimHttpServer>> servers_;
 };
--- a/src/posthatch/simulation/sim_server_connection.cc
+++ b/src/posthatch/simulation/sim_server_connection.cc
@@ -18,9 +18,9 @@
     if (const auto connection = connection_.lock()) connection->Abort(exchange_);
   }
 
-  void SendWhole(http::Response response) override {
+  void SendResponse(http::Response response) override {
     if (const auto connection = connection_.lock()) {
-      connection->SendWhole(exchange_, std::move(response));
+      connection->SendResponse(exchange_, std::move(response));
     }
   }
   void StartStream(http::Response head) override {
@@ -28,9 +28,9 @@
       connection->StartStream(exchange_, std::move(head));
     }
   }
-  void WritePiece(std::string piece) override {
+  void WriteChunk(std::string chunk) override {
     if (const auto connection = connection_.lock()) {
-      connection->WritePiece(exchange_, std::move(piece));
+      connection->WriteChunk(exchange_, std::move(chunk));
     }
   }
   void FinishStream() override {
@@ -48,9 +48,9 @@
       connection->OnWritable(exchange_, std::move(callback));
     }
   }
-  void OnCallerGone(std::function<void()> callback) override {
+  void OnCallerDisconnected(std::function<void()> callback) override {
     if (const auto connection = connection_.lock()) {
-      connection->OnCallerGone(exchange_, std::move(callback));
+      connection->OnCallerDisconnected(exchange_, std::move(callback));
     }
   }
 
@@ -90,21 +90,21 @@
   close_requested_ = true;
   http::Response response;
   response.status = status;
-  SendWhole(running_exchange_, std::move(response));
+  SendResponse(running_exchange_, std::move(response));
 }
 
 void SimServerConnection::OnClosed() {
   // The callback may drop the last other reference to this connection.
   const auto self = shared_from_this();
-  const std::function<void()> on_caller_gone = std::move(on_caller_gone_);
+  const std::function<void()> on_caller_disconnected = std::move(on_caller_disconnected_);
   const bool running = running_exchange_ != 0;
   Close();
-  if (running && on_caller_gone) on_caller_gone();
+  if (running && on_caller_disconnected) on_caller_disconnected();
 }
 
-void SimServerConnection::SendWhole(uint64_t exchange, http::Response response) {
+void SimServerConnection::SendResponse(uint64_t exchange, http::Response response) {
   if (!Running(exchange) || stream_started_) return;
-  connection_->SendWhole(std::move(response));
+  connection_->SendResponse(std::move(response));
   EndExchange();
 }
 
@@ -114,9 +114,9 @@
   connection_->SendHead(std::move(head));
 }
 
-void SimServerConnection::WritePiece(uint64_t exchange, std::string piece) {
-  if (!Running(exchange) || !stream_started_ || piece.empty()) return;
-  connection_->SendPiece(std::move(piece));
+void SimServerConnection::WriteChunk(uint64_t exchange, std::string chunk) {
+  if (!Running(exchange) || !stream_started_ || chunk.empty()) return;
+  connection_->SendChunk(std::move(chunk));
 }
 
 void SimServerConnection::FinishStream(uint64_t exchange) {
@@ -144,15 +144,15 @@
                               });
 }
 
-void SimServerConnection::OnCallerGone(uint64_t exchange, std::function<void()> callback) {
-  if (Running(exchange)) on_caller_gone_ = std::move(callback);
+void SimServerConnection::OnCallerDisconnected(uint64_t exchange, std::function<void()> callback) {
+  if (Running(exchange)) on_caller_disconnected_ = std::move(callback);
 }
 
 void SimServerConnection::EndExchange() {
   const auto self = shared_from_this();
   running_exchange_ = 0;
-  const std::function<void()> released = std::move(on_caller_gone_);
-  on_caller_gone_ = nullptr;
+  const std::function<void()> released = std::move(on_caller_disconnected_);
+  on_caller_disconnected_ = nullptr;
   if (close_requested_ || server_->draining()) {
     Close();
     return;
@@ -171,8 +171,8 @@
   const auto self = shared_from_this();
   idle_timer_.Cancel();
   running_exchange_ = 0;
-  const std::function<void()> released = std::move(on_caller_gone_);
-  on_caller_gone_ = nullptr;
+  const std::function<void()> released = std::move(on_caller_disconnected_);
+  on_caller_disconnected_ = nullptr;
   connection_->CloseServer();
   server_->Remove(connection_->id());
 }
--- a/src/posthatch/simulation/sim_server_connection.h
+++ b/src/posthatch/simulation/sim_server_connection.h
@@ -24,14 +24,14 @@
   void OnClosed() override;
 
   // Calls of the writer with number `exchange`; those of an earlier or ended one are ignored.
-  void SendWhole(uint64_t exchange, http::Response response);
+  void SendResponse(uint64_t exchange, http::Response response);
   void StartStream(uint64_t exchange, http::Response head);
-  void WritePiece(uint64_t exchange, std::string piece);
+  void WriteChunk(uint64_t exchange, std::string chunk);
   void FinishStream(uint64_t exchange);
   void Abort(uint64_t exchange);
   size_t buffered_bytes(uint64_t exchange) const;
   void OnWritable(uint64_t exchange, std::function<void()> callback);
-  void OnCallerGone(uint64_t exchange, std::function<void()> callback);
+  void OnCallerDisconnected(uint64_t exchange, std::function<void()> callback);
 
   // Closes unless an answer is running; then it closes after the answer.
   void CloseWhenIdle();
@@ -50,7 +50,7 @@
   bool stream_started_ = false;
   bool closed_ = false;
   bool close_requested_ = false;
-  std::function<void()> on_caller_gone_;
+  std::function<void()> on_caller_disconnected_;
 };
 
 }  // namespace posthatch::simulation
--- a/src/posthatch/simulation/sim_timer_service.h
+++ b/src/posthatch/simulation/sim_timer_service.h
@@ -14,7 +14,7 @@
 class SimTimerService : public runtime::TimerService {
  public:
   SimTimerService(EventQueue* queue, HostExecutor* host)
-      : queue_(queue), host_(host), life_(host->life()) {}
+      : queue_(queue), host_(host), process_id_(host->process_id()) {}
   // Called at the end of the life; the object stays and ignores calls.
   void Shutdown();
 
@@ -30,7 +30,7 @@
 
   EventQueue* const queue_;
   HostExecutor* const host_;
-  const uint64_t life_;
+  const uint64_t process_id_;
   runtime::TimerId last_id_ = 0;
   // Looked up only, except in Shutdown, where order doesn't matter.
   absl::flat_hash_map<runtime::TimerId, Pending> pending_;
--- a/src/posthatch/simulation/sim_transport.cc
+++ b/src/posthatch/simulation/sim_transport.cc
@@ -17,7 +17,7 @@
                            uint64_t incarnation)
     : core_(core),
       host_(host),
-      life_(host->life()),
+      process_id_(host->process_id()),
       endpoint_(std::move(endpoint)),
       incarnation_(incarnation) {
   core_->network.AddTransport(endpoint_, host_, this);
@@ -25,7 +25,7 @@
 
 void SimTransport::Shutdown() {
   core_->network.RemoveTransport(endpoint_, this);
-  for (auto& [endpoint, stream] : streams_) stream->SenderGone(nullptr);
+  for (auto& [endpoint, stream] : streams_) stream->CloseSender(nullptr);
   streams_.clear();
   // Destroyed last: captures may call back into this object.
   std::array<Receiver, runtime::Service_ARRAYSIZE> receivers;
@@ -38,7 +38,7 @@
 
 void SimTransport::Send(const std::string& to_endpoint, runtime::Service service,
                         std::string payload, runtime::Delivery delivery) {
-  if (life_ != host_->life()) return;
+  if (process_id_ != host_->process_id()) return;
   if (delivery == runtime::Delivery::kStream) {
     SendStream(to_endpoint, service, std::move(payload));
   } else {
@@ -68,7 +68,7 @@
   pipe->AddSetupDelay();
   pipe->set_accept([core = core_, to_endpoint]() -> uint64_t {
     const SimTransport* target = core->network.FindTransport(to_endpoint);
-    return target == nullptr ? 0 : target->life();
+    return target == nullptr ? 0 : target->process_id();
   });
   return pipe;
 }
@@ -100,7 +100,7 @@
   }
   HostExecutor* to = core_->network.FindTarget(to_endpoint);
   const NetworkBehaviour& behaviour = core_->network.behaviour();
-  if (to == nullptr || core_->network.IsCut(host_->number(), to->number())) return;
+  if (to == nullptr || core_->network.IsPartitioned(host_->number(), to->number())) return;
   if (behaviour.loss > 0 && core_->random.Chance(behaviour.loss)) return;
   ScheduleDatagram(to, to_endpoint, envelope);
   if (behaviour.duplication > 0 && core_->random.Chance(behaviour.duplication)) {
@@ -110,7 +110,7 @@
 
 void SimTransport::ScheduleDatagram(HostExecutor* to, const std::string& to_endpoint,
                                     std::shared_ptr<const runtime::Envelope> envelope) {
-  runtime::Duration delay = core_->network.DrawDelay(host_->number(), to->number());
+  runtime::Duration delay = core_->network.SampleDelay(host_->number(), to->number());
   const NetworkBehaviour& behaviour = core_->network.behaviour();
   if (behaviour.reordering > 0 && core_->random.Chance(behaviour.reordering)) {
     delay += core_->random.Between(runtime::Duration(0), behaviour.max_delay * kReorderingSpread);
@@ -118,9 +118,9 @@
   core_->queue.ScheduleAfter(
       delay, [core = core_, from = host_->number(), to_endpoint, envelope = std::move(envelope)] {
         SimTransport* target = core->network.FindTransport(to_endpoint);
-        if (target == nullptr || core->network.IsCut(from, target->host_->number())) return;
+        if (target == nullptr || core->network.IsPartitioned(from, target->host_->number())) return;
         target->host_->Run(
-            target->life_, HostExecutor::Work::kDatagram, [core, from, target, envelope] {
+            target->process_id_, HostExecutor::Work::kDatagram, [core, from, target, envelope] {
               core->Mix(TraceKind::kDatagram, target->host_->number(), from, envelope->payload());
               target->Deliver(*envelope);
             });
--- a/src/posthatch/simulation/sim_transport.h
+++ b/src/posthatch/simulation/sim_transport.h
@@ -29,7 +29,7 @@
 
   // Hands an arrived message to its receiver; called in this host's context.
   void Deliver(const runtime::Envelope& envelope);
-  uint64_t life() const { return life_; }
+  uint64_t process_id() const { return process_id_; }
   // Messages dropped because a stream's queue was full or a datagram was too large.
   uint64_t dropped() const { return dropped_; }
 
@@ -45,7 +45,7 @@
 
   WorldCore* const core_;
   HostExecutor* const host_;
-  const uint64_t life_;
+  const uint64_t process_id_;
   const std::string endpoint_;
   const uint64_t incarnation_;
   std::array<Receiver, runtime::Service_ARRAYSIZE> receivers_;
--- a/src/posthatch/simulation/sim_world-bench.cc
+++ b/src/posthatch/simulation/sim_world-bench.cc
@@ -29,7 +29,7 @@
         host->http_endpoint(), {},
         [](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
           writer->StartStream({});
-          for (int i = 0; i < kPiecesPerAnswer; ++i) writer->WritePiece("0123456789abcdef");
+          for (int i = 0; i < kPiecesPerAnswer; ++i) writer->WriteChunk("0123456789abcdef");
           writer->FinishStream();
         });
     SendMessages();
--- a/src/posthatch/simulation/sim_world-test.cc
+++ b/src/posthatch/simulation/sim_world-test.cc
@@ -87,7 +87,7 @@
 }
 
 TEST_P(SimWorldTest, CutIsOneWayAndAHealedStreamGoesOn) {
-  world_.Cut("a", "b");
+  world_.Partition("a", "b");
   Send("a", "b", "datagram", Delivery::kDatagram);
   Send("a", "b", "stream", Delivery::kStream);
   Send("b", "a", "back", Delivery::kDatagram);
@@ -100,7 +100,7 @@
 }
 
 TEST_P(SimWorldTest, StreamBreaksWhenACutLastsAndIsRemade) {
-  world_.Cut("a", "b");
+  world_.Partition("a", "b");
   Send("a", "b", "lost", Delivery::kStream);
   world_.RunFor(seconds(20));
   world_.HealAll();
--- a/src/posthatch/simulation/sim_world.cc
+++ b/src/posthatch/simulation/sim_world.cc
@@ -74,8 +74,8 @@
   return static_cast<SimHostImpl*>(found->second)->number();
 }
 
-void SimWorld::Cut(const std::string& from, const std::string& to) {
-  core_->network.Cut(NumberOf(from), NumberOf(to));
+void SimWorld::Partition(const std::string& from, const std::string& to) {
+  core_->network.Partition(NumberOf(from), NumberOf(to));
 }
 
 void SimWorld::Heal(const std::string& from, const std::string& to) {
--- a/src/posthatch/simulation/sim_world.h
+++ b/src/posthatch/simulation/sim_world.h
@@ -68,7 +68,7 @@
   // Cuts messages and connections from one host to another, in that direction only. Connections
   // stall; they go on if the cut is healed in time, and break after 8 to 16 s otherwise. Unknown
   // names end the program: a scenario that names them is wrong.
-  void Cut(const std::string& from, const std::string& to);
+  void Partition(const std::string& from, const std::string& to);
   void Heal(const std::string& from, const std::string& to);
   void HealAll();
   // Extra delay on everything from one host to another; zero takes it away.
--- a/src/posthatch/simulation/world_core.h
+++ b/src/posthatch/simulation/world_core.h
@@ -10,7 +10,7 @@
 namespace posthatch::simulation {
 
 // Kinds of happenings in the trace hash.
-enum class TraceKind : uint32_t { kDatagram = 1, kStream = 2, kHttp = 3, kDisk = 4, kLife = 5 };
+enum class TraceKind : uint32_t { kDatagram = 1, kStream = 2, kHttp = 3, kDisk = 4, kProcess = 5 };
 
 // What all simulated objects of one world share. Owned by SimWorld and destroyed last.
 struct WorldCore {
--- a/src/posthatch/standins/caller_load-test.cc
+++ b/src/posthatch/standins/caller_load-test.cc
@@ -26,7 +26,7 @@
                                      const std::shared_ptr<http::ResponseWriter>& writer) {
           std::optional<http::Response> response = answer(request);
           if (response.has_value()) {
-            writer->SendWhole(*response);
+            writer->SendResponse(*response);
           } else {
             writer->Abort();
           }
--- a/src/posthatch/standins/caller_load.cc
+++ b/src/posthatch/standins/caller_load.cc
@@ -182,7 +182,7 @@
     plan.sent.set_idempotency_key("key-" + plan.sent.nonce());
   }
   plan.options.head_timeout = options_.head_timeout;
-  plan.options.piece_timeout = options_.piece_timeout;
+  plan.options.body_idle_timeout = options_.body_idle_timeout;
   if (operation.kind == OperationKind::kService) {
     PlanService(operation, &plan);
   } else {
