--- a/cmake/Dependencies.cmake
+++ b/cmake/Dependencies.cmake
@@ -18,7 +18,7 @@
   find_package(benchmark REQUIRED)
 endif()
 
-# Header-only Boost parts, compiled once in src/posthatch/asio/boost_instances.cc.
+# Header-only Boost parts, compiled once in src/posthatch/net/boost_instances.cc.
 add_library(posthatch_boost INTERFACE)
 target_link_libraries(posthatch_boost INTERFACE Boost::boost Boost::json Threads::Threads)
 target_compile_definitions(posthatch_boost INTERFACE
--- a/scripts/check-determinism.sh
+++ b/scripts/check-determinism.sh
@@ -8,7 +8,7 @@
 shift || true
 runs=("$@")
 [ ${#runs[@]} -gt 0 ] || runs=(nilestone:9002 key_revocation:3 chaos:1)
-program=build/release/src/posthatch/rehearse/posthatch-rehearse
+program=build/release/src/posthatch/fleettest/posthatch-fleettest
 failed=0
 for run in "${runs[@]}"; do
   scenario=${run%%:*}
--- a/scripts/experiments/ablate.sh
+++ b/scripts/experiments/ablate.sh
@@ -14,7 +14,7 @@
 shift 3
 plays=("$@")
 if [ -z "${SWITCHES:-}" ]; then
-  SWITCHES=$(sed -n 's/^  bool \([a-z_]*\) = true;.*/\1/p' src/posthatch/traffic/routing_switches.h | tr '\n' ' ')
+  SWITCHES=$(sed -n 's/^  bool \([a-z_]*\) = true;.*/\1/p' src/posthatch/routing/routing_switches.h | tr '\n' ' ')
 fi
 work=${ABLATE_FOLDER:-$(mktemp -d)}
 : >"$results"
--- a/scripts/quickstart.sh
+++ b/scripts/quickstart.sh
@@ -4,5 +4,5 @@
 cd "$(dirname "$0")/.."
 scripts/install-dependencies.sh
 cmake --preset release >/dev/null
-cmake --build --preset release -j "$(nproc)" --target posthatchd posthatchctl posthatch-standin posthatch-rehearse
-exec build/release/src/posthatch/rehearse/posthatch-rehearse run scenarios/quickstart.toml --report quickstart-report.json "$@"
+cmake --build --preset release -j "$(nproc)" --target posthatchd posthatchctl posthatch-emulator posthatch-fleettest
+exec build/release/src/posthatch/fleettest/posthatch-fleettest run scenarios/quickstart.toml --report quickstart-report.json "$@"
--- a/scripts/simulate-all.sh
+++ b/scripts/simulate-all.sh
@@ -6,7 +6,7 @@
 cd "$(dirname "$0")/.."
 first=${1:-1}
 last=${2:-1}
-program=build/release/src/posthatch/rehearse/posthatch-rehearse
+program=build/release/src/posthatch/fleettest/posthatch-fleettest
 reports=${POSTHATCH_REPORTS:-$(mktemp -d)}
 mkdir -p "$reports"
 export first last program reports
--- a/src/posthatch/compatibility/stored_data-test.cc
+++ b/src/posthatch/compatibility/stored_data-test.cc
@@ -9,11 +9,11 @@
 #include <utility>
 #include <vector>
 
-#include "posthatch/asio/envelope_codec.h"
 #include "posthatch/compatibility/golden_file-test.h"
 #include "posthatch/consensus/raft_replica.h"
-#include "posthatch/control/commands-test.h"
-#include "posthatch/control/control_state.h"
+#include "posthatch/control/state/commands-test.h"
+#include "posthatch/control/state/control_state.h"
+#include "posthatch/net/envelope_codec.h"
 #include "posthatch/simulation/sim_world.h"
 #include "posthatch/storage/log_recovery.h"
 #include "posthatch/storage/record_format.h"
@@ -321,7 +321,7 @@
   envelope.set_from_endpoint("10.0.0.1:7000");
   envelope.set_from_incarnation(5);
   envelope.set_payload("payload");
-  ExpectGolden("frame.bin", asio::EncodeFrame(envelope));
+  ExpectGolden("frame.bin", net::EncodeFrame(envelope));
 }
 
 }  // namespace
--- a/src/posthatch/compatibility/wire_schema-test.cc
+++ b/src/posthatch/compatibility/wire_schema-test.cc
@@ -13,18 +13,18 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/channels/channels.pb.h"
 #include "posthatch/compatibility/golden_file-test.h"
 #include "posthatch/consensus/consensus.pb.h"
 #include "posthatch/control/configuration.pb.h"
 #include "posthatch/control/control.pb.h"
 #include "posthatch/control/traffic.pb.h"
+#include "posthatch/fleettest/history/history.pb.h"
 #include "posthatch/index/index.pb.h"
+#include "posthatch/invalidation/invalidation.pb.h"
 #include "posthatch/membership/membership.pb.h"
-#include "posthatch/rehearse/history/history.pb.h"
+#include "posthatch/routing/routing.pb.h"
 #include "posthatch/runtime/transport.pb.h"
 #include "posthatch/storage/log_record.pb.h"
-#include "posthatch/traffic/traffic.pb.h"
 
 namespace posthatch::compatibility {
 namespace {
@@ -53,10 +53,10 @@
       {"configuration", control::Configuration::descriptor()->file(), true},
       {"traffic-configuration", control::TrafficConfiguration::descriptor()->file(), false},
       {"control", control::Command::descriptor()->file(), false},
-      {"channels", channels::ChannelEnvelope::descriptor()->file(), false},
+      {"channels", invalidation::ChannelEnvelope::descriptor()->file(), false},
       {"index", index::IndexMessage::descriptor()->file(), false},
-      {"traffic", traffic::TrafficMessage::descriptor()->file(), false},
-      {"history", rehearse::HistoryEvent::descriptor()->file(), true},
+      {"traffic", routing::TrafficMessage::descriptor()->file(), false},
+      {"history", fleettest::HistoryEvent::descriptor()->file(), true},
   };
   return *kSchemas;
 }
--- a/src/posthatch/consensus/consensus-bench.cc
+++ b/src/posthatch/consensus/consensus-bench.cc
@@ -17,8 +17,8 @@
 #include <utility>
 #include <vector>
 
-#include "posthatch/asio/asio_runtime.h"
 #include "posthatch/consensus/raft_replica.h"
+#include "posthatch/net/asio_runtime.h"
 
 namespace posthatch::consensus {
 namespace {
@@ -54,13 +54,13 @@
 class Controller {
  public:
   Controller(const std::string& folder, size_t number) {
-    asio::AsioRuntimeOptions options;
+    net::AsioRuntimeOptions options;
     options.node_id = fmt::format("controller{}", number);
     options.internal_endpoint = "127.0.0.1:0";
     options.data_folder = fmt::format("{}/{}", folder, number);
     options.log_file = fmt::format("{}/{}.log", folder, number);
     options.log_level = runtime::Severity::kError;
-    absl::StatusOr<std::unique_ptr<asio::AsioRuntime>> created = asio::AsioRuntime::Create(options);
+    absl::StatusOr<std::unique_ptr<net::AsioRuntime>> created = net::AsioRuntime::Create(options);
     if (!created.ok()) throw std::runtime_error(created.status().ToString());
     runtime_ = *std::move(created);
     thread_ = std::thread([this] { runtime_->Run(); });
@@ -111,7 +111,7 @@
   }
 
  private:
-  std::unique_ptr<asio::AsioRuntime> runtime_;
+  std::unique_ptr<net::AsioRuntime> runtime_;
   std::unique_ptr<CountingMachine> machine_;
   std::unique_ptr<RaftReplica> replica_;
   std::thread thread_;
--- a/src/posthatch/control/admin_api-test.cc
+++ b/src/posthatch/control/admin/admin_api-test.cc
@@ -1,12 +1,12 @@
-#include "posthatch/control/admin_api.h"
+#include "posthatch/control/admin/admin_api.h"
 
 #include <gtest/gtest.h>
 
 #include <optional>
 
-#include "posthatch/control/admin_changes.h"
-#include "posthatch/control/inventory_poller.h"
-#include "posthatch/control/state_views.h"
+#include "posthatch/control/admin/admin_changes.h"
+#include "posthatch/control/inventory/inventory_poller.h"
+#include "posthatch/control/server/state_views.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/admin_api.cc
+++ b/src/posthatch/control/admin/admin_api.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/admin_api.h"
+#include "posthatch/control/admin/admin_api.h"
 
 #include <openssl/crypto.h>
 #include <openssl/sha.h>
@@ -12,7 +12,7 @@
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
 #include "absl/strings/string_view.h"
-#include "posthatch/control/admin_changes.h"
+#include "posthatch/control/admin/admin_changes.h"
 #include "posthatch/util/string_view.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/admin_api.h
+++ b/src/posthatch/control/admin/admin_api.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "posthatch/control/control_client.h"
+#include "posthatch/control/client/control_client.h"
 #include "posthatch/http/http.h"
 #include "posthatch/runtime/runtime.h"
 
--- a/src/posthatch/control/admin_changes.cc
+++ b/src/posthatch/control/admin/admin_changes.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/admin_changes.h"
+#include "posthatch/control/admin/admin_changes.h"
 
 #include <google/protobuf/util/json_util.h>
 
@@ -6,7 +6,7 @@
 
 #include "absl/status/status.h"
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/state_views.h"
+#include "posthatch/control/server/state_views.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/operator_api.cc
+++ b/src/posthatch/control/admin/operator_api.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/operator_api.h"
+#include "posthatch/control/admin/operator_api.h"
 
 #include <utility>
 
--- a/src/posthatch/control/operator_api.h
+++ b/src/posthatch/control/admin/operator_api.h
@@ -4,8 +4,8 @@
 #include <memory>
 #include <string>
 
-#include "posthatch/control/control_client.h"
-#include "posthatch/control/operator_format.h"
+#include "posthatch/control/admin/operator_format.h"
+#include "posthatch/control/client/control_client.h"
 #include "posthatch/http/http.h"
 #include "posthatch/runtime/runtime.h"
 
--- a/src/posthatch/control/gateway_session.cc
+++ b/src/posthatch/control/client/gateway_session.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/gateway_session.h"
+#include "posthatch/control/client/gateway_session.h"
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
@@ -6,10 +6,10 @@
 #include <algorithm>
 #include <utility>
 
-#include "posthatch/control/configuration_validator.h"
-#include "posthatch/control/fingerprint.h"
-#include "posthatch/control/fleet_sections.h"
-#include "posthatch/control/section_deltas.h"
+#include "posthatch/control/state/configuration_validator.h"
+#include "posthatch/control/state/fingerprint.h"
+#include "posthatch/control/state/fleet_sections.h"
+#include "posthatch/control/state/section_deltas.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/gateway_session.h
+++ b/src/posthatch/control/client/gateway_session.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/control/control_client.h"
-#include "posthatch/control/leader_client.h"
-#include "posthatch/control/leader_locator.h"
+#include "posthatch/control/client/control_client.h"
+#include "posthatch/control/client/leader_client.h"
+#include "posthatch/control/client/leader_locator.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace prometheus {
--- a/src/posthatch/control/leader_client.cc
+++ b/src/posthatch/control/client/leader_client.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/leader_client.h"
+#include "posthatch/control/client/leader_client.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/posthatch/control/leader_client.h
+++ b/src/posthatch/control/client/leader_client.h
@@ -8,8 +8,8 @@
 
 #include "absl/container/flat_hash_map.h"
 #include "absl/container/flat_hash_set.h"
-#include "posthatch/control/control_client.h"
-#include "posthatch/control/leader_locator.h"
+#include "posthatch/control/client/control_client.h"
+#include "posthatch/control/client/leader_locator.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/leader_locator.cc
+++ b/src/posthatch/control/client/leader_locator.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/leader_locator.h"
+#include "posthatch/control/client/leader_locator.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/posthatch/control/control-bench.cc
+++ b/src/posthatch/control/control-bench.cc
@@ -19,10 +19,10 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/commands-test.h"
-#include "posthatch/control/controller_service.h"
-#include "posthatch/control/gateway_session.h"
-#include "posthatch/control/memory_log-test.h"
+#include "posthatch/control/client/gateway_session.h"
+#include "posthatch/control/server/controller_service.h"
+#include "posthatch/control/server/memory_log-test.h"
+#include "posthatch/control/state/commands-test.h"
 #include "posthatch/simulation/sim_world.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/inventory_fetch.cc
+++ b/src/posthatch/control/inventory/inventory_fetch.cc
@@ -1,9 +1,9 @@
-#include "posthatch/control/inventory_fetch.h"
+#include "posthatch/control/inventory/inventory_fetch.h"
 
 #include <utility>
 
 #include "absl/status/status.h"
-#include "posthatch/control/inventory_state.h"
+#include "posthatch/control/state/inventory_state.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/inventory_fetch.h
+++ b/src/posthatch/control/inventory/inventory_fetch.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "absl/status/statusor.h"
-#include "posthatch/control/inventory_format.h"
+#include "posthatch/control/inventory/inventory_format.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/inventory_poller.cc
+++ b/src/posthatch/control/inventory/inventory_poller.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/inventory_poller.h"
+#include "posthatch/control/inventory/inventory_poller.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/posthatch/control/inventory_poller.h
+++ b/src/posthatch/control/inventory/inventory_poller.h
@@ -4,8 +4,8 @@
 #include <string>
 
 #include "posthatch/control/control.pb.h"
-#include "posthatch/control/inventory_fetch.h"
-#include "posthatch/control/inventory_format.h"
+#include "posthatch/control/inventory/inventory_fetch.h"
+#include "posthatch/control/inventory/inventory_format.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/inventory_watch-test.cc
+++ b/src/posthatch/control/inventory/inventory_watch-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/inventory_watch.h"
+#include "posthatch/control/inventory/inventory_watch.h"
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/inventory_state.h"
+#include "posthatch/control/state/inventory_state.h"
 #include "posthatch/simulation/sim_world.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/inventory_watch.cc
+++ b/src/posthatch/control/inventory/inventory_watch.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/inventory_watch.h"
+#include "posthatch/control/inventory/inventory_watch.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/posthatch/control/inventory_watch.h
+++ b/src/posthatch/control/inventory/inventory_watch.h
@@ -7,10 +7,10 @@
 #include <string_view>
 #include <vector>
 
-#include "posthatch/control/control_client.h"
-#include "posthatch/control/inventory_fetch.h"
-#include "posthatch/control/inventory_format.h"
-#include "posthatch/control/zone_inventory.h"
+#include "posthatch/control/client/control_client.h"
+#include "posthatch/control/inventory/inventory_fetch.h"
+#include "posthatch/control/inventory/inventory_format.h"
+#include "posthatch/control/inventory/zone_inventory.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/native_inventory_format.cc
+++ b/src/posthatch/control/inventory/native_inventory_format.cc
@@ -2,8 +2,8 @@
 #include <boost/json.hpp>
 
 #include "absl/strings/numbers.h"
-#include "posthatch/control/inventory_format.h"
-#include "posthatch/control/inventory_state.h"
+#include "posthatch/control/inventory/inventory_format.h"
+#include "posthatch/control/state/inventory_state.h"
 #include "posthatch/util/string_view.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/zone_inventory.cc
+++ b/src/posthatch/control/inventory/zone_inventory.cc
@@ -1,11 +1,11 @@
-#include "posthatch/control/zone_inventory.h"
+#include "posthatch/control/inventory/zone_inventory.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "posthatch/control/fingerprint.h"
-#include "posthatch/control/inventory_state.h"
-#include "posthatch/control/section_deltas.h"
+#include "posthatch/control/state/fingerprint.h"
+#include "posthatch/control/state/inventory_state.h"
+#include "posthatch/control/state/section_deltas.h"
 
 namespace posthatch::control {
 
--- a/src/posthatch/control/zone_inventory.h
+++ b/src/posthatch/control/inventory/zone_inventory.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
+#include "posthatch/control/client/control_client.h"
 #include "posthatch/control/control.pb.h"
-#include "posthatch/control/control_client.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/control_history-test.cc
+++ b/src/posthatch/control/server/control_history-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/control_history-test.h"
+#include "posthatch/control/server/control_history-test.h"
 
 #include <gtest/gtest.h>
 
--- a/src/posthatch/control/control_plane-test.cc
+++ b/src/posthatch/control/server/control_plane-test.cc
@@ -4,7 +4,7 @@
 #include <cstdlib>
 
 #include "posthatch/consensus/raft_replica.h"
-#include "posthatch/control/fleet_harness-test.h"
+#include "posthatch/control/server/fleet_harness-test.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/controller_metrics.cc
+++ b/src/posthatch/control/server/controller_metrics.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/controller_metrics.h"
+#include "posthatch/control/server/controller_metrics.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/controller_service-test.cc
+++ b/src/posthatch/control/server/controller_service-test.cc
@@ -1,10 +1,10 @@
-#include "posthatch/control/controller_service.h"
+#include "posthatch/control/server/controller_service.h"
 
 #include <gtest/gtest.h>
 
-#include "posthatch/control/commands-test.h"
-#include "posthatch/control/fleet_harness-test.h"
-#include "posthatch/control/memory_log-test.h"
+#include "posthatch/control/server/fleet_harness-test.h"
+#include "posthatch/control/server/memory_log-test.h"
+#include "posthatch/control/state/commands-test.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/controller_service.cc
+++ b/src/posthatch/control/server/controller_service.cc
@@ -1,13 +1,13 @@
-#include "posthatch/control/controller_service.h"
+#include "posthatch/control/server/controller_service.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "absl/status/status.h"
-#include "posthatch/control/controller_metrics.h"
-#include "posthatch/control/fingerprint.h"
-#include "posthatch/control/state_views.h"
-#include "posthatch/control/worker_lease_planner.h"
+#include "posthatch/control/server/controller_metrics.h"
+#include "posthatch/control/server/state_views.h"
+#include "posthatch/control/server/worker_lease_planner.h"
+#include "posthatch/control/state/fingerprint.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/controller_service.h
+++ b/src/posthatch/control/server/controller_service.h
@@ -9,13 +9,13 @@
 #include <vector>
 
 #include "posthatch/consensus/replicated_log.h"
-#include "posthatch/control/control_state.h"
-#include "posthatch/control/in_force_waiters.h"
-#include "posthatch/control/inventory_poller.h"
-#include "posthatch/control/leader_client.h"
-#include "posthatch/control/leader_lease_guard.h"
-#include "posthatch/control/leader_locator.h"
-#include "posthatch/control/session_table.h"
+#include "posthatch/control/client/leader_client.h"
+#include "posthatch/control/client/leader_locator.h"
+#include "posthatch/control/inventory/inventory_poller.h"
+#include "posthatch/control/server/in_force_waiters.h"
+#include "posthatch/control/server/leader_lease_guard.h"
+#include "posthatch/control/server/session_table.h"
+#include "posthatch/control/state/control_state.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/fleet_harness-test.h
+++ b/src/posthatch/control/server/fleet_harness-test.h
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/admin_api.h"
-#include "posthatch/control/control_history-test.h"
-#include "posthatch/control/controller_service.h"
-#include "posthatch/control/gateway_session.h"
+#include "posthatch/control/admin/admin_api.h"
+#include "posthatch/control/client/gateway_session.h"
+#include "posthatch/control/server/control_history-test.h"
+#include "posthatch/control/server/controller_service.h"
 #include "posthatch/simulation/sim_world.h"
 
 // A simulated control plane: controllers, gateways that "decide" and "order" all the time, a
--- a/src/posthatch/control/in_force_waiters.cc
+++ b/src/posthatch/control/server/in_force_waiters.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/in_force_waiters.h"
+#include "posthatch/control/server/in_force_waiters.h"
 
 #include <utility>
 
--- a/src/posthatch/control/in_force_waiters.h
+++ b/src/posthatch/control/server/in_force_waiters.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <list>
 
-#include "posthatch/control/session_table.h"
+#include "posthatch/control/server/session_table.h"
 #include "posthatch/runtime/clock.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/memory_log-test.h
+++ b/src/posthatch/control/server/memory_log-test.h
@@ -8,7 +8,7 @@
 
 #include "absl/status/status.h"
 #include "posthatch/consensus/replicated_log.h"
-#include "posthatch/control/leader_lease_guard.h"
+#include "posthatch/control/server/leader_lease_guard.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/session_table.cc
+++ b/src/posthatch/control/server/session_table.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/session_table.h"
+#include "posthatch/control/server/session_table.h"
 
 #include <algorithm>
 
--- a/src/posthatch/control/session_table.h
+++ b/src/posthatch/control/server/session_table.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "posthatch/control/control.pb.h"
-#include "posthatch/control/fleet_sections.h"
+#include "posthatch/control/state/fleet_sections.h"
 #include "posthatch/runtime/clock.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/state_views.cc
+++ b/src/posthatch/control/server/state_views.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/state_views.h"
+#include "posthatch/control/server/state_views.h"
 
 #include <google/protobuf/util/json_util.h>
 
@@ -9,8 +9,8 @@
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_split.h"
-#include "posthatch/control/configuration_patch.h"
-#include "posthatch/control/selector.h"
+#include "posthatch/control/state/configuration_patch.h"
+#include "posthatch/control/state/selector.h"
 #include "posthatch/util/string_view.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/state_views.h
+++ b/src/posthatch/control/server/state_views.h
@@ -4,7 +4,7 @@
 #include <string_view>
 
 #include "absl/status/statusor.h"
-#include "posthatch/control/control_state.h"
+#include "posthatch/control/state/control_state.h"
 
 namespace posthatch::control {
 
--- a/src/posthatch/control/worker_lease_planner-test.cc
+++ b/src/posthatch/control/server/worker_lease_planner-test.cc
@@ -1,8 +1,8 @@
-#include "posthatch/control/worker_lease_planner.h"
+#include "posthatch/control/server/worker_lease_planner.h"
 
 #include <gtest/gtest.h>
 
-#include "posthatch/control/session_table.h"
+#include "posthatch/control/server/session_table.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/worker_lease_planner.cc
+++ b/src/posthatch/control/server/worker_lease_planner.cc
@@ -1,10 +1,10 @@
-#include "posthatch/control/worker_lease_planner.h"
+#include "posthatch/control/server/worker_lease_planner.h"
 
 #include <algorithm>
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/fingerprint.h"
+#include "posthatch/control/state/fingerprint.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/worker_lease_planner.h
+++ b/src/posthatch/control/server/worker_lease_planner.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "posthatch/control/control.pb.h"
-#include "posthatch/control/session_table.h"
+#include "posthatch/control/server/session_table.h"
 #include "posthatch/runtime/clock.h"
 
 namespace posthatch::control {
--- a/src/posthatch/control/commands-test.h
+++ b/src/posthatch/control/state/commands-test.h
@@ -4,7 +4,7 @@
 
 #include "absl/strings/str_cat.h"
 #include "posthatch/control/control.pb.h"
-#include "posthatch/control/selector.h"
+#include "posthatch/control/state/selector.h"
 #include "posthatch/runtime/random.h"
 
 // Commands for tests and measurements.
--- a/src/posthatch/control/configuration_history.cc
+++ b/src/posthatch/control/state/configuration_history.cc
@@ -1,12 +1,12 @@
-#include "posthatch/control/configuration_history.h"
+#include "posthatch/control/state/configuration_history.h"
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/configuration_patch.h"
-#include "posthatch/control/configuration_validator.h"
+#include "posthatch/control/state/configuration_patch.h"
+#include "posthatch/control/state/configuration_validator.h"
 
 namespace posthatch::control {
 
--- a/src/posthatch/control/configuration_patch.cc
+++ b/src/posthatch/control/state/configuration_patch.cc
@@ -1,9 +1,9 @@
-#include "posthatch/control/configuration_patch.h"
+#include "posthatch/control/state/configuration_patch.h"
 
 #include <map>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/fingerprint.h"
+#include "posthatch/control/state/fingerprint.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/configuration_validator.cc
+++ b/src/posthatch/control/state/configuration_validator.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/configuration_validator.h"
+#include "posthatch/control/state/configuration_validator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 
 #include "absl/strings/ascii.h"
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/selector.h"
+#include "posthatch/control/state/selector.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/control_state-test.cc
+++ b/src/posthatch/control/state/control_state-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/control_state.h"
+#include "posthatch/control/state/control_state.h"
 
 #include <gtest/gtest.h>
 
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/commands-test.h"
-#include "posthatch/control/configuration_patch.h"
-#include "posthatch/control/fleet_sections.h"
+#include "posthatch/control/state/commands-test.h"
+#include "posthatch/control/state/configuration_patch.h"
+#include "posthatch/control/state/fleet_sections.h"
 #include "posthatch/runtime/random.h"
 
 namespace posthatch::control {
@@ -135,7 +135,7 @@
   configuration.clear_isolation_rules();
   Apply(WholeChange("c5", 0, configuration));
   EXPECT_GT(Generation(""), shared_after);
-  channels::ObjectVersion version;
+  invalidation::ObjectVersion version;
   ASSERT_TRUE(state_.Find("tenant/alpha", &version));
   EXPECT_EQ(version.epoch(), Generation("alpha"));
 }
@@ -236,7 +236,7 @@
   ControlState second;
   ControlState restored;
   const uint64_t restore_at = 1 + random.Uniform(300);
-  std::map<std::string, channels::ObjectVersion> versions;
+  std::map<std::string, invalidation::ObjectVersion> versions;
   std::vector<Command> sent;
   for (uint64_t index = 1; index <= 300; ++index) {
     const bool resend = !sent.empty() && random.Chance(0.2);
@@ -251,9 +251,9 @@
     if (index == restore_at) {
       ASSERT_TRUE(restored.RestoreSnapshot(first.TakeSnapshot()).ok());
     }
-    for (const channels::RegisteredObject& object : first.Objects()) {
-      channels::ObjectVersion& known = versions[object.object()];
-      const auto pair = [](const channels::ObjectVersion& version) {
+    for (const invalidation::RegisteredObject& object : first.Objects()) {
+      invalidation::ObjectVersion& known = versions[object.object()];
+      const auto pair = [](const invalidation::ObjectVersion& version) {
         return std::make_pair(version.epoch(), version.sequence());
       };
       EXPECT_GE(pair(object.version()), pair(known)) << object.object() << " went back";
--- a/src/posthatch/control/control_state.cc
+++ b/src/posthatch/control/state/control_state.cc
@@ -1,9 +1,9 @@
-#include "posthatch/control/control_state.h"
+#include "posthatch/control/state/control_state.h"
 
 #include <utility>
 
 #include "absl/status/status.h"
-#include "posthatch/control/fingerprint.h"
+#include "posthatch/control/state/fingerprint.h"
 
 namespace posthatch::control {
 namespace {
@@ -243,7 +243,7 @@
 
 void ControlState::NotifyListeners() {
   for (const std::string& object : changed_objects_) {
-    channels::ObjectVersion version;
+    invalidation::ObjectVersion version;
     if (!objects_.Find(object, &version)) continue;
     for (const Listener& listener : object_listeners_) listener(object, version);
   }
--- a/src/posthatch/control/control_state.h
+++ b/src/posthatch/control/state/control_state.h
@@ -5,27 +5,27 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/channels/object_source.h"
 #include "posthatch/consensus/replicated_log.h"
-#include "posthatch/control/configuration_history.h"
 #include "posthatch/control/control.pb.h"
-#include "posthatch/control/delivery_records.h"
-#include "posthatch/control/evacuation_set.h"
-#include "posthatch/control/inventory_state.h"
-#include "posthatch/control/isolation_registry.h"
-#include "posthatch/control/model_revisions.h"
-#include "posthatch/control/object_versions.h"
-#include "posthatch/control/request_records.h"
-#include "posthatch/control/section_deltas.h"
-#include "posthatch/control/traffic_state.h"
-#include "posthatch/control/worker_lease_table.h"
+#include "posthatch/control/state/configuration_history.h"
+#include "posthatch/control/state/delivery_records.h"
+#include "posthatch/control/state/evacuation_set.h"
+#include "posthatch/control/state/inventory_state.h"
+#include "posthatch/control/state/isolation_registry.h"
+#include "posthatch/control/state/model_revisions.h"
+#include "posthatch/control/state/object_versions.h"
+#include "posthatch/control/state/request_records.h"
+#include "posthatch/control/state/section_deltas.h"
+#include "posthatch/control/state/traffic_state.h"
+#include "posthatch/control/state/worker_lease_table.h"
+#include "posthatch/invalidation/object_source.h"
 
 namespace posthatch::control {
 
 // The replicated control state: what the log's commands (control.proto, Command) add up to. Equal
 // commands at equal log indices give equal states and answers on every controller; time comes only
 // from the commands. One per controller, on its event loop thread; must outlive the log.
-class ControlState : public consensus::StateMachine, public channels::ObjectSource {
+class ControlState : public consensus::StateMachine, public invalidation::ObjectSource {
  public:
   using SectionListener = std::function<void()>;
 
@@ -34,9 +34,9 @@
   std::string TakeSnapshot() const override;
   absl::Status RestoreSnapshot(const std::string& snapshot) override;
 
-  // channels::ObjectSource.
-  std::vector<channels::RegisteredObject> Objects() const override { return objects_.All(); }
-  bool Find(const std::string& object, channels::ObjectVersion* version) const override {
+  // invalidation::ObjectSource.
+  std::vector<invalidation::RegisteredObject> Objects() const override { return objects_.All(); }
+  bool Find(const std::string& object, invalidation::ObjectVersion* version) const override {
     return objects_.Find(object, version);
   }
   void AddListener(Listener listener) override { object_listeners_.push_back(std::move(listener)); }
--- a/src/posthatch/control/delivery_records.cc
+++ b/src/posthatch/control/state/delivery_records.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/delivery_records.h"
+#include "posthatch/control/state/delivery_records.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/posthatch/control/delivery_records.h
+++ b/src/posthatch/control/state/delivery_records.h
@@ -6,7 +6,7 @@
 
 #include "absl/container/flat_hash_map.h"
 #include "posthatch/control/control.pb.h"
-#include "posthatch/control/expired_keys.h"
+#include "posthatch/control/state/expired_keys.h"
 
 namespace posthatch::control {
 
--- a/src/posthatch/control/evacuation_set.cc
+++ b/src/posthatch/control/state/evacuation_set.cc
@@ -1,11 +1,11 @@
-#include "posthatch/control/evacuation_set.h"
+#include "posthatch/control/state/evacuation_set.h"
 
 #include <utility>
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/configuration_validator.h"
-#include "posthatch/control/selector.h"
+#include "posthatch/control/state/configuration_validator.h"
+#include "posthatch/control/state/selector.h"
 
 namespace posthatch::control {
 
--- a/src/posthatch/control/expired_keys.cc
+++ b/src/posthatch/control/state/expired_keys.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/expired_keys.h"
+#include "posthatch/control/state/expired_keys.h"
 
 namespace posthatch::control {
 
--- a/src/posthatch/control/expired_keys.h
+++ b/src/posthatch/control/state/expired_keys.h
@@ -7,7 +7,7 @@
 #include "absl/container/flat_hash_set.h"
 #include "google/protobuf/repeated_ptr_field.h"
 #include "posthatch/control/control.pb.h"
-#include "posthatch/control/fingerprint.h"
+#include "posthatch/control/state/fingerprint.h"
 
 namespace posthatch::control {
 
--- a/src/posthatch/control/fingerprint.cc
+++ b/src/posthatch/control/state/fingerprint.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/fingerprint.h"
+#include "posthatch/control/state/fingerprint.h"
 
 #include <google/protobuf/io/coded_stream.h>
 #include <google/protobuf/io/zero_copy_stream_impl_lite.h>
--- a/src/posthatch/control/fleet_sections.cc
+++ b/src/posthatch/control/state/fleet_sections.cc
@@ -1,9 +1,9 @@
-#include "posthatch/control/fleet_sections.h"
+#include "posthatch/control/state/fleet_sections.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "posthatch/control/configuration_patch.h"
+#include "posthatch/control/state/configuration_patch.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/fleet_sections.h
+++ b/src/posthatch/control/state/fleet_sections.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "google/protobuf/repeated_ptr_field.h"
-#include "posthatch/control/configuration_history.h"
 #include "posthatch/control/control.pb.h"
+#include "posthatch/control/state/configuration_history.h"
 
 // The sections of FleetState, each with the log index of its last change. Grants and pushes carry
 // the sections that the receiver doesn't have yet.
--- a/src/posthatch/control/inventory_state.cc
+++ b/src/posthatch/control/state/inventory_state.cc
@@ -1,12 +1,12 @@
-#include "posthatch/control/inventory_state.h"
+#include "posthatch/control/state/inventory_state.h"
 
 #include <algorithm>
 #include <map>
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/fingerprint.h"
-#include "posthatch/control/section_deltas.h"
+#include "posthatch/control/state/fingerprint.h"
+#include "posthatch/control/state/section_deltas.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/isolation_registry.cc
+++ b/src/posthatch/control/state/isolation_registry.cc
@@ -1,9 +1,9 @@
-#include "posthatch/control/isolation_registry.h"
+#include "posthatch/control/state/isolation_registry.h"
 
 #include <algorithm>
 #include <set>
 
-#include "posthatch/control/selector.h"
+#include "posthatch/control/state/selector.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/model_revisions.cc
+++ b/src/posthatch/control/state/model_revisions.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/model_revisions.h"
+#include "posthatch/control/state/model_revisions.h"
 
 #include <algorithm>
 
--- a/src/posthatch/control/object_versions.cc
+++ b/src/posthatch/control/state/object_versions.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/object_versions.h"
+#include "posthatch/control/state/object_versions.h"
 
 namespace posthatch::control {
 
@@ -37,7 +37,7 @@
   return rose;
 }
 
-bool ObjectVersions::Find(const std::string& object, channels::ObjectVersion* version) const {
+bool ObjectVersions::Find(const std::string& object, invalidation::ObjectVersion* version) const {
   const auto found = versions_.find(object);
   if (found == versions_.end()) return false;
   version->set_epoch(found->second.epoch);
@@ -45,11 +45,11 @@
   return true;
 }
 
-std::vector<channels::RegisteredObject> ObjectVersions::All() const {
-  std::vector<channels::RegisteredObject> objects;
+std::vector<invalidation::RegisteredObject> ObjectVersions::All() const {
+  std::vector<invalidation::RegisteredObject> objects;
   objects.reserve(versions_.size());
   for (const auto& [name, version] : versions_) {
-    channels::RegisteredObject& object = objects.emplace_back();
+    invalidation::RegisteredObject& object = objects.emplace_back();
     object.set_object(name);
     object.mutable_version()->set_epoch(version.epoch);
     object.mutable_version()->set_sequence(version.sequence);
--- a/src/posthatch/control/object_versions.h
+++ b/src/posthatch/control/state/object_versions.h
@@ -6,12 +6,12 @@
 #include <vector>
 
 #include "google/protobuf/repeated_ptr_field.h"
-#include "posthatch/channels/channels.pb.h"
 #include "posthatch/control/control.pb.h"
+#include "posthatch/invalidation/invalidation.pb.h"
 
 namespace posthatch::control {
 
-// Versions of the objects that index entries rest on (names: channels.proto). A version never goes
+// Versions of the objects that index entries rest on (names: invalidation.proto). A version never goes
 // back. Part of the replicated state; owned by ControlState.
 class ObjectVersions {
  public:
@@ -27,8 +27,8 @@
   // or INVALID. An observation of an older epoch changes nothing.
   bool Observe(const ObserveObject& observation, CommandResult* result);
 
-  bool Find(const std::string& object, channels::ObjectVersion* version) const;
-  std::vector<channels::RegisteredObject> All() const;
+  bool Find(const std::string& object, invalidation::ObjectVersion* version) const;
+  std::vector<invalidation::RegisteredObject> All() const;
 
   void Save(google::protobuf::RepeatedPtrField<ObjectRecord>* objects) const;
   void Restore(const google::protobuf::RepeatedPtrField<ObjectRecord>& objects);
--- a/src/posthatch/control/request_records.cc
+++ b/src/posthatch/control/state/request_records.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/request_records.h"
+#include "posthatch/control/state/request_records.h"
 
 namespace posthatch::control {
 
--- a/src/posthatch/control/section_deltas.cc
+++ b/src/posthatch/control/state/section_deltas.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/section_deltas.h"
+#include "posthatch/control/state/section_deltas.h"
 
 #include <algorithm>
 #include <set>
@@ -6,9 +6,9 @@
 
 #include "absl/container/flat_hash_map.h"
 #include "absl/container/flat_hash_set.h"
-#include "posthatch/control/fingerprint.h"
-#include "posthatch/control/inventory_state.h"
-#include "posthatch/control/traffic_state.h"
+#include "posthatch/control/state/fingerprint.h"
+#include "posthatch/control/state/inventory_state.h"
+#include "posthatch/control/state/traffic_state.h"
 
 namespace posthatch::control {
 
--- a/src/posthatch/control/selector-test.cc
+++ b/src/posthatch/control/state/selector-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/selector.h"
+#include "posthatch/control/state/selector.h"
 
 #include <gtest/gtest.h>
 
--- a/src/posthatch/control/traffic_state-test.cc
+++ b/src/posthatch/control/state/traffic_state-test.cc
@@ -1,13 +1,13 @@
-#include "posthatch/control/traffic_state.h"
+#include "posthatch/control/state/traffic_state.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 
-#include "posthatch/control/control_state.h"
-#include "posthatch/control/fleet_sections.h"
-#include "posthatch/control/section_deltas.h"
-#include "posthatch/control/traffic_validator.h"
+#include "posthatch/control/state/control_state.h"
+#include "posthatch/control/state/fleet_sections.h"
+#include "posthatch/control/state/section_deltas.h"
+#include "posthatch/control/state/traffic_validator.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/traffic_state.cc
+++ b/src/posthatch/control/state/traffic_state.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/traffic_state.h"
+#include "posthatch/control/state/traffic_state.h"
 
 #include <string>
 #include <utility>
@@ -7,8 +7,8 @@
 #include "absl/container/flat_hash_map.h"
 #include "absl/container/flat_hash_set.h"
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/fingerprint.h"
-#include "posthatch/control/traffic_validator.h"
+#include "posthatch/control/state/fingerprint.h"
+#include "posthatch/control/state/traffic_validator.h"
 
 namespace posthatch::control {
 namespace {
--- a/src/posthatch/control/traffic_validator.cc
+++ b/src/posthatch/control/state/traffic_validator.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/traffic_validator.h"
+#include "posthatch/control/state/traffic_validator.h"
 
 #include "absl/container/flat_hash_map.h"
 #include "absl/container/flat_hash_set.h"
--- a/src/posthatch/control/worker_lease_table.cc
+++ b/src/posthatch/control/state/worker_lease_table.cc
@@ -1,4 +1,4 @@
-#include "posthatch/control/worker_lease_table.h"
+#include "posthatch/control/state/worker_lease_table.h"
 
 namespace posthatch::control {
 
--- a/src/posthatch/ctl/admin_request.cc
+++ b/src/posthatch/ctl/admin_request.cc
@@ -3,8 +3,8 @@
 #include <boost/json.hpp>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/control/inventory_poller.h"
-#include "posthatch/control/selector.h"
+#include "posthatch/control/inventory/inventory_poller.h"
+#include "posthatch/control/state/selector.h"
 
 namespace posthatch::ctl {
 namespace {
--- a/src/posthatch/ctl/main.cc
+++ b/src/posthatch/ctl/main.cc
@@ -3,17 +3,17 @@
 #include <memory>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/asio/asio_runtime.h"
 #include "posthatch/ctl/command_runner.h"
 #include "posthatch/ctl/invocation.h"
+#include "posthatch/net/asio_runtime.h"
 
 namespace {
 
 int Run(const posthatch::ctl::Invocation& invocation) {
-  posthatch::asio::AsioRuntimeOptions options;
+  posthatch::net::AsioRuntimeOptions options;
   options.node_id = "posthatchctl";
   options.log_level = posthatch::runtime::Severity::kError;
-  auto runtime = posthatch::asio::AsioRuntime::Create(options);
+  auto runtime = posthatch::net::AsioRuntime::Create(options);
   if (!runtime.ok()) {
     std::fprintf(stderr, "%s\n", absl::StrCat(runtime.status().message()).c_str());
     return static_cast<int>(posthatch::ctl::ExitCode::kUncertain);
--- a/src/posthatch/standins/answer_mixer.cc
+++ b/src/posthatch/emulator/answer_mixer.cc
@@ -1,13 +1,13 @@
-#include "posthatch/standins/answer_mixer.h"
+#include "posthatch/emulator/answer_mixer.h"
 
 #include <xxhash.h>
 
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/standins/json_body.h"
+#include "posthatch/emulator/json_body.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 AnswerIdentity AnswerMixer::Choose(const AnswerIdentity& own, const MixedUpShares& shares) {
   AnswerIdentity chosen = own;
@@ -42,4 +42,4 @@
   return ToHex(XXH3_64bits(text.data(), text.size()));
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/answer_mixer.h
+++ b/src/posthatch/emulator/answer_mixer.h
@@ -6,7 +6,7 @@
 
 #include "posthatch/runtime/random.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // All that an answer is made of: two answers differ by it alone.
 struct AnswerIdentity {
@@ -49,4 +49,4 @@
 // XXH3-64 of `text`, hexadecimal (docs/BACKENDS.md).
 std::string Checksum(const std::string& text);
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/answer_reader-test.cc
+++ b/src/posthatch/emulator/answer_reader-test.cc
@@ -1,14 +1,14 @@
-#include "posthatch/standins/answer_reader.h"
+#include "posthatch/emulator/answer_reader.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 
 #include "absl/strings/match.h"
-#include "posthatch/standins/answer_mixer.h"
-#include "posthatch/standins/json_body.h"
+#include "posthatch/emulator/answer_mixer.h"
+#include "posthatch/emulator/json_body.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
 std::string Piece(uint32_t number, const std::string& run = "r", const std::string& nonce = "n") {
@@ -114,4 +114,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/answer_reader.cc
+++ b/src/posthatch/emulator/answer_reader.cc
@@ -1,4 +1,4 @@
-#include "posthatch/standins/answer_reader.h"
+#include "posthatch/emulator/answer_reader.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,11 +7,11 @@
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_split.h"
 #include "absl/strings/strip.h"
-#include "posthatch/standins/answer_mixer.h"
-#include "posthatch/standins/json_body.h"
+#include "posthatch/emulator/answer_mixer.h"
+#include "posthatch/emulator/json_body.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -145,4 +145,4 @@
   return findings;
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/answer_reader.h
+++ b/src/posthatch/emulator/answer_reader.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // What a caller makes of an answer's body, byte by byte. Strict: anything that docs/API.md and
 // docs/BACKENDS.md don't allow is named in `fault` (the first one).
@@ -50,4 +50,4 @@
 AnswerFindings ReadWholeAnswer(int status, std::string_view body, const std::string& nonce,
                                uint32_t expected_pieces);
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/backends_standin-test.cc
+++ b/src/posthatch/emulator/backends_standin-test.cc
@@ -2,14 +2,14 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "posthatch/standins/inventory_standin.h"
-#include "posthatch/standins/service_standin.h"
-#include "posthatch/standins/standin_world.h"
+#include "posthatch/emulator/inventory_standin.h"
+#include "posthatch/emulator/service_standin.h"
+#include "posthatch/emulator/standin_world.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
-using rehearse::HistoryEvent;
+using fleettest::HistoryEvent;
 
 class ServiceStandInTest : public StandInWorld {
  protected:
@@ -152,4 +152,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/block_cache.cc
+++ b/src/posthatch/emulator/block_cache.cc
@@ -1,6 +1,6 @@
-#include "posthatch/standins/block_cache.h"
+#include "posthatch/emulator/block_cache.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 std::vector<BlockMaker> BlockCache::Lookup(const std::vector<index::BlockHash>& chain,
                                            size_t first) {
@@ -42,4 +42,4 @@
   blocks_.clear();
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/block_cache.h
+++ b/src/posthatch/emulator/block_cache.h
@@ -8,7 +8,7 @@
 #include "absl/container/flat_hash_map.h"
 #include "posthatch/index/block_hash.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // Who made a block, and under which weights: recorded so that checks can tell a reuse that crosses
 // a tenant isolation or a model revision.
@@ -43,4 +43,4 @@
   absl::flat_hash_map<index::BlockHash, std::list<Block>::iterator> blocks_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/caller_load-test.cc
+++ b/src/posthatch/emulator/caller_load-test.cc
@@ -1,18 +1,18 @@
-#include "posthatch/standins/caller_load.h"
+#include "posthatch/emulator/caller_load.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <set>
 
-#include "posthatch/standins/answer_mixer.h"
-#include "posthatch/standins/prompt_pool.h"
-#include "posthatch/standins/standin_world.h"
+#include "posthatch/emulator/answer_mixer.h"
+#include "posthatch/emulator/prompt_pool.h"
+#include "posthatch/emulator/standin_world.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
-using rehearse::HistoryEvent;
+using fleettest::HistoryEvent;
 
 // An HTTP server that answers by a function; null response: the connection is broken.
 class StubServer {
@@ -50,7 +50,7 @@
 
   // Runs a load for `duration` and then until all its calls have ended.
   CallerLoadCounts RunLoad(CallerLoadOptions options, runtime::Duration duration) {
-    rehearse::MemoryHistoryRecorder recorder(client->runtime()->clock, "callers", &events);
+    fleettest::MemoryHistoryRecorder recorder(client->runtime()->clock, "callers", &events);
     CallerLoad load(client->runtime(), std::move(options), &recorder);
     load.Start();
     world.RunFor(duration);
@@ -95,7 +95,7 @@
   uint64_t left = 0;
   uint64_t first_tokens = 0;
   for (const HistoryEvent& event : EventsOf(HistoryEvent::kCallEnded)) {
-    const rehearse::CallEnded& ended = event.call_ended();
+    const fleettest::CallEnded& ended = event.call_ended();
     left += ended.caller_left() ? 1 : 0;
     first_tokens += ended.first_token_ns() > 0 ? 1 : 0;
     if (ended.caller_left()) continue;
@@ -107,7 +107,7 @@
   EXPECT_GT(first_tokens, counts.sent / 2);
   uint64_t blocks = 0;
   uint64_t reused = 0;
-  for (const rehearse::RunStarted& run : Starts()) {
+  for (const fleettest::RunStarted& run : Starts()) {
     blocks += run.prompt_blocks();
     for (const auto& part : run.reused()) reused += part.blocks();
   }
@@ -121,7 +121,7 @@
   options.mix = OnlyKeyed();
   options.gateways = {deaf, good};
   RunLoad(options, std::chrono::seconds(10));
-  std::map<std::string, std::vector<rehearse::CallSent>> sends;
+  std::map<std::string, std::vector<fleettest::CallSent>> sends;
   for (const auto& event : EventsOf(HistoryEvent::kCallSent)) {
     sends[event.call_sent().idempotency_key()].push_back(event.call_sent());
   }
@@ -190,7 +190,7 @@
     host->SetBoot([](runtime::Runtime*) { return std::make_shared<int>(0); });
     host->Start();
     std::vector<HistoryEvent> own_events;
-    rehearse::MemoryHistoryRecorder recorder(host->runtime()->clock, "c", &own_events);
+    fleettest::MemoryHistoryRecorder recorder(host->runtime()->clock, "c", &own_events);
     CallerLoadOptions options;
     options.mix = KovinarMix();
     options.gateways = {"10.0.0.9:1"};
@@ -256,4 +256,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/caller_load.cc
+++ b/src/posthatch/emulator/caller_load.cc
@@ -1,4 +1,4 @@
-#include "posthatch/standins/caller_load.h"
+#include "posthatch/emulator/caller_load.h"
 
 #include <algorithm>
 #include <boost/json/serialize.hpp>
@@ -7,12 +7,12 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/standins/json_body.h"
-#include "posthatch/standins/json_client.h"
-#include "posthatch/standins/prompt_pool.h"
-#include "posthatch/standins/recorded_call.h"
+#include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/json_client.h"
+#include "posthatch/emulator/prompt_pool.h"
+#include "posthatch/emulator/recorded_call.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -47,7 +47,7 @@
 }
 
 // Whether the caller must take the answer as lost: the operation may or may not have run.
-bool AnswerLost(const rehearse::CallEnded& ended) {
+bool AnswerLost(const fleettest::CallEnded& ended) {
   if (ended.status() == 0 || !ended.complete()) return true;
   return ended.status() != 200 && ended.executed() != "no";
 }
@@ -56,7 +56,7 @@
 
 class CallerLoad::Impl {
  public:
-  Impl(runtime::Runtime* runtime, CallerLoadOptions options, rehearse::HistoryRecorder* recorder);
+  Impl(runtime::Runtime* runtime, CallerLoadOptions options, fleettest::HistoryRecorder* recorder);
 
   void Start();
   void Stop(std::function<void()> done);
@@ -73,13 +73,13 @@
   std::string OtherGateway(const std::string& last);
   void Send(const RequestPointer& request, const std::string& gateway);
   void SendLater(const RequestPointer& request, runtime::Duration delay, const std::string& last);
-  void TakeEnd(const RequestPointer& request, uint64_t call, const rehearse::CallEnded& ended);
-  void Count(const rehearse::CallEnded& ended);
+  void TakeEnd(const RequestPointer& request, uint64_t call, const fleettest::CallEnded& ended);
+  void Count(const fleettest::CallEnded& ended);
   void FinishStop();
 
   runtime::Runtime* const runtime_;
   CallerLoadOptions options_;
-  rehearse::HistoryRecorder* const recorder_;
+  fleettest::HistoryRecorder* const recorder_;
   std::vector<PromptPool> pools_;  // one for each tenant
   std::discrete_distribution<size_t> tenant_choice_;
   std::discrete_distribution<size_t> operation_choice_;
@@ -97,7 +97,7 @@
 };
 
 CallerLoad::Impl::Impl(runtime::Runtime* runtime, CallerLoadOptions options,
-                       rehearse::HistoryRecorder* recorder)
+                       fleettest::HistoryRecorder* recorder)
     : runtime_(runtime),
       options_(std::move(options)),
       recorder_(recorder),
@@ -244,7 +244,7 @@
   ++counts_.sent;
   auto recorded = std::make_unique<RecordedCall>(
       runtime_, recorder_, std::move(plan),
-      [this, request, call](const rehearse::CallEnded& ended) { TakeEnd(request, call, ended); });
+      [this, request, call](const fleettest::CallEnded& ended) { TakeEnd(request, call, ended); });
   RecordedCall* started = recorded.get();
   calls_[call] = std::move(recorded);
   started->Start();
@@ -262,7 +262,7 @@
 }
 
 void CallerLoad::Impl::TakeEnd(const RequestPointer& request, uint64_t call,
-                               const rehearse::CallEnded& ended) {
+                               const fleettest::CallEnded& ended) {
   const auto entry = calls_.find(call);
   ReleaseLater(runtime_, std::move(entry->second));
   calls_.erase(entry);
@@ -282,7 +282,7 @@
   FinishStop();
 }
 
-void CallerLoad::Impl::Count(const rehearse::CallEnded& ended) {
+void CallerLoad::Impl::Count(const fleettest::CallEnded& ended) {
   if (ended.status() == 200 && ended.complete()) {
     ++counts_.completed;
   } else if (ended.executed() == "no") {
@@ -293,7 +293,7 @@
 }
 
 CallerLoad::CallerLoad(runtime::Runtime* runtime, CallerLoadOptions options,
-                       rehearse::HistoryRecorder* recorder)
+                       fleettest::HistoryRecorder* recorder)
     : impl_(std::make_unique<Impl>(runtime, std::move(options), recorder)) {}
 
 CallerLoad::~CallerLoad() = default;
@@ -305,4 +305,4 @@
 }
 CallerLoadCounts CallerLoad::counts() const { return impl_->counts(); }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/caller_load.h
+++ b/src/posthatch/emulator/caller_load.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/rehearse/history/history_recorder.h"
+#include "posthatch/emulator/traffic_mix.h"
+#include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/runtime/runtime.h"
-#include "posthatch/standins/traffic_mix.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 struct CallerLoadOptions {
   TrafficMix mix;
@@ -40,7 +40,7 @@
  public:
   // `runtime` and `recorder` outlive the load.
   CallerLoad(runtime::Runtime* runtime, CallerLoadOptions options,
-             rehearse::HistoryRecorder* recorder);
+             fleettest::HistoryRecorder* recorder);
   ~CallerLoad();
   CallerLoad(const CallerLoad&) = delete;
   CallerLoad& operator=(const CallerLoad&) = delete;
@@ -57,4 +57,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/standins-bench.cc
+++ b/src/posthatch/emulator/emulator-bench.cc
@@ -6,17 +6,17 @@
 #include <string>
 #include <vector>
 
+#include "posthatch/emulator/answer_mixer.h"
+#include "posthatch/emulator/answer_reader.h"
+#include "posthatch/emulator/block_cache.h"
+#include "posthatch/emulator/caller_load.h"
+#include "posthatch/emulator/prompt_pool.h"
+#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/fleettest/history/recorders.h"
 #include "posthatch/index/block_hash.h"
-#include "posthatch/rehearse/history/recorders.h"
 #include "posthatch/simulation/sim_world.h"
-#include "posthatch/standins/answer_mixer.h"
-#include "posthatch/standins/answer_reader.h"
-#include "posthatch/standins/block_cache.h"
-#include "posthatch/standins/caller_load.h"
-#include "posthatch/standins/prompt_pool.h"
-#include "posthatch/standins/worker_standin.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
 // Look-up of a chain that is kept, by number of blocks.
@@ -51,8 +51,8 @@
   simulation::SimHost* const host = world.AddHost("h", "z", "10.0.0.1");
   host->SetBoot([](runtime::Runtime*) { return std::make_shared<int>(0); });
   host->Start();
-  auto recorder = rehearse::JsonlHistoryRecorder::Open(host->runtime()->clock, "h", "/dev/null");
-  rehearse::HistoryEvent event;
+  auto recorder = fleettest::JsonlHistoryRecorder::Open(host->runtime()->clock, "h", "/dev/null");
+  fleettest::HistoryEvent event;
   event.mutable_run_started()->set_run("worker-1-1236037217-1");
   event.mutable_run_started()->set_tenant("nilestone-1");
   event.mutable_run_started()->set_nonce("callers-1-1");
@@ -63,8 +63,8 @@
 // One simulated second of a preset's model traffic, callers and workers together.
 void BM_SimulatedSecond(benchmark::State& state) {
   simulation::SimWorld world(1);
-  std::vector<rehearse::HistoryEvent> events;
-  std::vector<std::unique_ptr<rehearse::MemoryHistoryRecorder>> recorders;
+  std::vector<fleettest::HistoryEvent> events;
+  std::vector<std::unique_ptr<fleettest::MemoryHistoryRecorder>> recorders;
   std::vector<std::string> endpoints;
   const auto workers = static_cast<int>(state.range(0));
   for (int i = 0; i <= workers; ++i) {
@@ -72,8 +72,8 @@
         world.AddHost("h" + std::to_string(i), "z", "10.0.1." + std::to_string(i + 1));
     if (i > 0) endpoints.push_back(host->http_endpoint());
     host->SetBoot([&, i, host](runtime::Runtime* runtime) -> std::shared_ptr<void> {
-      recorders.push_back(
-          std::make_unique<rehearse::MemoryHistoryRecorder>(runtime->clock, host->name(), &events));
+      recorders.push_back(std::make_unique<fleettest::MemoryHistoryRecorder>(
+          runtime->clock, host->name(), &events));
       if (i == 0) return std::make_shared<int>(0);
       WorkerSettings settings;
       settings.id = host->name();
@@ -108,4 +108,4 @@
     ->Unit(benchmark::kMillisecond);
 
 }  // namespace
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/fault_route.cc
+++ b/src/posthatch/emulator/fault_route.cc
@@ -1,11 +1,11 @@
-#include "posthatch/standins/fault_route.h"
+#include "posthatch/emulator/fault_route.h"
 
 #include <utility>
 
-#include "posthatch/standins/json_body.h"
+#include "posthatch/emulator/json_body.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 absl::StatusOr<std::unique_ptr<http::HttpServer>> FaultRoute::Listen(const std::string& endpoint,
                                                                      http::ServerLimits limits,
@@ -26,7 +26,7 @@
 }
 
 void FaultRoute::SetFaults(const http::Request& request, http::ResponseWriter* writer) {
-  absl::StatusOr<asio::FaultRules> rules = asio::ParseFaultRules(request.body);
+  absl::StatusOr<net::FaultRules> rules = net::ParseFaultRules(request.body);
   if (!rules.ok()) {
     writer->SendResponse(NotExecuted(400, "bad_request", util::ToStd(rules.status().message())));
     return;
@@ -38,4 +38,4 @@
   });
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/fault_route.h
+++ b/src/posthatch/emulator/fault_route.h
@@ -3,16 +3,16 @@
 #include <memory>
 #include <string>
 
-#include "posthatch/asio/asio_runtime.h"
 #include "posthatch/http/http.h"
+#include "posthatch/net/asio_runtime.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // Servers that also answer PUT /debug/faults (asio/fault_injection.h), before the stand-in's own
 // routes, if the process was started with --enable-fault-injection. Event loop thread only.
 class FaultRoute : public http::HttpServerFactory {
  public:
-  explicit FaultRoute(asio::AsioRuntime* asio_runtime) : asio_runtime_(asio_runtime) {}
+  explicit FaultRoute(net::AsioRuntime* asio_runtime) : asio_runtime_(asio_runtime) {}
 
   absl::StatusOr<std::unique_ptr<http::HttpServer>> Listen(const std::string& endpoint,
                                                            http::ServerLimits limits,
@@ -21,7 +21,7 @@
  private:
   void SetFaults(const http::Request& request, http::ResponseWriter* writer);
 
-  asio::AsioRuntime* const asio_runtime_;
+  net::AsioRuntime* const asio_runtime_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/field_table.h
+++ b/src/posthatch/emulator/field_table.h
@@ -11,7 +11,7 @@
 #include "absl/strings/str_cat.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // Name of a settings field in JSON, and where it stands in the struct.
 template <typename Struct>
@@ -69,4 +69,4 @@
   return absl::OkStatus();
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/inventory_standin.cc
+++ b/src/posthatch/emulator/inventory_standin.cc
@@ -1,4 +1,4 @@
-#include "posthatch/standins/inventory_standin.h"
+#include "posthatch/emulator/inventory_standin.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,11 +6,11 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/standins/json_body.h"
-#include "posthatch/standins/routed_server.h"
+#include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/routed_server.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -53,7 +53,7 @@
 
 class InventoryStandIn::Impl {
  public:
-  Impl(runtime::Runtime* runtime, InventorySettings settings, rehearse::HistoryRecorder* recorder)
+  Impl(runtime::Runtime* runtime, InventorySettings settings, fleettest::HistoryRecorder* recorder)
       : runtime_(runtime),
         settings_(std::move(settings)),
         recorder_(recorder),
@@ -86,7 +86,7 @@
 
   runtime::Runtime* const runtime_;
   const InventorySettings settings_;
-  rehearse::HistoryRecorder* const recorder_;
+  fleettest::HistoryRecorder* const recorder_;
   runtime::Duration lateness_;
   double reads_per_second_;
   double read_tokens_ = 0;
@@ -231,14 +231,14 @@
 }
 
 void InventoryStandIn::Impl::RecordDraining(const std::string& id, bool draining) {
-  rehearse::HistoryEvent event;
+  fleettest::HistoryEvent event;
   event.mutable_draining_shown()->set_backend(id);
   event.mutable_draining_shown()->set_draining(draining);
   recorder_->Record(std::move(event));
 }
 
 InventoryStandIn::InventoryStandIn(runtime::Runtime* runtime, InventorySettings settings,
-                                   rehearse::HistoryRecorder* recorder)
+                                   fleettest::HistoryRecorder* recorder)
     : impl_(std::make_unique<Impl>(runtime, std::move(settings), recorder)) {}
 
 InventoryStandIn::~InventoryStandIn() = default;
@@ -253,4 +253,4 @@
 }
 void InventoryStandIn::SetLateness(runtime::Duration lateness) { impl_->SetLateness(lateness); }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/inventory_standin.h
+++ b/src/posthatch/emulator/inventory_standin.h
@@ -7,10 +7,10 @@
 #include <vector>
 
 #include "absl/status/status.h"
-#include "posthatch/rehearse/history/history_recorder.h"
+#include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // One line of the platform's list.
 struct InventoryBackend {
@@ -40,7 +40,7 @@
 class InventoryStandIn {
  public:
   InventoryStandIn(runtime::Runtime* runtime, InventorySettings settings,
-                   rehearse::HistoryRecorder* recorder);
+                   fleettest::HistoryRecorder* recorder);
   ~InventoryStandIn();
   InventoryStandIn(const InventoryStandIn&) = delete;
   InventoryStandIn& operator=(const InventoryStandIn&) = delete;
@@ -59,4 +59,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/json_body.cc
+++ b/src/posthatch/emulator/json_body.cc
@@ -1,4 +1,4 @@
-#include "posthatch/standins/json_body.h"
+#include "posthatch/emulator/json_body.h"
 
 #include <boost/json/parse.hpp>
 #include <boost/json/serialize.hpp>
@@ -8,7 +8,7 @@
 #include "absl/strings/str_cat.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -73,4 +73,4 @@
   return absl::SimpleHexAtoi(util::ToAbsl(text), number);
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/json_body.h
+++ b/src/posthatch/emulator/json_body.h
@@ -11,7 +11,7 @@
 #include "posthatch/http/http.h"
 
 // JSON bodies and refusals, as all stand-ins read and write them. No function throws.
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // Parses a body that must be one JSON object. Errors: InvalidArgument.
 absl::StatusOr<boost::json::object> ParseObject(std::string_view body);
@@ -36,4 +36,4 @@
 // False if `text` isn't a hexadecimal number.
 bool FromHex(std::string_view text, uint64_t* number);
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/json_client.cc
+++ b/src/posthatch/emulator/json_client.cc
@@ -1,8 +1,8 @@
-#include "posthatch/standins/json_client.h"
+#include "posthatch/emulator/json_client.h"
 
 #include <utility>
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 struct JsonClient::Running {
   std::unique_ptr<http::Call> call;
@@ -53,4 +53,4 @@
   return request;
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/json_client.h
+++ b/src/posthatch/emulator/json_client.h
@@ -11,7 +11,7 @@
 #include "posthatch/http/http.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // Sends requests whose answers are small and wanted whole. Owns its running calls: destroyed, it
 // cancels them and runs no more callbacks. Event loop thread only.
@@ -46,4 +46,4 @@
                             [held = std::shared_ptr<Object>(std::move(object))] {});
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/key_probe.cc
+++ b/src/posthatch/emulator/key_probe.cc
@@ -1,23 +1,23 @@
-#include "posthatch/standins/key_probe.h"
+#include "posthatch/emulator/key_probe.h"
 
 #include <boost/json/serialize.hpp>
 #include <map>
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/standins/json_body.h"
-#include "posthatch/standins/json_client.h"
-#include "posthatch/standins/operator_standin.h"
-#include "posthatch/standins/recorded_call.h"
+#include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/json_client.h"
+#include "posthatch/emulator/operator_standin.h"
+#include "posthatch/emulator/recorded_call.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
 class KeyProbe::Impl {
  public:
   Impl(runtime::Runtime* runtime, KeyProbeOptions probe_options,
-       rehearse::HistoryRecorder* recorder)
+       fleettest::HistoryRecorder* recorder)
       : options(std::move(probe_options)),
         runtime_(runtime),
         recorder_(recorder),
@@ -36,7 +36,7 @@
   void Ask(const std::string& gateway, uint64_t generation);
 
   runtime::Runtime* const runtime_;
-  rehearse::HistoryRecorder* const recorder_;
+  fleettest::HistoryRecorder* const recorder_;
   uint64_t start_nonce_ = 0;
   uint64_t next_call_ = 1;
   runtime::Timer round_timer_;
@@ -80,7 +80,7 @@
   plan.body = json::serialize(
       json::object{{"model", options.model}, {"max_tokens", 1}, {"prompt", prompt}});
   auto call = std::make_unique<RecordedCall>(runtime_, recorder_, std::move(plan),
-                                             [this, number](const rehearse::CallEnded&) {
+                                             [this, number](const fleettest::CallEnded&) {
                                                const auto entry = calls_.find(number);
                                                ReleaseLater(runtime_, std::move(entry->second));
                                                calls_.erase(entry);
@@ -91,7 +91,7 @@
 }
 
 KeyProbe::KeyProbe(runtime::Runtime* runtime, KeyProbeOptions options,
-                   rehearse::HistoryRecorder* recorder)
+                   fleettest::HistoryRecorder* recorder)
     : impl_(std::make_unique<Impl>(runtime, std::move(options), recorder)) {}
 
 KeyProbe::~KeyProbe() = default;
@@ -102,4 +102,4 @@
   impl_->options.gateways = std::move(gateways);
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/key_probe.h
+++ b/src/posthatch/emulator/key_probe.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/rehearse/history/history_recorder.h"
+#include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 struct KeyProbeOptions {
   std::vector<std::string> gateways;  // HTTP endpoints; each is asked in every round
@@ -27,7 +27,8 @@
 // the key's id) and CallEnded. Event loop thread only.
 class KeyProbe {
  public:
-  KeyProbe(runtime::Runtime* runtime, KeyProbeOptions options, rehearse::HistoryRecorder* recorder);
+  KeyProbe(runtime::Runtime* runtime, KeyProbeOptions options,
+           fleettest::HistoryRecorder* recorder);
   ~KeyProbe();
   KeyProbe(const KeyProbe&) = delete;
   KeyProbe& operator=(const KeyProbe&) = delete;
@@ -42,4 +43,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/kv_event_log.cc
+++ b/src/posthatch/emulator/kv_event_log.cc
@@ -1,11 +1,11 @@
-#include "posthatch/standins/kv_event_log.h"
+#include "posthatch/emulator/kv_event_log.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "posthatch/standins/json_body.h"
+#include "posthatch/emulator/json_body.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -139,4 +139,4 @@
   });
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/kv_event_log.h
+++ b/src/posthatch/emulator/kv_event_log.h
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
+#include "posthatch/emulator/routed_server.h"
+#include "posthatch/emulator/worker_settings.h"
 #include "posthatch/index/block_hash.h"
 #include "posthatch/runtime/runtime.h"
-#include "posthatch/standins/routed_server.h"
-#include "posthatch/standins/worker_settings.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // A worker's KV events in order of `seq`, with the defects of WorkerBehaviour, and the long polls
 // that wait for them (GET /kv_events). `next` of an answer is the `seq` read up to; it is sent as
@@ -61,4 +61,4 @@
   runtime::Timer visible_timer_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/kv_transfer.cc
+++ b/src/posthatch/emulator/kv_transfer.cc
@@ -1,10 +1,10 @@
-#include "posthatch/standins/kv_transfer.h"
+#include "posthatch/emulator/kv_transfer.h"
 
 #include <boost/json/serialize.hpp>
 
-#include "posthatch/standins/json_body.h"
+#include "posthatch/emulator/json_body.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -71,4 +71,4 @@
   return runtime::Duration(static_cast<int64_t>(seconds * 1e9));
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/kv_transfer.h
+++ b/src/posthatch/emulator/kv_transfer.h
@@ -6,13 +6,13 @@
 #include <string>
 #include <vector>
 
+#include "posthatch/emulator/block_cache.h"
+#include "posthatch/emulator/worker_settings.h"
 #include "posthatch/index/block_hash.h"
-#include "posthatch/standins/block_cache.h"
-#include "posthatch/standins/worker_settings.h"
 
 // Bodies of /kv/fetch and /kv/put, and how long a transfer takes. `made_by` is a list of runs of
 // blocks: {"tenant", "revision", "blocks"}.
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // Body of a fetch: {"salt", "blocks": [hex, ...]}.
 std::string FetchBody(const std::string& salt, const std::vector<index::BlockHash>& blocks);
@@ -30,4 +30,4 @@
 runtime::Duration TransferTime(uint64_t blocks, uint64_t bytes_per_block,
                                uint64_t link_bytes_per_second);
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/main.cc
+++ b/src/posthatch/emulator/main.cc
@@ -1,32 +1,32 @@
-// posthatch-standin: one stand-in as a process, for rehearsals.
+// posthatch-emulator: one stand-in as a process, for rehearsals.
 #include <iostream>
 #include <memory>
 
-#include "posthatch/asio/asio_runtime.h"
-#include "posthatch/rehearse/history/recorders.h"
-#include "posthatch/standins/fault_route.h"
-#include "posthatch/standins/program_options.h"
-#include "posthatch/standins/worker_standin.h"
+#include "posthatch/emulator/fault_route.h"
+#include "posthatch/emulator/program_options.h"
+#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/fleettest/history/recorders.h"
+#include "posthatch/net/asio_runtime.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
 constexpr int kExitOk = 0;
 constexpr int kExitStartFailed = 1;
 
 int ReportStartFailure(const absl::Status& status) {
-  std::cerr << "posthatch-standin: not started: " << status.ToString() << "\n";
+  std::cerr << "posthatch-emulator: not started: " << status.ToString() << "\n";
   return kExitStartFailed;
 }
 
 // Serves until SIGTERM or SIGINT. Runs in progress are cut then, as by any worker that is stopped.
 template <typename StandIn, typename Settings>
-int Serve(asio::AsioRuntime* asio_runtime, const std::string& id, const Settings& settings,
+int Serve(net::AsioRuntime* asio_runtime, const std::string& id, const Settings& settings,
           const std::string& history) {
   FaultRoute fault_route(asio_runtime);
   runtime::Runtime runtime = *asio_runtime->runtime();
   runtime.http_servers = &fault_route;
-  const auto recorder = rehearse::JsonlHistoryRecorder::Open(runtime.clock, id, history);
+  const auto recorder = fleettest::JsonlHistoryRecorder::Open(runtime.clock, id, history);
   if (!recorder.ok()) return ReportStartFailure(recorder.status());
   StandIn standin(&runtime, settings, recorder->get());
   const absl::Status started = standin.Start();
@@ -56,13 +56,13 @@
 
 int Run(const ProgramOptions& options) {
   const std::string id = IdOf(options);
-  asio::AsioRuntimeOptions runtime_options;
+  net::AsioRuntimeOptions runtime_options;
   runtime_options.node_id = id;
   runtime_options.log_file = options.log_file;
   runtime_options.enable_fault_injection = options.enable_fault_injection;
-  const auto asio_runtime = asio::AsioRuntime::Create(runtime_options);
+  const auto asio_runtime = net::AsioRuntime::Create(runtime_options);
   if (!asio_runtime.ok()) return ReportStartFailure(asio_runtime.status());
-  asio::AsioRuntime* const running = asio_runtime->get();
+  net::AsioRuntime* const running = asio_runtime->get();
   switch (options.role) {
     case StandInRole::kWorker:
       return Serve<WorkerStandIn>(running, id, options.worker, options.history);
@@ -77,11 +77,11 @@
 }
 
 }  // namespace
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
 
 int main(int argc, char** argv) {
-  const auto result = posthatch::standins::ReadProgramOptions(argc, argv);
-  if (result.run) return posthatch::standins::Run(result.options);
+  const auto result = posthatch::emulator::ReadProgramOptions(argc, argv);
+  if (result.run) return posthatch::emulator::Run(result.options);
   (result.exit_code == 0 ? std::cout : std::cerr) << result.message;
   return result.exit_code;
 }
--- a/src/posthatch/standins/operator_standin-test.cc
+++ b/src/posthatch/emulator/operator_standin-test.cc
@@ -1,20 +1,20 @@
-#include "posthatch/standins/operator_standin.h"
+#include "posthatch/emulator/operator_standin.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <set>
 
-#include "posthatch/standins/answer_mixer.h"
-#include "posthatch/standins/key_probe.h"
-#include "posthatch/standins/standin_world.h"
-#include "posthatch/standins/traffic_mix.h"
+#include "posthatch/emulator/answer_mixer.h"
+#include "posthatch/emulator/key_probe.h"
+#include "posthatch/emulator/standin_world.h"
+#include "posthatch/emulator/traffic_mix.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
 namespace json = boost::json;
-using rehearse::HistoryEvent;
+using fleettest::HistoryEvent;
 
 // The configuration side of a fleet, as little as an operator needs: one state behind all nodes.
 struct FakeFleet {
@@ -100,13 +100,13 @@
       host->Start();
       options.nodes.push_back(host->http_endpoint());
     }
-    recorder = std::make_unique<rehearse::MemoryHistoryRecorder>(client->runtime()->clock,
-                                                                 "operator", &events);
+    recorder = std::make_unique<fleettest::MemoryHistoryRecorder>(client->runtime()->clock,
+                                                                  "operator", &events);
   }
 
   FakeFleet fleet;
   OperatorOptions options;
-  std::unique_ptr<rehearse::MemoryHistoryRecorder> recorder;
+  std::unique_ptr<fleettest::MemoryHistoryRecorder> recorder;
 };
 
 TEST_F(OperatorStandInTest, LostAnswerIsAskedForAgainAtAnotherNodeUnderTheSameId) {
@@ -150,7 +150,7 @@
   std::map<std::string, std::set<uint64_t>> versions;  // of each acknowledged change
   uint64_t refused = 0;
   for (const auto& event : EventsOf(HistoryEvent::kChangeAnswered)) {
-    const rehearse::ChangeAnswered& answered = event.change_answered();
+    const fleettest::ChangeAnswered& answered = event.change_answered();
     if (answered.acknowledged()) versions[answered.request_id()].insert(answered.version());
     if (!answered.refused()) continue;
     EXPECT_EQ(answered.code(), "version_conflict");
@@ -195,7 +195,7 @@
   op.ReadState(options.nodes[1], [&read](bool done) { read = done; });
   world.RunFor(std::chrono::seconds(1));
   ASSERT_TRUE(read);
-  const rehearse::StateRead state = EventsOf(HistoryEvent::kStateRead).back().state_read();
+  const fleettest::StateRead state = EventsOf(HistoryEvent::kStateRead).back().state_read();
   EXPECT_EQ(state.target(), options.nodes[1]);
   EXPECT_EQ(state.configuration_version(), 2u);
   EXPECT_EQ(state.request_ids_size(), 1);
@@ -208,4 +208,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/operator_standin.cc
+++ b/src/posthatch/emulator/operator_standin.cc
@@ -1,4 +1,4 @@
-#include "posthatch/standins/operator_standin.h"
+#include "posthatch/emulator/operator_standin.h"
 
 #include <google/protobuf/util/json_util.h>
 
@@ -7,12 +7,12 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/standins/json_body.h"
-#include "posthatch/standins/json_client.h"
-#include "posthatch/standins/state_reader.h"
-#include "posthatch/standins/traffic_mix.h"
+#include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/json_client.h"
+#include "posthatch/emulator/state_reader.h"
+#include "posthatch/emulator/traffic_mix.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -65,7 +65,7 @@
 class OperatorStandIn::Impl {
  public:
   Impl(runtime::Runtime* runtime, OperatorOptions operator_options,
-       rehearse::HistoryRecorder* recorder)
+       fleettest::HistoryRecorder* recorder)
       : options(std::move(operator_options)),
         runtime_(runtime),
         recorder_(recorder),
@@ -101,7 +101,7 @@
   void FinishStop();
 
   runtime::Runtime* const runtime_;
-  rehearse::HistoryRecorder* const recorder_;
+  fleettest::HistoryRecorder* const recorder_;
   uint64_t start_nonce_ = 0;
   uint64_t next_change_ = 1;
   bool generation_acknowledged_ = true;
@@ -162,8 +162,8 @@
 
 void OperatorStandIn::Impl::Send(const ChangePointer& change, const std::string& node) {
   ++change->sends;
-  rehearse::HistoryEvent event;
-  rehearse::ChangeSent* sent = event.mutable_change_sent();
+  fleettest::HistoryEvent event;
+  fleettest::ChangeSent* sent = event.mutable_change_sent();
   sent->set_request_id(change->request_id);
   sent->set_kind(change->kind);
   sent->set_expected_version(change->expected_version);
@@ -209,8 +209,8 @@
 }
 
 void OperatorStandIn::Impl::RecordAnswer(const Change& change, const ChangeOutcome& outcome) {
-  rehearse::HistoryEvent event;
-  rehearse::ChangeAnswered* answered = event.mutable_change_answered();
+  fleettest::HistoryEvent event;
+  fleettest::ChangeAnswered* answered = event.mutable_change_answered();
   answered->set_request_id(change.request_id);
   answered->set_acknowledged(outcome.acknowledged);
   answered->set_refused(outcome.refused);
@@ -286,7 +286,7 @@
 // ---------------------------------------------------------------- surface
 
 OperatorStandIn::OperatorStandIn(runtime::Runtime* runtime, OperatorOptions options,
-                                 rehearse::HistoryRecorder* recorder)
+                                 fleettest::HistoryRecorder* recorder)
     : impl_(std::make_unique<Impl>(runtime, std::move(options), recorder)) {}
 
 OperatorStandIn::~OperatorStandIn() = default;
@@ -353,4 +353,4 @@
   return absl::StrCat(tenant, "/", generation);
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/operator_standin.h
+++ b/src/posthatch/emulator/operator_standin.h
@@ -7,10 +7,10 @@
 #include <vector>
 
 #include "posthatch/control/configuration.pb.h"
-#include "posthatch/rehearse/history/history_recorder.h"
+#include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 struct OperatorOptions {
   std::vector<std::string> nodes;  // HTTP endpoints of gateways and controllers
@@ -47,7 +47,7 @@
 
   // `runtime` and `recorder` outlive the stand-in.
   OperatorStandIn(runtime::Runtime* runtime, OperatorOptions options,
-                  rehearse::HistoryRecorder* recorder);
+                  fleettest::HistoryRecorder* recorder);
   ~OperatorStandIn();
   OperatorStandIn(const OperatorStandIn&) = delete;
   OperatorStandIn& operator=(const OperatorStandIn&) = delete;
@@ -82,4 +82,4 @@
 std::string ProbeKey(const std::string& tenant, uint64_t generation);
 std::string ProbeKeyId(const std::string& tenant, uint64_t generation);
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/program_options-test.cc
+++ b/src/posthatch/emulator/program_options-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/standins/program_options.h"
+#include "posthatch/emulator/program_options.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -6,11 +6,11 @@
 #include <filesystem>
 #include <fstream>
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
 ProgramOptionsResult Read(std::vector<const char*> arguments) {
-  arguments.insert(arguments.begin(), "posthatch-standin");
+  arguments.insert(arguments.begin(), "posthatch-emulator");
   return ReadProgramOptions(static_cast<int>(arguments.size()), arguments.data());
 }
 
@@ -80,4 +80,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/program_options.cc
+++ b/src/posthatch/emulator/program_options.cc
@@ -1,4 +1,4 @@
-#include "posthatch/standins/program_options.h"
+#include "posthatch/emulator/program_options.h"
 
 #include <toml++/toml.h>
 
@@ -10,7 +10,7 @@
 #include "absl/strings/str_replace.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
 constexpr int kExitBadOptions = 2;
@@ -185,7 +185,7 @@
 ProgramOptionsResult ReadProgramOptions(int argc, const char* const* argv) {
   ProgramOptionsResult result;
   ProgramOptions* options = &result.options;
-  CLI::App app("Stand-in for a back end or for the platform, for rehearsals", "posthatch-standin");
+  CLI::App app("Stand-in for a back end or for the platform, for rehearsals", "posthatch-emulator");
   app.require_subcommand(1);
   const std::vector<std::pair<StandInRole, CLI::App*>> roles = {
       {StandInRole::kWorker, app.add_subcommand("worker", "Language-model worker")},
@@ -227,4 +227,4 @@
   return result;
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/program_options.h
+++ b/src/posthatch/emulator/program_options.h
@@ -4,16 +4,16 @@
 #include <vector>
 
 #include "absl/status/statusor.h"
-#include "posthatch/standins/inventory_standin.h"
-#include "posthatch/standins/service_standin.h"
-#include "posthatch/standins/store_standin.h"
-#include "posthatch/standins/worker_settings.h"
+#include "posthatch/emulator/inventory_standin.h"
+#include "posthatch/emulator/service_standin.h"
+#include "posthatch/emulator/store_standin.h"
+#include "posthatch/emulator/worker_settings.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 enum class StandInRole { kWorker, kStore, kService, kInventory };
 
-// What `posthatch-standin` was asked to be.
+// What `posthatch-emulator` was asked to be.
 struct ProgramOptions {
   StandInRole role = StandInRole::kWorker;
   std::string history;   // file that events are appended to
@@ -34,8 +34,8 @@
   std::string message;
 };
 
-// Reads `posthatch-standin ROLE [--config FILE] [flags]`. The file is TOML with the flags' names in
-// snake_case (and [[backends]] for the inventory); flags override it. Wrong ones: exit code 2.
+// Reads `posthatch-emulator ROLE [--config FILE] [flags]`. The file is TOML with the flags' names
+// in snake_case (and [[backends]] for the inventory); flags override it. Wrong ones: exit code 2.
 ProgramOptionsResult ReadProgramOptions(int argc, const char* const* argv);
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/prompt_pool.cc
+++ b/src/posthatch/emulator/prompt_pool.cc
@@ -1,13 +1,13 @@
-#include "posthatch/standins/prompt_pool.h"
+#include "posthatch/emulator/prompt_pool.h"
 
 #include <xxhash.h>
 
 #include <cmath>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/standins/json_body.h"
+#include "posthatch/emulator/json_body.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 PromptPool::PromptPool(const TenantTraffic& tenant) : tenant_(tenant) {
   std::vector<double> weights;
@@ -51,4 +51,4 @@
   return text;
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/prompt_pool.h
+++ b/src/posthatch/emulator/prompt_pool.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
+#include "posthatch/emulator/traffic_mix.h"
 #include "posthatch/runtime/random.h"
-#include "posthatch/standins/traffic_mix.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // The long prefixes of one tenant's requests. Half of them begin with texts that all tenants of the
 // load share, so that reuse across tenants would be possible wherever nothing prevents it.
@@ -40,4 +40,4 @@
 // Deterministic filler of `bytes` bytes that depends on `seed` only.
 std::string FillerText(const std::string& seed, size_t bytes);
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/real_sockets-test.cc
+++ b/src/posthatch/emulator/real_sockets-test.cc
@@ -4,20 +4,20 @@
 #include <memory>
 #include <vector>
 
-#include "posthatch/asio/asio_runtime.h"
-#include "posthatch/rehearse/history/recorders.h"
-#include "posthatch/standins/caller_load.h"
-#include "posthatch/standins/worker_standin.h"
+#include "posthatch/emulator/caller_load.h"
+#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/fleettest/history/recorders.h"
+#include "posthatch/net/asio_runtime.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
 class RealSocketsTest : public ::testing::Test {
  protected:
   RealSocketsTest() {
-    asio_runtime = *asio::AsioRuntime::Create({});
-    recorder = std::make_unique<rehearse::MemoryHistoryRecorder>(asio_runtime->runtime()->clock,
-                                                                 "test", &events);
+    asio_runtime = *net::AsioRuntime::Create({});
+    recorder = std::make_unique<fleettest::MemoryHistoryRecorder>(asio_runtime->runtime()->clock,
+                                                                  "test", &events);
     WorkerSettings settings;
     settings.id = "worker";
     settings.max_running = 64;
@@ -33,23 +33,23 @@
   }
 
   // Runs a load for a second and until its calls have ended; returns these ends.
-  std::vector<rehearse::CallEnded> RunLoad() {
+  std::vector<fleettest::CallEnded> RunLoad() {
     CallerLoad load(asio_runtime->runtime(), options, recorder.get());
     load.Start();
     asio_runtime->RunUntil([] { return false; }, std::chrono::seconds(1));
     bool stopped = false;
     load.Stop([&stopped] { stopped = true; });
     EXPECT_TRUE(asio_runtime->RunUntil([&stopped] { return stopped; }, std::chrono::seconds(30)));
-    std::vector<rehearse::CallEnded> ends;
-    for (const rehearse::HistoryEvent& event : events) {
+    std::vector<fleettest::CallEnded> ends;
+    for (const fleettest::HistoryEvent& event : events) {
       if (event.has_call_ended()) ends.push_back(event.call_ended());
     }
     return ends;
   }
 
-  std::unique_ptr<asio::AsioRuntime> asio_runtime;
-  std::vector<rehearse::HistoryEvent> events;
-  std::unique_ptr<rehearse::MemoryHistoryRecorder> recorder;
+  std::unique_ptr<net::AsioRuntime> asio_runtime;
+  std::vector<fleettest::HistoryEvent> events;
+  std::unique_ptr<fleettest::MemoryHistoryRecorder> recorder;
   std::unique_ptr<WorkerStandIn> worker;
   CallerLoadOptions options;
 };
@@ -59,7 +59,7 @@
   options.mix.slow_reader_share = 0.2;
   const auto ends = RunLoad();
   EXPECT_GT(ends.size(), 10u);
-  for (const rehearse::CallEnded& ended : ends) {
+  for (const fleettest::CallEnded& ended : ends) {
     EXPECT_TRUE(ended.complete() && ended.body_intact()) << ended.status() << ended.fault();
   }
 }
@@ -73,7 +73,7 @@
   asio_runtime->RunUntil([] { return false; }, std::chrono::milliseconds(300));
   size_t cancelled = 0;
   size_t started = 0;
-  for (const rehearse::HistoryEvent& event : events) {
+  for (const fleettest::HistoryEvent& event : events) {
     started += event.has_run_started() ? 1 : 0;
     cancelled += event.run_ended().reason() == "caller_gone" ? 1 : 0;
   }
@@ -90,7 +90,7 @@
   worker->SetBehaviour(cutting);
   const auto ends = RunLoad();
   EXPECT_GT(ends.size(), 10u);
-  for (const rehearse::CallEnded& ended : ends) {
+  for (const fleettest::CallEnded& ended : ends) {
     EXPECT_FALSE(ended.complete());
     EXPECT_EQ(ended.status(), 200u);
     EXPECT_FALSE(ended.body_intact());
@@ -98,4 +98,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/recorded_call.cc
+++ b/src/posthatch/emulator/recorded_call.cc
@@ -1,15 +1,15 @@
-#include "posthatch/standins/recorded_call.h"
+#include "posthatch/emulator/recorded_call.h"
 
 #include <utility>
 
 #include "absl/strings/match.h"
 #include "absl/strings/numbers.h"
-#include "posthatch/standins/json_client.h"
+#include "posthatch/emulator/json_client.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
-RecordedCall::RecordedCall(runtime::Runtime* runtime, rehearse::HistoryRecorder* recorder,
+RecordedCall::RecordedCall(runtime::Runtime* runtime, fleettest::HistoryRecorder* recorder,
                            CallPlan plan, Done done)
     : runtime_(runtime),
       recorder_(recorder),
@@ -26,7 +26,7 @@
 }
 
 void RecordedCall::Start() {
-  rehearse::HistoryEvent event;
+  fleettest::HistoryEvent event;
   *event.mutable_call_sent() = plan_.sent;
   recorder_->Record(std::move(event));
   sent_at_ = runtime_->clock->Now();
@@ -137,10 +137,10 @@
     TakeFindings(ReadWholeAnswer(static_cast<int>(ended_.status()), whole_body_, plan_.sent.nonce(),
                                  plan_.sent.expected_pieces()));
   }
-  rehearse::HistoryEvent event;
+  fleettest::HistoryEvent event;
   *event.mutable_call_ended() = ended_;
   recorder_->Record(std::move(event));
   done_(ended_);
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/recorded_call.h
+++ b/src/posthatch/emulator/recorded_call.h
@@ -6,17 +6,17 @@
 #include <string>
 #include <vector>
 
+#include "posthatch/emulator/answer_reader.h"
+#include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/http/http.h"
-#include "posthatch/rehearse/history/history_recorder.h"
 #include "posthatch/runtime/runtime.h"
-#include "posthatch/standins/answer_reader.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // One call as a caller plans it.
 struct CallPlan {
-  rehearse::CallSent sent;  // what is recorded; names gateway, tenant, operation, nonce, key ...
-  std::string key;          // bearer key: goes into the request only
+  fleettest::CallSent sent;  // what is recorded; names gateway, tenant, operation, nonce, key ...
+  std::string key;           // bearer key: goes into the request only
   std::string target;
   std::string body;
   http::CallOptions options;
@@ -31,9 +31,9 @@
 // call then with ReleaseLater.
 class RecordedCall {
  public:
-  using Done = std::function<void(const rehearse::CallEnded&)>;
+  using Done = std::function<void(const fleettest::CallEnded&)>;
 
-  RecordedCall(runtime::Runtime* runtime, rehearse::HistoryRecorder* recorder, CallPlan plan,
+  RecordedCall(runtime::Runtime* runtime, fleettest::HistoryRecorder* recorder, CallPlan plan,
                Done done);
 
   void Start();
@@ -52,13 +52,13 @@
   void Finish();
 
   runtime::Runtime* const runtime_;
-  rehearse::HistoryRecorder* const recorder_;
+  fleettest::HistoryRecorder* const recorder_;
   const CallPlan plan_;
   const Done done_;
   StreamReader stream_reader_;
   std::string whole_body_;
   bool streamed_ = false;
-  rehearse::CallEnded ended_;
+  fleettest::CallEnded ended_;
   runtime::MonotonicTime sent_at_;
   runtime::MonotonicTime last_token_at_;
   runtime::Timer leave_timer_;
@@ -67,4 +67,4 @@
   std::unique_ptr<http::Call> call_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/routed_server.cc
+++ b/src/posthatch/emulator/routed_server.cc
@@ -1,13 +1,13 @@
-#include "posthatch/standins/routed_server.h"
+#include "posthatch/emulator/routed_server.h"
 
 #include <utility>
 
 #include "absl/strings/match.h"
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_split.h"
-#include "posthatch/standins/json_body.h"
+#include "posthatch/emulator/json_body.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
 RoutedRequest TakeApart(http::Request request) {
@@ -70,4 +70,4 @@
   writer->SendResponse(NotExecuted(404, "not_found", "no such route"));
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/routed_server.h
+++ b/src/posthatch/emulator/routed_server.h
@@ -10,7 +10,7 @@
 #include "posthatch/http/http.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // A request with its target taken apart.
 struct RoutedRequest {
@@ -51,4 +51,4 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/run_request.cc
+++ b/src/posthatch/emulator/run_request.cc
@@ -1,13 +1,13 @@
-#include "posthatch/standins/run_request.h"
+#include "posthatch/emulator/run_request.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "absl/strings/numbers.h"
-#include "posthatch/standins/json_body.h"
+#include "posthatch/emulator/json_body.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
 constexpr uint64_t kDefaultTokens = 16;
@@ -70,4 +70,4 @@
   return run;
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/run_request.h
+++ b/src/posthatch/emulator/run_request.h
@@ -6,10 +6,10 @@
 #include <string>
 
 #include "absl/status/statusor.h"
+#include "posthatch/emulator/worker_settings.h"
 #include "posthatch/http/http.h"
-#include "posthatch/standins/worker_settings.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // What a gateway asks a worker to run, as the header fields and the body say it.
 struct RunRequest {
@@ -38,4 +38,4 @@
 absl::StatusOr<RunRequest> ReadRunRequest(const http::Request& request, std::string operation,
                                           const WorkerSettings& settings);
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/service_standin.cc
+++ b/src/posthatch/emulator/service_standin.cc
@@ -1,4 +1,4 @@
-#include "posthatch/standins/service_standin.h"
+#include "posthatch/emulator/service_standin.h"
 
 #include <boost/json/serialize.hpp>
 #include <utility>
@@ -6,13 +6,13 @@
 
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_cat.h"
-#include "posthatch/standins/answer_mixer.h"
-#include "posthatch/standins/field_table.h"
-#include "posthatch/standins/json_body.h"
-#include "posthatch/standins/routed_server.h"
+#include "posthatch/emulator/answer_mixer.h"
+#include "posthatch/emulator/field_table.h"
+#include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/routed_server.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -55,7 +55,7 @@
 
 class ServiceStandIn::Impl {
  public:
-  Impl(runtime::Runtime* runtime, ServiceSettings settings, rehearse::HistoryRecorder* recorder)
+  Impl(runtime::Runtime* runtime, ServiceSettings settings, fleettest::HistoryRecorder* recorder)
       : runtime_(runtime),
         settings_(std::move(settings)),
         recorder_(recorder),
@@ -79,7 +79,7 @@
 
   runtime::Runtime* const runtime_;
   const ServiceSettings settings_;
-  rehearse::HistoryRecorder* const recorder_;
+  fleettest::HistoryRecorder* const recorder_;
   AnswerMixer mixer_;
   runtime::MonotonicTime up_since_;
   uint64_t start_epoch_ = 0;
@@ -167,8 +167,8 @@
 }
 
 void ServiceStandIn::Impl::RecordStart(const Operation& operation) {
-  rehearse::HistoryEvent event;
-  rehearse::RunStarted* started = event.mutable_run_started();
+  fleettest::HistoryEvent event;
+  fleettest::RunStarted* started = event.mutable_run_started();
   started->set_backend(settings_.id);
   started->set_run(operation.identity.run);
   started->set_tenant(operation.tenant);
@@ -188,7 +188,7 @@
 
 void ServiceStandIn::Impl::Answer(const Operation& operation) {
   --running_;
-  rehearse::HistoryEvent event;
+  fleettest::HistoryEvent event;
   event.mutable_run_ended()->set_run(operation.identity.run);
   event.mutable_run_ended()->set_backend(settings_.id);
   event.mutable_run_ended()->set_completed(true);
@@ -223,7 +223,7 @@
 }
 
 ServiceStandIn::ServiceStandIn(runtime::Runtime* runtime, ServiceSettings settings,
-                               rehearse::HistoryRecorder* recorder)
+                               fleettest::HistoryRecorder* recorder)
     : impl_(std::make_unique<Impl>(runtime, std::move(settings), recorder)) {}
 
 ServiceStandIn::~ServiceStandIn() = default;
@@ -235,4 +235,4 @@
 }
 const ServiceBehaviour& ServiceStandIn::behaviour() const { return impl_->behaviour; }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/service_standin.h
+++ b/src/posthatch/emulator/service_standin.h
@@ -5,10 +5,10 @@
 #include <string>
 
 #include "absl/status/status.h"
-#include "posthatch/rehearse/history/history_recorder.h"
+#include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 struct ServiceSettings {
   std::string id;
@@ -41,7 +41,7 @@
 class ServiceStandIn {
  public:
   ServiceStandIn(runtime::Runtime* runtime, ServiceSettings settings,
-                 rehearse::HistoryRecorder* recorder);
+                 fleettest::HistoryRecorder* recorder);
   ~ServiceStandIn();
   ServiceStandIn(const ServiceStandIn&) = delete;
   ServiceStandIn& operator=(const ServiceStandIn&) = delete;
@@ -57,4 +57,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/standin_world.h
+++ b/src/posthatch/emulator/standin_world.h
@@ -7,16 +7,16 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/rehearse/history/recorders.h"
+#include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/json_client.h"
+#include "posthatch/emulator/recorded_call.h"
+#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/fleettest/history/recorders.h"
 #include "posthatch/simulation/sim_world.h"
-#include "posthatch/standins/json_body.h"
-#include "posthatch/standins/json_client.h"
-#include "posthatch/standins/recorded_call.h"
-#include "posthatch/standins/worker_standin.h"
 
 // Shared by the tests of this folder: a simulated network with stand-ins on hosts of their own and
 // one client host that calls them.
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 class StandInWorld : public ::testing::Test {
  protected:
@@ -41,7 +41,7 @@
     auto booted = std::make_shared<StandIn*>(nullptr);
     own_host->SetBoot([this, settings, name, booted](runtime::Runtime* runtime) {
       recorders_.push_back(
-          std::make_unique<rehearse::MemoryHistoryRecorder>(runtime->clock, name, &events));
+          std::make_unique<fleettest::MemoryHistoryRecorder>(runtime->clock, name, &events));
       auto standin = std::make_shared<StandIn>(runtime, settings, recorders_.back().get());
       EXPECT_TRUE(standin->Start().ok());
       *booted = standin.get();
@@ -94,14 +94,14 @@
   }
 
   // Makes the planned calls at the same time and returns how they ended, in the order of `plans`.
-  std::vector<rehearse::CallEnded> Run(std::vector<CallPlan> plans) {
-    std::vector<rehearse::CallEnded> ended(plans.size());
+  std::vector<fleettest::CallEnded> Run(std::vector<CallPlan> plans) {
+    std::vector<fleettest::CallEnded> ended(plans.size());
     std::vector<std::unique_ptr<RecordedCall>> running;
     size_t open = plans.size();
-    rehearse::MemoryHistoryRecorder recorder(client->runtime()->clock, "client", &events);
+    fleettest::MemoryHistoryRecorder recorder(client->runtime()->clock, "client", &events);
     for (size_t i = 0; i < plans.size(); ++i) {
       running.push_back(std::make_unique<RecordedCall>(client->runtime(), &recorder, plans[i],
-                                                       [&, i](const rehearse::CallEnded& end) {
+                                                       [&, i](const fleettest::CallEnded& end) {
                                                          ended[i] = end;
                                                          --open;
                                                        }));
@@ -112,16 +112,16 @@
   }
 
   // The events of one kind so far, in order of time.
-  std::vector<rehearse::HistoryEvent> EventsOf(rehearse::HistoryEvent::EventCase kind) const {
-    std::vector<rehearse::HistoryEvent> found;
-    for (const rehearse::HistoryEvent& event : events) {
+  std::vector<fleettest::HistoryEvent> EventsOf(fleettest::HistoryEvent::EventCase kind) const {
+    std::vector<fleettest::HistoryEvent> found;
+    for (const fleettest::HistoryEvent& event : events) {
       if (event.event_case() == kind) found.push_back(event);
     }
     return found;
   }
-  std::vector<rehearse::RunStarted> Starts() const {
-    std::vector<rehearse::RunStarted> starts;
-    for (const auto& event : EventsOf(rehearse::HistoryEvent::kRunStarted)) {
+  std::vector<fleettest::RunStarted> Starts() const {
+    std::vector<fleettest::RunStarted> starts;
+    for (const auto& event : EventsOf(fleettest::HistoryEvent::kRunStarted)) {
       starts.push_back(event.run_started());
     }
     return starts;
@@ -129,12 +129,12 @@
 
   simulation::SimWorld world;
   simulation::SimHost* client = nullptr;
-  std::vector<rehearse::HistoryEvent> events;
+  std::vector<fleettest::HistoryEvent> events;
 
  private:
   int hosts_ = 0;
   uint64_t calls_ = 0;
-  std::vector<std::unique_ptr<rehearse::MemoryHistoryRecorder>> recorders_;
+  std::vector<std::unique_ptr<fleettest::MemoryHistoryRecorder>> recorders_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/state_reader.cc
+++ b/src/posthatch/emulator/state_reader.cc
@@ -1,13 +1,13 @@
-#include "posthatch/standins/state_reader.h"
+#include "posthatch/emulator/state_reader.h"
 
 #include <algorithm>
 #include <array>
 #include <string_view>
 #include <utility>
 
-#include "posthatch/standins/json_body.h"
+#include "posthatch/emulator/json_body.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -19,7 +19,7 @@
 constexpr std::array<std::string_view, 3> kPaths = {
     "/admin/v1/evacuations", "/admin/v1/model-revisions", "/admin/v1/configuration/history"};
 
-void TakeEvacuations(const json::object& body, rehearse::StateRead* state) {
+void TakeEvacuations(const json::object& body, fleettest::StateRead* state) {
   const json::array* evacuations = ArrayField(body, "evacuations");
   if (evacuations == nullptr) return;
   for (const json::value& entry : *evacuations) {
@@ -29,7 +29,7 @@
   }
 }
 
-void TakeRevisions(const json::object& body, rehearse::StateRead* state) {
+void TakeRevisions(const json::object& body, fleettest::StateRead* state) {
   const json::array* revisions = ArrayField(body, "revisions");
   if (revisions == nullptr) return;
   for (const json::value& entry : *revisions) {
@@ -40,7 +40,7 @@
   }
 }
 
-void TakeHistory(const json::object& body, rehearse::StateRead* state) {
+void TakeHistory(const json::object& body, fleettest::StateRead* state) {
   const json::array* versions = ArrayField(body, "versions");
   if (versions == nullptr) return;
   for (const json::value& entry : *versions) {
@@ -60,11 +60,11 @@
 struct StateReader::Reading {
   std::string node;
   size_t next_path = 0;
-  rehearse::StateRead state;
+  fleettest::StateRead state;
   std::function<void(bool)> done;
 };
 
-StateReader::StateReader(runtime::Runtime* runtime, rehearse::HistoryRecorder* recorder,
+StateReader::StateReader(runtime::Runtime* runtime, fleettest::HistoryRecorder* recorder,
                          std::string admin_token, runtime::Duration answer_timeout)
     : clock_(runtime->clock),
       recorder_(recorder),
@@ -93,7 +93,7 @@
                  } else if (++reading->next_path < kPaths.size()) {
                    Step(reading);
                  } else {
-                   rehearse::HistoryEvent event;
+                   fleettest::HistoryEvent event;
                    *event.mutable_state_read() = std::move(reading->state);
                    recorder_->Record(std::move(event));
                    reading->done(true);
@@ -110,4 +110,4 @@
   return true;
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/state_reader.h
+++ b/src/posthatch/emulator/state_reader.h
@@ -4,17 +4,17 @@
 #include <memory>
 #include <string>
 
-#include "posthatch/rehearse/history/history_recorder.h"
+#include "posthatch/emulator/json_client.h"
+#include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/runtime/runtime.h"
-#include "posthatch/standins/json_client.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // Reads the operators' state back from one node (configuration history, evacuations, model
 // revisions) and records it as StateRead, if all three reads were answered. Event loop thread only.
 class StateReader {
  public:
-  StateReader(runtime::Runtime* runtime, rehearse::HistoryRecorder* recorder,
+  StateReader(runtime::Runtime* runtime, fleettest::HistoryRecorder* recorder,
               std::string admin_token, runtime::Duration answer_timeout);
 
   // `done` says whether a StateRead was recorded.
@@ -28,10 +28,10 @@
   static bool Take(Reading* reading, const http::Response& answer);
 
   const runtime::Clock* const clock_;
-  rehearse::HistoryRecorder* const recorder_;
+  fleettest::HistoryRecorder* const recorder_;
   const std::string admin_token_;
   const runtime::Duration answer_timeout_;
   JsonClient client_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/store_standin.cc
+++ b/src/posthatch/emulator/store_standin.cc
@@ -1,16 +1,16 @@
-#include "posthatch/standins/store_standin.h"
+#include "posthatch/emulator/store_standin.h"
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
-#include "posthatch/standins/block_cache.h"
-#include "posthatch/standins/json_body.h"
-#include "posthatch/standins/kv_transfer.h"
-#include "posthatch/standins/routed_server.h"
+#include "posthatch/emulator/block_cache.h"
+#include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/kv_transfer.h"
+#include "posthatch/emulator/routed_server.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -100,7 +100,7 @@
 }
 
 StoreStandIn::StoreStandIn(runtime::Runtime* runtime, StoreSettings settings,
-                           rehearse::HistoryRecorder* /*recorder*/)
+                           fleettest::HistoryRecorder* /*recorder*/)
     : impl_(std::make_unique<Impl>(runtime, std::move(settings))) {}
 
 StoreStandIn::~StoreStandIn() = default;
@@ -111,4 +111,4 @@
 uint64_t StoreStandIn::epoch() const { return impl_->epoch(); }
 uint64_t StoreStandIn::kept_blocks() const { return impl_->kept_blocks(); }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/store_standin.h
+++ b/src/posthatch/emulator/store_standin.h
@@ -5,10 +5,10 @@
 #include <string>
 
 #include "absl/status/status.h"
-#include "posthatch/rehearse/history/history_recorder.h"
+#include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 struct StoreSettings {
   std::string id;
@@ -25,7 +25,7 @@
 class StoreStandIn {
  public:
   StoreStandIn(runtime::Runtime* runtime, StoreSettings settings,
-               rehearse::HistoryRecorder* recorder);
+               fleettest::HistoryRecorder* recorder);
   ~StoreStandIn();
   StoreStandIn(const StoreStandIn&) = delete;
   StoreStandIn& operator=(const StoreStandIn&) = delete;
@@ -43,4 +43,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/traffic_mix.cc
+++ b/src/posthatch/emulator/traffic_mix.cc
@@ -1,4 +1,4 @@
-#include "posthatch/standins/traffic_mix.h"
+#include "posthatch/emulator/traffic_mix.h"
 
 #include <openssl/sha.h>
 
@@ -9,7 +9,7 @@
 #include "absl/strings/str_cat.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
 constexpr uint32_t kTenants = 8;
@@ -147,4 +147,4 @@
   return configuration;
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/traffic_mix.h
+++ b/src/posthatch/emulator/traffic_mix.h
@@ -11,7 +11,7 @@
 
 // What callers send. A mix is plain data: the scenario file changes its fields, the presets are the
 // two deployments of the brief.
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // A tenant, its key and its pool of long shared prefixes.
 struct TenantTraffic {
@@ -70,4 +70,4 @@
 // isolation of the isolated ones, service routes, models (blocks of `block_tokens`).
 control::Configuration ConfigurationFor(const TrafficMix& mix, uint32_t block_tokens);
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/worker_run.cc
+++ b/src/posthatch/emulator/worker_run.cc
@@ -1,14 +1,14 @@
-#include "posthatch/standins/worker_run.h"
+#include "posthatch/emulator/worker_run.h"
 
 #include <algorithm>
 #include <boost/json/serialize.hpp>
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/standins/json_body.h"
-#include "posthatch/standins/kv_transfer.h"
+#include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/kv_transfer.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -84,8 +84,8 @@
 }
 
 void WorkerRun::RecordStart() {
-  rehearse::HistoryEvent event;
-  rehearse::RunStarted* started = event.mutable_run_started();
+  fleettest::HistoryEvent event;
+  fleettest::RunStarted* started = event.mutable_run_started();
   started->set_backend(state_->settings.id);
   started->set_run(run_id_);
   started->set_tenant(request_.tenant);
@@ -107,12 +107,12 @@
   for (size_t i = 0; i < makers_.size(); ++i) {
     const bool first_fetched = i == own_blocks_;
     if (i == 0 || first_fetched || !(makers_[i] == makers_[i - 1])) {
-      rehearse::ReusedBlocks* reused = started->add_reused();
+      fleettest::ReusedBlocks* reused = started->add_reused();
       reused->set_made_by_tenant(makers_[i].tenant);
       reused->set_made_under_revision(makers_[i].model_revision);
       if (i >= own_blocks_) reused->set_fetched_from(fetched_from_);
     }
-    rehearse::ReusedBlocks* last = started->mutable_reused(started->reused_size() - 1);
+    fleettest::ReusedBlocks* last = started->mutable_reused(started->reused_size() - 1);
     last->set_blocks(last->blocks() + 1);
   }
   state_->recorder->Record(std::move(event));
@@ -287,7 +287,7 @@
   over_ = true;
   --state_->running;
   if (started_) {
-    rehearse::HistoryEvent event;
+    fleettest::HistoryEvent event;
     event.mutable_run_ended()->set_run(run_id_);
     event.mutable_run_ended()->set_backend(state_->settings.id);
     event.mutable_run_ended()->set_completed(completed);
@@ -297,4 +297,4 @@
   ended_();
 }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/worker_run.h
+++ b/src/posthatch/emulator/worker_run.h
@@ -5,12 +5,12 @@
 #include <string>
 #include <vector>
 
+#include "posthatch/emulator/run_request.h"
+#include "posthatch/emulator/worker_state.h"
 #include "posthatch/http/http.h"
 #include "posthatch/index/block_hash.h"
-#include "posthatch/standins/run_request.h"
-#include "posthatch/standins/worker_state.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // One run at a worker stand-in, from its place among the running to its end: looks up kept blocks,
 // fetches what a peer or the store is said to have, prefills the rest, decodes and answers. Owned
@@ -69,4 +69,4 @@
   bool over_ = false;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/worker_settings.h
+++ b/src/posthatch/emulator/worker_settings.h
@@ -6,7 +6,7 @@
 #include "posthatch/runtime/clock.h"
 
 // Settings and run-time behaviour of the worker stand-in.
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // How long things take. Prefill runs at `prefill_per_block` for each block that is neither kept nor
 // fetched; decoding makes one token each `decode_per_token`, longer by `batching_slowdown` for each
@@ -64,4 +64,4 @@
   bool freeze_loading = false;       // weight loading never ends
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/worker_standin-test.cc
+++ b/src/posthatch/emulator/worker_standin-test.cc
@@ -1,15 +1,15 @@
-#include "posthatch/standins/worker_standin.h"
+#include "posthatch/emulator/worker_standin.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "posthatch/standins/standin_world.h"
-#include "posthatch/standins/store_standin.h"
+#include "posthatch/emulator/standin_world.h"
+#include "posthatch/emulator/store_standin.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 namespace {
 
-using rehearse::HistoryEvent;
+using fleettest::HistoryEvent;
 using ::testing::ElementsAre;
 
 constexpr size_t kBlockBytes = 64;  // 16 tokens of 4 bytes
@@ -47,7 +47,7 @@
     }
     return text;
   }
-  static uint32_t ReusedBy(const rehearse::RunStarted& run) {
+  static uint32_t ReusedBy(const fleettest::RunStarted& run) {
     uint32_t blocks = 0;
     for (const auto& reused : run.reused()) blocks += reused.blocks();
     return blocks;
@@ -404,4 +404,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/worker_standin.cc
+++ b/src/posthatch/emulator/worker_standin.cc
@@ -1,4 +1,4 @@
-#include "posthatch/standins/worker_standin.h"
+#include "posthatch/emulator/worker_standin.h"
 
 #include <algorithm>
 #include <deque>
@@ -8,15 +8,15 @@
 #include "absl/container/btree_map.h"
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_cat.h"
-#include "posthatch/standins/field_table.h"
-#include "posthatch/standins/json_body.h"
-#include "posthatch/standins/kv_transfer.h"
-#include "posthatch/standins/routed_server.h"
-#include "posthatch/standins/worker_run.h"
-#include "posthatch/standins/worker_state.h"
+#include "posthatch/emulator/field_table.h"
+#include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/kv_transfer.h"
+#include "posthatch/emulator/routed_server.h"
+#include "posthatch/emulator/worker_run.h"
+#include "posthatch/emulator/worker_state.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 namespace json = boost::json;
 
@@ -64,7 +64,7 @@
 
 class WorkerStandIn::Impl {
  public:
-  Impl(runtime::Runtime* runtime, WorkerSettings settings, rehearse::HistoryRecorder* recorder)
+  Impl(runtime::Runtime* runtime, WorkerSettings settings, fleettest::HistoryRecorder* recorder)
       : state(runtime, std::move(settings), recorder),
         loading_timer_(runtime->timers),
         server_(runtime) {}
@@ -293,8 +293,8 @@
 }
 
 void WorkerStandIn::Impl::RecordOrder(const Order& order, bool obeyed) {
-  rehearse::HistoryEvent event;
-  rehearse::OrderSeen* seen = event.mutable_order_seen();
+  fleettest::HistoryEvent event;
+  fleettest::OrderSeen* seen = event.mutable_order_seen();
   seen->set_worker(state.settings.id);
   seen->set_holder(order.holder);
   seen->set_fencing_token(order.token);
@@ -326,7 +326,7 @@
 
 void WorkerStandIn::Impl::ServeRevision(uint64_t revision) {
   state.model_revision = revision;
-  rehearse::HistoryEvent event;
+  fleettest::HistoryEvent event;
   event.mutable_revision_served()->set_worker(state.settings.id);
   event.mutable_revision_served()->set_model(state.settings.model);
   event.mutable_revision_served()->set_revision(revision);
@@ -386,7 +386,7 @@
 // ---------------------------------------------------------------- surface
 
 WorkerStandIn::WorkerStandIn(runtime::Runtime* runtime, WorkerSettings settings,
-                             rehearse::HistoryRecorder* recorder)
+                             fleettest::HistoryRecorder* recorder)
     : impl_(std::make_unique<Impl>(runtime, std::move(settings), recorder)) {}
 
 WorkerStandIn::~WorkerStandIn() = default;
@@ -402,4 +402,4 @@
 uint64_t WorkerStandIn::model_revision() const { return impl_->state.model_revision; }
 uint64_t WorkerStandIn::kept_blocks() const { return impl_->state.cache.size(); }
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/worker_standin.h
+++ b/src/posthatch/emulator/worker_standin.h
@@ -5,11 +5,11 @@
 #include <string>
 
 #include "absl/status/status.h"
-#include "posthatch/rehearse/history/history_recorder.h"
+#include "posthatch/emulator/worker_settings.h"
+#include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/runtime/runtime.h"
-#include "posthatch/standins/worker_settings.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // Stand-in for a language-model worker (docs/BACKENDS.md, "Worker"): a prefix cache in blocks,
 // prefill and decoding by a stated timing model, KV events, weight loading under fencing tokens.
@@ -19,7 +19,7 @@
  public:
   // `runtime` and `recorder` outlive the stand-in.
   WorkerStandIn(runtime::Runtime* runtime, WorkerSettings settings,
-                rehearse::HistoryRecorder* recorder);
+                fleettest::HistoryRecorder* recorder);
   ~WorkerStandIn();
   WorkerStandIn(const WorkerStandIn&) = delete;
   WorkerStandIn& operator=(const WorkerStandIn&) = delete;
@@ -43,4 +43,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/standins/worker_state.h
+++ b/src/posthatch/emulator/worker_state.h
@@ -3,20 +3,20 @@
 #include <cstdint>
 #include <string>
 
-#include "posthatch/rehearse/history/history_recorder.h"
+#include "posthatch/emulator/answer_mixer.h"
+#include "posthatch/emulator/block_cache.h"
+#include "posthatch/emulator/json_client.h"
+#include "posthatch/emulator/kv_event_log.h"
+#include "posthatch/emulator/worker_settings.h"
+#include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/runtime/runtime.h"
-#include "posthatch/standins/answer_mixer.h"
-#include "posthatch/standins/block_cache.h"
-#include "posthatch/standins/json_client.h"
-#include "posthatch/standins/kv_event_log.h"
-#include "posthatch/standins/worker_settings.h"
 
-namespace posthatch::standins {
+namespace posthatch::emulator {
 
 // What the runs of one worker stand-in share. Owned by WorkerStandIn, outlives its runs.
 struct WorkerState {
   WorkerState(runtime::Runtime* owner_runtime, WorkerSettings worker_settings,
-              rehearse::HistoryRecorder* history_recorder)
+              fleettest::HistoryRecorder* history_recorder)
       : runtime(owner_runtime),
         settings(std::move(worker_settings)),
         recorder(history_recorder),
@@ -33,7 +33,7 @@
 
   runtime::Runtime* const runtime;
   const WorkerSettings settings;
-  rehearse::HistoryRecorder* const recorder;
+  fleettest::HistoryRecorder* const recorder;
   WorkerBehaviour behaviour;
   BlockCache cache;
   KvEventLog events;
@@ -45,4 +45,4 @@
   uint32_t running = 0;  // runs in progress
 };
 
-}  // namespace posthatch::standins
+}  // namespace posthatch::emulator
--- a/src/posthatch/rehearse/answer_losing_client.cc
+++ b/src/posthatch/fleettest/answer_losing_client.cc
@@ -1,8 +1,8 @@
-#include "posthatch/rehearse/answer_losing_client.h"
+#include "posthatch/fleettest/answer_losing_client.h"
 
 #include <utility>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 void AnswerLosingClient::SetLoss(const std::string& endpoint, double probability) {
   if (probability > 0) {
@@ -29,4 +29,4 @@
   return client_->Start(endpoint, std::move(request), options, std::move(losing));
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/answer_losing_client.h
+++ b/src/posthatch/fleettest/answer_losing_client.h
@@ -9,7 +9,7 @@
 #include "posthatch/runtime/random.h"
 #include "posthatch/runtime/timer_service.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // An HTTP client that loses answers on the way: the request arrives and is carried out, and its
 // sender sees a connection that broke. For the fault lost_ack, alike in real and simulated runs.
@@ -37,4 +37,4 @@
   uint64_t lost_answers_ = 0;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/answer_check.cc
+++ b/src/posthatch/fleettest/checks/answer_check.cc
@@ -1,8 +1,8 @@
-#include "posthatch/rehearse/checks/answer_check.h"
+#include "posthatch/fleettest/checks/answer_check.h"
 
 #include <fmt/format.h>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -40,4 +40,4 @@
   return result;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/answer_check.h
+++ b/src/posthatch/fleettest/checks/answer_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // N3: An answer carries its request's own nonce, and if it ends as complete no byte is missing or
 // changed.
@@ -11,4 +11,4 @@
   CheckResult Run(const RecordedHistory& history) const override;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/bounds.h
+++ b/src/posthatch/fleettest/checks/bounds.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/recorded_history.h"
+#include "posthatch/fleettest/checks/recorded_history.h"
 
 // The bounds that the users gave (brief, "What must never happen").
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 inline constexpr int64_t kConfigurationBoundNs = 2 * kSecondNs;
 inline constexpr int64_t kDrainBoundNs = 3 * kSecondNs;
@@ -23,4 +23,4 @@
   return started_ns > 0 ? started_ns : event.time_ns() - kLongestReadNs;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/check.h
+++ b/src/posthatch/fleettest/checks/check.h
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <vector>
 
-#include "posthatch/rehearse/checks/recorded_history.h"
+#include "posthatch/fleettest/checks/recorded_history.h"
 
 // The checks N1 to N11: pure functions over what callers, back ends and operators recorded.
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // What one check found. `examined` counts the cases that could have violated the invariant: a
 // check that examined none proves nothing.
@@ -48,4 +48,4 @@
 // All eleven, in the order of their numbers.
 std::vector<std::unique_ptr<Check>> AllChecks();
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/configuration_check.cc
+++ b/src/posthatch/fleettest/checks/configuration_check.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/checks/configuration_check.h"
+#include "posthatch/fleettest/checks/configuration_check.h"
 
 #include <fmt/format.h>
 
@@ -6,9 +6,9 @@
 #include <map>
 #include <set>
 
-#include "posthatch/rehearse/checks/bounds.h"
+#include "posthatch/fleettest/checks/bounds.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -181,4 +181,4 @@
   return result;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/configuration_check.h
+++ b/src/posthatch/fleettest/checks/configuration_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // N8: Two seconds after an acknowledgement no gateway accepts a revoked key or refuses a new one; a
 // gateway that has shown a newer configuration never shows an older one; of two racing changes one
@@ -12,4 +12,4 @@
   CheckResult Run(const RecordedHistory& history) const override;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/control_checks-test.cc
+++ b/src/posthatch/fleettest/checks/control_checks-test.cc
@@ -1,14 +1,14 @@
 // N6 to N10: each check sees clean histories pass and several kinds of violation fail.
 #include <gtest/gtest.h>
 
-#include "posthatch/rehearse/checks/configuration_check.h"
-#include "posthatch/rehearse/checks/drain_check.h"
-#include "posthatch/rehearse/checks/durability_check.h"
-#include "posthatch/rehearse/checks/history_builder.h"
-#include "posthatch/rehearse/checks/revision_check.h"
-#include "posthatch/rehearse/checks/stale_wake_check.h"
+#include "posthatch/fleettest/checks/configuration_check.h"
+#include "posthatch/fleettest/checks/drain_check.h"
+#include "posthatch/fleettest/checks/durability_check.h"
+#include "posthatch/fleettest/checks/history_builder.h"
+#include "posthatch/fleettest/checks/revision_check.h"
+#include "posthatch/fleettest/checks/stale_wake_check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 namespace {
 
 void ExpectClean(const HistoryBuilder& history, const Check& check) {
@@ -267,4 +267,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/drain_check.cc
+++ b/src/posthatch/fleettest/checks/drain_check.cc
@@ -1,12 +1,12 @@
-#include "posthatch/rehearse/checks/drain_check.h"
+#include "posthatch/fleettest/checks/drain_check.h"
 
 #include <fmt/format.h>
 
 #include <map>
 
-#include "posthatch/rehearse/checks/bounds.h"
+#include "posthatch/fleettest/checks/bounds.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -65,4 +65,4 @@
   return result;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/drain_check.h
+++ b/src/posthatch/fleettest/checks/drain_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // N7: A draining back end gets no new work later than 3 s after the list first shows it, an
 // evacuated zone none later than 5 s after the acknowledgement.
@@ -11,4 +11,4 @@
   CheckResult Run(const RecordedHistory& history) const override;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/durability_check.cc
+++ b/src/posthatch/fleettest/checks/durability_check.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/checks/durability_check.h"
+#include "posthatch/fleettest/checks/durability_check.h"
 
 #include <fmt/format.h>
 
@@ -6,9 +6,9 @@
 #include <optional>
 #include <set>
 
-#include "posthatch/rehearse/checks/bounds.h"
+#include "posthatch/fleettest/checks/bounds.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -78,4 +78,4 @@
   return result;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/durability_check.h
+++ b/src/posthatch/fleettest/checks/durability_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // N9: Every acknowledged change is there whenever the state is read later.
 class DurabilityCheck : public Check {
@@ -10,4 +10,4 @@
   CheckResult Run(const RecordedHistory& history) const override;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/history_builder.h
+++ b/src/posthatch/fleettest/checks/history_builder.h
@@ -6,10 +6,10 @@
 #include <utility>
 #include <vector>
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
 // Short histories for the tests of the checks. Times are in seconds.
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 class HistoryBuilder {
  public:
@@ -153,4 +153,4 @@
   CallSent* last_sent_ = nullptr;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/isolation_check.cc
+++ b/src/posthatch/fleettest/checks/isolation_check.cc
@@ -1,12 +1,12 @@
-#include "posthatch/rehearse/checks/isolation_check.h"
+#include "posthatch/fleettest/checks/isolation_check.h"
 
 #include <fmt/format.h>
 
 #include <map>
 
-#include "posthatch/rehearse/checks/bounds.h"
+#include "posthatch/fleettest/checks/bounds.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -62,4 +62,4 @@
   return result;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/isolation_check.h
+++ b/src/posthatch/fleettest/checks/isolation_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // N5: A request runs as the tenant that sent it, and uses no block made by another tenant while
 // either is isolated. Isolation counts from two seconds after the change's acknowledgement until
@@ -12,4 +12,4 @@
   CheckResult Run(const RecordedHistory& history) const override;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/not_executed_check.cc
+++ b/src/posthatch/fleettest/checks/not_executed_check.cc
@@ -1,11 +1,11 @@
-#include "posthatch/rehearse/checks/not_executed_check.h"
+#include "posthatch/fleettest/checks/not_executed_check.h"
 
 #include <fmt/format.h>
 
 #include <map>
 #include <utility>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -54,4 +54,4 @@
   return result;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/not_executed_check.h
+++ b/src/posthatch/fleettest/checks/not_executed_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // N2: An answer that says "not executed" is a violation if the back ends' record shows a start of
 // its key, before or after; without a key, if no other call of the same nonce can have caused the
@@ -12,4 +12,4 @@
   CheckResult Run(const RecordedHistory& history) const override;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/recorded_history.cc
+++ b/src/posthatch/fleettest/checks/recorded_history.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/checks/recorded_history.h"
+#include "posthatch/fleettest/checks/recorded_history.h"
 
 #include <algorithm>
 #include <set>
@@ -7,7 +7,7 @@
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_split.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 int64_t ChangeRecord::acknowledged_ns() const {
   for (const auto& [time_ns, answer] : answers) {
@@ -202,4 +202,4 @@
   return periods;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/recorded_history.h
+++ b/src/posthatch/fleettest/checks/recorded_history.h
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "posthatch/rehearse/history/history.pb.h"
+#include "posthatch/fleettest/history/history.pb.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 inline constexpr int64_t kNever = std::numeric_limits<int64_t>::max();
 inline constexpr int64_t kSecondNs = 1'000'000'000;
@@ -113,4 +113,4 @@
   std::map<std::string, size_t> change_by_id_;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/request_checks-test.cc
+++ b/src/posthatch/fleettest/checks/request_checks-test.cc
@@ -1,15 +1,15 @@
 // N1 to N5 and N11: each check sees clean histories pass and several kinds of violation fail.
 #include <gtest/gtest.h>
 
-#include "posthatch/rehearse/checks/answer_check.h"
-#include "posthatch/rehearse/checks/history_builder.h"
-#include "posthatch/rehearse/checks/isolation_check.h"
-#include "posthatch/rehearse/checks/not_executed_check.h"
-#include "posthatch/rehearse/checks/retry_check.h"
-#include "posthatch/rehearse/checks/single_run_check.h"
-#include "posthatch/rehearse/checks/stream_check.h"
+#include "posthatch/fleettest/checks/answer_check.h"
+#include "posthatch/fleettest/checks/history_builder.h"
+#include "posthatch/fleettest/checks/isolation_check.h"
+#include "posthatch/fleettest/checks/not_executed_check.h"
+#include "posthatch/fleettest/checks/retry_check.h"
+#include "posthatch/fleettest/checks/single_run_check.h"
+#include "posthatch/fleettest/checks/stream_check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 namespace {
 
 void ExpectClean(const HistoryBuilder& history, const Check& check) {
@@ -266,4 +266,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/retry_check.cc
+++ b/src/posthatch/fleettest/checks/retry_check.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/checks/retry_check.h"
+#include "posthatch/fleettest/checks/retry_check.h"
 
 #include <fmt/format.h>
 
@@ -7,9 +7,9 @@
 #include <set>
 #include <utility>
 
-#include "posthatch/rehearse/checks/bounds.h"
+#include "posthatch/fleettest/checks/bounds.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -167,4 +167,4 @@
   return result;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/retry_check.h
+++ b/src/posthatch/fleettest/checks/retry_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // N11: Attempts beyond the first stay within 20% of the first attempts over any 10 s of load, and a
 // worker that has just come up gets no more new runs than the mean of the warm ones while it is in
@@ -12,4 +12,4 @@
   CheckResult Run(const RecordedHistory& history) const override;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/revision_check.cc
+++ b/src/posthatch/fleettest/checks/revision_check.cc
@@ -1,13 +1,13 @@
-#include "posthatch/rehearse/checks/revision_check.h"
+#include "posthatch/fleettest/checks/revision_check.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <map>
 
-#include "posthatch/rehearse/checks/bounds.h"
+#include "posthatch/fleettest/checks/bounds.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -86,4 +86,4 @@
   return result;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/revision_check.h
+++ b/src/posthatch/fleettest/checks/revision_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // N6: No block made under an older revision is used, no worker serves an old revision more than 12
 // s after the acknowledgement, and no worker obeys an older fencing token after a newer one, or one
@@ -12,4 +12,4 @@
   CheckResult Run(const RecordedHistory& history) const override;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/single_run_check.cc
+++ b/src/posthatch/fleettest/checks/single_run_check.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/checks/single_run_check.h"
+#include "posthatch/fleettest/checks/single_run_check.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 #include <set>
 #include <utility>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -45,4 +45,4 @@
   return result;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/single_run_check.h
+++ b/src/posthatch/fleettest/checks/single_run_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // N1: One idempotency key of one tenant starts at a back end once at most. Runs are joined to their
 // key by the nonce that the back end echoes as well, so a lost Idempotency-Key field hides nothing.
@@ -11,4 +11,4 @@
   CheckResult Run(const RecordedHistory& history) const override;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/stale_wake_check.cc
+++ b/src/posthatch/fleettest/checks/stale_wake_check.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/checks/stale_wake_check.h"
+#include "posthatch/fleettest/checks/stale_wake_check.h"
 
 #include <fmt/format.h>
 
@@ -6,9 +6,9 @@
 #include <map>
 #include <optional>
 
-#include "posthatch/rehearse/checks/bounds.h"
+#include "posthatch/fleettest/checks/bounds.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -175,4 +175,4 @@
   return result;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/stale_wake_check.h
+++ b/src/posthatch/fleettest/checks/stale_wake_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // N10: A gateway that was frozen or cut off for 20 s or more decides by nothing old in the 30 s
 // after it wakes; after a controller's freeze this goes for all gateways. Seen from outside as:
@@ -13,4 +13,4 @@
   CheckResult Run(const RecordedHistory& history) const override;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/stream_check.cc
+++ b/src/posthatch/fleettest/checks/stream_check.cc
@@ -1,11 +1,11 @@
-#include "posthatch/rehearse/checks/stream_check.h"
+#include "posthatch/fleettest/checks/stream_check.h"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
 #include <optional>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -59,4 +59,4 @@
   return result;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/checks/stream_check.h
+++ b/src/posthatch/fleettest/checks/stream_check.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/checks/check.h"
+#include "posthatch/fleettest/checks/check.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // N4: Pieces of a stream are exactly 0, 1, 2, ... of one run at one back end, and a cut stream does
 // not end like a complete one.
@@ -11,4 +11,4 @@
   CheckResult Run(const RecordedHistory& history) const override;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/child_process-test.cc
+++ b/src/posthatch/fleettest/child_process-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/child_process.h"
+#include "posthatch/fleettest/child_process.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <csignal>
 #include <thread>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 namespace {
 
 constexpr char kLog[] = "/dev/null";
@@ -52,4 +52,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/child_process.cc
+++ b/src/posthatch/fleettest/child_process.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/child_process.h"
+#include "posthatch/fleettest/child_process.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -12,7 +12,7 @@
 #include <csignal>
 #include <cstring>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -112,4 +112,4 @@
   }
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/child_process.h
+++ b/src/posthatch/fleettest/child_process.h
@@ -9,7 +9,7 @@
 #include "absl/status/status.h"
 #include "absl/status/statusor.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // A process that this tool started. It never outlives the object: the destructor kills it and waits
 // for its end. Every child is also known to KillAllChildren.
@@ -44,4 +44,4 @@
 // Kills every running child. May be called from a signal handler.
 void KillAllChildren();
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/command_line.cc
+++ b/src/posthatch/fleettest/command_line.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/command_line.h"
+#include "posthatch/fleettest/command_line.h"
 
 #include <fmt/format.h>
 
@@ -7,15 +7,15 @@
 #include <iostream>
 #include <utility>
 
-#include "posthatch/rehearse/checks/check.h"
-#include "posthatch/rehearse/interruption.h"
-#include "posthatch/rehearse/names.h"
-#include "posthatch/rehearse/real_run.h"
-#include "posthatch/rehearse/report.h"
-#include "posthatch/rehearse/scenario_loader.h"
-#include "posthatch/rehearse/seed_runner.h"
+#include "posthatch/fleettest/checks/check.h"
+#include "posthatch/fleettest/interruption.h"
+#include "posthatch/fleettest/names.h"
+#include "posthatch/fleettest/real_run.h"
+#include "posthatch/fleettest/report.h"
+#include "posthatch/fleettest/scenario_loader.h"
+#include "posthatch/fleettest/seed_runner.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -32,7 +32,7 @@
   std::string report_file;
   std::string run_folder;
   std::string posthatchd;
-  std::string posthatch_standin;
+  std::string posthatch_emulator;
   std::string history_folder;
   std::string seeds = "1-20";
   uint64_t seed = 0;
@@ -66,7 +66,7 @@
   }
   std::cout << "\nfaults: " << AllowedNames(kFaultKindNames)
             << "\noperations: " << AllowedNames(kOperationKindNames)
-            << "\nThe grammar is in docs/REHEARSAL.md.\n";
+            << "\nThe grammar is in docs/FLEETTEST.md.\n";
   return exit_code;
 }
 
@@ -86,7 +86,7 @@
   InstallInterruption(kRunOverheadSeconds + static_cast<uint32_t>(2 * seconds));
   RealRunOptions options;
   options.posthatchd = arguments.posthatchd;
-  options.posthatch_standin = arguments.posthatch_standin;
+  options.posthatch_emulator = arguments.posthatch_emulator;
   options.run_folder = arguments.run_folder;
   options.keep_run_folder = arguments.keep;
   options.on_progress = [](const std::string& line) { std::cerr << line << std::endl; };
@@ -110,7 +110,7 @@
 }
 
 int Simulate(const Arguments& arguments, const Scenario& scenario,
-             daemon::ProcessFactory* factory) {
+             server::ProcessFactory* factory) {
   SeedRunOptions options;
   if (!ParseSeeds(arguments.seeds, &options)) {
     return ReportErrors({fmt::format("--seeds {}: must be A-B or A (allowed: at most {} seeds)",
@@ -134,7 +134,7 @@
 }
 
 void AddCommonOptions(CLI::App* command, Arguments* arguments) {
-  command->add_option("scenario", arguments->scenario_file, "Scenario file (docs/REHEARSAL.md)")
+  command->add_option("scenario", arguments->scenario_file, "Scenario file (docs/FLEETTEST.md)")
       ->required();
   command->add_option("--report", arguments->report_file, "Where the JSON report goes");
   command
@@ -159,14 +159,15 @@
 
 }  // namespace
 
-int RunCommandLine(int argc, const char* const* argv, daemon::ProcessFactory* factory) {
-  CLI::App app("Rehearses a posthatch fleet: load, faults, checks N1 to N11", "posthatch-rehearse");
+int RunCommandLine(int argc, const char* const* argv, server::ProcessFactory* factory) {
+  CLI::App app("Rehearses a posthatch fleet: load, faults, checks N1 to N11",
+               "posthatch-fleettest");
   app.require_subcommand(1);
   Arguments arguments;
   const fs::path program = fs::read_symlink("/proc/self/exe");
   const fs::path programs = program.parent_path().parent_path();
-  arguments.posthatchd = (programs / "daemon" / "posthatchd").string();
-  arguments.posthatch_standin = (programs / "standins" / "posthatch-standin").string();
+  arguments.posthatchd = (programs / "server" / "posthatchd").string();
+  arguments.posthatch_emulator = (programs / "emulator" / "posthatch-emulator").string();
   CLI::App* list = app.add_subcommand("list", "Scenarios of a folder");
   list->add_option("folder", arguments.folder, "Folder of scenario files")->capture_default_str();
   CLI::App* run = app.add_subcommand("run", "A fleet of real processes on this machine");
@@ -174,7 +175,7 @@
   run->add_option("--seed", arguments.seed, "In place of the scenario's seed");
   run->add_option("--run-folder", arguments.run_folder, "Settings, data and logs; must not exist");
   run->add_option("--posthatchd", arguments.posthatchd, "Path of the program");
-  run->add_option("--posthatch-standin", arguments.posthatch_standin, "Path of the program");
+  run->add_option("--posthatch-emulator", arguments.posthatch_emulator, "Path of the program");
   run->add_flag("--keep", arguments.keep, "Keep the run folder also after a pass");
   run->add_flag("--no-baseline", arguments.no_baseline, "Leave out the round-robin run");
   CLI::App* simulate = app.add_subcommand("simulate", "The simulator, many seeds");
@@ -200,4 +201,4 @@
   return Simulate(arguments, loaded.scenario, factory);
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/command_line.h
+++ b/src/posthatch/fleettest/command_line.h
@@ -1,15 +1,15 @@
 #pragma once
 
-#include "posthatch/daemon/process_factory.h"
+#include "posthatch/server/process_factory.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 inline constexpr int kExitPassed = 0;
 inline constexpr int kExitFailed = 1;    // a violation, a check that saw nothing, or no whole run
 inline constexpr int kExitBadInput = 2;  // command line or scenario file
 inline constexpr int kExitOverTime = 3;  // the hard time limit
 
-// posthatch-rehearse list | run | simulate. `factory` builds the processes of simulated fleets.
-int RunCommandLine(int argc, const char* const* argv, daemon::ProcessFactory* factory);
+// posthatch-fleettest list | run | simulate. `factory` builds the processes of simulated fleets.
+int RunCommandLine(int argc, const char* const* argv, server::ProcessFactory* factory);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/fault_injector-test.cc
+++ b/src/posthatch/fleettest/fault_injector-test.cc
@@ -1,15 +1,15 @@
-#include "posthatch/rehearse/fault_injector.h"
+#include "posthatch/fleettest/fault_injector.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
-#include "posthatch/rehearse/history/recorders.h"
-#include "posthatch/rehearse/target_resolver.h"
+#include "posthatch/fleettest/history/recorders.h"
+#include "posthatch/fleettest/target_resolver.h"
 #include "posthatch/simulation/sim_world.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 namespace {
 
 using std::chrono::seconds;
@@ -231,4 +231,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/fault_injector.cc
+++ b/src/posthatch/fleettest/fault_injector.cc
@@ -1,15 +1,15 @@
-#include "posthatch/rehearse/fault_injector.h"
+#include "posthatch/fleettest/fault_injector.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <boost/json.hpp>
 
-#include "posthatch/rehearse/names.h"
-#include "posthatch/rehearse/target_resolver.h"
+#include "posthatch/fleettest/names.h"
+#include "posthatch/fleettest/target_resolver.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -307,4 +307,4 @@
                        std::chrono::duration<double>(since).count(), result});
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/fault_injector.h
+++ b/src/posthatch/fleettest/fault_injector.h
@@ -8,12 +8,12 @@
 #include <utility>
 #include <vector>
 
-#include "posthatch/rehearse/answer_losing_client.h"
-#include "posthatch/rehearse/fleet.h"
-#include "posthatch/rehearse/scenario.h"
-#include "posthatch/rehearse/stand_in_control.h"
+#include "posthatch/fleettest/answer_losing_client.h"
+#include "posthatch/fleettest/fleet.h"
+#include "posthatch/fleettest/scenario.h"
+#include "posthatch/fleettest/stand_in_control.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // What became of one fault at one process.
 struct FaultOutcome {
@@ -86,4 +86,4 @@
   std::vector<FaultOutcome> outcomes_;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/fleet.h
+++ b/src/posthatch/fleettest/fleet.h
@@ -6,11 +6,11 @@
 
 #include "absl/status/status.h"
 #include "absl/status/statusor.h"
-#include "posthatch/rehearse/history/history_recorder.h"
-#include "posthatch/rehearse/scenario.h"
+#include "posthatch/fleettest/history/history_recorder.h"
+#include "posthatch/fleettest/scenario.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // One process of the fleet under rehearsal.
 struct ProcessInfo {
@@ -75,4 +75,4 @@
   virtual uint64_t behaviour_hash() const { return 0; }
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/fleet_plan.cc
+++ b/src/posthatch/fleettest/fleet_plan.cc
@@ -1,13 +1,13 @@
-#include "posthatch/rehearse/fleet_plan.h"
+#include "posthatch/fleettest/fleet_plan.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <set>
 
-#include "posthatch/rehearse/names.h"
+#include "posthatch/fleettest/names.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -16,9 +16,9 @@
 constexpr double kLargeTenantShare = 4;
 constexpr std::string_view kService = "frontdesk";
 
-standins::OperationTraffic ModelCall(standins::OperationKind kind, double share, bool stream,
+emulator::OperationTraffic ModelCall(emulator::OperationKind kind, double share, bool stream,
                                      const std::string& model) {
-  standins::OperationTraffic traffic;
+  emulator::OperationTraffic traffic;
   traffic.kind = kind;
   traffic.share = share;
   traffic.stream = stream;
@@ -26,10 +26,10 @@
   return traffic;
 }
 
-standins::OperationTraffic ServiceCall(double share, const std::string& operation,
+emulator::OperationTraffic ServiceCall(double share, const std::string& operation,
                                        bool non_repeatable) {
-  standins::OperationTraffic traffic;
-  traffic.kind = standins::OperationKind::kService;
+  emulator::OperationTraffic traffic;
+  traffic.kind = emulator::OperationKind::kService;
   traffic.share = share;
   traffic.service = kService;
   traffic.operation = operation;
@@ -38,12 +38,12 @@
 }
 
 // The operations of [traffic.shares], the model calls spread evenly over the models.
-std::vector<standins::OperationTraffic> OperationsOf(const Scenario& scenario,
+std::vector<emulator::OperationTraffic> OperationsOf(const Scenario& scenario,
                                                      const TrafficShares& shares) {
-  std::vector<standins::OperationTraffic> operations;
+  std::vector<emulator::OperationTraffic> operations;
   const auto models = static_cast<double>(scenario.models.size());
   for (const std::string& model : scenario.models) {
-    using Kind = standins::OperationKind;
+    using Kind = emulator::OperationKind;
     operations.push_back(ModelCall(Kind::kCompletions, shares.completions / models, false, model));
     operations.push_back(ModelCall(Kind::kCompletions, shares.streams / models, true, model));
     operations.push_back(ModelCall(Kind::kChat, shares.chat / models, true, model));
@@ -56,11 +56,11 @@
   return operations;
 }
 
-std::vector<standins::TenantTraffic> TenantsOf(const TenantSizes& sizes) {
-  std::vector<standins::TenantTraffic> tenants;
+std::vector<emulator::TenantTraffic> TenantsOf(const TenantSizes& sizes) {
+  std::vector<emulator::TenantTraffic> tenants;
   tenants.reserve(sizes.count);
   for (uint32_t number = 1; number <= sizes.count; ++number) {
-    standins::TenantTraffic tenant;
+    emulator::TenantTraffic tenant;
     tenant.name = fmt::format("tenant-{}", number);
     tenant.key = fmt::format("key-of-{}", tenant.name);
     tenant.key_id = fmt::format("{}/1", tenant.name);
@@ -77,7 +77,7 @@
 // Names of the services that the traffic calls, in a fixed order.
 std::vector<std::string> ServicesOf(const Scenario& scenario) {
   std::set<std::string> names;
-  for (const standins::OperationTraffic& operation : PlanTraffic(scenario).operations) {
+  for (const emulator::OperationTraffic& operation : PlanTraffic(scenario).operations) {
     if (!operation.service.empty()) names.insert(operation.service);
   }
   return {names.begin(), names.end()};
@@ -153,9 +153,9 @@
   return {{"pool", process.number % 2 == 0 ? "even" : "odd"}};
 }
 
-standins::InventoryBackend InventoryEntry(const PlannedProcess& process,
+emulator::InventoryBackend InventoryEntry(const PlannedProcess& process,
                                           const std::string& endpoint) {
-  standins::InventoryBackend backend;
+  emulator::InventoryBackend backend;
   backend.id = process.name;
   backend.kind = ToName(kRoleNames, process.role);
   backend.endpoint = endpoint;
@@ -166,15 +166,15 @@
   return backend;
 }
 
-standins::TrafficMix PlanTraffic(const Scenario& scenario) {
-  standins::TrafficMix mix;
+emulator::TrafficMix PlanTraffic(const Scenario& scenario) {
+  emulator::TrafficMix mix;
   const std::string& preset = scenario.traffic.preset;
   if (preset == "mixed" || preset == "shares") {
     mix.operations =
         OperationsOf(scenario, preset == "mixed" ? kMixedShares : scenario.traffic.shares);
-  } else if (const auto found = standins::FindMix(preset); found.ok()) {
+  } else if (const auto found = emulator::FindMix(preset); found.ok()) {
     mix = *found;
-    for (standins::OperationTraffic& operation : mix.operations) {
+    for (emulator::OperationTraffic& operation : mix.operations) {
       if (!operation.model.empty()) operation.model = scenario.models.front();
     }
   }
@@ -185,4 +185,4 @@
   return mix;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/fleet_plan.h
+++ b/src/posthatch/fleettest/fleet_plan.h
@@ -3,13 +3,13 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/rehearse/fleet.h"
-#include "posthatch/rehearse/scenario.h"
-#include "posthatch/standins/inventory_standin.h"
-#include "posthatch/standins/traffic_mix.h"
+#include "posthatch/emulator/inventory_standin.h"
+#include "posthatch/emulator/traffic_mix.h"
+#include "posthatch/fleettest/fleet.h"
+#include "posthatch/fleettest/scenario.h"
 
 // Names, places and traffic that follow from a scenario, alike for real and simulated fleets.
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // One process to start.
 struct PlannedProcess {
@@ -36,10 +36,10 @@
 std::string AddressOf(uint32_t network, const PlannedProcess& process, uint32_t move);
 bool IsBackend(Role role);
 std::map<std::string, std::string> LabelsOf(const PlannedProcess& process);
-standins::InventoryBackend InventoryEntry(const PlannedProcess& process,
+emulator::InventoryBackend InventoryEntry(const PlannedProcess& process,
                                           const std::string& endpoint);
 
 // What the callers send.
-standins::TrafficMix PlanTraffic(const Scenario& scenario);
+emulator::TrafficMix PlanTraffic(const Scenario& scenario);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/free_port.cc
+++ b/src/posthatch/fleettest/free_port.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/free_port.h"
+#include "posthatch/fleettest/free_port.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -8,7 +8,7 @@
 #include <cerrno>
 #include <cstring>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -58,4 +58,4 @@
   return absl::ResourceExhaustedError(address + ": no free port");
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/history/history_recorder.h
+++ b/src/posthatch/fleettest/history/history_recorder.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/rehearse/history/history.pb.h"
+#include "posthatch/fleettest/history/history.pb.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Where stand-ins and callers write what they saw. Real ones append JSON lines to a file, simulated
 // ones keep the events in memory. The recorder fills in the time and its own name.
@@ -12,4 +12,4 @@
   virtual void Record(HistoryEvent event) = 0;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/history/recorders-test.cc
+++ b/src/posthatch/fleettest/history/recorders-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/history/recorders.h"
+#include "posthatch/fleettest/history/recorders.h"
 
 #include <gtest/gtest.h>
 
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <string>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 namespace {
 
 class FixedClock : public runtime::Clock {
@@ -106,4 +106,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/history/recorders.cc
+++ b/src/posthatch/fleettest/history/recorders.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/history/recorders.h"
+#include "posthatch/fleettest/history/recorders.h"
 
 #include <google/protobuf/util/json_util.h>
 
@@ -13,7 +13,7 @@
 
 #include "absl/strings/str_cat.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 namespace {
 
 // Cuts off a last line without its end: the killed process that left it had not gone on to what
@@ -111,4 +111,4 @@
                    });
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/history/recorders.h
+++ b/src/posthatch/fleettest/history/recorders.h
@@ -8,11 +8,11 @@
 
 #include "absl/status/status.h"
 #include "absl/status/statusor.h"
-#include "posthatch/rehearse/history/history.pb.h"
-#include "posthatch/rehearse/history/history_recorder.h"
+#include "posthatch/fleettest/history/history.pb.h"
+#include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/runtime/clock.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Appends each event as one line of protobuf JSON. The line is handed to the operating system
 // before Record returns, so that what a process recorded outlives its kill; nothing is kept in
@@ -70,4 +70,4 @@
 // Orders events of several recorders by time; those of one recorder keep their order.
 void SortByTime(std::vector<HistoryEvent>* events);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/interruption.cc
+++ b/src/posthatch/fleettest/interruption.cc
@@ -1,14 +1,14 @@
-#include "posthatch/rehearse/interruption.h"
+#include "posthatch/fleettest/interruption.h"
 
 #include <unistd.h>
 
 #include <atomic>
 #include <csignal>
 
-#include "posthatch/rehearse/child_process.h"
-#include "posthatch/rehearse/command_line.h"
+#include "posthatch/fleettest/child_process.h"
+#include "posthatch/fleettest/command_line.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -39,4 +39,4 @@
 
 bool Interrupted() { return interrupted.load(); }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/inventory_publisher.cc
+++ b/src/posthatch/fleettest/inventory_publisher.cc
@@ -1,18 +1,18 @@
-#include "posthatch/rehearse/inventory_publisher.h"
+#include "posthatch/fleettest/inventory_publisher.h"
 
 #include <boost/json.hpp>
 #include <cstdlib>
 #include <utility>
 
-#include "posthatch/rehearse/fleet_plan.h"
+#include "posthatch/fleettest/fleet_plan.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
 namespace json = boost::json;
 
-json::object EntryJson(const standins::InventoryBackend& backend, bool draining) {
+json::object EntryJson(const emulator::InventoryBackend& backend, bool draining) {
   json::object labels;
   for (const auto& [key, value] : backend.labels) labels[key] = value;
   return {{"id", backend.id},
@@ -59,4 +59,4 @@
   control_->Put(inventory_endpoint_, "/debug/draining", json::serialize(body), std::move(done));
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/inventory_publisher.h
+++ b/src/posthatch/fleettest/inventory_publisher.h
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/rehearse/fleet.h"
-#include "posthatch/rehearse/stand_in_control.h"
+#include "posthatch/fleettest/fleet.h"
+#include "posthatch/fleettest/stand_in_control.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Tells the inventory stand-in which back ends there are, when one is replaced or moved. The list
 // it starts with comes from its settings. Event loop thread only.
@@ -29,4 +29,4 @@
   std::string last_;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/leader_watch.cc
+++ b/src/posthatch/fleettest/leader_watch.cc
@@ -1,9 +1,9 @@
-#include "posthatch/rehearse/leader_watch.h"
+#include "posthatch/fleettest/leader_watch.h"
 
 #include <boost/json.hpp>
 #include <vector>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -58,4 +58,4 @@
   timer_.Start(kAskInterval, [this] { Ask(); });
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/leader_watch.h
+++ b/src/posthatch/fleettest/leader_watch.h
@@ -2,10 +2,10 @@
 
 #include <string>
 
-#include "posthatch/rehearse/fleet.h"
-#include "posthatch/rehearse/stand_in_control.h"
+#include "posthatch/fleettest/fleet.h"
+#include "posthatch/fleettest/stand_in_control.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Asks a controller now and then who leads, for faults that aim at the leader. A hint: by the time
 // a fault begins another one may lead. Event loop thread only.
@@ -31,4 +31,4 @@
 // The leader's node id in the body of GET /admin/v1/controllers; empty if it names none.
 std::string LeaderIn(const std::string& controllers_json);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/names.h
+++ b/src/posthatch/fleettest/names.h
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <utility>
 
-#include "posthatch/rehearse/scenario.h"
+#include "posthatch/fleettest/scenario.h"
 
 // The words of scenario files for the enumerations of scenario.h.
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 template <typename Value, size_t kSize>
 using NameTable = std::array<std::pair<std::string_view, Value>, kSize>;
@@ -78,4 +78,4 @@
   return joined;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/node_plan.cc
+++ b/src/posthatch/fleettest/node_plan.cc
@@ -1,9 +1,9 @@
-#include "posthatch/rehearse/node_plan.h"
+#include "posthatch/fleettest/node_plan.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -12,10 +12,10 @@
       std::chrono::duration<double, std::milli>(milliseconds));
 }
 
-daemon::NodeSettings PlanNode(const PlannedProcess& process, const FleetAddresses& addresses,
+server::NodeSettings PlanNode(const PlannedProcess& process, const FleetAddresses& addresses,
                               const std::string& internal_endpoint,
                               const std::string& http_endpoint) {
-  daemon::NodeSettings node;
+  server::NodeSettings node;
   node.node_id = process.name;
   node.zone = process.zone;
   node.region = process.region;
@@ -29,29 +29,29 @@
 
 }  // namespace
 
-daemon::GatewaySettings PlanGateway(const PlannedProcess& process, const FleetAddresses& addresses,
+server::GatewaySettings PlanGateway(const PlannedProcess& process, const FleetAddresses& addresses,
                                     const std::string& internal_endpoint,
                                     const std::string& http_endpoint, bool round_robin) {
-  daemon::GatewaySettings settings;
+  server::GatewaySettings settings;
   settings.node = PlanNode(process, addresses, internal_endpoint, http_endpoint);
   if (round_robin) settings.routing_mode = "round_robin";
   return settings;
 }
 
-daemon::ControllerSettings PlanController(const Scenario& scenario, const PlannedProcess& process,
+server::ControllerSettings PlanController(const Scenario& scenario, const PlannedProcess& process,
                                           const FleetAddresses& addresses,
                                           const std::string& internal_endpoint,
                                           const std::string& http_endpoint) {
-  daemon::ControllerSettings settings;
+  server::ControllerSettings settings;
   settings.node = PlanNode(process, addresses, internal_endpoint, http_endpoint);
   settings.bootstrap_expect = scenario.fleet.controllers;
   settings.target_voters = scenario.fleet.controllers;
   return settings;
 }
 
-standins::WorkerSettings PlanWorker(const Scenario& scenario, const PlannedProcess& process,
+emulator::WorkerSettings PlanWorker(const Scenario& scenario, const PlannedProcess& process,
                                     const FleetAddresses& addresses, const std::string& endpoint) {
-  standins::WorkerSettings settings;
+  emulator::WorkerSettings settings;
   settings.id = process.name;
   settings.zone = process.zone;
   settings.listen = endpoint;
@@ -65,16 +65,16 @@
   return settings;
 }
 
-standins::StoreSettings PlanStore(const PlannedProcess& process, const std::string& endpoint) {
-  standins::StoreSettings settings;
+emulator::StoreSettings PlanStore(const PlannedProcess& process, const std::string& endpoint) {
+  emulator::StoreSettings settings;
   settings.id = process.name;
   settings.zone = process.zone;
   settings.listen = endpoint;
   return settings;
 }
 
-standins::ServiceSettings PlanService(const PlannedProcess& process, const std::string& endpoint) {
-  standins::ServiceSettings settings;
+emulator::ServiceSettings PlanService(const PlannedProcess& process, const std::string& endpoint) {
+  emulator::ServiceSettings settings;
   settings.id = process.name;
   settings.zone = process.zone;
   settings.listen = endpoint;
@@ -82,9 +82,9 @@
   return settings;
 }
 
-standins::InventorySettings PlanInventory(const Scenario& scenario, const std::string& endpoint,
-                                          std::vector<standins::InventoryBackend> backends) {
-  standins::InventorySettings settings;
+emulator::InventorySettings PlanInventory(const Scenario& scenario, const std::string& endpoint,
+                                          std::vector<emulator::InventoryBackend> backends) {
+  emulator::InventorySettings settings;
   settings.listen = endpoint;
   settings.backends = std::move(backends);
   settings.lateness = scenario.inventory.lateness;
@@ -92,4 +92,4 @@
   return settings;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/node_plan.h
+++ b/src/posthatch/fleettest/node_plan.h
@@ -3,15 +3,15 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/daemon/node_settings.h"
-#include "posthatch/rehearse/fleet_plan.h"
-#include "posthatch/standins/inventory_standin.h"
-#include "posthatch/standins/service_standin.h"
-#include "posthatch/standins/store_standin.h"
-#include "posthatch/standins/worker_settings.h"
+#include "posthatch/emulator/inventory_standin.h"
+#include "posthatch/emulator/service_standin.h"
+#include "posthatch/emulator/store_standin.h"
+#include "posthatch/emulator/worker_settings.h"
+#include "posthatch/fleettest/fleet_plan.h"
+#include "posthatch/server/settings/node_settings.h"
 
 // The settings of each process, alike for real and simulated fleets.
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Where the processes that others need to know are.
 struct FleetAddresses {
@@ -20,18 +20,18 @@
   std::string store;               // HTTP; empty without a store
 };
 
-daemon::GatewaySettings PlanGateway(const PlannedProcess& process, const FleetAddresses& addresses,
+server::GatewaySettings PlanGateway(const PlannedProcess& process, const FleetAddresses& addresses,
                                     const std::string& internal_endpoint,
                                     const std::string& http_endpoint, bool round_robin);
-daemon::ControllerSettings PlanController(const Scenario& scenario, const PlannedProcess& process,
+server::ControllerSettings PlanController(const Scenario& scenario, const PlannedProcess& process,
                                           const FleetAddresses& addresses,
                                           const std::string& internal_endpoint,
                                           const std::string& http_endpoint);
-standins::WorkerSettings PlanWorker(const Scenario& scenario, const PlannedProcess& process,
+emulator::WorkerSettings PlanWorker(const Scenario& scenario, const PlannedProcess& process,
                                     const FleetAddresses& addresses, const std::string& endpoint);
-standins::StoreSettings PlanStore(const PlannedProcess& process, const std::string& endpoint);
-standins::ServiceSettings PlanService(const PlannedProcess& process, const std::string& endpoint);
-standins::InventorySettings PlanInventory(const Scenario& scenario, const std::string& endpoint,
-                                          std::vector<standins::InventoryBackend> backends);
+emulator::StoreSettings PlanStore(const PlannedProcess& process, const std::string& endpoint);
+emulator::ServiceSettings PlanService(const PlannedProcess& process, const std::string& endpoint);
+emulator::InventorySettings PlanInventory(const Scenario& scenario, const std::string& endpoint,
+                                          std::vector<emulator::InventoryBackend> backends);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/operation_runner.cc
+++ b/src/posthatch/fleettest/operation_runner.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/operation_runner.h"
+#include "posthatch/fleettest/operation_runner.h"
 
 #include <fmt/format.h>
 
@@ -6,12 +6,12 @@
 #include <boost/json.hpp>
 #include <utility>
 
-#include "posthatch/rehearse/names.h"
-#include "posthatch/rehearse/target_resolver.h"
-#include "posthatch/standins/traffic_mix.h"
+#include "posthatch/emulator/traffic_mix.h"
+#include "posthatch/fleettest/names.h"
+#include "posthatch/fleettest/target_resolver.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -46,9 +46,9 @@
   return patch;
 }
 
-std::string InitialDetail(const standins::TrafficMix& mix) {
+std::string InitialDetail(const emulator::TrafficMix& mix) {
   std::string detail;
-  for (const standins::TenantTraffic& tenant : mix.tenants) {
+  for (const emulator::TenantTraffic& tenant : mix.tenants) {
     detail += fmt::format("accept={} ", tenant.key_id);
     if (tenant.isolated) detail += fmt::format("isolate={} ", tenant.name);
   }
@@ -166,9 +166,9 @@
   environment_.first_operator->PatchConfiguration(patch, 0, detail, Report(operation, detail));
 }
 
-standins::OperatorStandIn::ChangeDone OperationRunner::Report(const Operation& operation,
+emulator::OperatorStandIn::ChangeDone OperationRunner::Report(const Operation& operation,
                                                               const std::string& target) {
-  return [this, kind = operation.kind, target](const standins::ChangeOutcome& outcome) {
+  return [this, kind = operation.kind, target](const emulator::ChangeOutcome& outcome) {
     if (outcome.acknowledged) {
       AddOutcome(kind, target, fmt::format("acknowledged as {}", outcome.version));
     } else {
@@ -184,4 +184,4 @@
                        std::chrono::duration<double>(since).count(), result});
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/operation_runner.h
+++ b/src/posthatch/fleettest/operation_runner.h
@@ -5,14 +5,14 @@
 #include <vector>
 
 #include "posthatch/control/configuration.pb.h"
-#include "posthatch/rehearse/fault_injector.h"
-#include "posthatch/rehearse/fleet.h"
-#include "posthatch/rehearse/inventory_publisher.h"
-#include "posthatch/rehearse/scenario.h"
-#include "posthatch/standins/operator_standin.h"
-#include "posthatch/standins/traffic_mix.h"
+#include "posthatch/emulator/operator_standin.h"
+#include "posthatch/emulator/traffic_mix.h"
+#include "posthatch/fleettest/fault_injector.h"
+#include "posthatch/fleettest/fleet.h"
+#include "posthatch/fleettest/inventory_publisher.h"
+#include "posthatch/fleettest/scenario.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Carries out a scenario's timeline of operators' and the platform's doings. Event loop thread
 // only; owned by the rehearsal.
@@ -22,10 +22,10 @@
     Fleet* fleet = nullptr;
     StandInControl* control = nullptr;
     InventoryPublisher* inventory = nullptr;
-    standins::OperatorStandIn* first_operator = nullptr;
-    standins::OperatorStandIn* second_operator = nullptr;  // the rival in racing changes
+    emulator::OperatorStandIn* first_operator = nullptr;
+    emulator::OperatorStandIn* second_operator = nullptr;  // the rival in racing changes
     // Rotates the probe tenant's key from its Start on.
-    standins::OperatorStandIn* rotating_operator = nullptr;
+    emulator::OperatorStandIn* rotating_operator = nullptr;
     // As applied at the start: tenants are changed from it.
     control::Configuration configuration;
     std::string first_model;
@@ -49,7 +49,7 @@
   void SetDrainMark(const Operation& operation);
   void ReviseModel(const std::string& model);
   void ChangeIsolation(const Operation& operation);
-  standins::OperatorStandIn::ChangeDone Report(const Operation& operation,
+  emulator::OperatorStandIn::ChangeDone Report(const Operation& operation,
                                                const std::string& target);
   void AddOutcome(OperationKind kind, const std::string& target, const std::string& result);
 
@@ -65,6 +65,6 @@
 // The configuration patch that brings `configuration` about, and the detail that the checks read:
 // which keys are accepted and which tenants isolated.
 control::ConfigurationPatch InitialPatch(const control::Configuration& configuration);
-std::string InitialDetail(const standins::TrafficMix& mix);
+std::string InitialDetail(const emulator::TrafficMix& mix);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/process_settings-test.cc
+++ b/src/posthatch/fleettest/process_settings-test.cc
@@ -1,16 +1,16 @@
-#include "posthatch/rehearse/process_settings.h"
+#include "posthatch/fleettest/process_settings.h"
 
 #include <gtest/gtest.h>
 
-#include "posthatch/daemon/settings_loader.h"
+#include "posthatch/server/settings/settings_loader.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 namespace {
 
 // What a scenario planned must reach the process: the round-robin baseline once ran by prefix,
 // because its mode was not written.
 TEST(ProcessSettings, AGatewaysSettingsComeBackFromItsFile) {
-  daemon::GatewaySettings planned;
+  server::GatewaySettings planned;
   planned.node.node_id = "gateway-1";
   planned.node.zone = "z1";
   planned.node.internal_endpoint = "127.0.0.1:7000";
@@ -18,9 +18,9 @@
   planned.node.seeds = {"127.0.0.1:7001"};
   planned.node.inventory_endpoint = "127.0.0.1:9000";
   planned.routing_mode = "round_robin";
-  daemon::GatewaySettings loaded;
+  server::GatewaySettings loaded;
   const auto errors =
-      daemon::LoadGatewaySettings({"gateway.toml", GatewayToml(planned), {}}, &loaded);
+      server::LoadGatewaySettings({"gateway.toml", GatewayToml(planned), {}}, &loaded);
   ASSERT_TRUE(errors.empty()) << errors.front().ToString();
   EXPECT_EQ(loaded.routing_mode, planned.routing_mode);
   EXPECT_EQ(loaded.node.node_id, planned.node.node_id);
@@ -30,4 +30,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/process_settings.cc
+++ b/src/posthatch/fleettest/process_settings.cc
@@ -1,11 +1,11 @@
-#include "posthatch/rehearse/process_settings.h"
+#include "posthatch/fleettest/process_settings.h"
 
 #include <fmt/format.h>
 
 #include <fstream>
 #include <iterator>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -22,7 +22,7 @@
   return "[" + list + "]";
 }
 
-std::string NodeToml(const daemon::NodeSettings& node) {
+std::string NodeToml(const server::NodeSettings& node) {
   return fmt::format(
       "[node]\nnode_id = {}\nzone = {}\nregion = {}\ninternal_endpoint = {}\nhttp_endpoint = {}\n"
       "seeds = {}\ninventory_endpoint = {}\ndrain_deadline_ms = {}\n",
@@ -33,12 +33,12 @@
 
 }  // namespace
 
-std::string GatewayToml(const daemon::GatewaySettings& settings) {
+std::string GatewayToml(const server::GatewaySettings& settings) {
   return NodeToml(settings.node) +
          fmt::format("\n[gateway]\nrouting_mode = {}\n", Quoted(settings.routing_mode));
 }
 
-std::string ControllerToml(const daemon::ControllerSettings& settings,
+std::string ControllerToml(const server::ControllerSettings& settings,
                            const std::string& data_folder) {
   return NodeToml(settings.node) +
          fmt::format(
@@ -46,7 +46,7 @@
              Quoted(data_folder), settings.bootstrap_expect, settings.target_voters);
 }
 
-std::string WorkerToml(const standins::WorkerSettings& settings, const std::string& history_file) {
+std::string WorkerToml(const emulator::WorkerSettings& settings, const std::string& history_file) {
   return fmt::format(
       "id = {}\nzone = {}\nlisten = {}\nhistory = {}\nmodel = {}\nblock_tokens = {}\n"
       "cache_blocks = {}\nmax_running = {}\nstore_endpoint = {}\nprefill_per_block_us = {}\n"
@@ -57,25 +57,25 @@
       settings.timing.decode_per_token.count() / 1000);
 }
 
-std::string StoreToml(const standins::StoreSettings& settings, const std::string& history_file) {
+std::string StoreToml(const emulator::StoreSettings& settings, const std::string& history_file) {
   return fmt::format("id = {}\nzone = {}\nlisten = {}\nhistory = {}\n", Quoted(settings.id),
                      Quoted(settings.zone), Quoted(settings.listen), Quoted(history_file));
 }
 
-std::string ServiceToml(const standins::ServiceSettings& settings,
+std::string ServiceToml(const emulator::ServiceSettings& settings,
                         const std::string& history_file) {
   return fmt::format("id = {}\nzone = {}\nlisten = {}\nhistory = {}\nservice = {}\n",
                      Quoted(settings.id), Quoted(settings.zone), Quoted(settings.listen),
                      Quoted(history_file), Quoted(settings.service));
 }
 
-std::string InventoryToml(const standins::InventorySettings& settings,
+std::string InventoryToml(const emulator::InventorySettings& settings,
                           const std::string& history_file) {
   std::string toml =
       fmt::format("listen = {}\nhistory = {}\nlateness_ms = {}\nreads_per_second = {}\n",
                   Quoted(settings.listen), Quoted(history_file), Milliseconds(settings.lateness),
                   settings.reads_per_second);
-  for (const standins::InventoryBackend& backend : settings.backends) {
+  for (const emulator::InventoryBackend& backend : settings.backends) {
     toml += fmt::format("\n[[backends]]\nid = {}\nkind = {}\nendpoint = {}\nzone = {}\n",
                         Quoted(backend.id), Quoted(backend.kind), Quoted(backend.endpoint),
                         Quoted(backend.zone));
@@ -103,4 +103,4 @@
   return text.size() <= bytes ? text : text.substr(text.size() - bytes);
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- /dev/null
+++ b/src/posthatch/fleettest/process_settings.h
@@ -0,0 +1,28 @@
+#pragma once
+
+#include <string>
+
+#include "absl/status/status.h"
+#include "posthatch/emulator/inventory_standin.h"
+#include "posthatch/emulator/service_standin.h"
+#include "posthatch/emulator/store_standin.h"
+#include "posthatch/emulator/worker_settings.h"
+#include "posthatch/server/settings/node_settings.h"
+
+// Settings files of the processes that a real rehearsal starts.
+namespace posthatch::fleettest {
+
+std::string GatewayToml(const server::GatewaySettings& settings);
+std::string ControllerToml(const server::ControllerSettings& settings,
+                           const std::string& data_folder);
+std::string WorkerToml(const emulator::WorkerSettings& settings, const std::string& history_file);
+std::string StoreToml(const emulator::StoreSettings& settings, const std::string& history_file);
+std::string ServiceToml(const emulator::ServiceSettings& settings, const std::string& history_file);
+std::string InventoryToml(const emulator::InventorySettings& settings,
+                          const std::string& history_file);
+
+absl::Status WriteTextFile(const std::string& path, const std::string& text);
+// The last `bytes` of a file, or nothing if it can't be read.
+std::string TailOfFile(const std::string& path, size_t bytes);
+
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/readiness_watch.cc
+++ b/src/posthatch/fleettest/readiness_watch.cc
@@ -1,9 +1,9 @@
-#include "posthatch/rehearse/readiness_watch.h"
+#include "posthatch/fleettest/readiness_watch.h"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -36,4 +36,4 @@
   return fmt::format("{}", fmt::join(state_->waiting, ", "));
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/readiness_watch.h
+++ b/src/posthatch/fleettest/readiness_watch.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/rehearse/fleet.h"
-#include "posthatch/rehearse/stand_in_control.h"
+#include "posthatch/fleettest/fleet.h"
+#include "posthatch/fleettest/stand_in_control.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Asks every process for /readyz until each has answered 200 once. Event loop thread only.
 class ReadinessWatch {
@@ -35,4 +35,4 @@
   runtime::Timer timer_;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/real_fleet.cc
+++ b/src/posthatch/fleettest/real_fleet.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/real_fleet.h"
+#include "posthatch/fleettest/real_fleet.h"
 
 #include <fmt/format.h>
 
@@ -8,11 +8,11 @@
 #include <filesystem>
 #include <utility>
 
-#include "posthatch/rehearse/free_port.h"
-#include "posthatch/rehearse/names.h"
-#include "posthatch/rehearse/process_settings.h"
+#include "posthatch/fleettest/free_port.h"
+#include "posthatch/fleettest/names.h"
+#include "posthatch/fleettest/process_settings.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -52,10 +52,10 @@
 RealFleet::~RealFleet() = default;
 
 absl::Status RealFleet::Start() {
-  asio::AsioRuntimeOptions runtime_options;
+  net::AsioRuntimeOptions runtime_options;
   runtime_options.node_id = "rehearsal";
   runtime_options.log_file = options_.run_folder + "/rehearsal.log";
-  auto runtime = asio::AsioRuntime::Create(runtime_options);
+  auto runtime = net::AsioRuntime::Create(runtime_options);
   if (!runtime.ok()) return runtime.status();
   asio_runtime_ = *std::move(runtime);
   runtime_ = *asio_runtime_->runtime();
@@ -130,7 +130,7 @@
   absl::Status written = WriteTextFile(member->settings_file(), SettingsOf(*member));
   if (!written.ok()) return written;
   const bool node = IsNode(member->plan.role);
-  std::vector<std::string> arguments = {node ? options_.posthatchd : options_.posthatch_standin,
+  std::vector<std::string> arguments = {node ? options_.posthatchd : options_.posthatch_emulator,
                                         std::string(ToName(kRoleNames, member->plan.role)),
                                         "--config", member->settings_file(),
                                         "--enable-fault-injection"};
@@ -159,8 +159,8 @@
   return addresses;
 }
 
-std::vector<standins::InventoryBackend> RealFleet::Backends() const {
-  std::vector<standins::InventoryBackend> backends;
+std::vector<emulator::InventoryBackend> RealFleet::Backends() const {
+  std::vector<emulator::InventoryBackend> backends;
   for (const std::unique_ptr<Member>& member : members_) {
     if (!IsBackend(member->plan.role)) continue;
     backends.push_back(InventoryEntry(member->plan, member->http_endpoint));
@@ -347,4 +347,4 @@
   return events;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/real_fleet.h
+++ b/src/posthatch/fleettest/real_fleet.h
@@ -6,21 +6,21 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/asio/asio_runtime.h"
-#include "posthatch/rehearse/child_process.h"
-#include "posthatch/rehearse/fleet.h"
-#include "posthatch/rehearse/fleet_plan.h"
-#include "posthatch/rehearse/history/recorders.h"
-#include "posthatch/rehearse/node_plan.h"
-#include "posthatch/rehearse/stand_in_control.h"
+#include "posthatch/fleettest/child_process.h"
+#include "posthatch/fleettest/fleet.h"
+#include "posthatch/fleettest/fleet_plan.h"
+#include "posthatch/fleettest/history/recorders.h"
+#include "posthatch/fleettest/node_plan.h"
+#include "posthatch/fleettest/stand_in_control.h"
+#include "posthatch/net/asio_runtime.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 struct RealFleetOptions {
-  std::string posthatchd;         // path of the program
-  std::string posthatch_standin;  // path of the program
-  std::string run_folder;         // settings, data, logs and histories go below it
-  uint64_t seed = 1;              // of callers, operators and random faults
+  std::string posthatchd;          // path of the program
+  std::string posthatch_emulator;  // path of the program
+  std::string run_folder;          // settings, data, logs and histories go below it
+  uint64_t seed = 1;               // of callers, operators and random faults
   bool round_robin = false;
 };
 
@@ -64,7 +64,7 @@
   absl::Status PlaceMember(Member* member, uint32_t move);
   absl::Status Launch(Member* member);
   std::string SettingsOf(const Member& member) const;
-  std::vector<standins::InventoryBackend> Backends() const;
+  std::vector<emulator::InventoryBackend> Backends() const;
   FleetAddresses Addresses() const;
   Member* Find(const std::string& name) const;
   ProcessInfo InfoOf(const Member& member) const;
@@ -74,7 +74,7 @@
 
   const Scenario& scenario_;
   const RealFleetOptions options_;
-  std::unique_ptr<asio::AsioRuntime> asio_runtime_;
+  std::unique_ptr<net::AsioRuntime> asio_runtime_;
   runtime::Runtime runtime_;  // the real one, with random numbers by the seed
   std::unique_ptr<runtime::Random> random_;
   std::vector<HistoryEvent> events_;
@@ -87,4 +87,4 @@
   std::vector<std::unique_ptr<runtime::Timer>> timers_;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/real_run.cc
+++ b/src/posthatch/fleettest/real_run.cc
@@ -1,14 +1,14 @@
-#include "posthatch/rehearse/real_run.h"
+#include "posthatch/fleettest/real_run.h"
 
 #include <fmt/format.h>
 
 #include <cstdlib>
 #include <filesystem>
 
-#include "posthatch/rehearse/real_fleet.h"
-#include "posthatch/rehearse/rehearsal.h"
+#include "posthatch/fleettest/real_fleet.h"
+#include "posthatch/fleettest/rehearsal.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -22,7 +22,7 @@
     }
     return fs::absolute(wanted).string();
   }
-  std::string pattern = (fs::temp_directory_path() / "posthatch-rehearse-XXXXXX").string();
+  std::string pattern = (fs::temp_directory_path() / "posthatch-fleettest-XXXXXX").string();
   if (mkdtemp(pattern.data()) == nullptr) return absl::InternalError(pattern + ": can't be made");
   return pattern;
 }
@@ -32,7 +32,7 @@
               const std::string& run_folder, bool round_robin, RehearsalReport* report) {
   RealFleetOptions fleet_options;
   fleet_options.posthatchd = options.posthatchd;
-  fleet_options.posthatch_standin = options.posthatch_standin;
+  fleet_options.posthatch_emulator = options.posthatch_emulator;
   fleet_options.run_folder = run_folder;
   fleet_options.seed = scenario.seed;
   fleet_options.round_robin = round_robin;
@@ -47,7 +47,7 @@
 
 absl::StatusOr<RehearsalReport> RunRealScenario(const Scenario& scenario,
                                                 const RealRunOptions& options) {
-  for (const std::string& program : {options.posthatchd, options.posthatch_standin}) {
+  for (const std::string& program : {options.posthatchd, options.posthatch_emulator}) {
     if (!fs::exists(program)) return absl::NotFoundError(program + ": no such program");
   }
   const absl::StatusOr<std::string> folder = MakeRunFolder(options.run_folder);
@@ -77,4 +77,4 @@
   return report;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/real_run.h
+++ b/src/posthatch/fleettest/real_run.h
@@ -4,14 +4,14 @@
 #include <string>
 
 #include "absl/status/statusor.h"
-#include "posthatch/rehearse/report.h"
-#include "posthatch/rehearse/scenario.h"
+#include "posthatch/fleettest/report.h"
+#include "posthatch/fleettest/scenario.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 struct RealRunOptions {
   std::string posthatchd;
-  std::string posthatch_standin;
+  std::string posthatch_emulator;
   // New folder for settings, data, logs and histories; empty: one below the system's temporary
   // folder. It is removed after a pass unless kept.
   std::string run_folder;
@@ -25,4 +25,4 @@
 absl::StatusOr<RehearsalReport> RunRealScenario(const Scenario& scenario,
                                                 const RealRunOptions& options);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
