--- a/src/posthatch/rehearse/rehearsal.cc
+++ b/src/posthatch/fleettest/rehearsal.cc
@@ -1,23 +1,23 @@
-#include "posthatch/rehearse/rehearsal.h"
+#include "posthatch/fleettest/rehearsal.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <utility>
 
-#include "posthatch/rehearse/answer_losing_client.h"
-#include "posthatch/rehearse/fault_injector.h"
-#include "posthatch/rehearse/fleet_plan.h"
-#include "posthatch/rehearse/inventory_publisher.h"
-#include "posthatch/rehearse/leader_watch.h"
-#include "posthatch/rehearse/operation_runner.h"
-#include "posthatch/rehearse/readiness_watch.h"
-#include "posthatch/rehearse/target_resolver.h"
-#include "posthatch/standins/caller_load.h"
-#include "posthatch/standins/key_probe.h"
-#include "posthatch/standins/operator_standin.h"
+#include "posthatch/emulator/caller_load.h"
+#include "posthatch/emulator/key_probe.h"
+#include "posthatch/emulator/operator_standin.h"
+#include "posthatch/fleettest/answer_losing_client.h"
+#include "posthatch/fleettest/fault_injector.h"
+#include "posthatch/fleettest/fleet_plan.h"
+#include "posthatch/fleettest/inventory_publisher.h"
+#include "posthatch/fleettest/leader_watch.h"
+#include "posthatch/fleettest/operation_runner.h"
+#include "posthatch/fleettest/readiness_watch.h"
+#include "posthatch/fleettest/target_resolver.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -43,9 +43,9 @@
   return endpoints;
 }
 
-standins::OperatorOptions OperatorNamed(const std::string& name, runtime::Duration rotation,
+emulator::OperatorOptions OperatorNamed(const std::string& name, runtime::Duration rotation,
                                         runtime::Duration reads) {
-  standins::OperatorOptions options;
+  emulator::OperatorOptions options;
   options.name = name;
   options.probe_tenant = kProbeTenant;
   options.rotation_interval = rotation;
@@ -79,18 +79,18 @@
   const Scenario& scenario_;
   Fleet* const fleet_;
   const RehearsalOptions options_;
-  standins::TrafficMix mix_;
+  emulator::TrafficMix mix_;
   control::Configuration configuration_;
   std::unique_ptr<AnswerLosingClient> operators_client_;
   runtime::Runtime operators_runtime_;
   std::unique_ptr<StandInControl> control_;
   std::unique_ptr<InventoryPublisher> inventory_;
   std::unique_ptr<LeaderWatch> leader_watch_;
-  std::unique_ptr<standins::OperatorStandIn> first_operator_;
-  std::unique_ptr<standins::OperatorStandIn> second_operator_;
-  std::unique_ptr<standins::OperatorStandIn> rotating_operator_;
-  std::unique_ptr<standins::CallerLoad> load_;
-  std::unique_ptr<standins::KeyProbe> probe_;
+  std::unique_ptr<emulator::OperatorStandIn> first_operator_;
+  std::unique_ptr<emulator::OperatorStandIn> second_operator_;
+  std::unique_ptr<emulator::OperatorStandIn> rotating_operator_;
+  std::unique_ptr<emulator::CallerLoad> load_;
+  std::unique_ptr<emulator::KeyProbe> probe_;
   std::unique_ptr<FaultInjector> faults_;
   std::unique_ptr<OperationRunner> operations_;
 };
@@ -121,7 +121,7 @@
 
 std::string Rehearsal::Impl::Prepare() {
   mix_ = PlanTraffic(scenario_);
-  configuration_ = standins::ConfigurationFor(mix_, scenario_.worker.block_tokens);
+  configuration_ = emulator::ConfigurationFor(mix_, scenario_.worker.block_tokens);
   const absl::Status started = fleet_->Start();
   if (!started.ok()) return "the fleet did not start: " + started.ToString();
   MakeActors();
@@ -155,20 +155,20 @@
   operators_runtime_.http_client = operators_client_.get();
   const auto make_operator = [&](const std::string& name, runtime::Duration rotation,
                                  runtime::Duration reads) {
-    return std::make_unique<standins::OperatorStandIn>(
+    return std::make_unique<emulator::OperatorStandIn>(
         &operators_runtime_, OperatorNamed(name, rotation, reads), fleet_->recorder());
   };
   first_operator_ = make_operator("operator-1", {}, kReadInterval);
   second_operator_ = make_operator("operator-2", {}, {});
   rotating_operator_ = make_operator("operator-3", kRotationInterval, {});
-  standins::CallerLoadOptions load;
+  emulator::CallerLoadOptions load;
   load.mix = mix_;
-  load_ = std::make_unique<standins::CallerLoad>(runtime, load, fleet_->recorder());
-  standins::KeyProbeOptions probe;
+  load_ = std::make_unique<emulator::CallerLoad>(runtime, load, fleet_->recorder());
+  emulator::KeyProbeOptions probe;
   probe.tenant = kProbeTenant;
   probe.model = scenario_.models.front();
   probe.newest_generation = [this] { return rotating_operator_->newest_generation(); };
-  probe_ = std::make_unique<standins::KeyProbe>(runtime, probe, fleet_->recorder());
+  probe_ = std::make_unique<emulator::KeyProbe>(runtime, probe, fleet_->recorder());
   faults_ = std::make_unique<FaultInjector>(FaultInjector::Environment{
       fleet_, control_.get(), operators_client_.get(), [this] { return leader_watch_->leader(); },
       [this] { ProcessesChanged(); }});
@@ -193,9 +193,9 @@
 
 std::string Rehearsal::Impl::ApplyConfiguration() {
   bool done = false;
-  standins::ChangeOutcome outcome;
+  emulator::ChangeOutcome outcome;
   first_operator_->PatchConfiguration(InitialPatch(configuration_), 0, InitialDetail(mix_),
-                                      [&](const standins::ChangeOutcome& result) {
+                                      [&](const emulator::ChangeOutcome& result) {
                                         outcome = result;
                                         done = true;
                                       });
@@ -226,7 +226,7 @@
 
 void Rehearsal::Impl::Progress(runtime::Duration elapsed) {
   if (!options_.on_progress) return;
-  const standins::CallerLoadCounts counts = load_->counts();
+  const emulator::CallerLoadCounts counts = load_->counts();
   options_.on_progress(fmt::format(
       "{:>4.0f} s  sent {}  completed {}  refused {}  unknown {}  in flight {}  faults {}",
       std::chrono::duration<double>(elapsed).count(), counts.sent, counts.completed, counts.refused,
@@ -260,7 +260,7 @@
 
 // Each node's view after everything: whatever was acknowledged has to be there.
 void Rehearsal::Impl::ReadFinalState() {
-  auto reader = std::make_unique<standins::OperatorStandIn>(
+  auto reader = std::make_unique<emulator::OperatorStandIn>(
       fleet_->runtime(), OperatorNamed("final-reader", {}, {}), fleet_->recorder());
   size_t open = 0;
   for (const std::string& node :
@@ -287,4 +287,4 @@
 
 void Rehearsal::Run(RehearsalReport* report) { impl_->Run(report); }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/rehearsal.h
+++ b/src/posthatch/fleettest/rehearsal.h
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/rehearse/fleet.h"
-#include "posthatch/rehearse/report.h"
-#include "posthatch/rehearse/scenario.h"
+#include "posthatch/fleettest/fleet.h"
+#include "posthatch/fleettest/report.h"
+#include "posthatch/fleettest/scenario.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 struct RehearsalOptions {
   // Where the events go that the run recorded, for looking into it; null: nowhere.
@@ -39,4 +39,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/report-test.cc
+++ b/src/posthatch/fleettest/report-test.cc
@@ -1,13 +1,13 @@
-#include "posthatch/rehearse/report.h"
+#include "posthatch/fleettest/report.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <boost/json.hpp>
 
-#include "posthatch/rehearse/checks/history_builder.h"
+#include "posthatch/fleettest/checks/history_builder.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 namespace {
 
 CheckResult ResultOf(const std::string& id, int examined, int violations) {
@@ -102,4 +102,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/report.cc
+++ b/src/posthatch/fleettest/report.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/report.h"
+#include "posthatch/fleettest/report.h"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <iterator>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -243,4 +243,4 @@
   return file ? absl::OkStatus() : absl::UnavailableError(path + ": can't be written");
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/report.h
+++ b/src/posthatch/fleettest/report.h
@@ -6,12 +6,12 @@
 #include <vector>
 
 #include "absl/status/status.h"
-#include "posthatch/rehearse/checks/check.h"
-#include "posthatch/rehearse/fault_injector.h"
-#include "posthatch/rehearse/scenario.h"
-#include "posthatch/rehearse/statistics.h"
+#include "posthatch/fleettest/checks/check.h"
+#include "posthatch/fleettest/fault_injector.h"
+#include "posthatch/fleettest/scenario.h"
+#include "posthatch/fleettest/statistics.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // All that one run of a scenario found.
 struct RehearsalReport {
@@ -37,7 +37,7 @@
 void ExamineHistory(const Scenario& scenario, const RecordedHistory& history,
                     RehearsalReport* report);
 
-// JSON of one run, and of many seeds of one scenario (docs/REHEARSAL.md lists the keys).
+// JSON of one run, and of many seeds of one scenario (docs/FLEETTEST.md lists the keys).
 std::string ReportJson(const RehearsalReport& report);
 std::string SeedsJson(const std::vector<RehearsalReport>& reports);
 // Table for people.
@@ -46,4 +46,4 @@
 std::string SeedLine(const RehearsalReport& report);
 absl::Status WriteFile(const std::string& path, const std::string& text);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/scenario.h
+++ b/src/posthatch/fleettest/scenario.h
@@ -7,8 +7,8 @@
 
 #include "posthatch/runtime/clock.h"
 
-// What a rehearsal does, as read from a scenario file. docs/REHEARSAL.md is the file's grammar.
-namespace posthatch::rehearse {
+// What a rehearsal does, as read from a scenario file. docs/FLEETTEST.md is the file's grammar.
+namespace posthatch::fleettest {
 
 enum class FaultKind {
   kKill,       // the process dies at once and starts again
@@ -154,4 +154,4 @@
   bool round_robin_baseline = false;  // run the same traffic with round-robin routing as well
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/scenario_loader-test.cc
+++ b/src/posthatch/fleettest/scenario_loader-test.cc
@@ -1,11 +1,11 @@
-#include "posthatch/rehearse/scenario_loader.h"
+#include "posthatch/fleettest/scenario_loader.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <filesystem>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 namespace {
 
 using ::testing::ElementsAre;
@@ -123,4 +123,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/scenario_loader.cc
+++ b/src/posthatch/fleettest/scenario_loader.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/scenario_loader.h"
+#include "posthatch/fleettest/scenario_loader.h"
 
 #include <fmt/format.h>
 
@@ -6,9 +6,9 @@
 #include <fstream>
 #include <iterator>
 
-#include "posthatch/rehearse/table_reader.h"
+#include "posthatch/fleettest/table_reader.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -327,4 +327,4 @@
   return ParseScenario(text, path);
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/scenario_loader.h
+++ b/src/posthatch/fleettest/scenario_loader.h
@@ -4,9 +4,9 @@
 #include <string_view>
 #include <vector>
 
-#include "posthatch/rehearse/scenario.h"
+#include "posthatch/fleettest/scenario.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Either a scenario or all that is wrong with its file.
 struct LoadedScenario {
@@ -21,4 +21,4 @@
 LoadedScenario ParseScenario(std::string_view toml_text, const std::string& file_name);
 LoadedScenario LoadScenarioFile(const std::string& path);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/seed_runner.cc
+++ b/src/posthatch/fleettest/seed_runner.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/seed_runner.h"
+#include "posthatch/fleettest/seed_runner.h"
 
 #include <fmt/format.h>
 #include <google/protobuf/util/json_util.h>
@@ -9,10 +9,10 @@
 #include <thread>
 #include <utility>
 
-#include "posthatch/rehearse/rehearsal.h"
-#include "posthatch/rehearse/simulated_fleet.h"
+#include "posthatch/fleettest/rehearsal.h"
+#include "posthatch/fleettest/simulated_fleet.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -27,7 +27,7 @@
   return WriteFile(path, lines);
 }
 
-double BaselineHitRatio(const Scenario& scenario, uint64_t seed, daemon::ProcessFactory* factory,
+double BaselineHitRatio(const Scenario& scenario, uint64_t seed, server::ProcessFactory* factory,
                         const RehearsalOptions& options) {
   RehearsalReport report;
   SimulatedFleet fleet(&scenario, seed, factory, /*round_robin=*/true);
@@ -38,7 +38,7 @@
 }  // namespace
 
 RehearsalReport SimulateSeed(const Scenario& scenario, uint64_t seed,
-                             daemon::ProcessFactory* factory, const SeedRunOptions& seed_options) {
+                             server::ProcessFactory* factory, const SeedRunOptions& seed_options) {
   RehearsalReport report;
   report.mode = "simulate";
   report.seed = seed;
@@ -63,7 +63,7 @@
 }
 
 std::vector<RehearsalReport> SimulateSeeds(const Scenario& scenario, const SeedRunOptions& options,
-                                           daemon::ProcessFactory* factory) {
+                                           server::ProcessFactory* factory) {
   std::vector<RehearsalReport> reports(options.last_seed - options.first_seed + 1);
   std::atomic<uint64_t> next{0};
   std::mutex reporting;
@@ -90,4 +90,4 @@
   return reports;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/seed_runner.h
+++ b/src/posthatch/fleettest/seed_runner.h
@@ -4,11 +4,11 @@
 #include <functional>
 #include <vector>
 
-#include "posthatch/daemon/process_factory.h"
-#include "posthatch/rehearse/report.h"
-#include "posthatch/rehearse/scenario.h"
+#include "posthatch/fleettest/report.h"
+#include "posthatch/fleettest/scenario.h"
+#include "posthatch/server/process_factory.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 struct SeedRunOptions {
   uint64_t first_seed = 1;
@@ -25,10 +25,10 @@
 
 // One seed of a scenario in the simulator.
 RehearsalReport SimulateSeed(const Scenario& scenario, uint64_t seed,
-                             daemon::ProcessFactory* factory, const SeedRunOptions& options);
+                             server::ProcessFactory* factory, const SeedRunOptions& options);
 
 // All seeds, by rising seed in the result. `factory` is used by several threads at once.
 std::vector<RehearsalReport> SimulateSeeds(const Scenario& scenario, const SeedRunOptions& options,
-                                           daemon::ProcessFactory* factory);
+                                           server::ProcessFactory* factory);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/simulated_fleet.cc
+++ b/src/posthatch/fleettest/simulated_fleet.cc
@@ -1,15 +1,15 @@
-#include "posthatch/rehearse/simulated_fleet.h"
+#include "posthatch/fleettest/simulated_fleet.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <utility>
 
-#include "posthatch/daemon/common_http.h"
-#include "posthatch/rehearse/names.h"
-#include "posthatch/standins/worker_standin.h"
+#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/fleettest/names.h"
+#include "posthatch/server/common_http.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -30,7 +30,7 @@
 // A posthatch process with its HTTP server, as main.cc assembles it.
 class SimulatedFleet::Node {
  public:
-  Node(runtime::Runtime* runtime, std::unique_ptr<daemon::Process> process,
+  Node(runtime::Runtime* runtime, std::unique_ptr<server::Process> process,
        runtime::Duration drain_deadline)
       : process_(std::move(process)),
         common_http_(OptionsFor(runtime, process_.get())),
@@ -57,22 +57,22 @@
   }
 
  private:
-  static daemon::CommonHttpOptions OptionsFor(runtime::Runtime* runtime, daemon::Process* process) {
-    daemon::CommonHttpOptions options;
+  static server::CommonHttpOptions OptionsFor(runtime::Runtime* runtime, server::Process* process) {
+    server::CommonHttpOptions options;
     options.process = process;
     options.metrics = runtime->metrics;
     return options;
   }
 
-  std::unique_ptr<daemon::Process> process_;
-  daemon::CommonHttp common_http_;
+  std::unique_ptr<server::Process> process_;
+  server::CommonHttp common_http_;
   std::unique_ptr<http::HttpServer> server_;
   const runtime::Duration drain_deadline_;
   runtime::Timer drain_timer_;
 };
 
 SimulatedFleet::SimulatedFleet(const Scenario* scenario, uint64_t seed,
-                               daemon::ProcessFactory* factory, bool round_robin)
+                               server::ProcessFactory* factory, bool round_robin)
     : scenario_(*scenario), factory_(factory), round_robin_(round_robin), world_(seed) {}
 
 SimulatedFleet::~SimulatedFleet() = default;
@@ -129,22 +129,22 @@
                                                   const std::string& endpoint) {
   switch (process.role) {
     case Role::kWorker:
-      return BootStandIn<standins::WorkerStandIn>(
+      return BootStandIn<emulator::WorkerStandIn>(
           process, runtime, PlanWorker(scenario_, process, Addresses(), endpoint));
     case Role::kStore:
-      return BootStandIn<standins::StoreStandIn>(process, runtime, PlanStore(process, endpoint));
+      return BootStandIn<emulator::StoreStandIn>(process, runtime, PlanStore(process, endpoint));
     case Role::kService:
-      return BootStandIn<standins::ServiceStandIn>(process, runtime,
+      return BootStandIn<emulator::ServiceStandIn>(process, runtime,
                                                    PlanService(process, endpoint));
     default:
       break;
   }
-  std::vector<standins::InventoryBackend> backends;
+  std::vector<emulator::InventoryBackend> backends;
   for (const PlannedProcess& backend : processes_) {
     if (!IsBackend(backend.role)) continue;
     backends.push_back(InventoryEntry(backend, world_.FindHost(backend.name)->http_endpoint()));
   }
-  return BootStandIn<standins::InventoryStandIn>(
+  return BootStandIn<emulator::InventoryStandIn>(
       process, runtime, PlanInventory(scenario_, endpoint, std::move(backends)));
 }
 
@@ -155,13 +155,13 @@
   http::ServerLimits limits;
   const FleetAddresses addresses = Addresses();
   if (process.role == Role::kGateway) {
-    const daemon::GatewaySettings settings = PlanGateway(
+    const server::GatewaySettings settings = PlanGateway(
         process, addresses, host->internal_endpoint(), host->http_endpoint(), round_robin_);
     limits = settings.limits;
     node = std::make_shared<Node>(runtime, factory_->MakeGateway(runtime, settings),
                                   settings.node.drain_deadline);
   } else {
-    const daemon::ControllerSettings settings = PlanController(
+    const server::ControllerSettings settings = PlanController(
         scenario_, process, addresses, host->internal_endpoint(), host->http_endpoint());
     limits = settings.limits;
     node = std::make_shared<Node>(runtime, factory_->MakeController(runtime, settings),
@@ -318,4 +318,4 @@
 
 absl::StatusOr<std::vector<HistoryEvent>> SimulatedFleet::TakeHistory() { return events_; }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/simulated_fleet.h
+++ b/src/posthatch/fleettest/simulated_fleet.h
@@ -6,21 +6,21 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/daemon/process_factory.h"
-#include "posthatch/rehearse/fleet.h"
-#include "posthatch/rehearse/fleet_plan.h"
-#include "posthatch/rehearse/history/recorders.h"
-#include "posthatch/rehearse/node_plan.h"
+#include "posthatch/fleettest/fleet.h"
+#include "posthatch/fleettest/fleet_plan.h"
+#include "posthatch/fleettest/history/recorders.h"
+#include "posthatch/fleettest/node_plan.h"
+#include "posthatch/server/process_factory.h"
 #include "posthatch/simulation/sim_world.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // A fleet in the simulator: every process is a host of one SimWorld, in virtual time, by seed. One
 // thread.
 class SimulatedFleet : public Fleet {
  public:
   // `scenario` and `factory` outlive the fleet.
-  SimulatedFleet(const Scenario* scenario, uint64_t seed, daemon::ProcessFactory* factory,
+  SimulatedFleet(const Scenario* scenario, uint64_t seed, server::ProcessFactory* factory,
                  bool round_robin);
   ~SimulatedFleet() override;
 
@@ -72,7 +72,7 @@
                                     const Settings& settings);
 
   const Scenario& scenario_;
-  daemon::ProcessFactory* const factory_;
+  server::ProcessFactory* const factory_;
   const bool round_robin_;
   std::string failure_;
   std::vector<HistoryEvent> events_;
@@ -85,4 +85,4 @@
   simulation::SimWorld world_;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/simulated_rehearsal-test.cc
+++ b/src/posthatch/fleettest/simulated_rehearsal-test.cc
@@ -3,11 +3,11 @@
 
 #include <set>
 
-#include "posthatch/rehearse/scenario_loader.h"
-#include "posthatch/rehearse/seed_runner.h"
-#include "posthatch/rehearse/simulated_node_factory.h"
+#include "posthatch/fleettest/scenario_loader.h"
+#include "posthatch/fleettest/seed_runner.h"
+#include "posthatch/fleettest/simulated_node_factory.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 namespace {
 
 Scenario ShortScenario(const std::string& timeline) {
@@ -101,4 +101,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/stand_in_control.cc
+++ b/src/posthatch/fleettest/stand_in_control.cc
@@ -1,10 +1,10 @@
-#include "posthatch/rehearse/stand_in_control.h"
+#include "posthatch/fleettest/stand_in_control.h"
 
 #include <fmt/format.h>
 
 #include <utility>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -68,4 +68,4 @@
   if (pending->done) pending->done(status, pending->body);
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/stand_in_control.h
+++ b/src/posthatch/fleettest/stand_in_control.h
@@ -8,7 +8,7 @@
 #include "absl/status/status.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Sends the rehearsal's own requests (PUT /debug/..., GET /readyz) to processes of the fleet, real
 // or simulated alike. Event loop thread only.
@@ -35,4 +35,4 @@
   uint64_t last_id_ = 0;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/statistics.cc
+++ b/src/posthatch/fleettest/statistics.cc
@@ -1,13 +1,13 @@
-#include "posthatch/rehearse/statistics.h"
+#include "posthatch/fleettest/statistics.h"
 
 #include <algorithm>
 #include <cmath>
 #include <set>
 #include <string>
 
-#include "posthatch/rehearse/checks/bounds.h"
+#include "posthatch/fleettest/checks/bounds.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -179,4 +179,4 @@
   return statistics;
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/statistics.h
+++ b/src/posthatch/fleettest/statistics.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/rehearse/checks/recorded_history.h"
+#include "posthatch/fleettest/checks/recorded_history.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Percentiles of a set of durations, in milliseconds; `count` 0: nothing was measured.
 struct Percentiles {
@@ -56,4 +56,4 @@
 
 Statistics ComputeStatistics(const RecordedHistory& history);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/table_reader.cc
+++ b/src/posthatch/fleettest/table_reader.cc
@@ -1,4 +1,4 @@
-#include "posthatch/rehearse/table_reader.h"
+#include "posthatch/fleettest/table_reader.h"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <limits>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -153,4 +153,4 @@
   }
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/table_reader.h
+++ b/src/posthatch/fleettest/table_reader.h
@@ -8,10 +8,10 @@
 #include <string_view>
 #include <vector>
 
-#include "posthatch/rehearse/names.h"
+#include "posthatch/fleettest/names.h"
 #include "posthatch/runtime/clock.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Takes typed values out of one TOML table and collects what is wrong with it. A key that is
 // missing leaves the value as it was; Finish() reports the keys that nothing asked for.
@@ -72,4 +72,4 @@
   std::set<std::string, std::less<>> known_;
 };
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/target_resolver.cc
+++ b/src/posthatch/fleettest/target_resolver.cc
@@ -1,9 +1,9 @@
-#include "posthatch/rehearse/target_resolver.h"
+#include "posthatch/fleettest/target_resolver.h"
 
 #include <algorithm>
 #include <iterator>
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 namespace {
 
@@ -129,4 +129,4 @@
   }
 }
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/rehearse/target_resolver.h
+++ b/src/posthatch/fleettest/target_resolver.h
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/rehearse/fleet.h"
+#include "posthatch/fleettest/fleet.h"
 #include "posthatch/runtime/random.h"
 
-namespace posthatch::rehearse {
+namespace posthatch::fleettest {
 
 // Processes that `target` points at now; "random" picks `count` of the matching ones. `leader` is
 // the name of the leading controller as far as known: without it, "leader" picks a random one.
@@ -20,4 +20,4 @@
 // The faults that `chaos` draws from `random`, by time.
 std::vector<Fault> DrawChaos(const Chaos& chaos, runtime::Random* random);
 
-}  // namespace posthatch::rehearse
+}  // namespace posthatch::fleettest
--- a/src/posthatch/gateway/backend_directory.cc
+++ b/src/posthatch/gateway/backend_directory.cc
@@ -4,7 +4,7 @@
 #include <cmath>
 
 #include "absl/container/flat_hash_set.h"
-#include "posthatch/control/selector.h"
+#include "posthatch/control/state/selector.h"
 
 namespace posthatch::gateway {
 namespace {
--- a/src/posthatch/gateway/bodies-fuzz.cc
+++ b/src/posthatch/gateway/bodies-fuzz.cc
@@ -2,7 +2,7 @@
 #include <cstdint>
 #include <string>
 
-#include "posthatch/control/inventory_format.h"
+#include "posthatch/control/inventory/inventory_format.h"
 #include "posthatch/gateway/inference_body.h"
 #include "posthatch/gateway/response_check.h"
 
--- a/src/posthatch/gateway/delivery_record_client.h
+++ b/src/posthatch/gateway/delivery_record_client.h
@@ -4,7 +4,7 @@
 #include <memory>
 #include <string>
 
-#include "posthatch/control/control_client.h"
+#include "posthatch/control/client/control_client.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::gateway {
--- a/src/posthatch/gateway/gateway_context.h
+++ b/src/posthatch/gateway/gateway_context.h
@@ -4,8 +4,8 @@
 #include <optional>
 #include <string>
 
-#include "posthatch/control/control_client.h"
-#include "posthatch/control/inventory_watch.h"
+#include "posthatch/control/client/control_client.h"
+#include "posthatch/control/inventory/inventory_watch.h"
 #include "posthatch/gateway/admission_control.h"
 #include "posthatch/gateway/api_error.h"
 #include "posthatch/gateway/backend_directory.h"
--- a/src/posthatch/gateway/gateway_world-test.cc
+++ b/src/posthatch/gateway/gateway_world-test.cc
@@ -3,17 +3,17 @@
 #include <map>
 #include <set>
 
+#include "posthatch/emulator/caller_load.h"
+#include "posthatch/emulator/service_standin.h"
+#include "posthatch/emulator/standin_world.h"
 #include "posthatch/gateway/gateway_fakes-test.h"
-#include "posthatch/standins/caller_load.h"
-#include "posthatch/standins/service_standin.h"
-#include "posthatch/standins/standin_world.h"
 
 // Two gateways before stand-ins that do everything wrong, under the load of a deployment, in the
 // simulator by seed. The log is a fake that answers after a random time; everything else is real.
 namespace posthatch::gateway {
 namespace {
 
-using rehearse::HistoryEvent;
+using fleettest::HistoryEvent;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -62,22 +62,22 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
-class GatewayWorldTest : public standins::StandInWorld,
+class GatewayWorldTest : public emulator::StandInWorld,
                          public testing::WithParamInterface<uint64_t> {
  protected:
   GatewayWorldTest() : StandInWorld(GetParam()) {
-    mix_ = standins::NilestoneMix();
+    mix_ = emulator::NilestoneMix();
     mix_.requests_per_second = 100;
     state_.set_configuration_version(1);
     state_.set_configuration_index(1);
-    *state_.mutable_configuration() = standins::ConfigurationFor(mix_, 16);
+    *state_.mutable_configuration() = emulator::ConfigurationFor(mix_, 16);
     for (const auto& tenant : state_.configuration().tenants()) {
       state_.add_isolation()->set_tenant(tenant.name());
     }
   }
 
   void StartBackends() {
-    standins::WorkerBehaviour worker;
+    emulator::WorkerBehaviour worker;
     worker.answers_late_ms = 200;
     worker.answers_late_share = worker.answers_twice_share = worker.answers_crossed_share = 0.02;
     worker.answers_crossed_body_share = worker.cut_share = worker.cut_clean_share = 0.02;
@@ -85,20 +85,20 @@
     worker.repeated_piece_share = 0.02;
     worker.cut_at_piece = 2;
     for (int number = 1; number <= 4; ++number) {
-      standins::WorkerSettings settings;
+      emulator::WorkerSettings settings;
       settings.id = absl::StrCat("worker-", number);
       BootWorker(settings, &hosts_.emplace_back())->SetBehaviour(worker);
       List(settings.id, control::BACKEND_KIND_WORKER);
     }
-    standins::ServiceBehaviour service;
+    emulator::ServiceBehaviour service;
     service.answers_lost_share = service.requests_lost_share = service.answers_twice_share = 0.03;
     service.answers_crossed_share = service.answers_crossed_body_share = 0.03;
     service.answers_cut_share = service.start_late_share = 0.03;
     service.start_late_ms = 300;
     for (int number = 1; number <= 2; ++number) {
-      standins::ServiceSettings settings;
+      emulator::ServiceSettings settings;
       settings.id = absl::StrCat("service-", number);
-      Boot<standins::ServiceStandIn>(settings.id, settings, &hosts_.emplace_back())
+      Boot<emulator::ServiceStandIn>(settings.id, settings, &hosts_.emplace_back())
           ->SetBehaviour(service);
       List(settings.id, control::BACKEND_KIND_SERVICE);
     }
@@ -128,11 +128,11 @@
     StartBackends();
     simulation::SimHost* const first = StartGateway("gateway-1");
     simulation::SimHost* const second = StartGateway("gateway-2");
-    standins::CallerLoadOptions options;
+    emulator::CallerLoadOptions options;
     options.mix = mix_;
     options.gateways = {first->http_endpoint(), second->http_endpoint()};
-    rehearse::MemoryHistoryRecorder recorder(client->runtime()->clock, "callers", &events);
-    standins::CallerLoad load(client->runtime(), std::move(options), &recorder);
+    fleettest::MemoryHistoryRecorder recorder(client->runtime()->clock, "callers", &events);
+    emulator::CallerLoad load(client->runtime(), std::move(options), &recorder);
     load.Start();
     world.At(seconds(5), [first] { first->Crash(); });
     world.At(seconds(6), [first] { first->Start(); });
@@ -148,11 +148,11 @@
     counts_ = load.counts();
   }
 
-  standins::TrafficMix mix_;
+  emulator::TrafficMix mix_;
   control::FleetState state_;
   FakeControl log_;
   std::vector<simulation::SimHost*> hosts_;
-  standins::CallerLoadCounts counts_;
+  emulator::CallerLoadCounts counts_;
 };
 
 INSTANTIATE_TEST_SUITE_P(Seeds, GatewayWorldTest, testing::Range<uint64_t>(1, 7));
@@ -163,7 +163,7 @@
   std::set<std::string> started;
   int firsts = 0;
   int retries = 0;
-  for (const rehearse::RunStarted& run : Starts()) {
+  for (const fleettest::RunStarted& run : Starts()) {
     started.insert(run.nonce());
     if (!run.idempotency_key().empty()) ++starts_by_key[run.idempotency_key()];
     ++(run.attempt_number() > 1 ? retries : firsts);
@@ -177,7 +177,7 @@
     sends[event.call_sent().nonce()].insert(event.call_sent().call());
   }
   for (const HistoryEvent& event : EventsOf(HistoryEvent::kCallEnded)) {
-    const rehearse::CallEnded& ended = event.call_ended();
+    const fleettest::CallEnded& ended = event.call_ended();
     const bool only_send = sends[ended.nonce()].size() == 1;
     if (ended.executed() == "no" && only_send) {
       EXPECT_FALSE(started.contains(ended.nonce())) << "N2 " << ended.code();
--- a/src/posthatch/index/dispatch_recorder.cc
+++ b/src/posthatch/index/dispatch_recorder.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "posthatch/index/index_update_publisher.h"
+#include "posthatch/index/replication/index_update_publisher.h"
 
 namespace posthatch::index {
 
@@ -31,7 +31,7 @@
   for (const control::WorkerLease& lease : parts_.fleet->state().leases()) {
     if (lease.worker_id() != worker_id) continue;
     if (lease.holder() == runtime_->transport->node_id()) return;
-    Extent extent = MakeExtent(worker_id, channels::ObjectVersion(), seed);
+    Extent extent = MakeExtent(worker_id, invalidation::ObjectVersion(), seed);
     extent.set_block_hashes(PackBlocks(chain));
     *pending_reports_[lease.holder()].add_made() = std::move(extent);
     if (!report_timer_.running()) report_timer_.Start(options_.report_period, [this] { Flush(); });
@@ -42,7 +42,7 @@
 void DispatchRecorder::AddToStores(const BlockSeed& seed, const std::vector<BlockHash>& chain) {
   for (const control::Backend& backend : parts_.fleet->state().inventory().backends()) {
     if (backend.kind() != control::BACKEND_KIND_STORE) continue;
-    channels::ObjectVersion version;
+    invalidation::ObjectVersion version;
     const std::string object = HolderObject(HolderKind::kStore, backend.id());
     if (!parts_.trust->CurrentVersion(object, &version)) continue;
     parts_.locator->Add(HolderKind::kStore, backend.id(), version, seed, chain);
--- a/src/posthatch/index/dispatch_recorder.h
+++ b/src/posthatch/index/dispatch_recorder.h
@@ -6,11 +6,11 @@
 
 #include "absl/container/btree_map.h"
 #include "absl/container/flat_hash_map.h"
-#include "posthatch/channels/object_trust.h"
-#include "posthatch/control/control_client.h"
+#include "posthatch/control/client/control_client.h"
 #include "posthatch/index/attribution_table.h"
 #include "posthatch/index/index.pb.h"
 #include "posthatch/index/trusted_prefix_locator.h"
+#include "posthatch/invalidation/object_trust.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::index {
@@ -29,7 +29,7 @@
   };
   struct Parts {
     const control::FleetView* fleet = nullptr;
-    const channels::ObjectTrust* trust = nullptr;
+    const invalidation::ObjectTrust* trust = nullptr;
     AttributionTable* attributions = nullptr;
     TrustedPrefixLocator* locator = nullptr;
     std::function<std::vector<std::string>()> gateways;  // internal endpoints of the others
--- a/src/posthatch/index/fake_parts-test.h
+++ b/src/posthatch/index/fake_parts-test.h
@@ -5,27 +5,29 @@
 #include <utility>
 #include <vector>
 
-#include "posthatch/channels/channel_names.h"
-#include "posthatch/channels/fake_runtime-test.h"
-#include "posthatch/channels/object_trust.h"
-#include "posthatch/control/control_client.h"
+#include "posthatch/control/client/control_client.h"
+#include "posthatch/invalidation/channel_names.h"
+#include "posthatch/invalidation/fake_runtime-test.h"
+#include "posthatch/invalidation/object_trust.h"
 
 // For tests: stand-ins for what the index rests on.
 namespace posthatch::index {
 
-class FakeTrust : public channels::ObjectTrust {
+class FakeTrust : public invalidation::ObjectTrust {
  public:
-  bool IsFresh(const std::string& object, const channels::ObjectVersion& version) const override {
-    channels::ObjectVersion newest;
-    return CurrentVersion(object, &newest) && channels::CompareVersions(newest, version) == 0;
+  bool IsFresh(const std::string& object,
+               const invalidation::ObjectVersion& version) const override {
+    invalidation::ObjectVersion newest;
+    return CurrentVersion(object, &newest) && invalidation::CompareVersions(newest, version) == 0;
   }
-  bool CurrentVersion(const std::string& object, channels::ObjectVersion* version) const override {
+  bool CurrentVersion(const std::string& object,
+                      invalidation::ObjectVersion* version) const override {
     const auto found = versions.find(object);
     if (silent || found == versions.end()) return false;
     *version = found->second;
     return true;
   }
-  std::map<std::string, channels::ObjectVersion> versions;
+  std::map<std::string, invalidation::ObjectVersion> versions;
   bool silent = false;
 };
 
@@ -102,7 +104,7 @@
              std::initializer_list<runtime::TraceField>) override {}
 };
 
-struct IndexFakes : channels::FakeRuntime {
+struct IndexFakes : invalidation::FakeRuntime {
   IndexFakes() {
     runtime.http_client = &http;
     runtime.trace = &trace;
--- a/src/posthatch/index/index_fleet-test.cc
+++ b/src/posthatch/index/index_fleet-test.cc
@@ -8,16 +8,16 @@
 
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_split.h"
-#include "posthatch/channels/invalidation_server.h"
 #include "posthatch/index/fake_parts-test.h"
 #include "posthatch/index/index_node.h"
+#include "posthatch/invalidation/invalidation_server.h"
 #include "posthatch/simulation/sim_world.h"
 
 namespace posthatch::index {
 namespace {
 
-using channels::MakeVersion;
-using channels::ObjectVersion;
+using invalidation::MakeVersion;
+using invalidation::ObjectVersion;
 using simulation::SimHost;
 using simulation::SimWorld;
 using std::chrono::milliseconds;
@@ -29,10 +29,10 @@
 constexpr size_t kWorkerCapacity = 30;  // blocks
 
 // The control state: versions, applied request ids, and when each version was superseded.
-class SimControlState : public channels::ObjectSource {
+class SimControlState : public invalidation::ObjectSource {
  public:
-  std::vector<channels::RegisteredObject> Objects() const override {
-    std::vector<channels::RegisteredObject> all;
+  std::vector<invalidation::RegisteredObject> Objects() const override {
+    std::vector<invalidation::RegisteredObject> all;
     for (const auto& [name, version] : versions) {
       all.emplace_back().set_object(name);
       *all.back().mutable_version() = version;
@@ -168,9 +168,9 @@
     state_.Set("tenant/", MakeVersion(1, 0), world_.Now());
     SimHost* controller = world_.AddHost("c0", "z", "10.0.0.1");
     controller->SetBoot([this](runtime::Runtime* runtime) {
-      return std::make_shared<channels::InvalidationServer>(
-          runtime, channels::InvalidationServerOptions(), &state_, [this] {
-            return channels::ServingState{serving_, 1};
+      return std::make_shared<invalidation::InvalidationServer>(
+          runtime, invalidation::InvalidationServerOptions(), &state_, [this] {
+            return invalidation::ServingState{serving_, 1};
           });
     });
     controller->Start();
--- a/src/posthatch/index/index_messages-fuzz.cc
+++ b/src/posthatch/index/index_messages-fuzz.cc
@@ -2,15 +2,15 @@
 #include <cstdint>
 
 #include "posthatch/index/fake_parts-test.h"
-#include "posthatch/index/index_update_receiver.h"
 #include "posthatch/index/kv_events.h"
+#include "posthatch/index/replication/index_update_receiver.h"
 
 // Any bytes as an IndexMessage and as the body of an answer to GET /kv_events.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using namespace posthatch::index;  // NOLINT(google-build-using-namespace): one function
   (void)ParseKvEvents(std::string_view(reinterpret_cast<const char*>(data), size));
   FakeTrust trust;
-  trust.versions["worker/w"] = posthatch::channels::MakeVersion(1, 0);
+  trust.versions["worker/w"] = posthatch::invalidation::MakeVersion(1, 0);
   FakeFleet fleet;
   TrustedPrefixLocator locator({1 << 16, nullptr}, &trust);
   IndexFakes fakes;
--- a/src/posthatch/index/index_node.cc
+++ b/src/posthatch/index/index_node.cc
@@ -14,8 +14,8 @@
 // Between debug events with the counters.
 constexpr runtime::Duration kStatsInterval = std::chrono::seconds(2);
 
-channels::InvalidationSubscriberOptions SubscriptionOptionsOf(const IndexOptions& options) {
-  channels::InvalidationSubscriberOptions set_options;
+invalidation::InvalidationSubscriberOptions SubscriptionOptionsOf(const IndexOptions& options) {
+  invalidation::InvalidationSubscriberOptions set_options;
   set_options.subscription = options.subscription;
   set_options.subscription.zone = options.zone;
   set_options.subscription.relay = options.relay;
@@ -60,8 +60,8 @@
       metrics_(runtime) {
   subscriptions_.AddListener(&listener_);
   if (options_.relay) {
-    relay_ = std::make_unique<channels::InvalidationRelay>(runtime, options_.relay_publisher,
-                                                           &subscriptions_);
+    relay_ = std::make_unique<invalidation::InvalidationRelay>(runtime, options_.relay_publisher,
+                                                               &subscriptions_);
   }
   locator_.SetEpochObserver([this](HolderKind kind, const std::string& holder, uint64_t epoch) {
     reporter_.Report(HolderObject(kind, holder), epoch, /*lost=*/false, "answered");
@@ -203,8 +203,8 @@
 }
 
 void IndexNode::ChannelListener::OnSynchronized(const std::string& channel) {
-  const channels::ChannelSubscription* subscription = node_->subscriptions_.Find(channel);
-  for (const channels::RegisteredObject& object : subscription->Objects()) {
+  const invalidation::ChannelSubscription* subscription = node_->subscriptions_.Find(channel);
+  for (const invalidation::RegisteredObject& object : subscription->Objects()) {
     node_->locator_.OnObjectChanged(object.object());
   }
   node_->receiver_.OnVersionsAdvanced();
@@ -213,7 +213,7 @@
 std::string IndexNode::stats_json() const {
   const PrefixIndex::Stats index = locator_.index_stats();
   const LocatorStats& lookups = locator_.stats();
-  const channels::SubscriptionStats channels = subscriptions_.TotalStats();
+  const invalidation::SubscriptionStats channels = subscriptions_.TotalStats();
   const IndexUpdateReceiverStats& updates = receiver_.stats();
   const WorkerEventReaderStats& events = reader_.stats();
   const boost::json::object document = {
--- a/src/posthatch/index/index_node.h
+++ b/src/posthatch/index/index_node.h
@@ -7,19 +7,19 @@
 #include <utility>
 #include <vector>
 
-#include "posthatch/channels/invalidation_relay.h"
-#include "posthatch/channels/invalidation_subscriber.h"
-#include "posthatch/channels/metrics_export.h"
-#include "posthatch/control/control_client.h"
+#include "posthatch/control/client/control_client.h"
 #include "posthatch/index/attribution_table.h"
 #include "posthatch/index/dispatch_recorder.h"
-#include "posthatch/index/index_update_fanout.h"
-#include "posthatch/index/index_update_publisher.h"
-#include "posthatch/index/index_update_receiver.h"
 #include "posthatch/index/observation_reporter.h"
+#include "posthatch/index/replication/index_update_fanout.h"
+#include "posthatch/index/replication/index_update_publisher.h"
+#include "posthatch/index/replication/index_update_receiver.h"
 #include "posthatch/index/store_poller.h"
 #include "posthatch/index/trusted_prefix_locator.h"
 #include "posthatch/index/worker_event_reader.h"
+#include "posthatch/invalidation/invalidation_relay.h"
+#include "posthatch/invalidation/invalidation_subscriber.h"
+#include "posthatch/invalidation/metrics_export.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::index {
@@ -31,8 +31,8 @@
   bool relay = false;
   // Register once, on the aggregate channel; for fleets with relay points.
   bool aggregate_channel = false;
-  channels::SubscriptionOptions subscription;
-  channels::PublisherOptions relay_publisher;
+  invalidation::SubscriptionOptions subscription;
+  invalidation::PublisherOptions relay_publisher;
   WorkerEventFeed::Options events;
   IndexUpdatePublisherOptions updates;
   IndexUpdateFanoutOptions fanout;  // its zone is `zone`
@@ -64,7 +64,7 @@
 
   // What routing asks. Valid as long as this node.
   PrefixLocator* locator() { return &recorder_; }
-  const channels::ObjectTrust* trust() const { return &subscriptions_; }
+  const invalidation::ObjectTrust* trust() const { return &subscriptions_; }
   // Tells under which seed an attempt (its nonce) was dispatched, for attributing events.
   void RecordAttempt(const std::string& attempt, const BlockSeed& seed) {
     attributions_.RecordAttempt(attempt, seed);
@@ -74,7 +74,7 @@
 
  private:
   // Passes version changes on to the locator.
-  class ChannelListener : public channels::InvalidationSubscriber::Listener {
+  class ChannelListener : public invalidation::InvalidationSubscriber::Listener {
    public:
     explicit ChannelListener(IndexNode* node) : node_(node) {}
     void OnObjects(const std::string& channel, const std::vector<std::string>& objects) override;
@@ -100,8 +100,8 @@
   control::FleetView* const fleet_;
   const IndexUpdateFanout::Peers gateways_;
   ChannelListener listener_;
-  channels::InvalidationSubscriber subscriptions_;
-  std::unique_ptr<channels::InvalidationRelay> relay_;
+  invalidation::InvalidationSubscriber subscriptions_;
+  std::unique_ptr<invalidation::InvalidationRelay> relay_;
   TrustedPrefixLocator locator_;
   AttributionTable attributions_;
   ObservationReporter reporter_;
@@ -113,7 +113,7 @@
   StorePoller store_poller_;
   runtime::Timer sweep_timer_;
   runtime::MonotonicTime next_stats_;
-  channels::MetricsExport metrics_;
+  invalidation::MetricsExport metrics_;
   // What RecordKnownSeeds has recorded: models with revisions, and the section of isolation
   // domains.
   std::set<std::pair<std::string, uint64_t>> recorded_revisions_;
--- a/src/posthatch/index/observation_reporter.h
+++ b/src/posthatch/index/observation_reporter.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "absl/container/btree_map.h"
-#include "posthatch/control/control_client.h"
+#include "posthatch/control/client/control_client.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::index {
--- a/src/posthatch/index/index_relay-test.cc
+++ b/src/posthatch/index/replication/index_relay-test.cc
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/index/index_update_fanout.h"
+#include "posthatch/index/replication/index_update_fanout.h"
 #include "posthatch/simulation/sim_world.h"
 
 namespace posthatch::index {
--- a/src/posthatch/index/index_update-test.cc
+++ b/src/posthatch/index/replication/index_update-test.cc
@@ -3,13 +3,13 @@
 #include <numeric>
 
 #include "posthatch/index/fake_parts-test.h"
-#include "posthatch/index/index_update_publisher.h"
-#include "posthatch/index/index_update_receiver.h"
+#include "posthatch/index/replication/index_update_publisher.h"
+#include "posthatch/index/replication/index_update_receiver.h"
 
 namespace posthatch::index {
 namespace {
 
-using channels::MakeVersion;
+using invalidation::MakeVersion;
 using std::chrono::milliseconds;
 
 // A publisher and a receiver; the test carries the messages.
--- a/src/posthatch/index/index_update_fanout.cc
+++ b/src/posthatch/index/replication/index_update_fanout.cc
@@ -1,4 +1,4 @@
-#include "posthatch/index/index_update_fanout.h"
+#include "posthatch/index/replication/index_update_fanout.h"
 
 #include <xxhash.h>
 
--- a/src/posthatch/index/index_update_publisher.cc
+++ b/src/posthatch/index/replication/index_update_publisher.cc
@@ -1,4 +1,4 @@
-#include "posthatch/index/index_update_publisher.h"
+#include "posthatch/index/replication/index_update_publisher.h"
 
 #include <algorithm>
 #include <bit>
@@ -22,7 +22,7 @@
   return true;
 }
 
-Extent MakeExtent(const std::string& holder, const channels::ObjectVersion& version,
+Extent MakeExtent(const std::string& holder, const invalidation::ObjectVersion& version,
                   const BlockSeed& seed) {
   Extent extent;
   extent.set_holder(holder);
--- a/src/posthatch/index/index_update_publisher.h
+++ b/src/posthatch/index/replication/index_update_publisher.h
@@ -7,10 +7,10 @@
 #include "absl/container/btree_map.h"
 #include "absl/container/btree_set.h"
 #include "absl/types/span.h"
-#include "posthatch/channels/channels.pb.h"
 #include "posthatch/index/block_hash.h"
 #include "posthatch/index/index.pb.h"
-#include "posthatch/index/index_update_fanout.h"
+#include "posthatch/index/replication/index_update_fanout.h"
+#include "posthatch/invalidation/invalidation.pb.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::index {
@@ -21,7 +21,7 @@
 bool UnpackBlocks(const std::string& packed, std::vector<BlockHash>* blocks);
 
 // An extent without blocks.
-Extent MakeExtent(const std::string& holder, const channels::ObjectVersion& version,
+Extent MakeExtent(const std::string& holder, const invalidation::ObjectVersion& version,
                   const BlockSeed& seed);
 BlockSeed SeedOf(const Extent& extent);
 
--- a/src/posthatch/index/index_update_receiver.cc
+++ b/src/posthatch/index/replication/index_update_receiver.cc
@@ -1,13 +1,13 @@
-#include "posthatch/index/index_update_receiver.h"
+#include "posthatch/index/replication/index_update_receiver.h"
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
 #include "absl/container/flat_hash_set.h"
-#include "posthatch/channels/channel_names.h"
-#include "posthatch/control/fleet_sections.h"
-#include "posthatch/index/index_update_publisher.h"
+#include "posthatch/control/state/fleet_sections.h"
+#include "posthatch/index/replication/index_update_publisher.h"
+#include "posthatch/invalidation/channel_names.h"
 
 namespace posthatch::index {
 namespace {
@@ -78,10 +78,11 @@
 }
 
 bool IndexUpdateReceiver::IsAheadOfChannel(const Extent& extent) {
-  const auto version = channels::MakeVersion(extent.holder_epoch(), extent.holder_sequence());
-  channels::ObjectVersion newest;
+  const auto version = invalidation::MakeVersion(extent.holder_epoch(), extent.holder_sequence());
+  invalidation::ObjectVersion newest;
   const std::string object = HolderObject(KindOf(extent.holder()), extent.holder());
-  return !trust_->CurrentVersion(object, &newest) || channels::CompareVersions(newest, version) < 0;
+  return !trust_->CurrentVersion(object, &newest) ||
+         invalidation::CompareVersions(newest, version) < 0;
 }
 
 void IndexUpdateReceiver::ApplyStored(const Extent& extent) {
@@ -97,7 +98,7 @@
 }
 
 void IndexUpdateReceiver::Apply(const Extent& extent, const std::vector<BlockHash>& blocks) {
-  const auto version = channels::MakeVersion(extent.holder_epoch(), extent.holder_sequence());
+  const auto version = invalidation::MakeVersion(extent.holder_epoch(), extent.holder_sequence());
   if (locator_->Add(KindOf(extent.holder()), extent.holder(), version, SeedOf(extent), blocks)) {
     stats_.blocks_stored += blocks.size();
   } else {
--- a/src/posthatch/index/index_update_receiver.h
+++ b/src/posthatch/index/replication/index_update_receiver.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "posthatch/control/control_client.h"
+#include "posthatch/control/client/control_client.h"
 #include "posthatch/index/index.pb.h"
 #include "posthatch/index/trusted_prefix_locator.h"
 #include "posthatch/runtime/runtime.h"
@@ -33,7 +33,7 @@
 class IndexUpdateReceiver {
  public:
   IndexUpdateReceiver(const runtime::Clock* clock, const control::FleetView* fleet,
-                      const channels::ObjectTrust* trust, TrustedPrefixLocator* locator)
+                      const invalidation::ObjectTrust* trust, TrustedPrefixLocator* locator)
       : clock_(clock), fleet_(fleet), trust_(trust), locator_(locator) {}
 
   // `incarnation` is that of the gateway that made the update.
@@ -72,7 +72,7 @@
 
   const runtime::Clock* const clock_;
   const control::FleetView* const fleet_;
-  const channels::ObjectTrust* const trust_;
+  const invalidation::ObjectTrust* const trust_;
   TrustedPrefixLocator* const locator_;
   absl::flat_hash_map<std::string, SenderState> senders_;
   std::deque<PendingExtent> pending_;
--- a/src/posthatch/index/store_poller.cc
+++ b/src/posthatch/index/store_poller.cc
@@ -26,7 +26,7 @@
 }  // namespace
 
 StorePoller::StorePoller(runtime::Runtime* runtime, runtime::Duration interval,
-                         const control::FleetView* fleet, const channels::ObjectTrust* trust,
+                         const control::FleetView* fleet, const invalidation::ObjectTrust* trust,
                          ObservationReporter* reporter, std::function<bool()> is_first_gateway)
     : runtime_(runtime),
       interval_(interval),
@@ -86,7 +86,7 @@
   const uint64_t epoch = poll.status == kStatusOk ? ReadEpoch(poll.body) : 0;
   if (epoch == 0 || !fleet_->LeaseValid()) return;
   const std::string object = HolderObject(HolderKind::kStore, store);
-  channels::ObjectVersion version;
+  invalidation::ObjectVersion version;
   if (trust_->CurrentVersion(object, &version) && version.epoch() >= epoch) return;
   reporter_->Report(object, epoch, /*lost=*/false, "store epoch");
 }
--- a/src/posthatch/index/store_poller.h
+++ b/src/posthatch/index/store_poller.h
@@ -6,9 +6,9 @@
 #include <string>
 
 #include "absl/container/node_hash_map.h"
-#include "posthatch/channels/object_trust.h"
-#include "posthatch/control/control_client.h"
+#include "posthatch/control/client/control_client.h"
 #include "posthatch/index/observation_reporter.h"
+#include "posthatch/invalidation/object_trust.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::index {
@@ -21,7 +21,7 @@
  public:
   // `is_first_gateway`: whether this gateway polls the stores that nobody holds the lease of.
   StorePoller(runtime::Runtime* runtime, runtime::Duration interval,
-              const control::FleetView* fleet, const channels::ObjectTrust* trust,
+              const control::FleetView* fleet, const invalidation::ObjectTrust* trust,
               ObservationReporter* reporter, std::function<bool()> is_first_gateway);
 
   void Start();
@@ -43,7 +43,7 @@
   runtime::Runtime* const runtime_;
   const runtime::Duration interval_;
   const control::FleetView* const fleet_;
-  const channels::ObjectTrust* const trust_;
+  const invalidation::ObjectTrust* const trust_;
   ObservationReporter* const reporter_;
   const std::function<bool()> is_first_gateway_;
   // By store id; its values stay where they are.
--- a/src/posthatch/index/trusted_prefix_locator-test.cc
+++ b/src/posthatch/index/trusted_prefix_locator-test.cc
@@ -9,7 +9,7 @@
 namespace posthatch::index {
 namespace {
 
-using channels::MakeVersion;
+using invalidation::MakeVersion;
 
 class TrustedPrefixLocatorTest : public testing::Test {
  protected:
--- a/src/posthatch/index/trusted_prefix_locator.cc
+++ b/src/posthatch/index/trusted_prefix_locator.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/channels/channel_names.h"
+#include "posthatch/invalidation/channel_names.h"
 
 namespace posthatch::index {
 namespace {
@@ -28,20 +28,21 @@
   return absl::StrCat(kind == HolderKind::kWorker ? "worker/" : "store/", holder);
 }
 
-TrustedPrefixLocator::TrustedPrefixLocator(Options options, const channels::ObjectTrust* trust)
+TrustedPrefixLocator::TrustedPrefixLocator(Options options, const invalidation::ObjectTrust* trust)
     : options_(std::move(options)), trust_(trust), index_(options_.budget_bytes) {}
 
 bool TrustedPrefixLocator::IsSeedFresh(const BlockSeed& seed) const {
   return IsRevisionTrusted(seed) &&
-         trust_->IsFresh(TenantObject(seed), channels::MakeVersion(seed.isolation_generation, 0));
+         trust_->IsFresh(TenantObject(seed),
+                         invalidation::MakeVersion(seed.isolation_generation, 0));
 }
 
 bool TrustedPrefixLocator::IsRevisionTrusted(const BlockSeed& seed) const {
   const std::string object = ModelObject(seed);
-  if (trust_->IsFresh(object, channels::MakeVersion(seed.model_revision, 0))) return true;
+  if (trust_->IsFresh(object, invalidation::MakeVersion(seed.model_revision, 0))) return true;
   if (options_.retained_revisions <= 1) return false;
   // An older revision rests on the same channel: a gateway that hears nothing trusts neither.
-  channels::ObjectVersion newest;
+  invalidation::ObjectVersion newest;
   if (!trust_->CurrentVersion(object, &newest) || seed.model_revision >= newest.epoch()) {
     return false;
   }
@@ -88,7 +89,7 @@
                                           const std::vector<BlockHash>& chain,
                                           const std::string& worker_id, uint64_t worker_epoch) {
   const std::string object = HolderObject(HolderKind::kWorker, worker_id);
-  channels::ObjectVersion version;
+  invalidation::ObjectVersion version;
   const bool known = trust_->CurrentVersion(object, &version);
   if (!known || version.epoch() != worker_epoch) {
     ++stats_.dispatches_not_recorded;
@@ -105,7 +106,7 @@
 }
 
 bool TrustedPrefixLocator::Add(HolderKind kind, const std::string& holder,
-                               const channels::ObjectVersion& version, const BlockSeed& seed,
+                               const invalidation::ObjectVersion& version, const BlockSeed& seed,
                                absl::Span<const BlockHash> blocks) {
   // Without an epoch the holder's state has never been seen.
   if (version.epoch() == 0 || !trust_->IsFresh(HolderObject(kind, holder), version) ||
@@ -123,7 +124,7 @@
 }
 
 TrustedPrefixLocator::GenerationId TrustedPrefixLocator::OpenGeneration(
-    HolderKind kind, const std::string& holder, const channels::ObjectVersion& version,
+    HolderKind kind, const std::string& holder, const invalidation::ObjectVersion& version,
     const BlockSeed& seed) {
   Generation generation{kind, holder, HolderObject(kind, holder), version, seed};
   const Key key = KeyOf(generation);
@@ -173,7 +174,7 @@
 }
 
 void TrustedPrefixLocator::OnObjectChanged(const std::string& object) {
-  channels::ObjectVersion newest;
+  invalidation::ObjectVersion newest;
   const auto resting = generations_by_object_.find(object);
   if (resting == generations_by_object_.end() || !trust_->CurrentVersion(object, &newest)) return;
   if (revisions_.contains(object)) RecordRevision(object, newest.epoch());
@@ -181,15 +182,15 @@
   const uint64_t oldest_retained = OldestRetainedRevision(object);
   for (const GenerationId id : ids) {
     const Generation& generation = generations_.find(id)->second;
-    channels::ObjectVersion basis = generation.version;
+    invalidation::ObjectVersion basis = generation.version;
     if (object == ModelObject(generation.seed)) {
       if (generation.seed.model_revision < oldest_retained) Drop(id);
       continue;
     }
     if (object == TenantObject(generation.seed)) {
-      basis = channels::MakeVersion(generation.seed.isolation_generation, 0);
+      basis = invalidation::MakeVersion(generation.seed.isolation_generation, 0);
     }
-    if (channels::CompareVersions(basis, newest) < 0) Drop(id);
+    if (invalidation::CompareVersions(basis, newest) < 0) Drop(id);
   }
 }
 
--- a/src/posthatch/index/trusted_prefix_locator.h
+++ b/src/posthatch/index/trusted_prefix_locator.h
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "posthatch/channels/object_trust.h"
 #include "posthatch/index/prefix_index.h"
 #include "posthatch/index/prefix_locator.h"
+#include "posthatch/invalidation/object_trust.h"
 
 namespace posthatch::index {
 
@@ -48,7 +48,7 @@
     size_t retained_revisions = 1;
   };
 
-  TrustedPrefixLocator(Options options, const channels::ObjectTrust* trust);
+  TrustedPrefixLocator(Options options, const invalidation::ObjectTrust* trust);
   TrustedPrefixLocator(const TrustedPrefixLocator&) = delete;
   TrustedPrefixLocator& operator=(const TrustedPrefixLocator&) = delete;
 
@@ -62,7 +62,7 @@
   // Adds blocks that `holder` kept at `version` of its object. False, and nothing is added, unless
   // that is the newest version and `seed` names a revision that is kept and the newest isolation
   // generation.
-  bool Add(HolderKind kind, const std::string& holder, const channels::ObjectVersion& version,
+  bool Add(HolderKind kind, const std::string& holder, const invalidation::ObjectVersion& version,
            const BlockSeed& seed, absl::Span<const BlockHash> blocks);
   // `holder` keeps these blocks no more, whatever their seed.
   void Remove(HolderKind kind, const std::string& holder, absl::Span<const BlockHash> blocks);
@@ -84,7 +84,7 @@
     HolderKind kind = HolderKind::kWorker;
     std::string holder;
     std::string holder_object;
-    channels::ObjectVersion version;
+    invalidation::ObjectVersion version;
     BlockSeed seed;
   };
   // Holder object, its version, model, revision, isolation tenant and generation.
@@ -101,12 +101,12 @@
   void RecordRevision(const std::string& model_object, uint64_t revision);
   uint64_t OldestRetainedRevision(const std::string& model_object) const;
   GenerationId OpenGeneration(HolderKind kind, const std::string& holder,
-                              const channels::ObjectVersion& version, const BlockSeed& seed);
+                              const invalidation::ObjectVersion& version, const BlockSeed& seed);
   void Drop(GenerationId id);
   static Key KeyOf(const Generation& generation);
 
   const Options options_;
-  const channels::ObjectTrust* const trust_;
+  const invalidation::ObjectTrust* const trust_;
   EpochObserver epoch_observer_;
   PrefixIndex index_;
   absl::flat_hash_map<GenerationId, Generation> generations_;
--- a/src/posthatch/index/worker_event_feed.cc
+++ b/src/posthatch/index/worker_event_feed.cc
@@ -26,7 +26,7 @@
 }  // namespace
 
 WorkerEventFeed::WorkerEventFeed(runtime::Runtime* runtime, Options options, std::string worker_id,
-                                 std::string endpoint, const channels::ObjectTrust* trust,
+                                 std::string endpoint, const invalidation::ObjectTrust* trust,
                                  std::function<bool()> may_read, Observer observer)
     : runtime_(runtime),
       options_(options),
--- a/src/posthatch/index/worker_event_feed.h
+++ b/src/posthatch/index/worker_event_feed.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "absl/container/btree_map.h"
-#include "posthatch/channels/object_trust.h"
 #include "posthatch/index/kv_event_format.h"
 #include "posthatch/index/kv_events.h"
+#include "posthatch/invalidation/object_trust.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::index {
@@ -26,7 +26,7 @@
     // Events of `epoch` are missing for good, or the worker can't be read.
     std::function<void(uint64_t epoch, const std::string& reason)> on_lost;
     // `version` is the newest version of the worker's object known when the poll was sent.
-    std::function<void(const channels::ObjectVersion& version, KvEvent event)> on_event;
+    std::function<void(const invalidation::ObjectVersion& version, KvEvent event)> on_event;
   };
   struct Options {
     runtime::Duration wait = std::chrono::seconds(2);
@@ -46,7 +46,7 @@
   // `may_read`: whether this gateway still holds the worker's lease; asked before each poll and
   // before each answer is used.
   WorkerEventFeed(runtime::Runtime* runtime, Options options, std::string worker_id,
-                  std::string endpoint, const channels::ObjectTrust* trust,
+                  std::string endpoint, const invalidation::ObjectTrust* trust,
                   std::function<bool()> may_read, Observer observer);
   WorkerEventFeed(const WorkerEventFeed&) = delete;
   WorkerEventFeed& operator=(const WorkerEventFeed&) = delete;
@@ -76,7 +76,7 @@
   const Options options_;
   const std::string worker_id_;
   const std::string endpoint_;
-  const channels::ObjectTrust* const trust_;
+  const invalidation::ObjectTrust* const trust_;
   const std::function<bool()> may_read_;
   const Observer observer_;
 
@@ -85,7 +85,7 @@
   uint64_t events_read_ = 0;
   // Missing sequence numbers, and when each counts as lost.
   absl::btree_map<uint64_t, runtime::MonotonicTime> missing_;
-  channels::ObjectVersion version_at_request_;
+  invalidation::ObjectVersion version_at_request_;
   std::unique_ptr<http::Call> call_;
   int status_ = 0;
   std::string body_;
--- a/src/posthatch/index/worker_event_reader-test.cc
+++ b/src/posthatch/index/worker_event_reader-test.cc
@@ -12,7 +12,7 @@
 namespace posthatch::index {
 namespace {
 
-using channels::MakeVersion;
+using invalidation::MakeVersion;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
--- a/src/posthatch/index/worker_event_reader.cc
+++ b/src/posthatch/index/worker_event_reader.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "absl/container/flat_hash_set.h"
-#include "posthatch/control/fleet_sections.h"
+#include "posthatch/control/state/fleet_sections.h"
 
 namespace posthatch::index {
 namespace {
@@ -67,7 +67,7 @@
   observer.on_lost = [this, worker](uint64_t epoch, const std::string& reason) {
     OnLost(worker, epoch, reason);
   };
-  observer.on_event = [this, worker](const channels::ObjectVersion& version, KvEvent event) {
+  observer.on_event = [this, worker](const invalidation::ObjectVersion& version, KvEvent event) {
     OnEvent(worker, version, std::move(event));
   };
   Feed& feed = feeds_[worker];
@@ -82,7 +82,7 @@
 void WorkerEventReader::OnEpoch(const std::string& worker, uint64_t fencing_token, uint64_t epoch) {
   ++stats_.epochs;
   const std::string object = HolderObject(HolderKind::kWorker, worker);
-  channels::ObjectVersion version;
+  invalidation::ObjectVersion version;
   const bool known = parts_.trust->CurrentVersion(object, &version) && version.epoch() == epoch;
   if (!known) {
     parts_.locator->DropHolder(HolderKind::kWorker, worker);
@@ -100,8 +100,8 @@
                          {{"worker", worker}, {"epoch", epoch}, {"reason", reason}});
 }
 
-void WorkerEventReader::OnEvent(const std::string& worker, const channels::ObjectVersion& version,
-                                KvEvent event) {
+void WorkerEventReader::OnEvent(const std::string& worker,
+                                const invalidation::ObjectVersion& version, KvEvent event) {
   if (event.type == KvEvent::Type::kRemoved) {
     stats_.removed_blocks += event.blocks.size();
     parts_.locator->Remove(HolderKind::kWorker, worker, event.blocks);
@@ -161,7 +161,8 @@
 }
 
 bool WorkerEventReader::ApplyStored(const std::string& worker,
-                                    const channels::ObjectVersion& version, const KvEvent& event) {
+                                    const invalidation::ObjectVersion& version,
+                                    const KvEvent& event) {
   if (event.blocks.empty()) return true;
   BlockSeed seed;
   const std::vector<BlockHash> blocks = Attribute(event, &seed);
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -7,13 +7,13 @@
 #include <vector>
 
 #include "absl/container/btree_map.h"
-#include "posthatch/channels/object_trust.h"
-#include "posthatch/control/control_client.h"
+#include "posthatch/control/client/control_client.h"
 #include "posthatch/index/attribution_table.h"
-#include "posthatch/index/index_update_publisher.h"
 #include "posthatch/index/observation_reporter.h"
+#include "posthatch/index/replication/index_update_publisher.h"
 #include "posthatch/index/trusted_prefix_locator.h"
 #include "posthatch/index/worker_event_feed.h"
+#include "posthatch/invalidation/object_trust.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::index {
@@ -34,7 +34,7 @@
  public:
   struct Parts {
     control::FleetView* fleet = nullptr;
-    const channels::ObjectTrust* trust = nullptr;
+    const invalidation::ObjectTrust* trust = nullptr;
     ObservationReporter* reporter = nullptr;
     IndexUpdatePublisher* publisher = nullptr;
     AttributionTable* attributions = nullptr;
@@ -60,7 +60,7 @@
   };
   struct Unattributed {
     std::string worker;
-    channels::ObjectVersion version;
+    invalidation::ObjectVersion version;
     KvEvent event;
     runtime::MonotonicTime expires_at;
   };
@@ -69,13 +69,14 @@
   void StartFeed(const std::string& worker, const std::string& endpoint, uint64_t fencing_token);
   void OnEpoch(const std::string& worker, uint64_t fencing_token, uint64_t epoch);
   void OnLost(const std::string& worker, uint64_t epoch, const std::string& reason);
-  void OnEvent(const std::string& worker, const channels::ObjectVersion& version, KvEvent event);
+  void OnEvent(const std::string& worker, const invalidation::ObjectVersion& version,
+               KvEvent event);
   // What `worker` has removed must not be added when its attribution comes.
   void DropUnattributed(const std::string& worker, const std::vector<BlockHash>& removed);
   // The blocks of `event` whose seed is known, and the seed.
   std::vector<BlockHash> Attribute(const KvEvent& event, BlockSeed* seed) const;
   // False if the event's seed is not known yet.
-  bool ApplyStored(const std::string& worker, const channels::ObjectVersion& version,
+  bool ApplyStored(const std::string& worker, const invalidation::ObjectVersion& version,
                    const KvEvent& event);
 
   runtime::Runtime* const runtime_;
--- a/src/posthatch/channels/channel_fleet-test.cc
+++ b/src/posthatch/invalidation/channel_fleet-test.cc
@@ -7,13 +7,13 @@
 #include <memory>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/channels/channel_names.h"
-#include "posthatch/channels/invalidation_relay.h"
-#include "posthatch/channels/invalidation_server.h"
-#include "posthatch/channels/invalidation_subscriber.h"
+#include "posthatch/invalidation/channel_names.h"
+#include "posthatch/invalidation/invalidation_relay.h"
+#include "posthatch/invalidation/invalidation_server.h"
+#include "posthatch/invalidation/invalidation_subscriber.h"
 #include "posthatch/simulation/sim_world.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 namespace {
 
 using simulation::SimHost;
@@ -382,4 +382,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/channel_messages-fuzz.cc
+++ b/src/posthatch/invalidation/channel_messages-fuzz.cc
@@ -1,18 +1,18 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "posthatch/channels/fake_runtime-test.h"
-#include "posthatch/channels/invalidation_relay.h"
-#include "posthatch/channels/invalidation_subscriber.h"
+#include "posthatch/invalidation/fake_runtime-test.h"
+#include "posthatch/invalidation/invalidation_relay.h"
+#include "posthatch/invalidation/invalidation_subscriber.h"
 
 // Any bytes as a channel message, to a subscriber that is also a relay point: nothing may crash,
 // and nothing may be trusted, since no registration was ever answered by its number.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
-  using posthatch::channels::FakeRuntime;
+  using posthatch::invalidation::FakeRuntime;
   FakeRuntime fake;
-  posthatch::channels::InvalidationSubscriber set(
+  posthatch::invalidation::InvalidationSubscriber set(
       &fake.runtime, {}, [] { return std::vector<std::string>{"10.0.0.9:7000"}; });
-  posthatch::channels::InvalidationRelay relay(&fake.runtime, {}, &set);
+  posthatch::invalidation::InvalidationRelay relay(&fake.runtime, {}, &set);
   set.Start();
   posthatch::runtime::Envelope envelope;
   envelope.set_from_endpoint("10.0.0.9:7000");
--- a/src/posthatch/channels/channel_names.cc
+++ b/src/posthatch/invalidation/channel_names.cc
@@ -1,4 +1,4 @@
-#include "posthatch/channels/channel_names.h"
+#include "posthatch/invalidation/channel_names.h"
 
 #include <xxhash.h>
 
@@ -9,7 +9,7 @@
 #include "absl/strings/str_cat.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 namespace {
 
 constexpr std::string_view kWorkerPrefix = "worker/";
@@ -76,4 +76,4 @@
   return 0;
 }
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/channel_names.h
+++ b/src/posthatch/invalidation/channel_names.h
@@ -5,12 +5,12 @@
 #include <string_view>
 #include <vector>
 
-#include "posthatch/channels/channels.pb.h"
+#include "posthatch/invalidation/invalidation.pb.h"
 #include "posthatch/runtime/clock.h"
 
 // The one place that says which object belongs to which channel (WCIP 4.3: a channel covers a class
 // of related objects), and how long each class may be trusted.
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 // Workers and their draining marks are spread over this many channels by a hash of their id.
 inline constexpr uint32_t kWorkerShards = 4;
@@ -44,4 +44,4 @@
   return version;
 }
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/channel_subscription-test.cc
+++ b/src/posthatch/invalidation/channel_subscription-test.cc
@@ -1,12 +1,12 @@
-#include "posthatch/channels/channel_subscription.h"
+#include "posthatch/invalidation/channel_subscription.h"
 
 #include <gtest/gtest.h>
 
-#include "posthatch/channels/channel_names.h"
-#include "posthatch/channels/fake_runtime-test.h"
-#include "posthatch/channels/invalidation_subscriber.h"
+#include "posthatch/invalidation/channel_names.h"
+#include "posthatch/invalidation/fake_runtime-test.h"
+#include "posthatch/invalidation/invalidation_subscriber.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 namespace {
 
 using std::chrono::milliseconds;
@@ -282,4 +282,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/channel_subscription.cc
+++ b/src/posthatch/invalidation/channel_subscription.cc
@@ -1,10 +1,10 @@
-#include "posthatch/channels/channel_subscription.h"
+#include "posthatch/invalidation/channel_subscription.h"
 
 #include <algorithm>
 
-#include "posthatch/channels/channel_names.h"
+#include "posthatch/invalidation/channel_names.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 namespace {
 
 // A channel that was silent for this many heartbeats counts as broken.
@@ -378,4 +378,4 @@
   increment_exclude_.clear();
 }
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/channel_subscription.h
+++ b/src/posthatch/invalidation/channel_subscription.h
@@ -10,10 +10,10 @@
 #include "absl/container/btree_map.h"
 #include "absl/container/btree_set.h"
 #include "absl/container/flat_hash_map.h"
-#include "posthatch/channels/channels.pb.h"
+#include "posthatch/invalidation/invalidation.pb.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 struct SubscriptionOptions {
   runtime::Duration lifetime = std::chrono::minutes(2);   // wished; zero: volume validation
@@ -147,4 +147,4 @@
   SubscriptionStats stats_;
 };
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/fake_runtime-test.h
+++ b/src/posthatch/invalidation/fake_runtime-test.h
@@ -6,11 +6,11 @@
 #include <utility>
 #include <vector>
 
-#include "posthatch/channels/channels.pb.h"
+#include "posthatch/invalidation/invalidation.pb.h"
 #include "posthatch/runtime/runtime.h"
 
 // For tests: a runtime whose time moves only when told to, and whose messages are kept.
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 class FakeClock : public runtime::Clock {
  public:
@@ -106,4 +106,4 @@
   runtime::Runtime runtime;
 };
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/channels-bench.cc
+++ b/src/posthatch/invalidation/invalidation-bench.cc
@@ -1,5 +1,5 @@
 // Cost of an invalidation server (or relay point: the same publisher) by subscribers and objects.
-// Prints one JSON object a line. Figures and their command are in docs/design-docs/channels.md.
+// Prints one JSON object a line. Figures and their command are in docs/design-docs/invalidation.md.
 #include <boost/json.hpp>
 #include <chrono>
 #include <functional>
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/channels/channel_names.h"
-#include "posthatch/channels/invalidation_server.h"
+#include "posthatch/invalidation/channel_names.h"
+#include "posthatch/invalidation/invalidation_server.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 namespace {
 
 using std::chrono::milliseconds;
@@ -175,12 +175,12 @@
 }
 
 }  // namespace
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
 
 int main() {
   for (const int subscribers : {10, 46, 325, 1300}) {
     for (const auto& [objects, changed] : {std::pair{40, 1}, {10'000, 1}, {10'000, 50}}) {
-      posthatch::channels::Measure(subscribers, objects, changed);
+      posthatch::invalidation::Measure(subscribers, objects, changed);
     }
   }
   return 0;
--- a/src/posthatch/channels/invalidation_publisher.cc
+++ b/src/posthatch/invalidation/invalidation_publisher.cc
@@ -1,10 +1,10 @@
-#include "posthatch/channels/invalidation_publisher.h"
+#include "posthatch/invalidation/invalidation_publisher.h"
 
 #include <algorithm>
 
-#include "posthatch/channels/channel_names.h"
+#include "posthatch/invalidation/channel_names.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 namespace {
 
 // A heartbeat is committed to at most this part of the lowest guarantee (WCIP 5.2.4), so that one
@@ -423,4 +423,4 @@
   StartTicking();
 }
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/invalidation_publisher.h
+++ b/src/posthatch/invalidation/invalidation_publisher.h
@@ -11,10 +11,10 @@
 #include "absl/container/btree_set.h"
 #include "absl/container/flat_hash_map.h"
 #include "absl/container/flat_hash_set.h"
-#include "posthatch/channels/channels.pb.h"
+#include "posthatch/invalidation/invalidation.pb.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 // What a publisher may say about a channel at this moment.
 struct PublisherProof {
@@ -151,4 +151,4 @@
   PublisherStats stats_;
 };
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/invalidation_relay-test.cc
+++ b/src/posthatch/invalidation/invalidation_relay-test.cc
@@ -1,11 +1,11 @@
-#include "posthatch/channels/invalidation_relay.h"
+#include "posthatch/invalidation/invalidation_relay.h"
 
 #include <gtest/gtest.h>
 
-#include "posthatch/channels/channel_names.h"
-#include "posthatch/channels/fake_runtime-test.h"
+#include "posthatch/invalidation/channel_names.h"
+#include "posthatch/invalidation/fake_runtime-test.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 namespace {
 
 using std::chrono::milliseconds;
@@ -141,4 +141,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/invalidation_relay.cc
+++ b/src/posthatch/invalidation/invalidation_relay.cc
@@ -1,11 +1,11 @@
-#include "posthatch/channels/invalidation_relay.h"
+#include "posthatch/invalidation/invalidation_relay.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "posthatch/channels/channel_names.h"
+#include "posthatch/invalidation/channel_names.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 InvalidationRelay::InvalidationRelay(runtime::Runtime* runtime, PublisherOptions options,
                                      InvalidationSubscriber* upstream)
@@ -117,4 +117,4 @@
   relayed_.erase(found);
 }
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/invalidation_relay.h
+++ b/src/posthatch/invalidation/invalidation_relay.h
@@ -4,11 +4,11 @@
 #include <vector>
 
 #include "absl/container/btree_map.h"
-#include "posthatch/channels/invalidation_publisher.h"
-#include "posthatch/channels/invalidation_subscriber.h"
+#include "posthatch/invalidation/invalidation_publisher.h"
+#include "posthatch/invalidation/invalidation_subscriber.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 // A channel relay point (WCIP 4.1): fans the channels of this process's InvalidationSubscriber out
 // to further subscribers, channel by channel or aggregated into one.
@@ -53,4 +53,4 @@
   InvalidationPublisher publisher_;
 };
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/invalidation_server-test.cc
+++ b/src/posthatch/invalidation/invalidation_server-test.cc
@@ -1,13 +1,13 @@
-#include "posthatch/channels/invalidation_server.h"
+#include "posthatch/invalidation/invalidation_server.h"
 
 #include <gtest/gtest.h>
 
 #include <map>
 
-#include "posthatch/channels/channel_names.h"
-#include "posthatch/channels/fake_runtime-test.h"
+#include "posthatch/invalidation/channel_names.h"
+#include "posthatch/invalidation/fake_runtime-test.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 namespace {
 
 using std::chrono::milliseconds;
@@ -251,4 +251,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/invalidation_server.cc
+++ b/src/posthatch/invalidation/invalidation_server.cc
@@ -1,10 +1,10 @@
-#include "posthatch/channels/invalidation_server.h"
+#include "posthatch/invalidation/invalidation_server.h"
 
 #include <utility>
 
-#include "posthatch/channels/channel_names.h"
+#include "posthatch/invalidation/channel_names.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 InvalidationServer::InvalidationServer(runtime::Runtime* runtime, InvalidationServerOptions options,
                                        ObjectSource* objects, std::function<ServingState()> serving)
@@ -76,4 +76,4 @@
   return objects_->Find(object, version);
 }
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/invalidation_server.h
+++ b/src/posthatch/invalidation/invalidation_server.h
@@ -5,12 +5,12 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/channels/invalidation_publisher.h"
-#include "posthatch/channels/metrics_export.h"
-#include "posthatch/channels/object_source.h"
+#include "posthatch/invalidation/invalidation_publisher.h"
+#include "posthatch/invalidation/metrics_export.h"
+#include "posthatch/invalidation/object_source.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 struct InvalidationServerOptions {
   PublisherOptions publisher;
@@ -49,4 +49,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/invalidation_subscriber.cc
+++ b/src/posthatch/invalidation/invalidation_subscriber.cc
@@ -1,11 +1,11 @@
-#include "posthatch/channels/invalidation_subscriber.h"
+#include "posthatch/invalidation/invalidation_subscriber.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "posthatch/channels/channel_names.h"
+#include "posthatch/invalidation/channel_names.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 InvalidationSubscriber::InvalidationSubscriber(runtime::Runtime* runtime,
                                                InvalidationSubscriberOptions options,
@@ -146,4 +146,4 @@
   return total;
 }
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/invalidation_subscriber.h
+++ b/src/posthatch/invalidation/invalidation_subscriber.h
@@ -6,11 +6,11 @@
 #include <vector>
 
 #include "absl/container/btree_map.h"
-#include "posthatch/channels/channel_subscription.h"
-#include "posthatch/channels/object_trust.h"
+#include "posthatch/invalidation/channel_subscription.h"
+#include "posthatch/invalidation/object_trust.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 struct InvalidationSubscriberOptions {
   SubscriptionOptions subscription;
@@ -75,4 +75,4 @@
   RequestHandler request_handler_;
 };
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/metrics_export.h
+++ b/src/posthatch/invalidation/metrics_export.h
@@ -10,7 +10,7 @@
 
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 // Shows counters that a component keeps as plain numbers as Prometheus gauges, refreshed once a
 // second. Nothing is shown if the runtime has no registry. Owned by the component whose numbers it
@@ -38,4 +38,4 @@
   runtime::Timer timer_;
 };
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/object_source.h
+++ b/src/posthatch/invalidation/object_source.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/channels/channels.pb.h"
+#include "posthatch/invalidation/invalidation.pb.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 // The durable versions of a controller's objects, as an invalidation server sees them
 // (implementation: control::ControlState). Event loop thread only.
@@ -31,4 +31,4 @@
   uint64_t epoch = 0;
 };
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/channels/object_trust.h
+++ b/src/posthatch/invalidation/object_trust.h
@@ -2,9 +2,9 @@
 
 #include <string>
 
-#include "posthatch/channels/channels.pb.h"
+#include "posthatch/invalidation/invalidation.pb.h"
 
-namespace posthatch::channels {
+namespace posthatch::invalidation {
 
 // The subscriber's judgement (WCIP 3.1, 5.3): is this object fresh at this version right now?
 class ObjectTrust {
@@ -18,4 +18,4 @@
   virtual bool CurrentVersion(const std::string& object, ObjectVersion* version) const = 0;
 };
 
-}  // namespace posthatch::channels
+}  // namespace posthatch::invalidation
--- a/src/posthatch/membership/gossip_sockets-test.cc
+++ b/src/posthatch/membership/gossip_sockets-test.cc
@@ -1,8 +1,8 @@
 #include <gtest/gtest.h>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/asio/asio_runtime.h"
 #include "posthatch/membership/gossip_membership.h"
+#include "posthatch/net/asio_runtime.h"
 
 namespace posthatch::membership {
 namespace {
@@ -13,11 +13,11 @@
 // A process over real sockets; all of a test run in its thread, by turns.
 struct Process {
   Process(size_t number, std::vector<std::string> seeds) {
-    asio::AsioRuntimeOptions options;
+    net::AsioRuntimeOptions options;
     options.node_id = absl::StrCat("node-", number);
     options.internal_endpoint = "127.0.0.1:0";
     options.log_level = runtime::Severity::kError;
-    auto created = asio::AsioRuntime::Create(options);
+    auto created = net::AsioRuntime::Create(options);
     EXPECT_TRUE(created.ok()) << created.status();
     runtime = std::move(*created);
     Member self;
@@ -27,7 +27,7 @@
     membership = std::make_unique<GossipMembership>(runtime->runtime(), self, std::move(seeds));
     membership->Start();
   }
-  std::unique_ptr<asio::AsioRuntime> runtime;
+  std::unique_ptr<net::AsioRuntime> runtime;
   std::unique_ptr<GossipMembership> membership;
 };
 
--- a/src/posthatch/asio/asio_clock.cc
+++ b/src/posthatch/net/asio_clock.cc
@@ -1,10 +1,10 @@
-#include "posthatch/asio/asio_clock.h"
+#include "posthatch/net/asio_clock.h"
 
 #include <chrono>
 
-#include "posthatch/asio/asio_types.h"
+#include "posthatch/net/asio_types.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 runtime::MonotonicTime AsioClock::Now() const { return BootNow(); }
 
@@ -13,4 +13,4 @@
   return std::chrono::duration_cast<std::chrono::nanoseconds>(since_epoch).count();
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_clock.h
+++ b/src/posthatch/net/asio_clock.h
@@ -2,7 +2,7 @@
 
 #include "posthatch/runtime/clock.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // The machine's clocks: CLOCK_BOOTTIME and CLOCK_REALTIME. Any thread.
 class AsioClock : public runtime::Clock {
@@ -11,4 +11,4 @@
   int64_t WallNanoseconds() const override;
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_file_system-test.cc
+++ b/src/posthatch/net/asio_file_system-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/asio_file_system.h"
+#include "posthatch/net/asio_file_system.h"
 
 #include <sys/resource.h>
 #include <unistd.h>
@@ -9,9 +9,9 @@
 
 #include "gmock/gmock.h"
 #include "gtest/gtest.h"
-#include "posthatch/asio/raw_socket-test.h"
+#include "posthatch/net/raw_socket-test.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 using runtime::FileOperation;
@@ -165,4 +165,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_file_system.cc
+++ b/src/posthatch/net/asio_file_system.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/asio_file_system.h"
+#include "posthatch/net/asio_file_system.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -16,13 +16,13 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "posthatch/asio/asio_types.h"
-#include "posthatch/asio/file_operations.h"
+#include "posthatch/net/asio_types.h"
+#include "posthatch/net/file_operations.h"
 #include "prometheus/counter.h"
 #include "prometheus/gauge.h"
 #include "prometheus/histogram.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 using runtime::FileOperation;
@@ -199,4 +199,4 @@
   return std::make_unique<AsioFileSystem>(options, descriptor, metrics);
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_file_system.h
+++ b/src/posthatch/net/asio_file_system.h
@@ -5,11 +5,11 @@
 #include <string>
 
 #include "absl/status/statusor.h"
-#include "posthatch/asio/fault_injection.h"
+#include "posthatch/net/fault_injection.h"
 #include "posthatch/runtime/file_system.h"
 #include "prometheus/registry.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 struct FileSystemOptions {
   // Created if missing. Locked as long as the file system lives, so that no second process shares
@@ -29,4 +29,4 @@
 absl::StatusOr<std::unique_ptr<runtime::FileSystem>> MakeAsioFileSystem(
     const FileSystemOptions& options, prometheus::Registry* metrics);
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_runtime-test.cc
+++ b/src/posthatch/net/asio_runtime-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/asio_runtime.h"
+#include "posthatch/net/asio_runtime.h"
 
 #include <unistd.h>
 
@@ -9,10 +9,10 @@
 #include <thread>
 
 #include "gtest/gtest.h"
-#include "posthatch/asio/lazy_deadline.h"
-#include "posthatch/asio/raw_socket-test.h"
+#include "posthatch/net/lazy_deadline.h"
+#include "posthatch/net/raw_socket-test.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 using std::chrono::milliseconds;
@@ -154,4 +154,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_runtime.cc
+++ b/src/posthatch/net/asio_runtime.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/asio_runtime.h"
+#include "posthatch/net/asio_runtime.h"
 
 #include <google/protobuf/stubs/logging.h>
 
@@ -10,14 +10,14 @@
 #include <random>
 #include <utility>
 
-#include "posthatch/asio/asio_clock.h"
-#include "posthatch/asio/asio_file_system.h"
-#include "posthatch/asio/asio_timer_service.h"
-#include "posthatch/asio/asio_transport.h"
-#include "posthatch/asio/beast_http_server.h"
-#include "posthatch/asio/tcp_stream.h"
+#include "posthatch/net/asio_clock.h"
+#include "posthatch/net/asio_file_system.h"
+#include "posthatch/net/asio_timer_service.h"
+#include "posthatch/net/asio_transport.h"
+#include "posthatch/net/beast_http_server.h"
+#include "posthatch/net/tcp_stream.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 uint64_t TrueRandom() {
@@ -172,4 +172,4 @@
   return created;
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_runtime.h
+++ b/src/posthatch/net/asio_runtime.h
@@ -7,13 +7,13 @@
 
 #include "absl/status/status.h"
 #include "absl/status/statusor.h"
-#include "posthatch/asio/beast_http_client.h"
-#include "posthatch/asio/fault_injection.h"
-#include "posthatch/asio/json_trace_sink.h"
-#include "posthatch/asio/transport_limits.h"
+#include "posthatch/net/beast_http_client.h"
+#include "posthatch/net/fault_injection.h"
+#include "posthatch/net/json_trace_sink.h"
+#include "posthatch/net/transport_limits.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 struct AsioRuntimeOptions {
   std::string node_id;
@@ -60,4 +60,4 @@
   virtual void OnReloadSignal(std::function<void()> callback) = 0;
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_timer_service.cc
+++ b/src/posthatch/net/asio_timer_service.cc
@@ -1,9 +1,9 @@
-#include "posthatch/asio/asio_timer_service.h"
+#include "posthatch/net/asio_timer_service.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 runtime::TimerId AsioTimerService::Schedule(runtime::Duration delay,
                                             std::function<void()> callback) {
@@ -29,4 +29,4 @@
   callback();
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_timer_service.h
+++ b/src/posthatch/net/asio_timer_service.h
@@ -3,10 +3,10 @@
 #include <functional>
 
 #include "absl/container/flat_hash_map.h"
-#include "posthatch/asio/asio_types.h"
+#include "posthatch/net/asio_types.h"
 #include "posthatch/runtime/timer_service.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // One Asio timer an entry. Owned by AsioRuntime; event loop thread only.
 class AsioTimerService : public runtime::TimerService {
@@ -29,4 +29,4 @@
   absl::flat_hash_map<runtime::TimerId, Entry> entries_;
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_transport-test.cc
+++ b/src/posthatch/net/asio_transport-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/asio_transport.h"
+#include "posthatch/net/asio_transport.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -9,10 +9,10 @@
 
 #include "gmock/gmock.h"
 #include "gtest/gtest.h"
-#include "posthatch/asio/envelope_codec.h"
-#include "posthatch/asio/raw_socket-test.h"
+#include "posthatch/net/envelope_codec.h"
+#include "posthatch/net/raw_socket-test.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 using runtime::Delivery;
@@ -357,4 +357,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_transport.cc
+++ b/src/posthatch/net/asio_transport.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/asio_transport.h"
+#include "posthatch/net/asio_transport.h"
 
 #include <array>
 #include <boost/asio/basic_datagram_socket.hpp>
@@ -6,13 +6,13 @@
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "posthatch/asio/endpoint.h"
-#include "posthatch/asio/envelope_codec.h"
-#include "posthatch/asio/tcp_listener.h"
-#include "posthatch/asio/transport_peer.h"
+#include "posthatch/net/endpoint.h"
+#include "posthatch/net/envelope_codec.h"
+#include "posthatch/net/tcp_listener.h"
+#include "posthatch/net/transport_peer.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 using runtime::Delivery;
@@ -360,4 +360,4 @@
   return transport;
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_transport.h
+++ b/src/posthatch/net/asio_transport.h
@@ -5,14 +5,14 @@
 #include <string>
 
 #include "absl/status/statusor.h"
-#include "posthatch/asio/tcp_stream.h"
-#include "posthatch/asio/transport_limits.h"
+#include "posthatch/net/tcp_stream.h"
+#include "posthatch/net/transport_limits.h"
 #include "posthatch/runtime/random.h"
 #include "posthatch/runtime/trace.h"
 #include "posthatch/runtime/transport.h"
 #include "prometheus/registry.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 struct TransportIdentity {
   std::string node_id;
@@ -28,4 +28,4 @@
     IoEnvironment* environment, const TransportIdentity& identity, const TransportLimits& limits,
     runtime::Random* random, runtime::TraceSink* trace, prometheus::Registry* metrics);
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio_types.h
+++ b/src/posthatch/net/asio_types.h
@@ -13,7 +13,7 @@
 
 // Asio types over the concrete executor of one io_context, which saves the type-erased one's
 // allocations. Included by .cc files and private headers of this folder only.
-namespace posthatch::asio {
+namespace posthatch::net {
 
 using IoExecutor = boost::asio::io_context::executor_type;
 using TcpSocket = boost::asio::basic_stream_socket<boost::asio::ip::tcp, IoExecutor>;
@@ -42,4 +42,4 @@
   return runtime::MonotonicTime(BootClock::now().time_since_epoch());
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/beast_http_client-test.cc
+++ b/src/posthatch/net/beast_http_client-test.cc
@@ -1,12 +1,12 @@
-#include "posthatch/asio/beast_http_client.h"
+#include "posthatch/net/beast_http_client.h"
 
 #include <optional>
 
 #include "gmock/gmock.h"
 #include "gtest/gtest.h"
-#include "posthatch/asio/raw_socket-test.h"
+#include "posthatch/net/raw_socket-test.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 using std::chrono::milliseconds;
@@ -385,4 +385,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/beast_http_client.cc
+++ b/src/posthatch/net/beast_http_client.cc
@@ -1,16 +1,16 @@
-#include "posthatch/asio/beast_http_client.h"
+#include "posthatch/net/beast_http_client.h"
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "posthatch/asio/endpoint.h"
-#include "posthatch/asio/http_client_connection.h"
+#include "posthatch/net/endpoint.h"
+#include "posthatch/net/http_client_connection.h"
 #include "prometheus/counter.h"
 #include "prometheus/gauge.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 class BeastHttpClient;
@@ -162,4 +162,4 @@
   return std::make_unique<BeastHttpClient>(environment, options, metrics);
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/beast_http_client.h
+++ b/src/posthatch/net/beast_http_client.h
@@ -6,7 +6,7 @@
 #include "posthatch/http/http.h"
 #include "prometheus/registry.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 struct IoEnvironment;
 
@@ -25,4 +25,4 @@
                                                       const HttpClientOptions& options,
                                                       prometheus::Registry* metrics);
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/beast_http_server-test.cc
+++ b/src/posthatch/net/beast_http_server-test.cc
@@ -1,13 +1,13 @@
-#include "posthatch/asio/beast_http_server.h"
+#include "posthatch/net/beast_http_server.h"
 
 #include <boost/json.hpp>
 #include <random>
 
 #include "gmock/gmock.h"
 #include "gtest/gtest.h"
-#include "posthatch/asio/raw_socket-test.h"
+#include "posthatch/net/raw_socket-test.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 using ::testing::HasSubstr;
@@ -379,4 +379,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/beast_http_server.cc
+++ b/src/posthatch/net/beast_http_server.cc
@@ -1,17 +1,17 @@
-#include "posthatch/asio/beast_http_server.h"
+#include "posthatch/net/beast_http_server.h"
 
 #include <boost/asio/basic_socket_acceptor.hpp>
 #include <utility>
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "posthatch/asio/endpoint.h"
-#include "posthatch/asio/http_server_connection.h"
-#include "posthatch/asio/tcp_listener.h"
+#include "posthatch/net/endpoint.h"
+#include "posthatch/net/http_server_connection.h"
+#include "posthatch/net/tcp_listener.h"
 #include "prometheus/counter.h"
 #include "prometheus/gauge.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 // Metric families of all servers of one process.
@@ -145,4 +145,4 @@
   return std::make_unique<BeastHttpServerFactory>(environment, metrics);
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/beast_http_server.h
+++ b/src/posthatch/net/beast_http_server.h
@@ -5,7 +5,7 @@
 #include "posthatch/http/http.h"
 #include "prometheus/registry.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 struct IoEnvironment;
 
@@ -16,4 +16,4 @@
 std::unique_ptr<http::HttpServerFactory> MakeBeastHttpServerFactory(IoEnvironment* environment,
                                                                     prometheus::Registry* metrics);
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/endpoint.cc
+++ b/src/posthatch/net/endpoint.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/endpoint.h"
+#include "posthatch/net/endpoint.h"
 
 #include <boost/asio/error.hpp>
 #include <boost/asio/ip/address.hpp>
@@ -6,10 +6,10 @@
 
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_cat.h"
-#include "posthatch/asio/endpoint_check.h"
+#include "posthatch/net/endpoint_check.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 absl::StatusOr<TcpEndpoint> ParseEndpoint(std::string_view text) {
   const auto invalid = [text] {
@@ -54,4 +54,4 @@
   return absl::UnavailableError(text);
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/endpoint.h
+++ b/src/posthatch/net/endpoint.h
@@ -5,9 +5,9 @@
 
 #include "absl/status/status.h"
 #include "absl/status/statusor.h"
-#include "posthatch/asio/asio_types.h"
+#include "posthatch/net/asio_types.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // Reads "ip:port" or "[ipv6]:port"; names are not looked up. Errors: InvalidArgument.
 absl::StatusOr<TcpEndpoint> ParseEndpoint(std::string_view text);
@@ -19,4 +19,4 @@
 // (no file descriptors left) or Internal; the message names `operation`.
 absl::Status SocketError(std::string_view operation, const boost::system::error_code& error);
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/endpoint_check.h
+++ b/src/posthatch/net/endpoint_check.h
@@ -2,10 +2,10 @@
 
 #include <string>
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // Whether `text` is an "ip:port" or "[ipv6]:port" that a peer could connect to, except that the
 // port may be 0: the address is not unspecified (0.0.0.0, ::) and not a multicast one.
 bool IsConnectableEndpoint(const std::string& text);
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/envelope_codec-fuzz.cc
+++ b/src/posthatch/net/envelope_codec-fuzz.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/asio/envelope_codec.h"
+#include "posthatch/net/envelope_codec.h"
 
 namespace {
 
@@ -19,7 +19,7 @@
 };
 
 Result Decode(std::string_view bytes, size_t step) {
-  posthatch::asio::FrameDecoder decoder(kMaxFrameBytes);
+  posthatch::net::FrameDecoder decoder(kMaxFrameBytes);
   Result result;
   while (!bytes.empty() && result.ok) {
     const size_t size = std::min(step, bytes.size());
@@ -31,7 +31,7 @@
                           })
                     .ok();
     bytes.remove_prefix(size);
-    if (decoder.buffered_bytes() > kMaxFrameBytes + posthatch::asio::kFrameHeaderBytes) abort();
+    if (decoder.buffered_bytes() > kMaxFrameBytes + posthatch::net::kFrameHeaderBytes) abort();
   }
   return result;
 }
--- a/src/posthatch/asio/envelope_codec.cc
+++ b/src/posthatch/net/envelope_codec.cc
@@ -1,11 +1,11 @@
-#include "posthatch/asio/envelope_codec.h"
+#include "posthatch/net/envelope_codec.h"
 
 #include <boost/endian/conversion.hpp>
 #include <utility>
 
 #include "absl/strings/str_cat.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 uint32_t LoadLength(std::string_view bytes) {
@@ -74,4 +74,4 @@
   return status;
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/envelope_codec.h
+++ b/src/posthatch/net/envelope_codec.h
@@ -8,7 +8,7 @@
 #include "absl/status/status.h"
 #include "posthatch/runtime/transport.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // Frames on a stream between posthatch processes: the length of the serialized `Envelope` in four
 // bytes, big endian, then the envelope.
@@ -43,4 +43,4 @@
   bool stopped_ = false;
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/fault_injection-test.cc
+++ b/src/posthatch/net/fault_injection-test.cc
@@ -1,9 +1,9 @@
-#include "posthatch/asio/fault_injection.h"
+#include "posthatch/net/fault_injection.h"
 
 #include "gtest/gtest.h"
-#include "posthatch/asio/raw_socket-test.h"
+#include "posthatch/net/raw_socket-test.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 using std::chrono::milliseconds;
@@ -133,4 +133,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/fault_injection.cc
+++ b/src/posthatch/net/fault_injection.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/fault_injection.h"
+#include "posthatch/net/fault_injection.h"
 
 #include <boost/json.hpp>
 #include <utility>
@@ -6,7 +6,7 @@
 #include "absl/strings/str_cat.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 namespace json = boost::json;
@@ -149,4 +149,4 @@
 
 void FaultInjection::Unsubscribe(uint64_t subscription) { listeners_.erase(subscription); }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/fault_injection.h
+++ b/src/posthatch/net/fault_injection.h
@@ -13,7 +13,7 @@
 #include "absl/status/statusor.h"
 #include "posthatch/runtime/clock.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // What a rehearsal asks for, as parsed from `PUT /debug/faults`. Endpoints are the peers'
 // listening endpoints, "ip:port", or a bare "ip" for every port of it.
@@ -61,4 +61,4 @@
   absl::flat_hash_map<uint64_t, std::function<void()>> listeners_;
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/file_operations.cc
+++ b/src/posthatch/net/file_operations.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/file_operations.h"
+#include "posthatch/net/file_operations.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -13,7 +13,7 @@
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_split.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 using runtime::FileOperation;
@@ -177,4 +177,4 @@
   open_.clear();
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/file_operations.h
+++ b/src/posthatch/net/file_operations.h
@@ -7,7 +7,7 @@
 #include "absl/status/statusor.h"
 #include "posthatch/runtime/file_system.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // ResourceExhausted (no space, quota), NotFound or Internal, with `path` in the message.
 absl::Status FileError(const std::string& operation, const std::string& path, int error_number);
@@ -48,4 +48,4 @@
   bool uncertain_ = false;
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/http_client_connection.cc
+++ b/src/posthatch/net/http_client_connection.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/http_client_connection.h"
+#include "posthatch/net/http_client_connection.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -11,7 +11,7 @@
 #include "absl/strings/str_split.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 constexpr uint32_t kMaxHeaderBytes = 64 * 1024;
@@ -304,4 +304,4 @@
   }
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/http_client_connection.h
+++ b/src/posthatch/net/http_client_connection.h
@@ -5,11 +5,11 @@
 #include <optional>
 #include <string>
 
-#include "posthatch/asio/http_message.h"
-#include "posthatch/asio/tcp_stream.h"
 #include "posthatch/http/http.h"
+#include "posthatch/net/http_message.h"
+#include "posthatch/net/tcp_stream.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 class HttpClientConnection;
 
@@ -109,4 +109,4 @@
   runtime::Duration idle_lifetime_{0};
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/http_message.cc
+++ b/src/posthatch/net/http_message.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/http_message.h"
+#include "posthatch/net/http_message.h"
 
 #include <algorithm>
 #include <array>
@@ -13,7 +13,7 @@
 #include "absl/strings/str_cat.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 namespace beast_http = boost::beast::http;
@@ -126,4 +126,4 @@
 
 void AppendLastChunk(std::string* out) { AppendBuffers(beast_http::chunk_last<>(), out); }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/http_message.h
+++ b/src/posthatch/net/http_message.h
@@ -10,7 +10,7 @@
 
 // HTTP/1.1 messages (RFC 9112) read by Beast's incremental parser and written by its serializer,
 // to and from plain strings. Private to the HTTP server and client.
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // Collects one message. Fields of a trailer are dropped. Body bytes gather in `body`, from where
 // a streaming reader takes them between calls of put().
@@ -93,4 +93,4 @@
 inline constexpr std::string_view kChunkEnd = "\r\n";
 void AppendLastChunk(std::string* out);
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/http_server_connection.cc
+++ b/src/posthatch/net/http_server_connection.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/http_server_connection.h"
+#include "posthatch/net/http_server_connection.h"
 
 #include <boost/asio/post.hpp>
 #include <boost/beast/http/error.hpp>
@@ -8,7 +8,7 @@
 #include "absl/strings/match.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 namespace beast_http = boost::beast::http;
@@ -419,4 +419,4 @@
   stream_->ResumeReading();
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/http_server_connection.h
+++ b/src/posthatch/net/http_server_connection.h
@@ -5,12 +5,12 @@
 #include <optional>
 #include <string>
 
-#include "posthatch/asio/http_message.h"
-#include "posthatch/asio/tcp_stream.h"
 #include "posthatch/http/http.h"
+#include "posthatch/net/http_message.h"
+#include "posthatch/net/tcp_stream.h"
 #include "prometheus/counter.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 class HttpServerConnection;
 
@@ -101,4 +101,4 @@
   uint64_t lingered_bytes_ = 0;
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/json_trace_sink.cc
+++ b/src/posthatch/net/json_trace_sink.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/json_trace_sink.h"
+#include "posthatch/net/json_trace_sink.h"
 
 #include <spdlog/async.h>
 #include <spdlog/async_logger.h>
@@ -16,7 +16,7 @@
 #include "absl/time/time.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 using runtime::Severity;
@@ -91,4 +91,4 @@
       absl::StrCat("no level: ", util::ToAbsl(name), " (debug, info, warning, error)"));
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/json_trace_sink.h
+++ b/src/posthatch/net/json_trace_sink.h
@@ -6,7 +6,7 @@
 #include "absl/status/statusor.h"
 #include "posthatch/runtime/trace.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // Trace events as JSON lines on stderr or in a file, written by spdlog's own thread so that the
 // event loop never waits for the disk or a pipe; when 8192 lines wait, the oldest are dropped.
@@ -28,4 +28,4 @@
 // Errors: InvalidArgument.
 absl::StatusOr<runtime::Severity> ParseSeverity(std::string_view name);
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/lazy_deadline.cc
+++ b/src/posthatch/net/lazy_deadline.cc
@@ -1,8 +1,8 @@
-#include "posthatch/asio/lazy_deadline.h"
+#include "posthatch/net/lazy_deadline.h"
 
 #include <utility>
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 LazyDeadline::LazyDeadline(boost::asio::io_context* io_context, std::function<void()> on_expired)
     : timer_(*io_context), on_expired_(std::move(on_expired)) {}
@@ -38,4 +38,4 @@
   on_expired();
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/lazy_deadline.h
+++ b/src/posthatch/net/lazy_deadline.h
@@ -3,9 +3,9 @@
 #include <functional>
 #include <memory>
 
-#include "posthatch/asio/asio_types.h"
+#include "posthatch/net/asio_types.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // A deadline that moves often, as each request on a kept connection does: moving it later costs no
 // timer operation; the timer finds the new time when it fires and waits on. Owned by a connection,
@@ -35,4 +35,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/asio-bench.cc
+++ b/src/posthatch/net/net-bench.cc
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <vector>
 
-#include "posthatch/asio/asio_runtime.h"
+#include "posthatch/net/asio_runtime.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 std::unique_ptr<AsioRuntime> MakeRuntime() {
@@ -125,4 +125,4 @@
 BENCHMARK(BM_StreamedPieces)->Unit(benchmark::kMillisecond);
 
 }  // namespace
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/raw_socket-test.cc
+++ b/src/posthatch/net/raw_socket-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/raw_socket-test.h"
+#include "posthatch/net/raw_socket-test.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -11,7 +11,7 @@
 
 #include "gtest/gtest.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 constexpr runtime::Duration kPollInterval = std::chrono::milliseconds(1);
@@ -139,4 +139,4 @@
   runtime->RunUntil([] { return false; }, time);
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/raw_socket-test.h
+++ b/src/posthatch/net/raw_socket-test.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <string_view>
 
-#include "posthatch/asio/asio_runtime.h"
+#include "posthatch/net/asio_runtime.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // A bare TCP socket on loopback for tests, that can misbehave as no library lets one. Reading runs
 // the event loop under test, in the same thread.
@@ -72,4 +72,4 @@
 // Runs the event loop for `time`.
 void RunFor(AsioRuntime* runtime, runtime::Duration time);
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/stream_faults.cc
+++ b/src/posthatch/net/stream_faults.cc
@@ -1,9 +1,9 @@
-#include "posthatch/asio/stream_faults.h"
+#include "posthatch/net/stream_faults.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 StreamFaults::StreamFaults(boost::asio::io_context* io_context, FaultInjection* faults,
                            const std::function<void()>& resume)
@@ -60,4 +60,4 @@
   return bytes;
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/stream_faults.h
+++ b/src/posthatch/net/stream_faults.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <string_view>
 
-#include "posthatch/asio/fault_injection.h"
-#include "posthatch/asio/lazy_deadline.h"
+#include "posthatch/net/fault_injection.h"
+#include "posthatch/net/lazy_deadline.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // The faults of one TcpStream: cuts, and bytes that are sent or received late. Exists only in
 // processes with fault injection. Owned by its stream.
@@ -57,4 +57,4 @@
   std::deque<Received> received_;
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/tcp_listener.cc
+++ b/src/posthatch/net/tcp_listener.cc
@@ -1,11 +1,11 @@
-#include "posthatch/asio/tcp_listener.h"
+#include "posthatch/net/tcp_listener.h"
 
 #include <boost/asio/basic_socket_acceptor.hpp>
 #include <utility>
 
-#include "posthatch/asio/endpoint.h"
+#include "posthatch/net/endpoint.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 // Wait after an error that accepting again at once would only repeat.
@@ -68,4 +68,4 @@
       });
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/tcp_listener.h
+++ b/src/posthatch/net/tcp_listener.h
@@ -5,10 +5,10 @@
 #include <string>
 
 #include "absl/status/status.h"
-#include "posthatch/asio/asio_types.h"
-#include "posthatch/asio/tcp_stream.h"
+#include "posthatch/net/asio_types.h"
+#include "posthatch/net/tcp_stream.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // Accepts TCP connections; goes on after errors such as too many open files. Owned by the server
 // or transport it serves. Event loop thread only.
@@ -35,4 +35,4 @@
   std::shared_ptr<State> state_;  // shared with the pending operation
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/tcp_stream.cc
+++ b/src/posthatch/net/tcp_stream.cc
@@ -1,4 +1,4 @@
-#include "posthatch/asio/tcp_stream.h"
+#include "posthatch/net/tcp_stream.h"
 
 #include <linux/sockios.h>
 #include <netinet/in.h>
@@ -12,9 +12,9 @@
 #include <boost/asio/socket_base.hpp>
 #include <utility>
 
-#include "posthatch/asio/endpoint.h"
+#include "posthatch/net/endpoint.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 // Buffers handed to one system call.
@@ -329,4 +329,4 @@
   }
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/tcp_stream.h
+++ b/src/posthatch/net/tcp_stream.h
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include "absl/status/status.h"
-#include "posthatch/asio/asio_types.h"
-#include "posthatch/asio/fault_injection.h"
-#include "posthatch/asio/lazy_deadline.h"
-#include "posthatch/asio/stream_faults.h"
+#include "posthatch/net/asio_types.h"
+#include "posthatch/net/fault_injection.h"
+#include "posthatch/net/lazy_deadline.h"
+#include "posthatch/net/stream_faults.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // What the streams of one event loop share. Owned by AsioRuntime.
 struct IoEnvironment {
@@ -150,4 +150,4 @@
   std::unique_ptr<StreamFaults> faults_;  // null without fault injection
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/transport_limits.h
+++ b/src/posthatch/net/transport_limits.h
@@ -5,7 +5,7 @@
 
 #include "posthatch/runtime/clock.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 struct TransportLimits {
   // A longer message is dropped by the sender, and ends the connection at the receiver.
@@ -24,4 +24,4 @@
   runtime::Duration idle_timeout = std::chrono::minutes(5);
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/transport_metrics.h
+++ b/src/posthatch/net/transport_metrics.h
@@ -4,7 +4,7 @@
 #include "prometheus/gauge.h"
 #include "prometheus/registry.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // Metrics of the transport. Owned by it.
 struct TransportMetrics {
@@ -57,4 +57,4 @@
   prometheus::Gauge& queued_bytes;
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/transport_peer.cc
+++ b/src/posthatch/net/transport_peer.cc
@@ -1,9 +1,9 @@
-#include "posthatch/asio/transport_peer.h"
+#include "posthatch/net/transport_peer.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace posthatch::asio {
+namespace posthatch::net {
 namespace {
 
 // Frames up to this size are copied together.
@@ -126,4 +126,4 @@
   reported_bytes_ = now;
 }
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/asio/transport_peer.h
+++ b/src/posthatch/net/transport_peer.h
@@ -4,12 +4,12 @@
 #include <memory>
 #include <string>
 
-#include "posthatch/asio/asio_transport.h"
-#include "posthatch/asio/lazy_deadline.h"
-#include "posthatch/asio/tcp_stream.h"
-#include "posthatch/asio/transport_metrics.h"
+#include "posthatch/net/asio_transport.h"
+#include "posthatch/net/lazy_deadline.h"
+#include "posthatch/net/tcp_stream.h"
+#include "posthatch/net/transport_metrics.h"
 
-namespace posthatch::asio {
+namespace posthatch::net {
 
 // What the peers of one transport share.
 struct TransportPeerContext {
@@ -62,4 +62,4 @@
   runtime::MonotonicTime last_sent_;
 };
 
-}  // namespace posthatch::asio
+}  // namespace posthatch::net
--- a/src/posthatch/orders/revision_enforcer-test.cc
+++ b/src/posthatch/rollout/revision_enforcer-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/orders/revision_enforcer.h"
+#include "posthatch/rollout/revision_enforcer.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 
 #include "posthatch/simulation/sim_world.h"
 
-namespace posthatch::orders {
+namespace posthatch::rollout {
 namespace {
 
 using runtime::Duration;
@@ -151,4 +151,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::orders
+}  // namespace posthatch::rollout
--- a/src/posthatch/orders/revision_enforcer.cc
+++ b/src/posthatch/rollout/revision_enforcer.cc
@@ -1,4 +1,4 @@
-#include "posthatch/orders/revision_enforcer.h"
+#include "posthatch/rollout/revision_enforcer.h"
 
 #include <prometheus/counter.h>
 
@@ -9,7 +9,7 @@
 
 #include "absl/strings/str_cat.h"
 
-namespace posthatch::orders {
+namespace posthatch::rollout {
 namespace {
 
 constexpr int kNoResponse = 0;
@@ -150,4 +150,4 @@
   return nullptr;
 }
 
-}  // namespace posthatch::orders
+}  // namespace posthatch::rollout
--- a/src/posthatch/orders/revision_enforcer.h
+++ b/src/posthatch/rollout/revision_enforcer.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/control/control_client.h"
+#include "posthatch/control/client/control_client.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::orders {
+namespace posthatch::rollout {
 
 struct RevisionEnforcerOptions {
   // How soon a worker that is still loading, or didn't answer, is asked again.
@@ -70,4 +70,4 @@
   prometheus::Family<prometheus::Counter>* commands_counter_ = nullptr;
 };
 
-}  // namespace posthatch::orders
+}  // namespace posthatch::rollout
--- a/src/posthatch/orders/rollout_coordinator-test.cc
+++ b/src/posthatch/rollout/rollout_coordinator-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/orders/rollout_coordinator.h"
+#include "posthatch/rollout/rollout_coordinator.h"
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 
 #include "posthatch/simulation/sim_world.h"
 
-namespace posthatch::orders {
+namespace posthatch::rollout {
 namespace {
 
 using std::chrono::milliseconds;
@@ -243,4 +243,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::orders
+}  // namespace posthatch::rollout
--- a/src/posthatch/orders/rollout_coordinator.cc
+++ b/src/posthatch/rollout/rollout_coordinator.cc
@@ -1,11 +1,11 @@
-#include "posthatch/orders/rollout_coordinator.h"
+#include "posthatch/rollout/rollout_coordinator.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 #include <vector>
 
-namespace posthatch::orders {
+namespace posthatch::rollout {
 namespace {
 
 constexpr int kStatusOk = 200;
@@ -265,4 +265,4 @@
   parts_.publish();
 }
 
-}  // namespace posthatch::orders
+}  // namespace posthatch::rollout
--- a/src/posthatch/orders/rollout_coordinator.h
+++ b/src/posthatch/rollout/rollout_coordinator.h
@@ -7,10 +7,10 @@
 #include <string>
 
 #include "posthatch/control/control.pb.h"
-#include "posthatch/orders/worker_command_format.h"
+#include "posthatch/rollout/worker_command_format.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::orders {
+namespace posthatch::rollout {
 
 struct RolloutOptions {
   std::string issuer;  // this machine's name in orders
@@ -102,4 +102,4 @@
   runtime::Timer tick_timer_;
 };
 
-}  // namespace posthatch::orders
+}  // namespace posthatch::rollout
--- a/src/posthatch/orders/worker_command_format.h
+++ b/src/posthatch/rollout/worker_command_format.h
@@ -6,7 +6,7 @@
 #include "absl/status/statusor.h"
 #include "posthatch/http/http.h"
 
-namespace posthatch::orders {
+namespace posthatch::rollout {
 
 // An order to load a model's weights.
 struct LoadWeightsCommand {
@@ -46,4 +46,4 @@
                                                    const std::string& model) const = 0;
 };
 
-}  // namespace posthatch::orders
+}  // namespace posthatch::rollout
--- a/src/posthatch/traffic/call_format.h
+++ b/src/posthatch/routing/call_format.h
@@ -9,7 +9,7 @@
 #include "posthatch/http/http.h"
 #include "posthatch/runtime/clock.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // A stretch of a prompt that may be kept and shared, named by its content and all before it.
 struct PromptSegment {
@@ -83,4 +83,4 @@
   virtual http::Response MakeLocalReply(const LocalReply& reply) const = 0;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/in_flight_prefills-test.cc
+++ b/src/posthatch/routing/in_flight_prefills-test.cc
@@ -1,8 +1,8 @@
-#include "posthatch/traffic/in_flight_prefills.h"
+#include "posthatch/routing/in_flight_prefills.h"
 
-#include "posthatch/traffic/traffic_fixture-test.h"
+#include "posthatch/routing/traffic_fixture-test.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 class InFlightPrefillsTest : public testing::Test {
@@ -66,4 +66,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/in_flight_prefills.cc
+++ b/src/posthatch/routing/in_flight_prefills.cc
@@ -1,8 +1,8 @@
-#include "posthatch/traffic/in_flight_prefills.h"
+#include "posthatch/routing/in_flight_prefills.h"
 
 #include <algorithm>
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 constexpr runtime::Duration kSweepInterval = std::chrono::seconds(1);
@@ -65,4 +65,4 @@
   }
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/in_flight_prefills.h
+++ b/src/posthatch/routing/in_flight_prefills.h
@@ -8,7 +8,7 @@
 #include "absl/container/flat_hash_map.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // A gateway has sent a prompt to a worker that has to read its shared segments first.
 struct PrefillStart {
@@ -71,4 +71,4 @@
   runtime::MonotonicTime next_sweep_at_;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/load_reporter-test.cc
+++ b/src/posthatch/routing/load_reporter-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/traffic/load_reporter.h"
+#include "posthatch/routing/load_reporter.h"
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 
 #include "posthatch/simulation/sim_world.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -263,4 +263,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/load_reporter.cc
+++ b/src/posthatch/routing/load_reporter.cc
@@ -1,10 +1,10 @@
-#include "posthatch/traffic/load_reporter.h"
+#include "posthatch/routing/load_reporter.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 // Room for the envelope beside the payload of a datagram.
@@ -380,4 +380,4 @@
              report.zone().empty() ? &gateway_loads_[from_node] : &zone_loads_[report.zone()]);
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/load_reporter.h
+++ b/src/posthatch/routing/load_reporter.h
@@ -9,11 +9,11 @@
 
 #include "absl/container/flat_hash_map.h"
 #include "absl/container/flat_hash_set.h"
+#include "posthatch/routing/in_flight_prefills.h"
+#include "posthatch/routing/routing.pb.h"
 #include "posthatch/runtime/runtime.h"
-#include "posthatch/traffic/in_flight_prefills.h"
-#include "posthatch/traffic/traffic.pb.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 struct LoadReporterOptions {
   std::string zone;
@@ -183,4 +183,4 @@
   runtime::Timer aggregation_timer_;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/placer-test.cc
+++ b/src/posthatch/routing/placer-test.cc
@@ -1,11 +1,11 @@
-#include "posthatch/traffic/placer.h"
+#include "posthatch/routing/placer.h"
 
 #include <map>
 #include <string>
 
-#include "posthatch/traffic/traffic_fixture-test.h"
+#include "posthatch/routing/traffic_fixture-test.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 // Workers w1 and w2 in this gateway's zone, w3 in another one, all warm and of one revision.
@@ -213,4 +213,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/placer.cc
+++ b/src/posthatch/routing/placer.cc
@@ -1,4 +1,4 @@
-#include "posthatch/traffic/placer.h"
+#include "posthatch/routing/placer.h"
 
 #include <xxhash.h>
 
@@ -8,7 +8,7 @@
 
 #include "absl/container/inlined_vector.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 constexpr size_t kRankedCandidates = 3;
@@ -369,4 +369,4 @@
   return best;
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/placer.h
+++ b/src/posthatch/routing/placer.h
@@ -6,13 +6,13 @@
 
 #include "posthatch/control/control.pb.h"
 #include "posthatch/index/prefix_locator.h"
+#include "posthatch/routing/in_flight_prefills.h"
+#include "posthatch/routing/prefix_stores.h"
+#include "posthatch/routing/routing_switches.h"
+#include "posthatch/routing/worker_pool.h"
 #include "posthatch/runtime/runtime.h"
-#include "posthatch/traffic/in_flight_prefills.h"
-#include "posthatch/traffic/prefix_stores.h"
-#include "posthatch/traffic/routing_switches.h"
-#include "posthatch/traffic/worker_pool.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // What placing needs to know of a prompt.
 struct PromptShape {
@@ -129,4 +129,4 @@
   PrefillRate prefill_rate_;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/prefix_stores-test.cc
+++ b/src/posthatch/routing/prefix_stores-test.cc
@@ -1,9 +1,9 @@
-#include "posthatch/traffic/prefix_stores.h"
+#include "posthatch/routing/prefix_stores.h"
 
-#include "posthatch/traffic/store_health_checker.h"
-#include "posthatch/traffic/traffic_fixture-test.h"
+#include "posthatch/routing/store_health_checker.h"
+#include "posthatch/routing/traffic_fixture-test.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 class PrefixStoresTest : public TrafficTest {
@@ -102,4 +102,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/prefix_stores.cc
+++ b/src/posthatch/routing/prefix_stores.cc
@@ -1,11 +1,11 @@
-#include "posthatch/traffic/prefix_stores.h"
+#include "posthatch/routing/prefix_stores.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 // What was told of a store's health counts for so long. Of watchers that disagree the one that
@@ -91,4 +91,4 @@
   ++store->backoffs;
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/prefix_stores.h
+++ b/src/posthatch/routing/prefix_stores.h
@@ -7,7 +7,7 @@
 #include "posthatch/control/control.pb.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // One store of kept KV cache as this gateway sees it.
 struct PrefixStore {
@@ -48,4 +48,4 @@
   std::vector<PrefixStore> stores_;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/retry_budget.cc
+++ b/src/posthatch/routing/retry_budget.cc
@@ -1,8 +1,8 @@
-#include "posthatch/traffic/retry_budget.h"
+#include "posthatch/routing/retry_budget.h"
 
 #include <algorithm>
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 void RetryBudget::DropExpired(Window* window) const {
   const runtime::MonotonicTime window_start = clock_->Now() - options_.window;
@@ -31,4 +31,4 @@
   return true;
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/retry_budget.h
+++ b/src/posthatch/routing/retry_budget.h
@@ -8,7 +8,7 @@
 #include "absl/container/flat_hash_map.h"
 #include "posthatch/runtime/clock.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 struct RetryBudgetOptions {
   // Arrivals at workers beyond the first of each request that all gateways together may cause in
@@ -46,4 +46,4 @@
   absl::flat_hash_map<std::string, Window> windows_;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/route_table.cc
+++ b/src/posthatch/routing/route_table.cc
@@ -1,11 +1,11 @@
-#include "posthatch/traffic/route_table.h"
+#include "posthatch/routing/route_table.h"
 
 #include <algorithm>
 
 #include "absl/strings/ascii.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 std::string HostKey(std::string_view host) {
@@ -56,4 +56,4 @@
   return found == services_.end() ? nullptr : found->second;
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/route_table.h
+++ b/src/posthatch/routing/route_table.h
@@ -7,7 +7,7 @@
 #include "absl/container/flat_hash_map.h"
 #include "posthatch/control/control.pb.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // Look-ups in one traffic configuration. Refers to the configuration it was built from, which must
 // outlive it. Event loop thread only.
@@ -35,4 +35,4 @@
   bool has_tenants_ = false;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/routing_switches.h
+++ b/src/posthatch/routing/routing_switches.h
@@ -1,6 +1,6 @@
 #pragma once
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // The mechanisms of routing, each of which can be switched off to measure what it is worth
 // (scripts/experiments/ablate.sh). All are on unless the settings' [routing] table says otherwise.
@@ -26,4 +26,4 @@
   bool priorities = true;        // tell workers how urgent a prompt is
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/slow_start_limiter.cc
+++ b/src/posthatch/routing/slow_start_limiter.cc
@@ -1,10 +1,10 @@
-#include "posthatch/traffic/slow_start_limiter.h"
+#include "posthatch/routing/slow_start_limiter.h"
 
 #include <xxhash.h>
 
 #include "absl/strings/str_cat.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 uint64_t Rank(const std::string& worker_id, const std::string& gateway) {
@@ -33,4 +33,4 @@
   last_send_at_[worker_id] = clock_->Now();
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/slow_start_limiter.h
+++ b/src/posthatch/routing/slow_start_limiter.h
@@ -9,7 +9,7 @@
 #include "absl/container/flat_hash_map.h"
 #include "posthatch/runtime/clock.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // Keeps what a cold worker gets, from all gateways together, below what it takes: a few gateways,
 // chosen for each worker by rendezvous hashing over those alive, may send to it, each no faster
@@ -41,4 +41,4 @@
   absl::flat_hash_map<std::string, runtime::MonotonicTime> last_send_at_;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/sse_framer.cc
+++ b/src/posthatch/routing/sse_framer.cc
@@ -1,8 +1,8 @@
-#include "posthatch/traffic/sse_framer.h"
+#include "posthatch/routing/sse_framer.h"
 
 #include <charconv>
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 constexpr std::string_view kIdField = "id:";
@@ -81,4 +81,4 @@
   last_number_ = ToNumber(id);
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/sse_framer.h
+++ b/src/posthatch/routing/sse_framer.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // Cuts a stream of server-sent events into whole events: a part of an event is never passed on,
 // since a worker may break off in the middle of one. Follows the events' ids, so that a stream can
@@ -37,4 +37,4 @@
   uint64_t events_ = 0;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/store_health_checker.cc
+++ b/src/posthatch/routing/store_health_checker.cc
@@ -1,9 +1,9 @@
-#include "posthatch/traffic/store_health_checker.h"
+#include "posthatch/routing/store_health_checker.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 constexpr int kStatusOk = 200;
@@ -68,4 +68,4 @@
   parts_.report(endpoint, false);
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/store_health_checker.h
+++ b/src/posthatch/routing/store_health_checker.h
@@ -9,7 +9,7 @@
 #include "posthatch/index/kv_event_format.h"
 #include "posthatch/runtime/runtime.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 struct StoreHealthCheckerOptions {
   const index::KvEventFormat* format = index::NativeKvEventFormat();
@@ -58,4 +58,4 @@
   runtime::Timer timer_;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/traffic_context.h
+++ b/src/posthatch/routing/traffic_context.h
@@ -4,20 +4,20 @@
 #include <memory>
 #include <string>
 
-#include "posthatch/channels/object_trust.h"
 #include "posthatch/gateway/fleet_lookup.h"
 #include "posthatch/index/prefix_locator.h"
+#include "posthatch/invalidation/object_trust.h"
+#include "posthatch/routing/call_format.h"
+#include "posthatch/routing/in_flight_prefills.h"
+#include "posthatch/routing/placer.h"
+#include "posthatch/routing/prefix_stores.h"
+#include "posthatch/routing/retry_budget.h"
+#include "posthatch/routing/routing_switches.h"
+#include "posthatch/routing/traffic_metrics.h"
+#include "posthatch/routing/worker_pool.h"
 #include "posthatch/runtime/runtime.h"
-#include "posthatch/traffic/call_format.h"
-#include "posthatch/traffic/in_flight_prefills.h"
-#include "posthatch/traffic/placer.h"
-#include "posthatch/traffic/prefix_stores.h"
-#include "posthatch/traffic/retry_budget.h"
-#include "posthatch/traffic/routing_switches.h"
-#include "posthatch/traffic/traffic_metrics.h"
-#include "posthatch/traffic/worker_pool.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 class TrafficRequest;
 
@@ -36,11 +36,11 @@
   TrafficMetrics* metrics = nullptr;
   const gateway::FleetLookup* lookup = nullptr;
   index::PrefixLocator* locator = nullptr;
-  const channels::ObjectTrust* trust = nullptr;
+  const invalidation::ObjectTrust* trust = nullptr;
   // Takes an ended request out of the set of running ones, not from within its own call.
   std::function<void(TrafficRequest*)> retire;
   // Destroys a call later, not from within one of its callbacks.
   std::function<void(std::unique_ptr<http::Call>)> destroy_later;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/traffic_fixture-test.h
+++ b/src/posthatch/routing/traffic_fixture-test.h
@@ -6,10 +6,10 @@
 
 #include "gtest/gtest.h"
 #include "posthatch/gateway/gateway_fakes-test.h"
-#include "posthatch/traffic/traffic_gateway.h"
+#include "posthatch/routing/traffic_gateway.h"
 
 // A traffic gateway over fakes, driven by the test.
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -85,10 +85,14 @@
   const std::string node_id_ = "gateway-1";
 };
 
-class NoTrust : public channels::ObjectTrust {
+class NoTrust : public invalidation::ObjectTrust {
  public:
-  bool IsFresh(const std::string&, const channels::ObjectVersion&) const override { return false; }
-  bool CurrentVersion(const std::string&, channels::ObjectVersion*) const override { return false; }
+  bool IsFresh(const std::string&, const invalidation::ObjectVersion&) const override {
+    return false;
+  }
+  bool CurrentVersion(const std::string&, invalidation::ObjectVersion*) const override {
+    return false;
+  }
 };
 
 class SilentTrace : public runtime::TraceSink {
@@ -238,4 +242,4 @@
   int sent_ = 0;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/traffic_gateway-test.cc
+++ b/src/posthatch/routing/traffic_gateway-test.cc
@@ -1,8 +1,8 @@
-#include "posthatch/traffic/traffic_gateway.h"
+#include "posthatch/routing/traffic_gateway.h"
 
-#include "posthatch/traffic/traffic_fixture-test.h"
+#include "posthatch/routing/traffic_fixture-test.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 class TrafficGatewayTest : public TrafficTest {};
@@ -190,4 +190,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/traffic_gateway.cc
+++ b/src/posthatch/routing/traffic_gateway.cc
@@ -1,10 +1,10 @@
-#include "posthatch/traffic/traffic_gateway.h"
+#include "posthatch/routing/traffic_gateway.h"
 
 #include <utility>
 
 #include "absl/strings/str_cat.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 // A list read by the leader that is older than the bound for draining less this is read again by
@@ -21,7 +21,7 @@
 
 TrafficGateway::TrafficGateway(runtime::Runtime* runtime, TrafficGatewayOptions options,
                                control::FleetView* view, index::PrefixLocator* locator,
-                               const channels::ObjectTrust* trust)
+                               const invalidation::ObjectTrust* trust)
     : runtime_(runtime),
       options_(std::move(options)),
       view_(view),
@@ -238,4 +238,4 @@
   Sweep();
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/traffic_gateway.h
+++ b/src/posthatch/routing/traffic_gateway.h
@@ -6,18 +6,18 @@
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "posthatch/control/control_client.h"
-#include "posthatch/control/fleet_sections.h"
-#include "posthatch/control/inventory_watch.h"
+#include "posthatch/control/client/control_client.h"
+#include "posthatch/control/inventory/inventory_watch.h"
+#include "posthatch/control/state/fleet_sections.h"
 #include "posthatch/gateway/live_gateway_count.h"
-#include "posthatch/traffic/route_table.h"
-#include "posthatch/traffic/routing_switches.h"
-#include "posthatch/traffic/store_health_checker.h"
-#include "posthatch/traffic/traffic_context.h"
-#include "posthatch/traffic/traffic_request.h"
-#include "posthatch/traffic/weighted_split.h"
+#include "posthatch/routing/route_table.h"
+#include "posthatch/routing/routing_switches.h"
+#include "posthatch/routing/store_health_checker.h"
+#include "posthatch/routing/traffic_context.h"
+#include "posthatch/routing/traffic_request.h"
+#include "posthatch/routing/weighted_split.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 struct TrafficGatewayOptions {
   std::string gateway_id;
@@ -48,7 +48,7 @@
 class TrafficGateway {
  public:
   TrafficGateway(runtime::Runtime* runtime, TrafficGatewayOptions options, control::FleetView* view,
-                 index::PrefixLocator* locator, const channels::ObjectTrust* trust);
+                 index::PrefixLocator* locator, const invalidation::ObjectTrust* trust);
   ~TrafficGateway();
   TrafficGateway(const TrafficGateway&) = delete;
   TrafficGateway& operator=(const TrafficGateway&) = delete;
@@ -114,4 +114,4 @@
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/traffic_metrics.h
+++ b/src/posthatch/routing/traffic_metrics.h
@@ -3,7 +3,7 @@
 #include "posthatch/gateway/gateway_metrics.h"
 #include "prometheus/registry.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // Counters of routed traffic; each is documented by the help text it is registered with.
 struct TrafficMetrics {
@@ -30,4 +30,4 @@
   gateway::LabeledCounter inventory_reads;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/traffic_parts-test.cc
+++ b/src/posthatch/routing/traffic_parts-test.cc
@@ -1,11 +1,11 @@
 #include <gtest/gtest.h>
 
 #include "posthatch/gateway/gateway_fakes-test.h"
-#include "posthatch/traffic/retry_budget.h"
-#include "posthatch/traffic/route_table.h"
-#include "posthatch/traffic/sse_framer.h"
+#include "posthatch/routing/retry_budget.h"
+#include "posthatch/routing/route_table.h"
+#include "posthatch/routing/sse_framer.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 control::TrafficRoute* AddRoute(control::TrafficConfiguration* configuration,
@@ -93,4 +93,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/traffic_request-test.cc
+++ b/src/posthatch/routing/traffic_request-test.cc
@@ -1,10 +1,10 @@
-#include "posthatch/traffic/traffic_request.h"
+#include "posthatch/routing/traffic_request.h"
 
 #include <set>
 
-#include "posthatch/traffic/traffic_fixture-test.h"
+#include "posthatch/routing/traffic_fixture-test.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 using http::CallProgress;
@@ -219,4 +219,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/traffic_request.cc
+++ b/src/posthatch/routing/traffic_request.cc
@@ -1,11 +1,11 @@
-#include "posthatch/traffic/traffic_request.h"
+#include "posthatch/routing/traffic_request.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "posthatch/index/trusted_prefix_locator.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 constexpr runtime::Duration kConnectTimeout = std::chrono::milliseconds(300);
@@ -363,7 +363,7 @@
   const auto chain = std::find_if(chains_.begin(), chains_.end(), [this](const HashedChain& named) {
     return named.seed.model_revision == revision_;
   });
-  channels::ObjectVersion version;
+  invalidation::ObjectVersion version;
   const std::string object = index::HolderObject(index::HolderKind::kWorker, worker_->backend.id());
   if (chain == chains_.end() || !context_->trust->CurrentVersion(object, &version)) return;
   context_->locator->RecordDispatch(chain->seed, chain->blocks, worker_->backend.id(),
@@ -516,4 +516,4 @@
   context_->retire(this);
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/traffic_request.h
+++ b/src/posthatch/routing/traffic_request.h
@@ -6,10 +6,10 @@
 
 #include "posthatch/control/control.pb.h"
 #include "posthatch/index/block_hash.h"
-#include "posthatch/traffic/sse_framer.h"
-#include "posthatch/traffic/traffic_context.h"
+#include "posthatch/routing/sse_framer.h"
+#include "posthatch/routing/traffic_context.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // A caller's call that was let in: its route, its tenant and the service that is to run it.
 struct AdmittedCall {
@@ -126,4 +126,4 @@
   http::Response response_;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/weighted_split-test.cc
+++ b/src/posthatch/routing/weighted_split-test.cc
@@ -1,11 +1,11 @@
-#include "posthatch/traffic/weighted_split.h"
+#include "posthatch/routing/weighted_split.h"
 
 #include <gtest/gtest.h>
 
 #include <cmath>
 #include <map>
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 control::TrafficRoute Route(const std::string& name, const std::vector<uint32_t>& weights) {
@@ -66,4 +66,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/weighted_split.cc
+++ b/src/posthatch/routing/weighted_split.cc
@@ -1,6 +1,6 @@
-#include "posthatch/traffic/weighted_split.h"
+#include "posthatch/routing/weighted_split.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 // The fractional part of the golden ratio: its multiples leave no large gaps.
@@ -32,4 +32,4 @@
   return chosen;
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/weighted_split.h
+++ b/src/posthatch/routing/weighted_split.h
@@ -8,7 +8,7 @@
 #include "posthatch/control/control.pb.h"
 #include "posthatch/runtime/random.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // Divides the requests of a route among its targets by their weights. Draws by chance would leave
 // the shares off by some percent over a few hundred requests, and each gateway sees few: each route
@@ -29,4 +29,4 @@
   absl::flat_hash_map<std::string, double> positions_;  // by route, in [0, 1)
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/worker_pool.cc
+++ b/src/posthatch/routing/worker_pool.cc
@@ -1,12 +1,12 @@
-#include "posthatch/traffic/worker_pool.h"
+#include "posthatch/routing/worker_pool.h"
 
 #include <algorithm>
 #include <cmath>
 
 #include "absl/container/flat_hash_set.h"
-#include "posthatch/control/selector.h"
+#include "posthatch/control/state/selector.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 namespace {
 
 constexpr double kWaitWeight = 0.3;       // of a new measurement
@@ -265,4 +265,4 @@
   worker->revision = std::max(worker->revision, revision);
 }
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/traffic/worker_pool.h
+++ b/src/posthatch/routing/worker_pool.h
@@ -7,13 +7,13 @@
 
 #include "absl/container/flat_hash_map.h"
 #include "posthatch/control/control.pb.h"
+#include "posthatch/routing/load_reporter.h"
+#include "posthatch/routing/route_table.h"
+#include "posthatch/routing/routing_switches.h"
+#include "posthatch/routing/slow_start_limiter.h"
 #include "posthatch/runtime/runtime.h"
-#include "posthatch/traffic/load_reporter.h"
-#include "posthatch/traffic/route_table.h"
-#include "posthatch/traffic/routing_switches.h"
-#include "posthatch/traffic/slow_start_limiter.h"
 
-namespace posthatch::traffic {
+namespace posthatch::routing {
 
 // One worker incarnation as this gateway sees it. Requests keep it alive after it has left the
 // list.
@@ -126,4 +126,4 @@
   bool inventory_known_ = false;
 };
 
-}  // namespace posthatch::traffic
+}  // namespace posthatch::routing
--- a/src/posthatch/daemon/command_line-test.cc
+++ b/src/posthatch/server/command_line-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/daemon/command_line.h"
+#include "posthatch/server/command_line.h"
 
 #include <unistd.h>
 
@@ -10,7 +10,7 @@
 #include "gtest/gtest.h"
 #include "posthatch/http/http.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 using ::testing::HasSubstr;
@@ -260,4 +260,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/command_line.cc
+++ b/src/posthatch/server/command_line.cc
@@ -1,4 +1,4 @@
-#include "posthatch/daemon/command_line.h"
+#include "posthatch/server/command_line.h"
 
 #include <sys/resource.h>
 
@@ -9,13 +9,13 @@
 #include <sstream>
 
 #include "absl/status/statusor.h"
-#include "posthatch/asio/asio_runtime.h"
-#include "posthatch/daemon/process_runner.h"
-#include "posthatch/daemon/settings_loader.h"
-#include "posthatch/daemon/settings_table.h"
-#include "posthatch/daemon/settings_watch.h"
+#include "posthatch/net/asio_runtime.h"
+#include "posthatch/server/process_runner.h"
+#include "posthatch/server/settings/settings_loader.h"
+#include "posthatch/server/settings/settings_table.h"
+#include "posthatch/server/settings/settings_watch.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 // What the command line said for one role.
@@ -66,16 +66,16 @@
   return kExitBadSettings;
 }
 
-absl::StatusOr<std::unique_ptr<asio::AsioRuntime>> MakeRuntime(const NodeSettings& node,
-                                                               bool enable_fault_injection) {
-  asio::AsioRuntimeOptions options;
+absl::StatusOr<std::unique_ptr<net::AsioRuntime>> MakeRuntime(const NodeSettings& node,
+                                                              bool enable_fault_injection) {
+  net::AsioRuntimeOptions options;
   options.node_id = node.node_id;
   options.internal_endpoint = node.internal_endpoint;
   options.data_folder = node.data_folder;
   options.log_file = node.log_file;
   options.log_level = node.log_level;
   options.enable_fault_injection = enable_fault_injection;
-  return asio::AsioRuntime::Create(options);
+  return net::AsioRuntime::Create(options);
 }
 
 // Connections take a file descriptor each: asks for as many as the system lets the process have.
@@ -162,4 +162,4 @@
       });
 }
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/command_line.h
+++ b/src/posthatch/server/command_line.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "posthatch/daemon/process_factory.h"
+#include "posthatch/server/process_factory.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 // Exit codes of posthatchd.
 inline constexpr int kExitOk = 0;           // after a drain; --check-config found no error
@@ -13,4 +13,4 @@
 // Returns the exit code.
 int RunCommandLine(int argc, const char* const* argv, ProcessFactory* factory);
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/common_http.cc
+++ b/src/posthatch/server/common_http.cc
@@ -1,4 +1,4 @@
-#include "posthatch/daemon/common_http.h"
+#include "posthatch/server/common_http.h"
 
 #include <openssl/crypto.h>
 #include <openssl/evp.h>
@@ -12,7 +12,7 @@
 #include "absl/strings/match.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 namespace json = boost::json;
@@ -141,4 +141,4 @@
   return JsonResponse(200, {{"acknowledged", true}});
 }
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/common_http.h
+++ b/src/posthatch/server/common_http.h
@@ -6,11 +6,11 @@
 #include <string_view>
 
 #include "absl/status/status.h"
-#include "posthatch/daemon/process.h"
 #include "posthatch/http/http.h"
+#include "posthatch/server/process.h"
 #include "prometheus/registry.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 struct CommonHttpOptions {
   Process* process = nullptr;
@@ -57,4 +57,4 @@
 http::Response ErrorResponse(int status, std::string_view code, std::string_view message,
                              std::string_view executed);
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/controller_node.cc
+++ b/src/posthatch/server/controller_node.cc
@@ -1,13 +1,13 @@
-#include "posthatch/daemon/controller_node.h"
+#include "posthatch/server/controller_node.h"
 
 #include <boost/json/array.hpp>
 #include <boost/json/object.hpp>
 #include <boost/json/serialize.hpp>
 #include <utility>
 
-#include "posthatch/daemon/member_views.h"
+#include "posthatch/server/member_views.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 constexpr int kNotFound = 404;
@@ -64,7 +64,7 @@
                   settings_.node.seeds, membership::GossipOptions{}),
       replica_(runtime, MakeReplicaOptions(settings_, &membership_), &state_),
       service_(runtime, ServiceOptions(), &replica_, this, &state_),
-      invalidation_server_(runtime, channels::InvalidationServerOptions{}, &state_,
+      invalidation_server_(runtime, invalidation::InvalidationServerOptions{}, &state_,
                            [this] { return Serving(); }),
       admin_api_(
           runtime,
@@ -81,18 +81,18 @@
                                                          formats_->operators, service_.client(),
                                                          service_.client());
   rollouts_ =
-      std::make_unique<orders::RolloutCoordinator>(runtime, RolloutSettings(), RolloutParts());
+      std::make_unique<rollout::RolloutCoordinator>(runtime, RolloutSettings(), RolloutParts());
 }
 
-orders::RolloutOptions ControllerNode::RolloutSettings() const {
-  orders::RolloutOptions options;
+rollout::RolloutOptions ControllerNode::RolloutSettings() const {
+  rollout::RolloutOptions options;
   options.issuer = settings_.node.node_id;
   options.handover_period = settings_.order_handover;
   return options;
 }
 
-orders::RolloutCoordinator::Parts ControllerNode::RolloutParts() {
-  orders::RolloutCoordinator::Parts parts;
+rollout::RolloutCoordinator::Parts ControllerNode::RolloutParts() {
+  rollout::RolloutCoordinator::Parts parts;
   parts.format = formats_->orders;
   parts.fleet = [this]() -> const control::FleetState& { return state_.fleet(); };
   parts.may_command = [this] { return service_.leading() && replica_.HasQuorumNow(); };
@@ -145,8 +145,8 @@
 
 bool ControllerNode::HasLeaderLease() const { return replica_.HasQuorumNow(); }
 
-channels::ServingState ControllerNode::Serving() const {
-  channels::ServingState serving;
+invalidation::ServingState ControllerNode::Serving() const {
+  invalidation::ServingState serving;
   serving.serving = service_.leading() && replica_.HasQuorumNow();
   serving.epoch = replica_.term();
   return serving;
@@ -198,4 +198,4 @@
   return boost::json::serialize(view);
 }
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/controller_node.h
+++ b/src/posthatch/server/controller_node.h
@@ -2,20 +2,20 @@
 
 #include <memory>
 
-#include "posthatch/channels/invalidation_server.h"
 #include "posthatch/consensus/raft_replica.h"
-#include "posthatch/control/admin_api.h"
-#include "posthatch/control/control_state.h"
-#include "posthatch/control/controller_service.h"
-#include "posthatch/control/leader_lease_guard.h"
-#include "posthatch/control/operator_api.h"
-#include "posthatch/daemon/node_settings.h"
-#include "posthatch/daemon/platform_formats.h"
-#include "posthatch/daemon/process.h"
+#include "posthatch/control/admin/admin_api.h"
+#include "posthatch/control/admin/operator_api.h"
+#include "posthatch/control/server/controller_service.h"
+#include "posthatch/control/server/leader_lease_guard.h"
+#include "posthatch/control/state/control_state.h"
+#include "posthatch/invalidation/invalidation_server.h"
 #include "posthatch/membership/gossip_membership.h"
-#include "posthatch/orders/rollout_coordinator.h"
+#include "posthatch/rollout/rollout_coordinator.h"
+#include "posthatch/server/platform_formats.h"
+#include "posthatch/server/process.h"
+#include "posthatch/server/settings/node_settings.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 // A controller: one replica of the log with the control state on it, the invalidation server, and
 // what gateways and operators ask of the leader. The same in real processes and in the simulator.
@@ -42,11 +42,11 @@
   const control::ControlState& state() const { return state_; }
 
  private:
-  channels::ServingState Serving() const;
+  invalidation::ServingState Serving() const;
   std::string ControllersView() const;
   control::ControllerServiceOptions ServiceOptions();
-  orders::RolloutOptions RolloutSettings() const;
-  orders::RolloutCoordinator::Parts RolloutParts();
+  rollout::RolloutOptions RolloutSettings() const;
+  rollout::RolloutCoordinator::Parts RolloutParts();
   void LeaveFleet(std::function<void()> done);
 
   runtime::Runtime* const runtime_;
@@ -56,12 +56,12 @@
   control::ControlState state_;
   consensus::RaftReplica replica_;
   control::ControllerService service_;
-  channels::InvalidationServer invalidation_server_;
+  invalidation::InvalidationServer invalidation_server_;
   control::AdminApi admin_api_;
   // Both only with `formats`.
   std::unique_ptr<control::OperatorApi> operator_api_;
-  std::unique_ptr<orders::RolloutCoordinator> rollouts_;
+  std::unique_ptr<rollout::RolloutCoordinator> rollouts_;
   runtime::Timer leave_timer_;
 };
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/gateway_node.cc
+++ b/src/posthatch/server/gateway_node.cc
@@ -1,10 +1,10 @@
-#include "posthatch/daemon/gateway_node.h"
+#include "posthatch/server/gateway_node.h"
 
 #include <utility>
 
-#include "posthatch/daemon/member_views.h"
+#include "posthatch/server/member_views.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 constexpr std::string_view kAdminPrefix = "/admin/v1/";
@@ -77,7 +77,7 @@
           }),
       gateway_(runtime, MakeGatewayOptions(settings_, &membership_), &session_, &session_,
                index_.locator()),
-      revision_enforcer_(runtime, orders::RevisionEnforcerOptions{}, &session_,
+      revision_enforcer_(runtime, rollout::RevisionEnforcerOptions{}, &session_,
                          [this](const std::string& worker_id, uint64_t* fencing_token) {
                            return session_.HoldsWorker(worker_id, fencing_token);
                          }),
@@ -120,4 +120,4 @@
   }
 }
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/gateway_node.h
+++ b/src/posthatch/server/gateway_node.h
@@ -2,16 +2,16 @@
 
 #include <memory>
 
-#include "posthatch/control/admin_api.h"
-#include "posthatch/control/gateway_session.h"
-#include "posthatch/daemon/node_settings.h"
-#include "posthatch/daemon/process.h"
+#include "posthatch/control/admin/admin_api.h"
+#include "posthatch/control/client/gateway_session.h"
 #include "posthatch/gateway/gateway.h"
 #include "posthatch/index/index_node.h"
 #include "posthatch/membership/gossip_membership.h"
-#include "posthatch/orders/revision_enforcer.h"
+#include "posthatch/rollout/revision_enforcer.h"
+#include "posthatch/server/process.h"
+#include "posthatch/server/settings/node_settings.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 // A gateway: finds the controllers by gossip, holds a session lease, keeps the prefix cache index,
 // serves callers, and cares for the workers whose leases it holds. The same in real processes and
@@ -37,9 +37,9 @@
   control::GatewaySession session_;
   index::IndexNode index_;
   gateway::Gateway gateway_;
-  orders::RevisionEnforcer revision_enforcer_;
+  rollout::RevisionEnforcer revision_enforcer_;
   control::AdminApi admin_api_;
   runtime::Timer leave_timer_;
 };
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/main.cc
+++ b/src/posthatch/server/main.cc
@@ -1,8 +1,8 @@
-#include "posthatch/daemon/command_line.h"
-#include "posthatch/daemon/controller_node.h"
-#include "posthatch/daemon/gateway_node.h"
+#include "posthatch/server/command_line.h"
+#include "posthatch/server/controller_node.h"
+#include "posthatch/server/gateway_node.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 class NodeFactory : public ProcessFactory {
@@ -18,9 +18,9 @@
 };
 
 }  // namespace
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
 
 int main(int argc, char** argv) {
-  posthatch::daemon::NodeFactory factory;
-  return posthatch::daemon::RunCommandLine(argc, argv, &factory);
+  posthatch::server::NodeFactory factory;
+  return posthatch::server::RunCommandLine(argc, argv, &factory);
 }
--- a/src/posthatch/daemon/member_views.cc
+++ b/src/posthatch/server/member_views.cc
@@ -1,10 +1,10 @@
-#include "posthatch/daemon/member_views.h"
+#include "posthatch/server/member_views.h"
 
 #include <boost/json/array.hpp>
 #include <boost/json/object.hpp>
 #include <boost/json/serialize.hpp>
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 const char* RoleName(membership::MemberRole role) {
@@ -82,4 +82,4 @@
   return boost::json::serialize(view);
 }
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/member_views.h
+++ b/src/posthatch/server/member_views.h
@@ -4,12 +4,12 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/daemon/node_settings.h"
-#include "posthatch/index/index_update_fanout.h"
+#include "posthatch/index/replication/index_update_fanout.h"
 #include "posthatch/membership/membership.h"
+#include "posthatch/server/settings/node_settings.h"
 
 // What both kinds of node derive from the members they know.
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 // This process as gossip tells the others of it.
 membership::Member MakeSelfMember(const NodeSettings& node, membership::MemberRole role,
@@ -27,4 +27,4 @@
 // Body of GET /admin/v1/members: this process first, then the others by node id.
 std::string MembersView(const membership::Membership& membership);
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/platform_fleet-test.cc
+++ b/src/posthatch/server/platform_fleet-test.cc
@@ -1,6 +1,6 @@
-#include "posthatch/daemon/platform_fleet-test.h"
+#include "posthatch/server/platform_fleet-test.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 // From an acknowledgement until a change is in force, on the platforms that posthatch serves.
@@ -88,4 +88,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/platform_fleet-test.h
+++ b/src/posthatch/server/platform_fleet-test.h
@@ -15,15 +15,15 @@
 #include "absl/strings/match.h"
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_cat.h"
-#include "posthatch/daemon/controller_node.h"
-#include "posthatch/daemon/platform_gateway_node.h"
+#include "posthatch/routing/traffic_fixture-test.h"
+#include "posthatch/server/controller_node.h"
+#include "posthatch/server/platform_gateway_node.h"
 #include "posthatch/simulation/sim_world.h"
-#include "posthatch/traffic/traffic_fixture-test.h"
 
 // A whole fleet for routed traffic in the simulator: the processes that are deployed
 // (ControllerNode, PlatformGatewayNode), the platform's list, workers that load weights, and an
 // operator.
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -71,17 +71,17 @@
   http::Response RenderUnavailable() const override { return {503, {}, ""}; }
 };
 
-class TestWorkerCommandFormat : public orders::WorkerCommandFormat {
+class TestWorkerCommandFormat : public rollout::WorkerCommandFormat {
  public:
-  http::Request MakeLoadWeightsRequest(const orders::LoadWeightsCommand& order) const override {
+  http::Request MakeLoadWeightsRequest(const rollout::LoadWeightsCommand& order) const override {
     http::Request request;
     request.method = "POST";
     request.target = absl::StrCat("/order/", order.revision);
     return request;
   }
-  orders::WorkerCommandResult ParseCommandResult(const http::Response& head) const override {
-    return head.status == 202 ? orders::WorkerCommandResult::kAccepted
-                              : orders::WorkerCommandResult::kUnknown;
+  rollout::WorkerCommandResult ParseCommandResult(const http::Response& head) const override {
+    return head.status == 202 ? rollout::WorkerCommandResult::kAccepted
+                              : rollout::WorkerCommandResult::kUnknown;
   }
   http::Request MakeStatusRequest(const std::string& /*worker_id*/) const override {
     http::Request request;
@@ -89,9 +89,9 @@
     request.target = "/report";
     return request;
   }
-  absl::StatusOr<orders::WorkerStatus> ParseStatus(const std::string& body,
-                                                   const std::string& /*model*/) const override {
-    orders::WorkerStatus report;
+  absl::StatusOr<rollout::WorkerStatus> ParseStatus(const std::string& body,
+                                                    const std::string& /*model*/) const override {
+    rollout::WorkerStatus report;
     if (!absl::SimpleAtoi(body, &report.revision)) return absl::InvalidArgumentError("no report");
     report.busy = report.revision == 0;
     return report;
@@ -101,7 +101,7 @@
 struct TestFormats {
   TestInventoryFormat inventory;
   TestOperatorFormat operators;
-  traffic::TestCallFormat calls;
+  routing::TestCallFormat calls;
   TestWorkerCommandFormat orders;
 
   PlatformFormats all() const {
@@ -381,4 +381,4 @@
   std::map<const simulation::SimHost*, std::unique_ptr<http::HttpServer>> servers_;
 };
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/platform_gateway_node.cc
+++ b/src/posthatch/server/platform_gateway_node.cc
@@ -1,10 +1,10 @@
-#include "posthatch/daemon/platform_gateway_node.h"
+#include "posthatch/server/platform_gateway_node.h"
 
 #include <utility>
 
-#include "posthatch/daemon/member_views.h"
+#include "posthatch/server/member_views.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 constexpr std::string_view kIndexPath = "/admin/v1/index";
@@ -69,8 +69,8 @@
           &session_, &session_),
       leave_timer_(runtime->timers) {}
 
-traffic::TrafficGatewayOptions PlatformGatewayNode::TrafficOptions(const PlatformFormats& formats) {
-  traffic::TrafficGatewayOptions options;
+routing::TrafficGatewayOptions PlatformGatewayNode::TrafficOptions(const PlatformFormats& formats) {
+  routing::TrafficGatewayOptions options;
   options.gateway_id = settings_.node.node_id;
   options.zone = settings_.node.zone;
   options.inventory_endpoint = settings_.node.inventory_endpoint;
@@ -119,7 +119,7 @@
   return gateway_ids_;
 }
 
-std::vector<traffic::LoadPeer> PlatformGatewayNode::OtherGateways() const {
+std::vector<routing::LoadPeer> PlatformGatewayNode::OtherGateways() const {
   RefreshGateways();
   return other_gateways_;
 }
@@ -171,4 +171,4 @@
   membership_.SetSeeds(seeds);
 }
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/platform_gateway_node.h
+++ b/src/posthatch/server/platform_gateway_node.h
@@ -4,16 +4,16 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/control/admin_api.h"
-#include "posthatch/control/gateway_session.h"
-#include "posthatch/daemon/node_settings.h"
-#include "posthatch/daemon/platform_formats.h"
-#include "posthatch/daemon/process.h"
+#include "posthatch/control/admin/admin_api.h"
+#include "posthatch/control/client/gateway_session.h"
 #include "posthatch/index/index_node.h"
 #include "posthatch/membership/gossip_membership.h"
-#include "posthatch/traffic/traffic_gateway.h"
+#include "posthatch/routing/traffic_gateway.h"
+#include "posthatch/server/platform_formats.h"
+#include "posthatch/server/process.h"
+#include "posthatch/server/settings/node_settings.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 // A gateway for routed traffic on a platform: finds the controllers by gossip, follows the fleet's
 // state, keeps the prefix cache index, and serves callers as the platform's formats say. Without
@@ -32,11 +32,11 @@
   void OnSeedsChanged(const std::vector<std::string>& seeds) override;
 
  private:
-  traffic::TrafficGatewayOptions TrafficOptions(const PlatformFormats& formats);
+  routing::TrafficGatewayOptions TrafficOptions(const PlatformFormats& formats);
   std::vector<std::string> ControllerEndpoints() const;
   std::vector<std::string> ChannelServers() const;
   std::vector<std::string> GatewayIds() const;
-  std::vector<traffic::LoadPeer> OtherGateways() const;
+  std::vector<routing::LoadPeer> OtherGateways() const;
   std::vector<index::IndexPeer> OtherIndexPeers() const;
   void RefreshGateways() const;
   void LeaveFleet(std::function<void()> done);
@@ -46,14 +46,14 @@
   membership::GossipMembership membership_;
   control::GatewaySession session_;
   index::IndexNode index_;
-  traffic::TrafficGateway traffic_;
+  routing::TrafficGateway traffic_;
   control::AdminApi admin_api_;
   runtime::Timer leave_timer_;
   // Looked up anew at most once per kMemberRefresh.
   mutable std::vector<std::string> gateway_ids_;
-  mutable std::vector<traffic::LoadPeer> other_gateways_;
+  mutable std::vector<routing::LoadPeer> other_gateways_;
   mutable std::vector<index::IndexPeer> index_peers_;
   mutable runtime::MonotonicTime gateways_refreshed_at_;
 };
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/process.h
+++ b/src/posthatch/server/process.h
@@ -9,7 +9,7 @@
 #include "absl/status/status.h"
 #include "posthatch/http/http.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 // One posthatch process (gateway or controller) as main.cc drives it: assembled from a
 // `runtime::Runtime`, which outlives it, and checked settings. The constructor does nothing that
@@ -43,4 +43,4 @@
   }
 };
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/process_factory.h
+++ b/src/posthatch/server/process_factory.h
@@ -2,11 +2,11 @@
 
 #include <memory>
 
-#include "posthatch/daemon/node_settings.h"
-#include "posthatch/daemon/process.h"
 #include "posthatch/runtime/runtime.h"
+#include "posthatch/server/process.h"
+#include "posthatch/server/settings/node_settings.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 // Builds the process of a role; what tests replace by a trivial one.
 class ProcessFactory {
@@ -18,4 +18,4 @@
                                                   const ControllerSettings& settings) = 0;
 };
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/process_runner.cc
+++ b/src/posthatch/server/process_runner.cc
@@ -1,14 +1,14 @@
-#include "posthatch/daemon/process_runner.h"
+#include "posthatch/server/process_runner.h"
 
 #include <optional>
 #include <utility>
 
 #include "absl/strings/str_join.h"
-#include "posthatch/daemon/common_http.h"
-#include "posthatch/daemon/settings_watch.h"
 #include "posthatch/runtime/timer_service.h"
+#include "posthatch/server/common_http.h"
+#include "posthatch/server/settings/settings_watch.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 using runtime::Severity;
@@ -18,7 +18,7 @@
 
 class ProcessRunner {
  public:
-  ProcessRunner(asio::AsioRuntime* asio_runtime, const NodeSettings& node,
+  ProcessRunner(net::AsioRuntime* asio_runtime, const NodeSettings& node,
                 const http::ServerLimits& limits, const SettingsFile& settings_file)
       : asio_runtime_(asio_runtime),
         runtime_(asio_runtime->runtime()),
@@ -69,14 +69,14 @@
     options.metrics = runtime_->metrics;
     options.admin_token_sha256 = node_.admin_token_sha256;
     options.set_log_level = [this](std::string_view name) -> absl::Status {
-      const auto level = asio::ParseSeverity(name);
+      const auto level = net::ParseSeverity(name);
       if (!level.ok()) return level.status();
       asio_runtime_->trace()->SetLevel(*level);
       return absl::OkStatus();
     };
     if (asio_runtime_->faults() == nullptr) return options;
     options.set_faults = [this](std::string_view json) -> absl::Status {
-      auto rules = asio::ParseFaultRules(json);
+      auto rules = net::ParseFaultRules(json);
       if (!rules.ok()) return rules.status();
       // After the answer to this call has gone out: it may cut its own caller off.
       asio_runtime_->Post([this, rules = *std::move(rules)]() mutable {
@@ -137,7 +137,7 @@
     drain_poll_.Start(kDrainPollInterval, [this] { StopWhenIdle(); });
   }
 
-  asio::AsioRuntime* const asio_runtime_;
+  net::AsioRuntime* const asio_runtime_;
   runtime::Runtime* const runtime_;
   const NodeSettings node_;
   const http::ServerLimits limits_;
@@ -155,10 +155,10 @@
 
 }  // namespace
 
-absl::Status RunProcess(asio::AsioRuntime* asio_runtime, const NodeSettings& node,
+absl::Status RunProcess(net::AsioRuntime* asio_runtime, const NodeSettings& node,
                         const http::ServerLimits& limits, const SettingsFile& settings_file,
                         const MakeProcess& make_process) {
   return ProcessRunner(asio_runtime, node, limits, settings_file).Run(make_process);
 }
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/process_runner.h
+++ b/src/posthatch/server/process_runner.h
@@ -6,11 +6,11 @@
 #include <vector>
 
 #include "absl/status/status.h"
-#include "posthatch/asio/asio_runtime.h"
-#include "posthatch/daemon/node_settings.h"
-#include "posthatch/daemon/process.h"
+#include "posthatch/net/asio_runtime.h"
+#include "posthatch/server/process.h"
+#include "posthatch/server/settings/node_settings.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 // Builds a process, once the address it answers HTTP on is bound.
 using MakeProcess = std::function<std::unique_ptr<Process>(const std::string& http_endpoint)>;
@@ -32,8 +32,8 @@
 //   3. once that is done and every answer has ended, or at `drain_deadline`, the event loop stops.
 // Destroys the process before it returns. Returns OK after a drain, also one that was cut short;
 // errors are those of Process::Start and of listening.
-absl::Status RunProcess(asio::AsioRuntime* asio_runtime, const NodeSettings& node,
+absl::Status RunProcess(net::AsioRuntime* asio_runtime, const NodeSettings& node,
                         const http::ServerLimits& limits, const SettingsFile& settings_file,
                         const MakeProcess& make_process);
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/node_settings.h
+++ b/src/posthatch/server/settings/node_settings.h
@@ -6,14 +6,14 @@
 
 #include "posthatch/http/http.h"
 #include "posthatch/membership/membership.h"
+#include "posthatch/routing/routing_switches.h"
 #include "posthatch/runtime/clock.h"
 #include "posthatch/runtime/trace.h"
-#include "posthatch/traffic/routing_switches.h"
 
 // Settings of one process, already checked (see settings_loader.h). Each field is documented here
 // and in the table of settings_table.cc, which names its key in the TOML file, checks it and makes
 // docs/operations/settings.md.
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 struct NodeSettings {
   std::string node_id;             // unique in the fleet
@@ -48,7 +48,7 @@
   double inventory_reads_per_second = 4;
   runtime::Duration revision_deadline = std::chrono::seconds(12);
   runtime::Duration drain_bound = std::chrono::seconds(3);
-  traffic::RoutingSwitches routing;
+  routing::RoutingSwitches routing;
 };
 
 struct ControllerSettings {
@@ -66,4 +66,4 @@
   runtime::Duration order_handover = std::chrono::seconds(3);
 };
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/setting_value.cc
+++ b/src/posthatch/server/settings/setting_value.cc
@@ -1,4 +1,4 @@
-#include "posthatch/daemon/setting_value.h"
+#include "posthatch/server/settings/setting_value.h"
 
 #include <algorithm>
 #include <chrono>
@@ -9,11 +9,11 @@
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_join.h"
 #include "absl/strings/str_split.h"
-#include "posthatch/asio/endpoint_check.h"
-#include "posthatch/asio/json_trace_sink.h"
+#include "posthatch/net/endpoint_check.h"
+#include "posthatch/net/json_trace_sink.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 constexpr size_t kMaxNameLength = 64;
@@ -57,7 +57,7 @@
     case SettingKind::kName:
       return IsName(text);
     case SettingKind::kEndpoint:
-      return asio::IsConnectableEndpoint(text);
+      return net::IsConnectableEndpoint(text);
     case SettingKind::kSha256:
       return IsSha256(text);
     case SettingKind::kRoutingMode:
@@ -90,7 +90,7 @@
                         SettingTarget target) {
   const auto* text = std::get_if<std::string>(&value);
   if (text == nullptr) return Refuse(setting, value);
-  const auto level = asio::ParseSeverity(*text);
+  const auto level = net::ParseSeverity(*text);
   if (!level.ok()) return Refuse(setting, value);
   *std::get<runtime::Severity*>(target) = *level;
   return absl::OkStatus();
@@ -102,7 +102,7 @@
   if (list == nullptr || list->size() > kMaxSeeds) return Refuse(setting, value);
   const absl::flat_hash_set<std::string> different(list->begin(), list->end());
   if (different.size() != list->size() ||
-      !std::all_of(list->begin(), list->end(), asio::IsConnectableEndpoint)) {
+      !std::all_of(list->begin(), list->end(), net::IsConnectableEndpoint)) {
     return Refuse(setting, value);
   }
   *std::get<std::vector<std::string>*>(target) = *list;
@@ -182,4 +182,4 @@
   return absl::InternalError("unknown kind of setting");
 }
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/setting_value.h
+++ b/src/posthatch/server/settings/setting_value.h
@@ -7,9 +7,9 @@
 
 #include "absl/status/status.h"
 #include "absl/status/statusor.h"
-#include "posthatch/daemon/settings_table.h"
+#include "posthatch/server/settings/settings_table.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 // A value as it stood in the file or in a flag, before it is checked.
 using RawSetting = std::variant<std::string, int64_t, std::vector<std::string>>;
@@ -22,4 +22,4 @@
 absl::Status StoreSetting(const SettingDescription& setting, const RawSetting& value,
                           SettingsDraft* draft);
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/settings_loader-fuzz.cc
+++ b/src/posthatch/server/settings/settings_loader-fuzz.cc
@@ -3,19 +3,19 @@
 #include <cstdint>
 #include <string>
 
-#include "posthatch/daemon/settings_loader.h"
+#include "posthatch/server/settings/settings_loader.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
-  using posthatch::daemon::SettingsTable;
+  using posthatch::server::SettingsTable;
   const std::string text(reinterpret_cast<const char*>(data), size);
-  posthatch::daemon::SettingsSource source{"fuzz.toml", text, {}};
+  posthatch::server::SettingsSource source{"fuzz.toml", text, {}};
   if (size > 0) {
     const auto& setting = SettingsTable()[data[0] % SettingsTable().size()];
     source.overrides.emplace_back(setting.Key(), text.substr(1));
   }
-  posthatch::daemon::GatewaySettings gateway;
-  posthatch::daemon::ControllerSettings controller;
-  posthatch::daemon::LoadGatewaySettings(source, &gateway);
-  posthatch::daemon::LoadControllerSettings(source, &controller);
+  posthatch::server::GatewaySettings gateway;
+  posthatch::server::ControllerSettings controller;
+  posthatch::server::LoadGatewaySettings(source, &gateway);
+  posthatch::server::LoadControllerSettings(source, &controller);
   return 0;
 }
--- a/src/posthatch/daemon/settings_loader-test.cc
+++ b/src/posthatch/server/settings/settings_loader-test.cc
@@ -1,4 +1,4 @@
-#include "posthatch/daemon/settings_loader.h"
+#include "posthatch/server/settings/settings_loader.h"
 
 #include "absl/container/flat_hash_set.h"
 #include "absl/strings/str_cat.h"
@@ -7,7 +7,7 @@
 #include "gmock/gmock.h"
 #include "gtest/gtest.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 using ::testing::ElementsAre;
@@ -176,4 +176,4 @@
 }
 
 }  // namespace
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/settings_loader.cc
+++ b/src/posthatch/server/settings/settings_loader.cc
@@ -1,4 +1,4 @@
-#include "posthatch/daemon/settings_loader.h"
+#include "posthatch/server/settings/settings_loader.h"
 
 #include <toml++/toml.h>
 
@@ -8,9 +8,9 @@
 
 #include "absl/container/btree_map.h"
 #include "absl/strings/str_cat.h"
-#include "posthatch/daemon/setting_value.h"
+#include "posthatch/server/settings/setting_value.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 constexpr const char* kCommandLine = "command line";
@@ -193,4 +193,4 @@
   return errors;
 }
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/settings_loader.h
+++ b/src/posthatch/server/settings/settings_loader.h
@@ -4,10 +4,10 @@
 #include <utility>
 #include <vector>
 
-#include "posthatch/daemon/node_settings.h"
-#include "posthatch/daemon/settings_table.h"
+#include "posthatch/server/settings/node_settings.h"
+#include "posthatch/server/settings/settings_table.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 // Something wrong with the settings.
 struct SettingsError {
@@ -34,4 +34,4 @@
 std::vector<SettingsError> LoadControllerSettings(const SettingsSource& source,
                                                   ControllerSettings* settings);
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/settings_table.cc
+++ b/src/posthatch/server/settings/settings_table.cc
@@ -1,10 +1,10 @@
-#include "posthatch/daemon/settings_table.h"
+#include "posthatch/server/settings/settings_table.h"
 
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_replace.h"
 #include "posthatch/util/string_view.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 constexpr int64_t kKibibyte = 1024;
@@ -271,7 +271,7 @@
   };
 }
 
-template <bool traffic::RoutingSwitches::*kSwitch>
+template <bool routing::RoutingSwitches::*kSwitch>
 SettingTarget RoutingTarget(SettingsDraft* draft) {
   return &(draft->gateway.routing.*kSwitch);
 }
@@ -288,7 +288,7 @@
 
 // Mechanisms of routed traffic; off only to measure what they are worth.
 std::vector<SettingDescription> RoutingTable() {
-  using Switches = traffic::RoutingSwitches;
+  using Switches = routing::RoutingSwitches;
   return {
       RoutingSwitch("index", RoutingTarget<&Switches::index>,
                     "Place prompts by what the index knows of kept segments."),
@@ -519,4 +519,4 @@
   return page;
 }
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/settings_table.h
+++ b/src/posthatch/server/settings/settings_table.h
@@ -6,9 +6,9 @@
 #include <variant>
 #include <vector>
 
-#include "posthatch/daemon/node_settings.h"
+#include "posthatch/server/settings/node_settings.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 enum class Role { kGateway, kController };
 
@@ -70,4 +70,4 @@
 // docs/operations/settings.md.
 std::string SettingsMarkdown();
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/settings_watch.cc
+++ b/src/posthatch/server/settings/settings_watch.cc
@@ -1,4 +1,4 @@
-#include "posthatch/daemon/settings_watch.h"
+#include "posthatch/server/settings/settings_watch.h"
 
 #include <sys/stat.h>
 
@@ -6,7 +6,7 @@
 
 #include "absl/strings/str_cat.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 namespace {
 
 constexpr runtime::Duration kPollInterval = std::chrono::seconds(2);
@@ -56,4 +56,4 @@
   return endpoints;
 }
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
--- a/src/posthatch/daemon/settings_watch.h
+++ b/src/posthatch/server/settings/settings_watch.h
@@ -6,7 +6,7 @@
 
 #include "posthatch/runtime/timer_service.h"
 
-namespace posthatch::daemon {
+namespace posthatch::server {
 
 // Watches a process's settings file for seeds that have moved: the one setting that changes while
 // a process runs. Looked at on demand and every few seconds, since not every platform sends a
@@ -37,4 +37,4 @@
 // The endpoints with `port` in place of their own; as they are if `port` is 0.
 std::vector<std::string> WithPort(std::vector<std::string> endpoints, uint32_t port);
 
-}  // namespace posthatch::daemon
+}  // namespace posthatch::server
