--- a/src/posthatch/net/asio_types.h
+++ b/src/posthatch/net/asio_types.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <time.h>
+#include <ctime>
 
 #include <boost/asio/basic_stream_socket.hpp>
 #include <boost/asio/basic_waitable_timer.hpp>
--- a/src/posthatch/simulation/sim_host_impl.cc
+++ b/src/posthatch/simulation/sim_host_impl.cc
@@ -56,8 +56,11 @@
   executor_.EndProcess(power_lost);
   std::shared_ptr<void> process = std::move(process_);
   process_ = nullptr;
-  process.reset();
+  // The runtime closes the connections, in the order of their numbers, before the process is
+  // destroyed: containers hashed by address would destroy its calls in another order in every
+  // process of the operating system, and each close draws a delay from the world's seed.
   runtime_->Shutdown();
+  process.reset();
   ended_runtimes_.push_back(std::move(runtime_));
 }
 
--- a/src/posthatch/simulation/sim_http-test.cc
+++ b/src/posthatch/simulation/sim_http-test.cc
@@ -281,5 +281,60 @@
   EXPECT_EQ(refused.error->progress, CallProgress::kNotSent);
 }
 
+http::CallObserver IgnoreCall() {
+  return {[](const http::Response&) {}, [](const std::string&) {}, [] {},
+          [](const http::CallError&) {}};
+}
+
+// A server that never responds and ends its requests in one order or the other, as a container that
+// is hashed by address does.
+struct RequestHolder {
+  RequestHolder(runtime::Runtime* runtime, const std::string& endpoint, bool reverse)
+      : end_in_reverse(reverse) {
+    auto listening = runtime->http_servers->Listen(
+        endpoint, {},
+        [this](const http::Request& /*request*/, std::shared_ptr<http::ResponseWriter> writer) {
+          writers.push_back(std::move(writer));
+        });
+    EXPECT_TRUE(listening.ok());
+    server = std::move(*listening);
+  }
+  ~RequestHolder() {
+    while (!writers.empty()) writers.erase(end_in_reverse ? writers.end() - 1 : writers.begin());
+  }
+  bool end_in_reverse;
+  std::unique_ptr<http::HttpServer> server;
+  std::vector<std::shared_ptr<http::ResponseWriter>> writers;
+};
+
+// Several clients, so that it shows which connection drew which delay.
+uint64_t BehaviourOfCrash(uint64_t seed, bool end_in_reverse) {
+  constexpr int kClients = 12;
+  SimWorld world(seed);
+  SimHost* server = world.AddHost("server", "z", "10.0.0.100");
+  server->SetBoot([server, end_in_reverse](runtime::Runtime* runtime) {
+    return std::make_shared<RequestHolder>(runtime, server->http_endpoint(), end_in_reverse);
+  });
+  server->Start();
+  std::vector<std::unique_ptr<http::Call>> calls;
+  for (int i = 1; i <= kClients; ++i) {
+    SimHost* client =
+        world.AddHost("client" + std::to_string(i), "z", "10.0.0." + std::to_string(i));
+    client->SetBoot([](runtime::Runtime*) { return std::make_shared<int>(0); });
+    client->Start();
+    calls.push_back(client->runtime()->http_client->Start(server->http_endpoint(), http::Request(),
+                                                          {}, IgnoreCall()));
+  }
+  world.RunFor(seconds(1));
+  server->Crash();
+  world.RunFor(seconds(30));
+  return world.behaviour_hash();
+}
+
+TEST_P(SimHttpTest, CrashClosesConnectionsInOneOrder) {
+  EXPECT_EQ(BehaviourOfCrash(GetParam(), /*end_in_reverse=*/false),
+            BehaviourOfCrash(GetParam(), /*end_in_reverse=*/true));
+}
+
 }  // namespace
 }  // namespace posthatch::simulation
