--- a/src/posthatch/server/command_line.cc
+++ b/src/posthatch/server/command_line.cc
@@ -12,6 +12,7 @@
 #include "posthatch/net/asio_runtime.h"
 #include "posthatch/server/process_runner.h"
 #include "posthatch/server/settings/settings_loader.h"
+#include "posthatch/server/settings/settings_page.h"
 #include "posthatch/server/settings/settings_table.h"
 #include "posthatch/server/settings/settings_watch.h"
 
--- a/src/posthatch/server/settings/setting_value.h
+++ b/src/posthatch/server/settings/setting_value.h
@@ -7,7 +7,7 @@
 
 #include "absl/status/status.h"
 #include "absl/status/statusor.h"
-#include "posthatch/server/settings/settings_table.h"
+#include "posthatch/server/settings/setting_description.h"
 
 namespace posthatch::server {
 
--- a/src/posthatch/server/settings/settings_loader-fuzz.cc
+++ b/src/posthatch/server/settings/settings_loader-fuzz.cc
@@ -4,6 +4,7 @@
 #include <string>
 
 #include "posthatch/server/settings/settings_loader.h"
+#include "posthatch/server/settings/settings_table.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using posthatch::server::SettingsTable;
--- a/src/posthatch/server/settings/settings_loader-test.cc
+++ b/src/posthatch/server/settings/settings_loader-test.cc
@@ -6,6 +6,8 @@
 #include "absl/strings/str_replace.h"
 #include "gmock/gmock.h"
 #include "gtest/gtest.h"
+#include "posthatch/server/settings/settings_page.h"
+#include "posthatch/server/settings/settings_table.h"
 
 namespace posthatch::server {
 namespace {
@@ -152,7 +154,7 @@
       SettingsSource source{"x.toml", kGateway, {{setting.Key(), value}}};
       GatewaySettings gateway;
       ControllerSettings controller;
-      if (setting.gateway) return LoadGatewaySettings(source, &gateway).empty();
+      if (setting.AppliesTo(Role::kGateway)) return LoadGatewaySettings(source, &gateway).empty();
       source.overrides.emplace_back("node.data_folder", "/data");
       return LoadControllerSettings(source, &controller).empty();
     };
--- a/src/posthatch/server/settings/settings_loader.cc
+++ b/src/posthatch/server/settings/settings_loader.cc
@@ -9,6 +9,7 @@
 #include "absl/container/btree_map.h"
 #include "absl/strings/str_cat.h"
 #include "posthatch/server/settings/setting_value.h"
+#include "posthatch/server/settings/settings_table.h"
 
 namespace posthatch::server {
 namespace {
--- a/src/posthatch/server/settings/settings_loader.h
+++ b/src/posthatch/server/settings/settings_loader.h
@@ -5,7 +5,6 @@
 #include <vector>
 
 #include "posthatch/server/settings/node_settings.h"
-#include "posthatch/server/settings/settings_table.h"
 
 namespace posthatch::server {
 
