--- a/src/posthatch/gateway/delivery_record_client.cc
+++ b/src/posthatch/gateway/delivery_record_client.cc
@@ -41,15 +41,14 @@
 }
 
 void DeliveryRecordClient::Abandon(const DeliveryKey& key) {
-  std::weak_ptr<bool> alive = alive_;
-  const auto on_begin = [this, alive, key](const absl::StatusOr<control::CommandResult>& result) {
-    if (alive.expired() || !result.ok()) return;
+  const auto on_begin = [this, key](const absl::StatusOr<control::CommandResult>& result) {
+    if (!result.ok()) return;
     if (result->delivery().kind() != control::DeliveryStatus::BEGUN) return;
     control::DeliveryOutcome outcome;
     outcome.set_kind(control::DeliveryOutcome::NOT_EXECUTED);
     Finish(key, std::move(outcome), [](const absl::StatusOr<control::CommandResult>&) {});
   };
-  client_->Propose(BeginCommand(key), kAbandonTimeout, false, on_begin);
+  client_->Propose(BeginCommand(key), kAbandonTimeout, false, lifetime_.Guard(on_begin));
 }
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/delivery_record_client.h
+++ b/src/posthatch/gateway/delivery_record_client.h
@@ -1,11 +1,11 @@
 #pragma once
 
 #include <functional>
-#include <memory>
 #include <string>
 
 #include "posthatch/control/client/control_client.h"
 #include "posthatch/runtime/runtime.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::gateway {
 
@@ -38,8 +38,7 @@
 
   control::ControlClient* const client_;
   const std::string gateway_id_;
-  // Gone with this object: answers after that are dropped.
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  util::Lifetime lifetime_;  // answers that come after it are dropped
 };
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/gateway.cc
+++ b/src/posthatch/gateway/gateway.cc
@@ -32,10 +32,7 @@
                &lookup_,       &tenants_, &admission_, &backends_,  &router_,
                &retry_budget_, &links_,   &requests_,  &inventory_, &deliveries_},
       caller_api_(&context_) {
-  std::weak_ptr<bool> alive = alive_;
-  view_->AddListener([this, alive](const control::FleetState&) {
-    if (!alive.expired()) OnStateChanged();
-  });
+  view_->AddListener(lifetime_.Guard([this](const control::FleetState&) { OnStateChanged(); }));
   OnStateChanged();
   UpdateBackends();
   inventory_.Start();
--- a/src/posthatch/gateway/gateway.h
+++ b/src/posthatch/gateway/gateway.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include <functional>
-#include <memory>
 
 #include "posthatch/gateway/caller_api.h"
 #include "posthatch/gateway/gateway_context.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::gateway {
 
@@ -49,8 +49,7 @@
   uint64_t configuration_index_ = 0;
   uint64_t inventory_index_ = 0;
   uint64_t evacuations_index_ = 0;
-  // Gone with this object: the view keeps its listeners.
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  util::Lifetime lifetime_;  // the view keeps its listeners
 };
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/net/lazy_deadline.cc
+++ b/src/posthatch/net/lazy_deadline.cc
@@ -7,8 +7,6 @@
 LazyDeadline::LazyDeadline(boost::asio::io_context* io_context, std::function<void()> on_expired)
     : timer_(*io_context), on_expired_(std::move(on_expired)) {}
 
-LazyDeadline::~LazyDeadline() { *alive_ = false; }
-
 void LazyDeadline::Set(runtime::MonotonicTime time) {
   time_ = time;
   set_ = true;
@@ -20,8 +18,8 @@
   armed_at_ = time_;
   // Setting the expiry cancels the former wait.
   timer_.expires_at(BootClock::time_point(time_.time_since_epoch()));
-  timer_.async_wait([this, alive = alive_](const boost::system::error_code& error) {
-    if (!error && *alive) OnTimer();
+  timer_.async_wait([this, observer = lifetime_.Observe()](const boost::system::error_code& error) {
+    if (!error && !observer.Ended()) OnTimer();
   });
 }
 
--- a/src/posthatch/net/lazy_deadline.h
+++ b/src/posthatch/net/lazy_deadline.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include <functional>
-#include <memory>
 
 #include "posthatch/net/asio_types.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::net {
 
@@ -13,7 +13,6 @@
 class LazyDeadline {
  public:
   LazyDeadline(boost::asio::io_context* io_context, std::function<void()> on_expired);
-  ~LazyDeadline();
   LazyDeadline(const LazyDeadline&) = delete;
   LazyDeadline& operator=(const LazyDeadline&) = delete;
 
@@ -31,8 +30,7 @@
   runtime::MonotonicTime armed_at_;
   bool set_ = false;
   bool armed_ = false;
-  // Tells a completion that outlived its deadline from a live one.
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  util::Lifetime lifetime_;  // a cancelled wait may still complete
 };
 
 }  // namespace posthatch::net
