--- a/src/posthatch/net/tcp_stream.cc
+++ b/src/posthatch/net/tcp_stream.cc
@@ -1,46 +1,20 @@
 #include "posthatch/net/tcp_stream.h"
 
 #include <linux/sockios.h>
-#include <netinet/in.h>
-#include <netinet/tcp.h>
 #include <sys/ioctl.h>
-#include <sys/socket.h>
 
-#include <algorithm>
-#include <array>
 #include <boost/asio/post.hpp>
 #include <boost/asio/socket_base.hpp>
 #include <utility>
 
 #include "posthatch/net/endpoint.h"
+#include "posthatch/net/socket_options.h"
 
 namespace posthatch::net {
 namespace {
 
-// Buffers handed to one system call.
-constexpr size_t kMaxBuffersPerWrite = 16;
-// A piece of the queue grows up to this by copying; beyond it a new piece is begun.
-constexpr size_t kCopyLimitBytes = 16UL * 1024;
 // Reads of one connection in one turn, so that a fast sender doesn't starve the others.
 constexpr int kMaxReadsPerTurn = 4;
-// A peer without power or behind a cut says nothing: a connection is given up when sent bytes stay
-// unacknowledged for kTcpUserTimeoutMs, or when probes of an idle one stay unanswered.
-constexpr int kTcpUserTimeoutMs = 2000;
-constexpr int kKeepAliveIdleSeconds = 1;
-constexpr int kKeepAliveIntervalSeconds = 1;
-constexpr int kKeepAliveProbes = 2;
-
-void EnableDeadPeerDetection(int descriptor) {
-  const int on = 1;
-  setsockopt(descriptor, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-  setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, &kKeepAliveIdleSeconds,
-             sizeof(kKeepAliveIdleSeconds));
-  setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, &kKeepAliveIntervalSeconds,
-             sizeof(kKeepAliveIntervalSeconds));
-  setsockopt(descriptor, IPPROTO_TCP, TCP_KEEPCNT, &kKeepAliveProbes, sizeof(kKeepAliveProbes));
-  setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &kTcpUserTimeoutMs,
-             sizeof(kTcpUserTimeoutMs));
-}
 
 }  // namespace
 
@@ -69,15 +43,8 @@
   }
 }
 
-void TcpStream::SetOptions() {
-  boost::system::error_code ignored;
-  socket_.non_blocking(true, ignored);
-  socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
-  EnableDeadPeerDetection(socket_.native_handle());
-}
-
 void TcpStream::StartAccepted() {
-  SetOptions();
+  SetStreamOptions(&socket_);
   connected_ = true;
 }
 
@@ -93,7 +60,7 @@
   boost::system::error_code error;
   socket_.open(connect_endpoint_.protocol(), error);
   if (error) return PostFailure(SocketError("socket", error));
-  SetOptions();
+  SetStreamOptions(&socket_);
   socket_.async_connect(connect_endpoint_, [self = shared_from_this()](
                                                const boost::system::error_code& connect_error) {
     self->OnConnectDone(connect_error);
@@ -105,7 +72,7 @@
   if (!Usable()) return;
   if (error) return Fail(SocketError("connect", error));
   connected_ = true;
-  if (queued_bytes_ > 0) RecordQueuedForFaults();
+  if (queue_.bytes() > 0) RecordQueuedForFaults();
   owner_->OnConnected();
   if (Usable()) Flush();
 }
@@ -161,28 +128,19 @@
 
 void TcpStream::Queue(std::string bytes) {
   if (bytes.empty() || !Usable()) return;
-  RecordQueued(bytes.size());
-  queue_.push_back(std::move(bytes));
+  queue_.Append(std::move(bytes));
+  if (connected_) RecordQueuedForFaults();
 }
 
 void TcpStream::QueueCopy(std::string_view bytes) {
   if (bytes.empty() || !Usable()) return;
-  RecordQueued(bytes.size());
-  if (!queue_.empty() && queue_.back().size() + bytes.size() <= kCopyLimitBytes) {
-    queue_.back().append(bytes);
-  } else {
-    queue_.emplace_back(bytes);
-  }
-}
-
-void TcpStream::RecordQueued(size_t bytes) {
-  queued_bytes_ += bytes;
+  queue_.AppendCopy(bytes);
   if (connected_) RecordQueuedForFaults();
 }
 
 // Bytes queued before the connection was made start on their way when it is.
 void TcpStream::RecordQueuedForFaults() {
-  if (faults_ != nullptr) faults_->RecordQueued(remote_endpoint_, written_bytes_ + queued_bytes_);
+  if (faults_ != nullptr) faults_->RecordQueued(remote_endpoint_, written_bytes_ + queue_.bytes());
 }
 
 void TcpStream::FlushSoon() {
@@ -197,10 +155,10 @@
 void TcpStream::Flush() {
   if (!connected_ || write_wait_pending_ || !Usable() || OutboundPartitioned()) return;
   const uint64_t before = written_bytes_;
-  while (queued_bytes_ > 0 && WriteSome()) {
+  while (queue_.bytes() > 0 && WriteSome()) {
   }
   if (broken_) return;
-  if (queued_bytes_ == 0 && shutdown_pending_) {
+  if (queue_.bytes() == 0 && shutdown_pending_) {
     boost::system::error_code ignored;
     socket_.shutdown(TcpSocket::shutdown_send, ignored);
   }
@@ -211,21 +169,13 @@
 }
 
 bool TcpStream::WriteSome() {
-  size_t allowed = queued_bytes_;
+  size_t allowed = queue_.bytes();
   if (faults_ != nullptr) {
-    allowed = faults_->SendLimit(written_bytes_ + queued_bytes_) - written_bytes_;
+    allowed = faults_->SendLimit(written_bytes_ + queue_.bytes()) - written_bytes_;
     if (allowed == 0) return false;
   }
-  std::array<boost::asio::const_buffer, kMaxBuffersPerWrite> buffers;
-  size_t count = 0;
-  size_t offset = first_offset_;
-  for (const std::string& buffer : queue_) {
-    if (count == buffers.size() || allowed == 0) break;
-    const size_t size = std::min(buffer.size() - offset, allowed);
-    buffers[count++] = boost::asio::const_buffer(buffer.data() + offset, size);
-    allowed -= size;
-    offset = 0;
-  }
+  WriteQueue::Buffers buffers;
+  const size_t count = queue_.Peek(allowed, &buffers);
   boost::system::error_code error;
   const size_t written =
       count == 1 ? socket_.write_some(buffers[0], error) : socket_.write_some(buffers, error);
@@ -238,12 +188,7 @@
     return false;
   }
   written_bytes_ += written;
-  queued_bytes_ -= written;
-  first_offset_ += written;
-  while (!queue_.empty() && first_offset_ >= queue_.front().size()) {
-    first_offset_ -= queue_.front().size();
-    queue_.pop_front();
-  }
+  queue_.Consume(written);
   return true;
 }
 
--- a/src/posthatch/net/tcp_stream.h
+++ b/src/posthatch/net/tcp_stream.h
@@ -1,7 +1,6 @@
 #pragma once
 
 #include <cstdint>
-#include <deque>
 #include <memory>
 #include <optional>
 #include <string>
@@ -14,6 +13,7 @@
 #include "posthatch/net/fault_injection.h"
 #include "posthatch/net/lazy_deadline.h"
 #include "posthatch/net/stream_faults.h"
+#include "posthatch/net/write_queue.h"
 
 namespace posthatch::net {
 
@@ -74,7 +74,7 @@
   void Flush();
   // Flushes at the end of this turn of the event loop, together with what is queued until then.
   void FlushSoon();
-  size_t queued_bytes() const { return queued_bytes_; }
+  size_t queued_bytes() const { return queue_.bytes(); }
   // Bytes handed to the network that the peer has not acknowledged; nothing if that can't be told.
   std::optional<size_t> UnacknowledgedBytes();
   // Bytes handed to the network since the connection began.
@@ -100,7 +100,6 @@
   const std::string& remote_endpoint() const { return remote_endpoint_; }
 
  private:
-  void SetOptions();
   void StartConnect();
   void OnConnectDone(const boost::system::error_code& error);
   void WaitReadable();
@@ -120,7 +119,6 @@
   }
   void OnFaultsChanged();
   void DeliverDelayed();
-  void RecordQueued(size_t bytes);
   void RecordQueuedForFaults();
   void ReleaseSocket();
 
@@ -142,9 +140,7 @@
   bool shutdown_pending_ = false;
   bool reset_on_close_ = false;
 
-  std::deque<std::string> queue_;
-  size_t first_offset_ = 0;  // bytes of queue_.front() that are already written
-  size_t queued_bytes_ = 0;
+  WriteQueue queue_;
   uint64_t written_bytes_ = 0;
 
   std::unique_ptr<StreamFaults> faults_;  // null without fault injection
