--- a/src/posthatch/net/beast_http_server.cc
+++ b/src/posthatch/net/beast_http_server.cc
@@ -42,7 +42,7 @@
   prometheus::Counter& refused_connections;
 };
 
-class BeastHttpServer : public http::HttpServer {
+class BeastHttpServer : public http::HttpServer, private HttpConnectionOwner {
  public:
   BeastHttpServer(IoEnvironment* environment, const http::ServerLimits& limits,
                   http::Handler handler, ServerMetrics* metrics, uint64_t* last_connection_id)
@@ -53,15 +53,11 @@
     context_->environment = environment;
     context_->limits = limits;
     context_->handler = std::make_shared<const http::Handler>(std::move(handler));
-    context_->on_closed = [this](HttpServerConnection* connection) { Forget(connection); };
-    context_->count_response = [metrics](int status) {
-      metrics->by_status_class[static_cast<size_t>(status / 100)]->Increment();
-    };
+    context_->owner = this;
   }
 
   ~BeastHttpServer() override {
-    context_->on_closed = nullptr;
-    context_->count_response = nullptr;
+    context_->owner = nullptr;
     listener_.Close();
     const auto connections = std::move(connections_);
     for (const auto& [key, connection] : connections) connection->Close();
@@ -103,10 +99,14 @@
     connection->Start();
   }
 
-  void Forget(HttpServerConnection* connection) {
+  void OnConnectionClosed(HttpServerConnection* connection) override {
     if (connections_.erase(connection) > 0) metrics_->connections.Decrement();
   }
 
+  void OnResponseEnded(int status) override {
+    metrics_->by_status_class[static_cast<size_t>(status / 100)]->Increment();
+  }
+
   ServerMetrics* const metrics_;
   uint64_t* const last_connection_id_;
   const std::shared_ptr<HttpServerContext> context_;
--- /dev/null
+++ b/src/posthatch/net/http_request_reader.h
@@ -0,0 +1,62 @@
+#pragma once
+
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "posthatch/http/http.h"
+#include "posthatch/net/http_message.h"
+#include "posthatch/net/http_rejection.h"
+
+namespace posthatch::net {
+
+// Reads the requests of one connection out of the bytes received, one after another. Owned by the
+// connection, which decides about deadlines and responses. Event loop thread only.
+class HttpRequestReader {
+ public:
+  enum class Progress {
+    kIncomplete,    // more bytes are needed
+    kHeadComplete,  // as kIncomplete, told once when every field is known and the body is not
+    kComplete,      // TakeRequest returns it
+    kRejected,      // rejection() says why; nothing more can be read
+  };
+
+  struct ParsedRequest {
+    http::Request request;
+    int version = 11;  // 10 or 11
+    bool keep_alive = true;
+  };
+
+  // `limits` outlives the reader.
+  explicit HttpRequestReader(const http::ServerLimits* limits);
+
+  void Append(std::string_view bytes) { received_.append(bytes); }
+  // Bytes appended and not parsed yet, such as pipelined requests.
+  size_t unparsed_bytes() const { return received_.size(); }
+  void DropUnparsed() { received_.clear(); }
+
+  // Parses what was appended, up to the end of one request.
+  Progress Parse();
+  // The request that Parse completed; the reader then waits for the next one.
+  ParsedRequest TakeRequest();
+  const HttpRejection& rejection() const { return rejection_; }
+
+  // Whether the caller waits for "100 Continue" before it sends the body (RFC 9110, 10.1.1).
+  bool ExpectsContinue() const;
+  // Whether the request being read can't have run: its head is known and has no idempotency key,
+  // which an earlier send may have run under.
+  bool ProvenNotExecuted() const;
+
+ private:
+  void StartParser();
+  Progress Reject(int status, std::string_view code, std::string message, bool proven_not_executed);
+  Progress RejectMalformed(const boost::beast::error_code& error);
+
+  const http::ServerLimits* const limits_;
+  std::string received_;  // not yet parsed
+  std::optional<RequestParser> parser_;
+  bool head_reported_ = false;
+  HttpRejection rejection_;
+};
+
+}  // namespace posthatch::net
--- a/src/posthatch/net/http_server_connection.h
+++ b/src/posthatch/net/http_server_connection.h
@@ -1,33 +1,44 @@
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <optional>
 #include <string>
 
 #include "posthatch/http/http.h"
-#include "posthatch/net/http_message.h"
+#include "posthatch/net/http_request_reader.h"
+#include "posthatch/net/http_response_encoder.h"
 #include "posthatch/net/tcp_stream.h"
-#include "prometheus/counter.h"
 
 namespace posthatch::net {
 
 class HttpServerConnection;
 
-// What a server and its connections share.
+// The server that a connection belongs to.
+class HttpConnectionOwner {
+ public:
+  // The connection has ended; the server lets go of it.
+  virtual void OnConnectionClosed(HttpServerConnection* connection) = 0;
+  // A response has ended, with this status; 0 if it was aborted.
+  virtual void OnResponseEnded(int status) = 0;
+
+ protected:
+  ~HttpConnectionOwner() = default;
+};
+
+// What a server and its connections share. Outlives the server, since writers keep connections.
 struct HttpServerContext {
   IoEnvironment* environment = nullptr;
   http::ServerLimits limits;
   std::shared_ptr<const http::Handler> handler;
   bool draining = false;
-  // Takes an ended connection out of the server's set; cleared when the server goes away.
-  std::function<void(HttpServerConnection*)> on_closed;
-  // Counts an answered request by status.
-  std::function<void(int status)> count_response;
+  HttpConnectionOwner* owner = nullptr;  // null once the server is gone
 };
 
-// One caller's connection: reads a request, hands it to the handler, sends the answer, and so on.
-// Shared by the server, the answer's writer and pending operations. Event loop thread only.
+// One caller's connection: reads a request, hands it to the handler, sends the response, and so on.
+// A request and its response are an exchange, numbered from 1. Shared by the server, the response's
+// writer and pending operations. Event loop thread only.
 class HttpServerConnection final : public TcpStream::Owner,
                                    public std::enable_shared_from_this<HttpServerConnection> {
  public:
@@ -36,12 +47,12 @@
   ~HttpServerConnection();
 
   void Start();
-  // Closes if idle; otherwise after the running answer.
+  // Closes if idle; otherwise after the running response.
   void Drain();
   // Ends at once.
   void Close();
 
-  // For the writer of answer number `answer`; ignored once that answer has ended.
+  // For the writer of one exchange; ignored once that exchange has ended.
   bool Running(uint64_t exchange) const {
     return phase_ == Phase::kResponding && exchange == exchange_;
   }
@@ -61,44 +72,45 @@
   void OnDeadline() override;
 
  private:
-  enum class Phase { kIdle, kReading, kResponding, kAborting, kLingering, kClosed };
+  enum class Phase {
+    kIdle,        // between requests
+    kReading,     // part of a request has come
+    kResponding,  // the handler has the request
+    kAborting,    // the response was given up; what was queued is still sent
+    kLingering,   // the last response is sent; what the caller still sends is dropped
+    kClosed,
+  };
 
   void ParseRequests();
+  // Returns false if more bytes are needed or the connection is of no more use.
   bool ParseRequest();
-  void StartParser();
   void SendContinue();
   void Dispatch();
   void EndExchange();
-  // `head_read`: every field of the request is known.
-  void Refuse(int status, std::string_view code, std::string_view message, bool head_read);
-  void RejectMalformed(const boost::beast::error_code& error);
+  void CountResponse(int status);
+  // Answers a request that was never handed to the handler, and ends the connection.
+  void Reject(const HttpRejection& rejection);
+  // Sends what is queued and the end, and drops what the caller still sends for a while.
   void Linger();
   void HandleDisconnect();
   void UpdateWriteDeadline();
-  ResponseFraming Framing(const http::Response& response, bool streamed) const;
+  // Whether the connection may serve another request after this response.
+  bool MayKeepAlive() const { return !context_->draining && !read_ended_; }
 
   const std::shared_ptr<HttpServerContext> context_;
   const uint64_t connection_id_;
   std::shared_ptr<TcpStream> stream_;
+  HttpRequestReader reader_;
   Phase phase_ = Phase::kIdle;
   bool parsing_requests_ = false;  // guards against recursion through the handler
   bool read_ended_ = false;
-  std::string received_;  // not yet parsed
-  std::optional<RequestParser> parser_;
-  bool continue_sent_ = false;
-  bool body_deadline_set_ = false;
+  uint64_t lingered_bytes_ = 0;
 
-  // The running answer.
+  // The running exchange.
   uint64_t exchange_ = 0;
-  bool keep_alive_ = true;
-  bool head_request_ = false;
-  int version_ = 11;
-  bool streaming_ = false;
-  bool chunked_ = false;
-  int status_ = 0;
+  std::optional<HttpResponseEncoder> encoder_;  // set while kResponding and kAborting
   std::function<void()> on_writable_;
   std::function<void()> on_caller_disconnected_;
-  uint64_t lingered_bytes_ = 0;
 };
 
 }  // namespace posthatch::net
