--- a/src/posthatch/gateway/api_error.cc
+++ b/src/posthatch/gateway/api_error.cc
@@ -2,6 +2,8 @@
 
 #include <boost/json.hpp>
 
+#include "posthatch/gateway/header_names.h"
+
 namespace posthatch::gateway {
 namespace {
 
@@ -20,7 +22,7 @@
 http::Response MakeErrorResponse(const ApiError& error) {
   http::Response response;
   response.status = error.status;
-  response.headers.Add("Content-Type", "application/json");
+  response.headers.Add(header::kContentType, "application/json");
   if (error.retry_after_seconds > 0) {
     response.headers.Add("Retry-After", std::to_string(error.retry_after_seconds));
   }
--- a/src/posthatch/gateway/caller_api.cc
+++ b/src/posthatch/gateway/caller_api.cc
@@ -5,6 +5,7 @@
 
 #include "absl/strings/ascii.h"
 #include "posthatch/gateway/delivery_request.h"
+#include "posthatch/gateway/header_names.h"
 #include "posthatch/gateway/inference_body.h"
 #include "posthatch/gateway/inference_request.h"
 #include "posthatch/gateway/service_request.h"
@@ -80,15 +81,15 @@
   }
   if (std::optional<ApiError> error = context_->FleetStateError()) return error;
   const http::Headers& headers = call->request.headers;
-  call->tenant = context_->tenants->Authenticate(headers.Get("Authorization"));
+  call->tenant = context_->tenants->Authenticate(headers.Get(header::kAuthorization));
   if (call->tenant == nullptr) {
     return ApiError{401, "unauthorized", "no such key", Executed::kNo};
   }
-  call->request_id = std::string(headers.Get("X-Request-Id"));
+  call->request_id = std::string(headers.Get(header::kRequestId));
   if (call->request_id.empty()) call->request_id = context_->NewNonce();
   if (!IsPlainId(call->request_id)) return BadRequest("X-Request-Id: 1 to 128 visible characters");
-  call->idempotency_key = std::string(headers.Get("Idempotency-Key"));
-  if (headers.Has("Idempotency-Key") && !IsPlainId(call->idempotency_key)) {
+  call->idempotency_key = std::string(headers.Get(header::kIdempotencyKey));
+  if (headers.Has(header::kIdempotencyKey) && !IsPlainId(call->idempotency_key)) {
     return BadRequest("Idempotency-Key: 1 to 128 visible characters");
   }
   return std::nullopt;
@@ -169,7 +170,7 @@
 
 void CallerApi::Refuse(const CallerRequest& call, ApiError error) {
   // An earlier send of the same key may have run, unless the request could never have been taken.
-  const bool may_have_run = call.request.headers.Has("Idempotency-Key");
+  const bool may_have_run = call.request.headers.Has(header::kIdempotencyKey);
   const bool never_accepted = error.status == 400 || error.status == 413;
   if (may_have_run && !never_accepted) error.executed = Executed::kUnknown;
   SendError(*context_, call.writer.get(), error);
--- a/src/posthatch/gateway/delivery_request.cc
+++ b/src/posthatch/gateway/delivery_request.cc
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
+#include "posthatch/gateway/header_names.h"
 #include "posthatch/gateway/key_digest.h"
 #include "posthatch/gateway/response_check.h"
 
@@ -96,7 +97,7 @@
   }
   http::Response stored;
   stored.status = static_cast<int>(outcome.status());
-  stored.headers.Add("Content-Type", outcome.content_type());
+  stored.headers.Add(header::kContentType, outcome.content_type());
   stored.body = outcome.body();
   context_->metrics->responses.Increment("ok");
   call_.writer->SendResponse(MakeCallerResponse(call_, std::move(stored)));
@@ -111,11 +112,7 @@
   }
   if (std::optional<ApiError> error = context_->FleetStateError()) return error;
   // The configuration may have changed while the record was written.
-  const auto tenant = context_->tenants->Authenticate(call_.request.headers.Get("Authorization"));
-  if (tenant == nullptr || tenant->name() != call_.tenant->name()) {
-    return ApiError{401, "unauthorized", "the key is no longer valid", Executed::kNo};
-  }
-  return std::nullopt;
+  return context_->AuthorizationError(call_);
 }
 
 void DeliveryRequest::Dispatch() {
@@ -190,7 +187,7 @@
   control::DeliveryOutcome outcome;
   outcome.set_kind(control::DeliveryOutcome::RESPONDED);
   outcome.set_status(static_cast<uint32_t>(response.status));
-  outcome.set_content_type(std::string(response.headers.Get("Content-Type")));
+  outcome.set_content_type(std::string(response.headers.Get(header::kContentType)));
   outcome.set_body(response.body);
   Commit(std::move(outcome), MakeCallerResponse(call_, std::move(response)), "ok");
 }
--- a/src/posthatch/gateway/gateway_context.cc
+++ b/src/posthatch/gateway/gateway_context.cc
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
+#include "posthatch/gateway/header_names.h"
 
 namespace posthatch::gateway {
 
@@ -19,6 +20,12 @@
   return std::nullopt;
 }
 
+std::optional<ApiError> GatewayContext::AuthorizationError(const CallerRequest& call) const {
+  const auto now = tenants->Authenticate(call.request.headers.Get(header::kAuthorization));
+  if (now != nullptr && now->name() == call.tenant->name()) return std::nullopt;
+  return ApiError{401, "unauthorized", "the key is no longer valid", Executed::kNo};
+}
+
 std::string GatewayContext::NewNonce() const {
   const uint64_t high = (*runtime->random)();
   const uint64_t low = (*runtime->random)();
@@ -35,22 +42,23 @@
   const runtime::Duration left = call.deadline - context.runtime->clock->Now();
   const int64_t left_milliseconds =
       std::max<int64_t>(0, std::chrono::duration_cast<std::chrono::milliseconds>(left).count());
-  headers->Add("Content-Type", "application/json");
-  headers->Add("X-Request-Id", call.request_id);
-  headers->Add("X-Posthatch-Attempt", nonce);
-  headers->Add("X-Posthatch-Attempt-Number", std::to_string(attempt_number));
-  headers->Add("X-Posthatch-Gateway", context.options->gateway_id);
-  headers->Add("X-Posthatch-Tenant", call.tenant->name());
-  headers->Add("X-Posthatch-Deadline-Ms", std::to_string(left_milliseconds));
-  if (!call.idempotency_key.empty()) headers->Add("Idempotency-Key", call.idempotency_key);
+  headers->Add(header::kContentType, "application/json");
+  headers->Add(header::kRequestId, call.request_id);
+  headers->Add(header::kAttempt, nonce);
+  headers->Add(header::kAttemptNumber, std::to_string(attempt_number));
+  headers->Add(header::kGateway, context.options->gateway_id);
+  headers->Add(header::kTenant, call.tenant->name());
+  headers->Add(header::kDeadlineMs, std::to_string(left_milliseconds));
+  if (!call.idempotency_key.empty()) headers->Add(header::kIdempotencyKey, call.idempotency_key);
 }
 
 http::Response MakeCallerResponse(const CallerRequest& call, http::Response backend_response) {
   http::Response response;
   response.status = backend_response.status;
-  const std::string_view content_type = backend_response.headers.Get("Content-Type");
-  response.headers.Add("Content-Type", content_type.empty() ? "application/json" : content_type);
-  response.headers.Add("X-Request-Id", call.request_id);
+  const std::string_view content_type = backend_response.headers.Get(header::kContentType);
+  response.headers.Add(header::kContentType,
+                       content_type.empty() ? "application/json" : content_type);
+  response.headers.Add(header::kRequestId, call.request_id);
   response.body = std::move(backend_response.body);
   return response;
 }
--- a/src/posthatch/gateway/gateway_context.h
+++ b/src/posthatch/gateway/gateway_context.h
@@ -24,6 +24,8 @@
 
 namespace posthatch::gateway {
 
+struct CallerRequest;
+
 // What requests in progress work with. Owned by Gateway and outlives every request.
 struct GatewayContext {
   runtime::Runtime* runtime = nullptr;
@@ -45,6 +47,9 @@
   // Why nothing may be decided now, if so: no lease, or the list is too old and was not asked for
   // anew. Asked right before every dispatch.
   std::optional<ApiError> FleetStateError() const;
+  // Why the caller of an admitted request may no longer be served, if so: its key was revoked, or
+  // names another tenant now.
+  std::optional<ApiError> AuthorizationError(const CallerRequest& call) const;
   // A new nonce: 128 random bits, hexadecimal.
   std::string NewNonce() const;
 };
--- a/src/posthatch/gateway/inference_request.cc
+++ b/src/posthatch/gateway/inference_request.cc
@@ -1,10 +1,11 @@
 #include "posthatch/gateway/inference_request.h"
 
 #include <algorithm>
-#include <charconv>
 #include <utility>
 
+#include "posthatch/gateway/header_names.h"
 #include "posthatch/gateway/response_check.h"
+#include "posthatch/gateway/response_fields.h"
 
 namespace posthatch::gateway {
 namespace {
@@ -12,13 +13,6 @@
 // How long a caller may keep its worker waiting before the stream is broken off.
 constexpr runtime::Duration kStallTimeout = std::chrono::seconds(30);
 
-uint64_t NumberField(const http::Headers& headers, std::string_view name) {
-  const std::string_view text = headers.Get(name);
-  uint64_t number = 0;
-  std::from_chars(text.data(), text.data() + text.size(), number);
-  return number;
-}
-
 }  // namespace
 
 InferenceRequest::InferenceRequest(GatewayContext* context, CallerRequest call, InferenceBody body)
@@ -60,11 +54,11 @@
 
 void InferenceRequest::AddRouteHeaders(const RouteDecision& decision,
                                        http::Headers* headers) const {
-  headers->Add("X-Posthatch-Cache-Salt", salt_);
-  headers->Add("X-Posthatch-Model-Revision", std::to_string(seed_.model_revision));
+  headers->Add(header::kCacheSalt, salt_);
+  headers->Add(header::kModelRevision, std::to_string(seed_.model_revision));
   if (decision.fetch_endpoint.empty()) return;
-  headers->Add("X-Posthatch-Kv-Source", decision.fetch_endpoint);
-  headers->Add("X-Posthatch-Kv-Blocks", std::to_string(decision.fetch_blocks));
+  headers->Add(header::kKvSource, decision.fetch_endpoint);
+  headers->Add(header::kKvBlocks, std::to_string(decision.fetch_blocks));
 }
 
 absl::Status InferenceRequest::CheckResponse(const http::Response& response) {
@@ -76,8 +70,8 @@
 }
 
 void InferenceRequest::RecordPrefixCached(const http::Headers& head) {
-  const uint64_t epoch = NumberField(head, "X-Worker-Epoch");
-  const uint64_t cached = NumberField(head, "X-Worker-Cached-Blocks");
+  const uint64_t epoch = NumberField(head, header::kWorkerEpoch);
+  const uint64_t cached = NumberField(head, header::kWorkerCachedBlocks);
   context()->metrics->prompt_blocks.Increment("asked", static_cast<double>(chain_.size()));
   context()->metrics->prompt_blocks.Increment("cached", static_cast<double>(cached));
   if (epoch == 0 || chain_.empty()) return;
@@ -111,7 +105,7 @@
 
 void InferenceRequest::MeasureFirstChunk() {
   const uint64_t cached =
-      std::min<uint64_t>(NumberField(stream_headers_, "X-Worker-Cached-Blocks"), chain_.size());
+      std::min<uint64_t>(NumberField(stream_headers_, header::kWorkerCachedBlocks), chain_.size());
   const uint64_t prefilled = chain_.size() - cached;
   const runtime::Duration elapsed = context()->runtime->clock->Now() - attempt()->started();
   BackendEntry* const worker = attempt()->backend();
--- a/src/posthatch/gateway/response_check.cc
+++ b/src/posthatch/gateway/response_check.cc
@@ -5,17 +5,13 @@
 #include <boost/json.hpp>
 #include <charconv>
 
+#include "posthatch/gateway/response_fields.h"
+
 namespace posthatch::gateway {
 namespace {
 
 absl::Status Broken(const char* what) { return absl::DataLossError(what); }
 
-std::string_view StringField(const boost::json::object& object, std::string_view name) {
-  const boost::json::value* field = object.if_contains(name);
-  if (field == nullptr || !field->is_string()) return {};
-  return {field->get_string().data(), field->get_string().size()};
-}
-
 // The text of the first choice, or nothing if there is none.
 std::string_view FirstText(const boost::json::object& response) {
   const boost::json::value* choices = response.if_contains("choices");
--- a/src/posthatch/gateway/retryable_request.cc
+++ b/src/posthatch/gateway/retryable_request.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "posthatch/gateway/header_names.h"
 #include "posthatch/gateway/response_check.h"
 
 namespace posthatch::gateway {
@@ -32,12 +33,8 @@
 std::optional<ApiError> RetryableRequest::DispatchError() {
   if (std::optional<ApiError> error = context_->FleetStateError()) return error;
   if (attempts_ == 0) return std::nullopt;
-  // Time has passed since the request was let in.
-  const auto tenant = context_->tenants->Authenticate(call_.request.headers.Get("Authorization"));
-  if (tenant == nullptr || tenant->name() != call_.tenant->name()) {
-    return ApiError{401, "unauthorized", "the key is no longer valid", Executed::kNo};
-  }
-  return std::nullopt;
+  // Time has passed since the request was admitted.
+  return context_->AuthorizationError(call_);
 }
 
 void RetryableRequest::DispatchAttempt() {
--- a/src/posthatch/gateway/sse_stream_checker.cc
+++ b/src/posthatch/gateway/sse_stream_checker.cc
@@ -4,6 +4,7 @@
 #include <charconv>
 
 #include "absl/strings/str_cat.h"
+#include "posthatch/gateway/response_fields.h"
 
 namespace posthatch::gateway {
 namespace {
@@ -15,12 +16,6 @@
 
 absl::Status Broken(const char* what) { return absl::DataLossError(what); }
 
-std::string_view StringField(const boost::json::object& object, std::string_view name) {
-  const boost::json::value* field = object.if_contains(name);
-  if (field == nullptr || !field->is_string()) return {};
-  return {field->get_string().data(), field->get_string().size()};
-}
-
 }  // namespace
 
 absl::StatusOr<std::string> SseStreamChecker::Feed(std::string chunk) {
--- a/src/posthatch/gateway/stream_relay.cc
+++ b/src/posthatch/gateway/stream_relay.cc
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "posthatch/gateway/header_names.h"
+
 namespace posthatch::gateway {
 
 absl::Status StreamRelay::Feed(std::string chunk) {
@@ -29,9 +31,9 @@
   response_started_ = true;
   http::Response head;
   head.status = 200;
-  head.headers.Add("Content-Type", "text/event-stream");
+  head.headers.Add(header::kContentType, "text/event-stream");
   head.headers.Add("Cache-Control", "no-store");
-  head.headers.Add("X-Request-Id", request_id_);
+  head.headers.Add(header::kRequestId, request_id_);
   writer_->StartStream(std::move(head));
 }
 
--- a/src/posthatch/gateway/upstream_attempt.cc
+++ b/src/posthatch/gateway/upstream_attempt.cc
@@ -1,8 +1,10 @@
 #include "posthatch/gateway/upstream_attempt.h"
 
-#include <charconv>
 #include <utility>
 
+#include "posthatch/gateway/header_names.h"
+#include "posthatch/gateway/response_fields.h"
+
 namespace posthatch::gateway {
 namespace {
 
@@ -19,12 +21,6 @@
   return failure;
 }
 
-uint64_t ParseNumber(std::string_view text) {
-  uint64_t number = 0;
-  std::from_chars(text.data(), text.data() + text.size(), number);
-  return number;
-}
-
 }  // namespace
 
 const char* AttemptFailure::name() const {
@@ -86,12 +82,12 @@
 
 void UpstreamAttempt::OnResponseHead(const http::Response& head) {
   if (ended_) return;
-  if (head.headers.Get("X-Posthatch-Attempt") != plan_.nonce) {
+  if (head.headers.Get(header::kAttempt) != plan_.nonce) {
     Fail({AttemptFailure::Cause::kWrongAttempt, "the answer is not for this attempt"});
     return;
   }
   CompleteHead();
-  directory_->OnEpoch(plan_.backend.get(), ParseNumber(head.headers.Get("X-Worker-Epoch")));
+  directory_->OnEpoch(plan_.backend.get(), NumberField(head.headers, header::kWorkerEpoch));
   streaming_ = plan_.stream && head.status == 200;
   if (streaming_) {
     listener_->OnStreamHead(head);
