--- a/src/posthatch/gateway/admission_control.cc
+++ b/src/posthatch/gateway/admission_control.cc
@@ -63,8 +63,8 @@
   const double allowed =
       AllowedShare(tenant.priority()) * static_cast<double>(options_->max_concurrent_requests);
   if (static_cast<double>(in_flight_ + 1) > allowed) {
-    return ApiError{503, "overloaded", "too many requests in flight at this gateway", Executed::kNo,
-                    kOverloadRetrySeconds};
+    return ApiError{ErrorCode::kOverloaded, "too many requests in flight at this gateway",
+                    Executed::kNo, kOverloadRetrySeconds};
   }
   if (usages_.size() > kMaxUsages) {
     absl::erase_if(usages_, [](const auto& entry) { return entry.second->in_flight == 0; });
@@ -75,13 +75,13 @@
     const uint32_t gateways = options_->LiveGateways();
     const uint32_t share = (tenant.max_concurrency() + gateways - 1) / gateways;
     if (usage->in_flight >= share) {
-      return ApiError{429, "too_many_requests", "the tenant has too many requests in flight",
+      return ApiError{ErrorCode::kTooManyRequests, "the tenant has too many requests in flight",
                       Executed::kNo, kOverloadRetrySeconds};
     }
   }
   const std::optional<int> wait_seconds = TakeToken(tenant, usage.get());
   if (wait_seconds.has_value()) {
-    return ApiError{429, "rate_limited", "the tenant's request rate is used up", Executed::kNo,
+    return ApiError{ErrorCode::kRateLimited, "the tenant's request rate is used up", Executed::kNo,
                     *wait_seconds};
   }
   ++usage->in_flight;
--- a/src/posthatch/gateway/api_error.h
+++ b/src/posthatch/gateway/api_error.h
@@ -1,6 +1,7 @@
 #pragma once
 
 #include <string>
+#include <string_view>
 
 #include "posthatch/http/http.h"
 
@@ -10,11 +11,33 @@
 // will not run (docs/API.md, "Callers").
 enum class Executed { kNo, kUnknown };
 
-// A refusal of the callers' interface. The values of `code` and their statuses are those of the
-// table in docs/API.md.
+// Why a request is refused or failed (docs/API.md, "Callers").
+enum class ErrorCode {
+  kBadRequest,
+  kUnauthorized,
+  kNotFound,
+  kInProgress,         // another attempt with this idempotency key runs
+  kKeyReused,          // the idempotency key was used for another request
+  kKeyExpired,         // the idempotency key's record is closed
+  kTooManyRequests,    // the tenant's concurrency limit
+  kRateLimited,        // the tenant's rate limit
+  kBackendFailed,      // no complete response from a back end that was asked
+  kDraining,           // this gateway is stopping
+  kNoCapacity,         // no back end may take the request
+  kNoLease,            // this gateway may decide nothing at the moment
+  kOverloaded,         // load shedding
+  kRecordUnavailable,  // the delivery record could not be written or read
+  kTimeout,
+};
+
+// The code as callers and metrics see it, such as "no_lease".
+std::string_view ErrorCodeName(ErrorCode code);
+// The HTTP status that goes with it.
+int HttpStatusOf(ErrorCode code);
+
+// A refusal of the callers' interface.
 struct ApiError {
-  int status = 500;
-  std::string code;
+  ErrorCode code = ErrorCode::kBackendFailed;
   std::string message;
   Executed executed = Executed::kUnknown;
   int retry_after_seconds = 0;  // 0: no Retry-After field
--- a/src/posthatch/gateway/caller_api.cc
+++ b/src/posthatch/gateway/caller_api.cc
@@ -42,13 +42,13 @@
   return nullptr;
 }
 
-ApiError NotFound(const char* message) { return {404, "not_found", message, Executed::kNo}; }
+ApiError NotFound(const char* message) { return {ErrorCode::kNotFound, message, Executed::kNo}; }
 ApiError BadRequest(const absl::Status& status) {
   const absl::string_view message = status.message();
-  return {400, "bad_request", {message.data(), message.size()}, Executed::kNo};
+  return {ErrorCode::kBadRequest, {message.data(), message.size()}, Executed::kNo};
 }
 ApiError BadRequest(std::string message) {
-  return {400, "bad_request", std::move(message), Executed::kNo};
+  return {ErrorCode::kBadRequest, std::move(message), Executed::kNo};
 }
 
 }  // namespace
@@ -76,14 +76,14 @@
 
 std::optional<ApiError> CallerApi::Validate(CallerRequest* call) {
   if (draining_) {
-    return ApiError{503, "draining", "this gateway is being stopped", Executed::kNo,
+    return ApiError{ErrorCode::kDraining, "this gateway is being stopped", Executed::kNo,
                     kDrainRetrySeconds};
   }
   if (std::optional<ApiError> error = context_->FleetStateError()) return error;
   const http::Headers& headers = call->request.headers;
   call->tenant = context_->tenants->Authenticate(headers.Get(header::kAuthorization));
   if (call->tenant == nullptr) {
-    return ApiError{401, "unauthorized", "no such key", Executed::kNo};
+    return ApiError{ErrorCode::kUnauthorized, "no such key", Executed::kNo};
   }
   call->request_id = std::string(headers.Get(header::kRequestId));
   if (call->request_id.empty()) call->request_id = context_->NewNonce();
@@ -171,7 +171,7 @@
 void CallerApi::Refuse(const CallerRequest& call, ApiError error) {
   // An earlier send of the same key may have run, unless the request could never have been taken.
   const bool may_have_run = call.request.headers.Has(header::kIdempotencyKey);
-  const bool never_accepted = error.status == 400 || error.status == 413;
+  const bool never_accepted = error.code == ErrorCode::kBadRequest;
   if (may_have_run && !never_accepted) error.executed = Executed::kUnknown;
   SendError(*context_, call.writer.get(), error);
 }
--- a/src/posthatch/gateway/delivery_request.cc
+++ b/src/posthatch/gateway/delivery_request.cc
@@ -11,7 +11,7 @@
 namespace {
 
 ApiError RecordUnavailable(const char* message) {
-  return ApiError{503, "record_unavailable", message, Executed::kUnknown, 1};
+  return ApiError{ErrorCode::kRecordUnavailable, message, Executed::kUnknown, 1};
 }
 
 }  // namespace
@@ -35,8 +35,8 @@
       context_->router->RouteService(service_, call_.tenant->priority(), attempted_backends_);
   if (decision.outcome != RouteDecision::Outcome::kChosen) {
     const bool shed = decision.outcome == RouteDecision::Outcome::kShed;
-    Refuse({503, shed ? "overloaded" : "no_capacity", "no back end may take the operation",
-            Executed::kUnknown, 1});
+    Refuse({shed ? ErrorCode::kOverloaded : ErrorCode::kNoCapacity,
+            "no back end may take the operation", Executed::kUnknown, 1});
     return;
   }
   begin_sent_ = context_->runtime->clock->Now();
@@ -53,7 +53,7 @@
     return;
   }
   if (result->code() == control::CommandResult::WINDOW_PASSED) {
-    Refuse({410, "key_expired", "the idempotency key's record is past its window",
+    Refuse({ErrorCode::kKeyExpired, "the idempotency key's record is past its window",
             Executed::kUnknown});
     return;
   }
@@ -73,11 +73,11 @@
       Replay(delivery.outcome());
       return;
     case control::DeliveryStatus::RUNNING:
-      Refuse(
-          {409, "in_progress", "another attempt with this key is running", Executed::kUnknown, 1});
+      Refuse({ErrorCode::kInProgress, "another attempt with this key is running",
+              Executed::kUnknown, 1});
       return;
     case control::DeliveryStatus::MISMATCH:
-      Refuse({409, "key_reused", "the idempotency key was used for another request",
+      Refuse({ErrorCode::kKeyReused, "the idempotency key was used for another request",
               Executed::kUnknown});
       return;
     default:
@@ -88,11 +88,13 @@
 void DeliveryRequest::Replay(const control::DeliveryOutcome& outcome) {
   context_->metrics->deliveries.Increment("replayed");
   if (outcome.kind() == control::DeliveryOutcome::NOT_EXECUTED) {
-    Refuse({410, "key_expired", "this key was closed before it ran; use a new one", Executed::kNo});
+    Refuse({ErrorCode::kKeyExpired, "this key was closed before it ran; use a new one",
+            Executed::kNo});
     return;
   }
   if (outcome.kind() != control::DeliveryOutcome::RESPONDED) {
-    Refuse({502, "backend_failed", "the first send of this key got no answer", Executed::kUnknown});
+    Refuse({ErrorCode::kBackendFailed, "the first send of this key got no answer",
+            Executed::kUnknown});
     return;
   }
   http::Response stored;
@@ -107,8 +109,8 @@
 std::optional<ApiError> DeliveryRequest::DispatchError() const {
   const runtime::MonotonicTime now = context_->runtime->clock->Now();
   if (now - begin_sent_ >= kDispatchDeadline || now >= call_.deadline) {
-    return ApiError{504, "timeout", "it took too long to write the delivery record", Executed::kNo,
-                    1};
+    return ApiError{ErrorCode::kTimeout, "it took too long to write the delivery record",
+                    Executed::kNo, 1};
   }
   if (std::optional<ApiError> error = context_->FleetStateError()) return error;
   // The configuration may have changed while the record was written.
@@ -124,7 +126,7 @@
       context_->router->RouteService(service_, call_.tenant->priority(), attempted_backends_);
   if (decision.outcome != RouteDecision::Outcome::kChosen) {
     const bool shed = decision.outcome == RouteDecision::Outcome::kShed;
-    CloseNotExecuted({503, shed ? "overloaded" : "no_capacity",
+    CloseNotExecuted({shed ? ErrorCode::kOverloaded : ErrorCode::kNoCapacity,
                       "no back end may take the operation", Executed::kNo, 1});
     return;
   }
@@ -133,7 +135,7 @@
   } else if (!context_->retry_budget->TryRetry(context_->lookup->limits().retry_ratio)) {
     context_->metrics->retries_denied.Increment("budget");
     CloseNotExecuted(
-        {502, "backend_failed", "the back end could not be reached", Executed::kNo, 1});
+        {ErrorCode::kBackendFailed, "the back end could not be reached", Executed::kNo, 1});
     return;
   }
   SendTo(std::move(decision.backend));
@@ -171,8 +173,8 @@
   deadline_timer_.Cancel();
   if (GuaranteesNotExecuted(response)) {
     context_->backends->OnRefused(attempt_->backend(), 0, response.status);
-    CloseNotExecuted(
-        {503, "no_capacity", "the back end refused the operation before it ran", Executed::kNo, 1});
+    CloseNotExecuted({ErrorCode::kNoCapacity, "the back end refused the operation before it ran",
+                      Executed::kNo, 1});
     return;
   }
   const bool valid =
@@ -180,7 +182,8 @@
   if (!valid || response.body.size() > kMaxStoredBodyBytes) {
     context_->backends->OnFailure(attempt_->backend());
     context_->metrics->attempt_failures.Increment("bad_answer");
-    CloseUnknown({502, "backend_failed", "the back end's answer was broken", Executed::kUnknown});
+    CloseUnknown(
+        {ErrorCode::kBackendFailed, "the back end's answer was broken", Executed::kUnknown});
     return;
   }
   context_->backends->OnSuccess(attempt_->backend());
@@ -197,7 +200,7 @@
   context_->metrics->attempt_failures.Increment(failure.name());
   if (!failure.GuaranteesNotExecuted()) {
     const bool timed_out = failure.cause == AttemptFailure::Cause::kTimeout;
-    CloseUnknown({timed_out ? 504 : 502, timed_out ? "timeout" : "backend_failed",
+    CloseUnknown({timed_out ? ErrorCode::kTimeout : ErrorCode::kBackendFailed,
                   "the back end was asked and gave no whole answer", Executed::kUnknown});
     return;
   }
@@ -205,7 +208,7 @@
   attempted_backends_.push_back(attempt_->backend()->backend.id());
   context_->requests->Discard(std::move(attempt_));
   if (attempted_backends_.size() >= context_->options->max_attempts) {
-    CloseNotExecuted({502, "backend_failed", "no back end could be reached", Executed::kNo, 1});
+    CloseNotExecuted({ErrorCode::kBackendFailed, "no back end could be reached", Executed::kNo, 1});
     return;
   }
   Dispatch();
@@ -214,38 +217,39 @@
 void DeliveryRequest::CloseNotExecuted(const ApiError& refusal) {
   control::DeliveryOutcome outcome;
   outcome.set_kind(control::DeliveryOutcome::NOT_EXECUTED);
-  Commit(std::move(outcome), MakeErrorResponse(refusal), refusal.code);
+  Commit(std::move(outcome), MakeErrorResponse(refusal), std::string(ErrorCodeName(refusal.code)));
 }
 
 void DeliveryRequest::CloseUnknown(const ApiError& error) {
   control::DeliveryOutcome outcome;
   outcome.set_kind(control::DeliveryOutcome::UNKNOWN);
-  Commit(std::move(outcome), MakeErrorResponse(error), error.code);
+  Commit(std::move(outcome), MakeErrorResponse(error), std::string(ErrorCodeName(error.code)));
 }
 
 void DeliveryRequest::Commit(control::DeliveryOutcome outcome, http::Response response,
-                             const std::string& code) {
+                             const std::string& metric_label) {
   std::weak_ptr<ActiveRequest> weak = weak_from_this();
-  const auto done = [this, weak, response = std::move(response), code](const auto& result) mutable {
-    if (const auto self = weak.lock()) OnCommitted(result, std::move(response), code);
+  const auto done = [this, weak, response = std::move(response),
+                     metric_label](const auto& result) mutable {
+    if (const auto self = weak.lock()) OnCommitted(result, std::move(response), metric_label);
   };
   context_->deliveries->Finish(key_, std::move(outcome), done);
 }
 
 void DeliveryRequest::OnCommitted(const absl::StatusOr<control::CommandResult>& result,
-                                  http::Response response, const std::string& code) {
+                                  http::Response response, const std::string& metric_label) {
   if (!result.ok() || result->code() != control::CommandResult::OK) {
     Refuse(RecordUnavailable("the outcome could not be recorded"));
     return;
   }
-  context_->metrics->responses.Increment(code);
-  context_->metrics->deliveries.Increment(code);
+  context_->metrics->responses.Increment(metric_label);
+  context_->metrics->deliveries.Increment(metric_label);
   call_.writer->SendResponse(std::move(response));
   End();
 }
 
 void DeliveryRequest::Refuse(const ApiError& error) {
-  context_->metrics->deliveries.Increment(error.code);
+  context_->metrics->deliveries.Increment(std::string(ErrorCodeName(error.code)));
   SendError(*context_, call_.writer.get(), error);
   End();
 }
--- a/src/posthatch/gateway/delivery_request.h
+++ b/src/posthatch/gateway/delivery_request.h
@@ -43,11 +43,12 @@
   std::optional<ApiError> DispatchError() const;
   void SendTo(BackendPointer backend);
   // Commits the outcome, then answers: `answer` if it was committed, "unknown" if not.
-  void Commit(control::DeliveryOutcome outcome, http::Response response, const std::string& code);
+  void Commit(control::DeliveryOutcome outcome, http::Response response,
+              const std::string& metric_label);
   void CloseNotExecuted(const ApiError& refusal);
   void CloseUnknown(const ApiError& error);
   void OnCommitted(const absl::StatusOr<control::CommandResult>& result, http::Response response,
-                   const std::string& code);
+                   const std::string& metric_label);
   void Refuse(const ApiError& error);
   void End();
 
--- a/src/posthatch/gateway/gateway_context.cc
+++ b/src/posthatch/gateway/gateway_context.cc
@@ -10,12 +10,12 @@
 
 std::optional<ApiError> GatewayContext::FleetStateError() const {
   if (!view->LeaseValid()) {
-    return ApiError{503, "no_lease", "this gateway holds no session lease at the moment",
+    return ApiError{ErrorCode::kNoLease, "this gateway holds no session lease at the moment",
                     Executed::kNo, 1};
   }
   if (!inventory->HasUsableInventory()) {
-    return ApiError{503, "no_lease", "this gateway's list of back ends is too old", Executed::kNo,
-                    1};
+    return ApiError{ErrorCode::kNoLease, "this gateway's list of back ends is too old",
+                    Executed::kNo, 1};
   }
   return std::nullopt;
 }
@@ -23,7 +23,7 @@
 std::optional<ApiError> GatewayContext::AuthorizationError(const CallerRequest& call) const {
   const auto now = tenants->Authenticate(call.request.headers.Get(header::kAuthorization));
   if (now != nullptr && now->name() == call.tenant->name()) return std::nullopt;
-  return ApiError{401, "unauthorized", "the key is no longer valid", Executed::kNo};
+  return ApiError{ErrorCode::kUnauthorized, "the key is no longer valid", Executed::kNo};
 }
 
 std::string GatewayContext::NewNonce() const {
@@ -33,7 +33,7 @@
 }
 
 void SendError(const GatewayContext& context, http::ResponseWriter* writer, const ApiError& error) {
-  context.metrics->responses.Increment(error.code);
+  context.metrics->responses.Increment(std::string(ErrorCodeName(error.code)));
   writer->SendResponse(MakeErrorResponse(error));
 }
 
--- a/src/posthatch/gateway/retryable_request.cc
+++ b/src/posthatch/gateway/retryable_request.cc
@@ -45,12 +45,12 @@
   AttemptPlan plan;
   RouteDecision decision = Plan(attempted_backends_, &plan);
   if (decision.outcome == RouteDecision::Outcome::kShed) {
-    Refuse({503, "overloaded", "the back ends are busy with work of higher priority", Executed::kNo,
-            1});
+    Refuse({ErrorCode::kOverloaded, "the back ends are busy with work of higher priority",
+            Executed::kNo, 1});
     return;
   }
   if (decision.outcome == RouteDecision::Outcome::kNoCapacity) {
-    Refuse({503, "no_capacity", "no back end may take the request now", Executed::kNo, 1});
+    Refuse({ErrorCode::kNoCapacity, "no back end may take the request now", Executed::kNo, 1});
     return;
   }
   if (attempts_ == 0) {
@@ -135,20 +135,20 @@
 
 ApiError RetryableRequest::FinalError(const AttemptFailure& failure) const {
   if (failure.cause == AttemptFailure::Cause::kRefused) {
-    return {503, "no_capacity", "the back ends refused the request", Executed::kNo, 1};
+    return {ErrorCode::kNoCapacity, "the back ends refused the request", Executed::kNo, 1};
   }
   if (failure.cause == AttemptFailure::Cause::kTimeout) {
-    return {504, "timeout", "no answer in time", Executed::kUnknown, 1};
+    return {ErrorCode::kTimeout, "no answer in time", Executed::kUnknown, 1};
   }
-  return {502, "backend_failed", "the back end gave no whole answer", Executed::kUnknown, 1};
+  return {ErrorCode::kBackendFailed, "the back end gave no whole answer", Executed::kUnknown, 1};
 }
 
 ApiError RetryableRequest::RetryDeniedError() const {
   if (guaranteed_not_executed_) {
-    return {503, "no_capacity", "the back end refused, and too many requests are being retried",
+    return {ErrorCode::kNoCapacity, "the back end refused, and too many requests are being retried",
             Executed::kNo, 1};
   }
-  return {502, "backend_failed", "the back end failed, and too many requests are being retried",
+  return {ErrorCode::kBackendFailed, "the back end failed, and too many requests are being retried",
           Executed::kUnknown, 1};
 }
 
