--- a/src/posthatch/server/controller_node.cc
+++ b/src/posthatch/server/controller_node.cc
@@ -1,17 +1,15 @@
 #include "posthatch/server/controller_node.h"
 
-#include <boost/json/array.hpp>
-#include <boost/json/object.hpp>
-#include <boost/json/serialize.hpp>
 #include <utility>
 
+#include "posthatch/server/controllers_view.h"
 #include "posthatch/server/member_views.h"
+#include "posthatch/server/node_options.h"
 
 namespace posthatch::server {
 namespace {
 
 constexpr int kNotFound = 404;
-constexpr runtime::Duration kLeaveDelay = std::chrono::milliseconds(200);
 
 consensus::ReplicaOptions MakeReplicaOptions(const ControllerSettings& settings,
                                              const membership::Membership* membership) {
@@ -25,32 +23,6 @@
   return options;
 }
 
-const char* RoleName(consensus::ReplicaRole role) {
-  switch (role) {
-    case consensus::ReplicaRole::kUnbootstrapped:
-      return "unbootstrapped";
-    case consensus::ReplicaRole::kLearner:
-      return "learner";
-    case consensus::ReplicaRole::kFollower:
-      return "follower";
-    case consensus::ReplicaRole::kCandidate:
-      return "candidate";
-    case consensus::ReplicaRole::kLeader:
-      return "leader";
-  }
-  return "unknown";
-}
-
-boost::json::object MemberJson(const consensus::ReplicaStatus::MemberStatus& member) {
-  boost::json::object json;
-  json["replica_id"] = std::to_string(member.replica_id);
-  json["endpoint"] = member.endpoint;
-  json["voter"] = member.voter;
-  json["match_index"] = member.match_index;
-  json["silent_ms"] = runtime::ToMilliseconds(member.since_last_response);
-  return json;
-}
-
 }  // namespace
 
 ControllerNode::ControllerNode(runtime::Runtime* runtime, ControllerSettings settings,
@@ -66,15 +38,8 @@
       service_(runtime, ServiceOptions(), &replica_, this, &state_),
       invalidation_server_(runtime, invalidation::InvalidationServerOptions{}, &state_,
                            [this] { return Serving(); }),
-      admin_api_(
-          runtime,
-          [this] {
-            control::AdminApiOptions options;
-            options.admin_token_sha256 = settings_.node.admin_token_sha256;
-            options.members_view = [this] { return MembersView(membership_); };
-            return options;
-          }(),
-          service_.client(), service_.client()),
+      admin_api_(runtime, MakeAdminOptions(settings_.node, &membership_), service_.client(),
+                 service_.client()),
       leave_timer_(runtime->timers) {
   if (formats_ == nullptr) return;
   operator_api_ = std::make_unique<control::OperatorApi>(runtime, control::OperatorApiOptions{},
@@ -122,7 +87,7 @@
   options.controllers = [this] {
     return LiveEndpoints(membership_, membership::MemberRole::kController, settings_.node.seeds);
   };
-  options.controllers_view = [this] { return ControllersView(); };
+  options.controllers_view = [this] { return ControllersView(replica_.Status()); };
   return options;
 }
 
@@ -179,23 +144,4 @@
   writer->SendResponse(std::move(response));
 }
 
-std::string ControllerNode::ControllersView() const {
-  const consensus::ReplicaStatus status = replica_.Status();
-  boost::json::array members;
-  for (const auto& member : status.members) members.push_back(MemberJson(member));
-  boost::json::object view;
-  view["replica_id"] = std::to_string(status.replica_id);
-  view["cluster_id"] = std::to_string(status.cluster_id);
-  view["role"] = RoleName(status.role);
-  view["term"] = status.term;
-  view["leader_endpoint"] = status.leader_endpoint;
-  view["commit_index"] = status.commit_index;
-  view["applied_index"] = status.applied_index;
-  view["snapshot_index"] = status.snapshot_index;
-  view["disk_sync_p95_ms"] = runtime::ToMilliseconds(status.disk_sync_p95);
-  view["disk_full"] = status.disk_full;
-  view["members"] = std::move(members);
-  return boost::json::serialize(view);
-}
-
 }  // namespace posthatch::server
--- a/src/posthatch/server/controller_node.h
+++ b/src/posthatch/server/controller_node.h
@@ -43,7 +43,6 @@
 
  private:
   invalidation::ServingState Serving() const;
-  std::string ControllersView() const;
   control::ControllerServiceOptions ServiceOptions();
   rollout::RolloutOptions RolloutSettings() const;
   rollout::RolloutCoordinator::Parts RolloutParts();
--- a/src/posthatch/server/gateway_node.cc
+++ b/src/posthatch/server/gateway_node.cc
@@ -3,21 +3,12 @@
 #include <utility>
 
 #include "posthatch/server/member_views.h"
+#include "posthatch/server/node_options.h"
 
 namespace posthatch::server {
 namespace {
 
 constexpr std::string_view kAdminPrefix = "/admin/v1/";
-constexpr std::string_view kIndexPath = "/admin/v1/index";
-// Time for the last messages (session end, gossip) to go out before the process ends.
-constexpr runtime::Duration kLeaveDelay = std::chrono::milliseconds(200);
-
-control::GatewaySessionOptions SessionOptions(const GatewaySettings& settings) {
-  control::GatewaySessionOptions options;
-  options.zone = settings.node.zone;
-  options.renew_interval = settings.session_renew_interval;
-  return options;
-}
 
 index::IndexOptions MakeIndexOptions(const GatewaySettings& settings) {
   index::IndexOptions options;
@@ -47,14 +38,6 @@
   return options;
 }
 
-control::AdminApiOptions MakeAdminOptions(const NodeSettings& node,
-                                          const membership::Membership* membership) {
-  control::AdminApiOptions options;
-  options.admin_token_sha256 = node.admin_token_sha256;
-  options.members_view = [membership] { return MembersView(*membership); };
-  return options;
-}
-
 }  // namespace
 
 GatewayNode::GatewayNode(runtime::Runtime* runtime, GatewaySettings settings)
@@ -63,7 +46,7 @@
                   MakeSelfMember(settings_.node, membership::MemberRole::kGateway,
                                  runtime->transport->incarnation()),
                   settings_.node.seeds, membership::GossipOptions{}),
-      session_(runtime, SessionOptions(settings_),
+      session_(runtime, MakeSessionOptions(settings_),
                [this] {
                  return LiveEndpoints(membership_, membership::MemberRole::kController,
                                       settings_.node.seeds);
@@ -108,13 +91,7 @@
     gateway_.HandleRequest(std::move(request), std::move(writer));
     return;
   }
-  if (request.target == kIndexPath && request.method == "GET" && admin_api_.Authorized(request)) {
-    http::Response response;
-    response.headers.Add("Content-Type", "application/json");
-    response.body = index_.stats_json();
-    writer->SendResponse(std::move(response));
-    return;
-  }
+  if (HandleIndexStats(request, admin_api_, index_, writer.get())) return;
   if (!admin_api_.HandleRequest(request, writer)) {
     gateway_.HandleRequest(std::move(request), std::move(writer));
   }
--- a/src/posthatch/server/platform_gateway_node.cc
+++ b/src/posthatch/server/platform_gateway_node.cc
@@ -3,14 +3,12 @@
 #include <utility>
 
 #include "posthatch/server/member_views.h"
+#include "posthatch/server/node_options.h"
 
 namespace posthatch::server {
 namespace {
 
-constexpr std::string_view kIndexPath = "/admin/v1/index";
 constexpr int kNotFound = 404;
-// Time for the last messages (session end, gossip) to go out before the process ends.
-constexpr runtime::Duration kLeaveDelay = std::chrono::milliseconds(200);
 constexpr runtime::Duration kMemberRefresh = std::chrono::milliseconds(300);
 // Longest that a worker holds a read of its cache events.
 constexpr runtime::Duration kEventWait = std::chrono::milliseconds(900);
@@ -20,13 +18,6 @@
 // the one before, where a further revision was named in the middle of a roll-out.
 constexpr size_t kRetainedRevisions = 3;
 
-control::GatewaySessionOptions SessionOptions(const GatewaySettings& settings) {
-  control::GatewaySessionOptions options;
-  options.zone = settings.node.zone;
-  options.renew_interval = settings.session_renew_interval;
-  return options;
-}
-
 index::IndexOptions MakeIndexOptions(const GatewaySettings& settings,
                                      const PlatformFormats& formats) {
   index::IndexOptions options;
@@ -53,20 +44,12 @@
                   MakeSelfMember(settings_.node, membership::MemberRole::kGateway,
                                  runtime->transport->incarnation()),
                   settings_.node.seeds, membership::GossipOptions{}),
-      session_(runtime, SessionOptions(settings_), [this] { return ControllerEndpoints(); }),
+      session_(runtime, MakeSessionOptions(settings_), [this] { return ControllerEndpoints(); }),
       index_(
           runtime, MakeIndexOptions(settings_, formats), &session_, &session_,
           [this] { return OtherIndexPeers(); }, [this] { return ChannelServers(); }),
       traffic_(runtime, TrafficOptions(formats), &session_, index_.locator(), index_.trust()),
-      admin_api_(
-          runtime,
-          [this] {
-            control::AdminApiOptions options;
-            options.admin_token_sha256 = settings_.node.admin_token_sha256;
-            options.members_view = [this] { return MembersView(membership_); };
-            return options;
-          }(),
-          &session_, &session_),
+      admin_api_(runtime, MakeAdminOptions(settings_.node, &membership_), &session_, &session_),
       leave_timer_(runtime->timers) {}
 
 routing::TrafficGatewayOptions PlatformGatewayNode::TrafficOptions(const PlatformFormats& formats) {
@@ -153,13 +136,7 @@
 
 void PlatformGatewayNode::HandleAdmin(http::Request request,
                                       std::shared_ptr<http::ResponseWriter> writer) {
-  if (request.target == kIndexPath && request.method == "GET" && admin_api_.Authorized(request)) {
-    http::Response response;
-    response.headers.Add("Content-Type", "application/json");
-    response.body = index_.stats_json();
-    writer->SendResponse(std::move(response));
-    return;
-  }
+  if (HandleIndexStats(request, admin_api_, index_, writer.get())) return;
   if (admin_api_.HandleRequest(request, writer)) return;
   http::Response response;
   response.status = kNotFound;
--- a/src/posthatch/server/process_runner.h
+++ b/src/posthatch/server/process_runner.h
@@ -9,19 +9,17 @@
 #include "posthatch/net/asio_runtime.h"
 #include "posthatch/server/process.h"
 #include "posthatch/server/settings/node_settings.h"
+#include "posthatch/server/settings/settings_watch.h"
 
 namespace posthatch::server {
 
 // Builds a process, once the address it answers HTTP on is bound.
 using MakeProcess = std::function<std::unique_ptr<Process>(const std::string& http_endpoint)>;
 
-// Reads the settings file anew and returns the seeds in it; empty if it can't be used.
-using ReadSeeds = std::function<std::vector<std::string>()>;
-
 // The settings file of a process, and how to read the seeds in it.
 struct SettingsFile {
   std::string path;
-  ReadSeeds read_seeds;
+  SettingsWatch::ReadSeeds read_seeds;
 };
 
 // Makes and starts a process, answers its HTTP endpoint and runs the event loop until a SIGTERM or
