--- a/src/posthatch/gateway/gateway_metrics.h
+++ b/src/posthatch/gateway/gateway_metrics.h
@@ -5,26 +5,11 @@
 #include <prometheus/histogram.h>
 #include <prometheus/registry.h>
 
-#include <string>
-
-#include "absl/container/flat_hash_map.h"
+#include "posthatch/util/metrics.h"
 
 namespace posthatch::gateway {
 
-// A counter family with one label; remembers the counter of each value, because a look-up in the
-// family locks and sorts labels. The values are a small closed set.
-class LabeledCounter {
- public:
-  LabeledCounter(prometheus::Registry* registry, const std::string& name, const std::string& help,
-                 std::string label);
-  void Increment(const std::string& value, double amount = 1.0);
-  double Value(const std::string& value) const;
-
- private:
-  prometheus::Family<prometheus::Counter>* const family_;
-  const std::string label_;
-  absl::flat_hash_map<std::string, prometheus::Counter*> counters_;
-};
+using util::LabeledCounter;
 
 // The metric families of the data plane; each decision is counted. Owned by Gateway, event loop
 // thread only.
