--- /dev/null
+++ b/src/posthatch/routing/reported_loads.h
@@ -0,0 +1,29 @@
+#pragma once
+
+#include <string>
+
+#include "absl/functional/function_ref.h"
+#include "posthatch/routing/load.h"
+#include "posthatch/routing/routing.pb.h"
+
+namespace posthatch::routing {
+
+// The loads of one source (this gateway, or a zone) as they were last reported, and the changes
+// since. Not thread-safe.
+class ReportedLoads {
+ public:
+  // Whether a load must be reported after the one that was reported last.
+  using Differs = absl::FunctionRef<bool(const Load& current, const Load& reported)>;
+
+  // What was last reported of the worker; zero if it was never reported.
+  Load Find(const std::string& worker_id) const;
+  // Adds a line to `report` for each load of `current` that differs from the last report, or with
+  // `full` for each that isn't zero; and a zero line for each that is no more in `current`. They
+  // count as reported from now on.
+  void AddChanges(const LoadMap& current, bool full, Differs differs, LoadReport* report);
+
+ private:
+  LoadMap reported_;
+};
+
+}  // namespace posthatch::routing
--- /dev/null
+++ b/src/posthatch/routing/store_health_records.h
@@ -0,0 +1,34 @@
+#pragma once
+
+#include <map>
+#include <string>
+
+#include "posthatch/routing/routing.pb.h"
+#include "posthatch/runtime/clock.h"
+
+namespace posthatch::routing {
+
+// What this gateway, as an aggregator, has found of the prefix stores' health. Owned by
+// LoadReporter; event loop thread only.
+class StoreHealthRecords {
+ public:
+  explicit StoreHealthRecords(const runtime::Clock* clock) : clock_(clock) {}
+
+  // Returns whether the store's health is new or has changed, and so must be reported.
+  bool Record(const std::string& endpoint, bool alive);
+  // Adds all records to a report if one has changed since the last time, or with `full`. Left out
+  // are records that were not renewed: another gateway may check the store now.
+  void AddTo(bool full, LoadReport* report);
+
+ private:
+  struct CheckedStore {
+    bool alive = false;
+    runtime::MonotonicTime checked_at;
+  };
+
+  const runtime::Clock* const clock_;
+  std::map<std::string, CheckedStore> stores_;  // by endpoint
+  bool changed_ = false;
+};
+
+}  // namespace posthatch::routing
