--- a/src/posthatch/routing/prefix_stores.cc
+++ b/src/posthatch/routing/prefix_stores.cc
@@ -1,25 +1,21 @@
 #include "posthatch/routing/prefix_stores.h"
 
-#include <xxhash.h>
-
 #include <algorithm>
 #include <utility>
 
+#include "posthatch/routing/rendezvous_rank.h"
+
 namespace posthatch::routing {
 namespace {
 
-// What was told of a store's health counts for so long. Of watchers that disagree the one that
-// can't reach it is believed, until it has said nothing of the kind for a while.
+// A report of a store's health counts for so long. Of aggregators that disagree the one that can't
+// reach it is believed: using a dead store costs more than doing without a live one.
 constexpr runtime::Duration kHealthyTtl = std::chrono::milliseconds(2500);
 constexpr runtime::Duration kUnhealthyTtl = std::chrono::milliseconds(1200);
 constexpr uint32_t kDelayedFetchesToBackOff = 2;
 constexpr runtime::Duration kInitialBackoff = std::chrono::milliseconds(1000);
 constexpr uint32_t kMaxBackoffDoublings = 2;
 
-uint64_t RendezvousRank(uint64_t affinity, const std::string& endpoint) {
-  return XXH3_64bits_withSeed(endpoint.data(), endpoint.size(), affinity);
-}
-
 }  // namespace
 
 void PrefixStores::Rebuild(const control::TrafficConfiguration& configuration) {
--- a/src/posthatch/routing/prefix_stores.h
+++ b/src/posthatch/routing/prefix_stores.h
@@ -9,35 +9,36 @@
 
 namespace posthatch::routing {
 
-// One store of kept KV cache as this gateway sees it.
+// One store of KV cache as this gateway sees it.
 struct PrefixStore {
   std::string endpoint;
   std::string zone;
   double link_mbps = 0;
-  runtime::MonotonicTime last_healthy_at;    // last told to answer; zero: never
-  runtime::MonotonicTime last_unhealthy_at;  // last told not to answer
-  uint32_t delayed_fetches = 0;              // in a row
-  uint32_t backoffs = 0;                     // in a row
+  runtime::MonotonicTime last_healthy_at;    // newest report of it; zero: none
+  runtime::MonotonicTime last_unhealthy_at;  // newest report of it; zero: none
+  uint32_t delayed_fetches = 0;              // consecutive
+  uint32_t backoffs = 0;                     // consecutive
   runtime::MonotonicTime backoff_until;
 };
 
-// The stores that workers may save kept segments to and fetch them from. Which one keeps a prompt
-// is the same for all gateways (rendezvous hashing). A store is used only while it is known to
-// answer (StoreHealthChecker): a worker waits for a dead one, and its other moves wait with it.
-// Event loop thread only.
+// The stores that workers may save cached segments to and fetch them from. All gateways use the
+// same store for a prompt (rendezvous hashing). A store is used only while it is reported healthy
+// (StoreHealthChecker): a worker waits for a dead one, and its other transfers wait with it. Owned
+// by TrafficGateway; event loop thread only.
 class PrefixStores {
  public:
   explicit PrefixStores(runtime::Runtime* runtime) : runtime_(runtime) {}
 
-  // Follows the configuration; what is known of a store stays.
+  // Applies the configuration; the health of stores that stay is kept.
   void Rebuild(const control::TrafficConfiguration& configuration);
   std::vector<std::string> Endpoints() const;
-  // A watcher found the store to answer or not.
+  // An aggregator reports the store's health. Unknown stores are ignored.
   void RecordHealth(const std::string& endpoint, bool alive);
-  // The store that keeps prompts of `affinity`; null if there is none or it may not be used now.
+  // The store for prompts of `affinity`; null if there is none or it may not be used now. Valid
+  // until the next Rebuild.
   const PrefixStore* StoreFor(uint64_t affinity) const;
-  // A first event after a fetch from `endpoint` came, `late` or in time. Other endpoints are
-  // ignored.
+  // The first event after a fetch from `endpoint` came, `delayed` or in time; a store with several
+  // delayed fetches is not used for a while. Endpoints that are no stores are ignored.
   void RecordFetch(const std::string& endpoint, bool delayed);
 
  private:
--- a/src/posthatch/routing/traffic_gateway.cc
+++ b/src/posthatch/routing/traffic_gateway.cc
@@ -155,7 +155,7 @@
 
 void TrafficGateway::UpdatePool() {
   refresh_timer_.Start(kRefreshInterval, [this] { UpdatePool(); });
-  pool_.Update(view_->state(), inventory_.local_snapshot(), view_->InventoryAge(), routes_);
+  pool_.Update(view_->state(), inventory_.local_snapshot(), view_->InventoryAge());
 }
 
 void TrafficGateway::SendLocalReply(http::ResponseWriter* writer, LocalReplyReason reason,
--- a/src/posthatch/routing/worker_pool.cc
+++ b/src/posthatch/routing/worker_pool.cc
@@ -9,8 +9,9 @@
 namespace posthatch::routing {
 namespace {
 
-constexpr double kWaitWeight = 0.3;       // of a new measurement
-constexpr double kWaitHalfLifeMs = 1500;  // an old one fades
+// Tunables of outlier ejection and of the measured wait.
+constexpr double kWaitWeight = 0.3;  // of a new measurement in the average
+constexpr double kWaitHalfLifeMs = 1500;
 constexpr double kFailureDecay = 0.6;
 constexpr double kFailuresToEject = 2.0;
 constexpr runtime::Duration kFirstEjection = std::chrono::milliseconds(1000);
@@ -18,8 +19,8 @@
 constexpr runtime::Duration kInitialOverloadBackoff = std::chrono::milliseconds(150);
 constexpr uint32_t kMaxOverloadDoublings = 2;
 constexpr runtime::Duration kSlowTransferBackoff = std::chrono::seconds(2);
-// So long before a revision must have reached all workers, older ones get nothing more: this
-// gateway heard of it later than its sender was told, by one renewal of its session at the most.
+// Workers of an older revision get no new work from so long before the deadline on: this gateway
+// may have learnt of the revision one session renewal later than its sender was acknowledged.
 constexpr runtime::Duration kRevisionSafetyMargin = std::chrono::milliseconds(1300);
 
 }  // namespace
@@ -41,7 +42,7 @@
 }
 
 void WorkerPool::Update(const control::FleetState& state, const control::Inventory* local_inventory,
-                        runtime::Duration leader_inventory_age, const RouteTable& /*routes*/) {
+                        runtime::Duration leader_inventory_age) {
   UpdateTargetRevisions(state);
   slow_starts_.clear();
   for (const control::TrafficService& service : state.traffic().services()) {
@@ -85,7 +86,7 @@
   worker->draining = draining;
   worker->revision = std::max(worker->revision, backend.model_revision());
   const SlowStart* slow_start = SlowStartOf(*worker);
-  // One that appears while this gateway serves has just started.
+  // A worker that appears while this gateway serves has just started.
   const bool just_started = is_new && inventory_known_;
   if (slow_start != nullptr && just_started) worker->slow_start_until = now + slow_start->duration;
 }
@@ -110,7 +111,7 @@
                     [&labels](const control::Evacuation& evacuation) {
                       return control::SelectorMatches(evacuation.selector(), labels);
                     });
-    // It may have lost what it kept and started anew while it got nothing.
+    // It may have restarted while it got no work, with an empty cache.
     const SlowStart* slow_start = SlowStartOf(*worker);
     if (worker->evacuated && !evacuated && slow_start != nullptr) {
       worker->slow_start_until = now + slow_start->duration;
--- a/src/posthatch/routing/worker_pool.h
+++ b/src/posthatch/routing/worker_pool.h
@@ -8,92 +8,93 @@
 #include "absl/container/flat_hash_map.h"
 #include "posthatch/control/control.pb.h"
 #include "posthatch/routing/load_reporter.h"
-#include "posthatch/routing/route_table.h"
 #include "posthatch/routing/routing_switches.h"
 #include "posthatch/routing/slow_start_limiter.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::routing {
 
-// One worker incarnation as this gateway sees it. Requests keep it alive after it has left the
-// list.
+// One worker incarnation as this gateway sees it. Requests hold it after it has left the inventory.
 struct Worker {
   control::Backend backend;
   bool in_inventory = true;
-  bool draining = false;  // stays so: an incarnation that drains never comes back
+  bool draining = false;  // stays so: an incarnation that drains never returns
   bool evacuated = false;
-  uint64_t revision = 0;  // newest model revision it was seen to serve; it never falls
+  uint64_t revision = 0;  // newest model revision it was seen to serve; never decreases
   runtime::MonotonicTime slow_start_until;
 
   uint32_t in_flight = 0;       // dispatched by this gateway and not ended
-  uint64_t pending_tokens = 0;  // of those, prompt tokens to be read before the first event
-  double wait_ms = 0;           // moving average of measured waits ...
-  runtime::MonotonicTime wait_measured_at;  // ... the last time then
-  double failure_score = 0;  // rises by one with each failure, fades with each success
-  uint32_t ejections = 0;    // in a row
+  uint64_t pending_tokens = 0;  // of those, prompt tokens to be prefilled before the first event
+  double wait_ms = 0;           // decaying average of measured waits, as of `wait_measured_at`
+  runtime::MonotonicTime wait_measured_at;
+  double failure_score = 0;  // rises by one with each failure, decays with each success
+  uint32_t ejections = 0;    // consecutive
   runtime::MonotonicTime ejected_until;
-  uint32_t rejections = 0;  // in a row
-  // Moves of kept segments to or from it were slow: none is asked for until then.
+  uint32_t rejections = 0;  // consecutive
+  // Transfers of cached segments to or from it were slow: none is requested until then.
   runtime::MonotonicTime no_transfers_until;
-  runtime::MonotonicTime overloaded_until;  // it refused for want of room, or was misdirected
+  runtime::MonotonicTime overloaded_until;  // it rejected a request for lack of capacity
 };
 
 using WorkerPointer = std::shared_ptr<Worker>;
 
 struct WorkerPoolOptions {
-  // From the order of a model revision until nothing may start on an older one.
+  // From when a model revision is ordered until no request may start on an older one.
   runtime::Duration revision_deadline = std::chrono::seconds(12);
-  // Marks of workers that load other weights count while the leader's list is younger than this.
+  // The leader's marks of workers that load weights count while its inventory is younger than this.
   runtime::Duration loading_mark_ttl = std::chrono::seconds(4);
   RoutingSwitches switches;
 };
 
-// Which workers there are, service by service, and which may get new work: the inventory, draining
-// marks, evacuations, model revisions, cold starts, and health by what dispatches brought (outlier
-// ejection). Event loop thread only.
+// Which workers each service has, and which of them may get new work: by inventory, draining marks,
+// evacuations, model revisions, slow start, and health as dispatches show it (outlier ejection).
+// Owned by TrafficGateway; event loop thread only.
 class WorkerPool {
  public:
+  // All outlive it.
   WorkerPool(runtime::Runtime* runtime, WorkerPoolOptions options, SlowStartLimiter* limiter,
              LoadReporter* loads);
 
-  // Puts the fleet's state in force, together with this gateway's own reading of the list (null:
-  // none that is newer). `leader_inventory_age` is the age of the list in `state`.
+  // Applies the fleet's state, together with the inventory as this gateway has read it itself
+  // (null: not newer than the one in `state`). `leader_inventory_age` is the age of the one in
+  // `state`.
   void Update(const control::FleetState& state, const control::Inventory* local_inventory,
-              runtime::Duration leader_inventory_age, const RouteTable& routes);
+              runtime::Duration leader_inventory_age);
 
-  // Workers of a service that are on the list and neither draining nor evacuated.
+  // Workers of a service that are in the inventory and neither draining nor evacuated, by id. Valid
+  // until the next Update.
   const std::vector<WorkerPointer>& WorkersOf(const std::string& service) const;
 
-  // Model revisions that they serve, as far as that is known.
+  // Model revisions that they serve, without repetition, as far as known.
   std::vector<uint64_t> RevisionsServed(const std::string& service) const;
 
-  // Whether new work may go there now; asked again right before each dispatch.
+  // Whether new work may go there now; checked right before each dispatch.
   bool IsEligible(const Worker& worker) const;
-  // As Eligible, for when nothing else is left: takes ejected and busy workers too.
+  // The same for when no worker is eligible: accepts ejected and overloaded workers too.
   bool IsEligibleAsLastResort(const Worker& worker) const;
   bool InSlowStart(const Worker& worker) const;
-  // Milliseconds by which first events came later than expected there, as measured; fades.
+  // Milliseconds by which first events came later there than expected; a decaying average.
   double ExpectedWait(const Worker& worker) const;
-  // Whether what is known of the load in other zones is old.
+  // Whether other zones' loads come by way of aggregators, and so later.
   bool RemoteZoneLoadIsDelayed() const { return load_reporter_->RemoteZoneLoadIsDelayed(); }
-  // What all gateways have under way there.
+  // The load of all gateways there.
   Load TotalLoad(const Worker& worker) const;
   // The newest revision that was ordered for `model`; 0 if none is known.
   uint64_t TargetRevision(const std::string& model) const;
 
   void OnDispatched(Worker* worker, uint64_t pending_tokens);
-  // The prompt's tokens have been read, or are no longer waited for.
+  // The prompt has been prefilled, or its request has ended.
   void OnPrefillDone(Worker* worker, uint64_t pending_tokens);
   void OnRequestEnded(Worker* worker);
   void RecordWait(Worker* worker, double milliseconds);
-  // A move of kept segments to it, from the worker at `source_endpoint`, took much too long.
+  // A transfer of cached segments to it from the worker at `source_endpoint` took much too long.
   void OnSlowTransfer(Worker* worker, const std::string& source_endpoint);
-  // Whether kept segments may be moved to or from it now.
+  // Whether cached segments may be transferred to or from it now.
   bool MayTransfer(const Worker& worker) const;
   void OnSuccess(Worker* worker);
-  // A dispatch failed; a worker that can't be connected to is ejected at once.
+  // A dispatch failed. An unreachable worker is ejected at once.
   void OnFailure(Worker* worker, bool unreachable);
-  // It refused before running.
+  // It rejected a request without running it.
   void OnRejected(Worker* worker);
   void OnRevisionSeen(Worker* worker, uint64_t revision);
 
