--- /dev/null
+++ b/src/posthatch/routing/retry_state.cc
@@ -0,0 +1,39 @@
+#include "posthatch/routing/retry_state.h"
+
+#include <algorithm>
+
+namespace posthatch::routing {
+namespace {
+
+// Dispatches of one request that have provably not run.
+constexpr uint32_t kMaxUnexecutedAttempts = 4;
+
+}  // namespace
+
+bool RetryState::IsIdempotent() const {
+  return route_->kind() == control::REPEATABLE || IsResumable();
+}
+
+bool RetryState::IsResumable() const {
+  return route_->kind() == control::STREAMING && route_->resumable();
+}
+
+void RetryState::RecordFailure(DispatchFailure failure, const std::string& worker_id) {
+  last_failure_ = FailureLabel(failure);
+  if (MayHaveExecuted(failure)) {
+    ++possible_executions_;
+  } else if (failure != DispatchFailure::kUnreachable) {
+    ++unexecuted_attempts_;
+  }
+  attempted_workers_.push_back(worker_id);
+}
+
+bool RetryState::MayRetry(bool stream_started, uint32_t unrecorded_executions) const {
+  if (!switches_->retries || (stream_started && !switches_->resumption)) return false;
+  const uint32_t executions = possible_executions_ + unrecorded_executions;
+  if (executions > 0 && !IsIdempotent()) return false;
+  if (executions >= std::max(1U, route_->max_attempts())) return false;
+  return attempted_workers_.size() < kMaxUnexecutedAttempts + executions;
+}
+
+}  // namespace posthatch::routing
--- a/src/posthatch/routing/store_health_checker.cc
+++ b/src/posthatch/routing/store_health_checker.cc
@@ -8,7 +8,7 @@
 
 constexpr int kStatusOk = 200;
 constexpr size_t kMaxBodyBytes = size_t{4} << 20;
-// While this gateway watches nothing.
+// While this gateway checks nothing.
 constexpr runtime::Duration kIdleInterval = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -27,12 +27,12 @@
   if (!checks) return;
   for (const std::string& endpoint : stores) {
     Poll& poll = polls_[endpoint];
-    if (!poll.running) SendPoll(endpoint, &poll);
+    if (!poll.in_flight) SendPoll(endpoint, &poll);
   }
 }
 
 void StoreHealthChecker::SendPoll(const std::string& endpoint, Poll* poll) {
-  poll->running = true;
+  poll->in_flight = true;
   poll->status = 0;
   poll->body.clear();
   http::CallOptions options;
@@ -52,7 +52,7 @@
 
 void StoreHealthChecker::OnPollResponse(const std::string& endpoint) {
   Poll& poll = polls_.at(endpoint);
-  poll.running = false;
+  poll.in_flight = false;
   if (poll.status == kStatusOk) {
     const absl::StatusOr<index::KvEventBatch> batch = options_.format->ReadBatch(poll.body);
     if (batch.ok()) {
@@ -64,7 +64,7 @@
 }
 
 void StoreHealthChecker::OnFailure(const std::string& endpoint) {
-  polls_.at(endpoint).running = false;
+  polls_.at(endpoint).in_flight = false;
   parts_.report(endpoint, false);
 }
 
--- a/src/posthatch/routing/store_health_checker.h
+++ b/src/posthatch/routing/store_health_checker.h
@@ -13,21 +13,21 @@
 
 struct StoreHealthCheckerOptions {
   const index::KvEventFormat* format = index::NativeKvEventFormat();
-  // Between two polls of a store, and how long the store may hold one.
+  // Between two polls of a store, and how long the store may delay its response.
   runtime::Duration poll_interval = std::chrono::milliseconds(300);
   runtime::Duration poll_wait = std::chrono::milliseconds(250);
-  // Beyond `wait`: a store that is silent for longer does not answer.
+  // Beyond `poll_wait`: a store that has not responded by then is unhealthy.
   runtime::Duration response_timeout = std::chrono::milliseconds(250);
 };
 
-// Finds out whether the stores of kept KV cache answer, by polling their cache events. Runs on the
-// collector of each zone alone (LoadReporter), which tells the others: a store takes few such calls
-// at once. Owned by TrafficGateway; event loop thread only.
+// Health checks of the stores: polls their cache events. Active on the aggregator of each zone only
+// (LoadReporter), which reports to the others: a store accepts few such calls at once. Owned by
+// TrafficGateway; event loop thread only.
 class StoreHealthChecker {
  public:
   struct Parts {
     std::function<std::vector<std::string>()> stores;  // endpoints
-    std::function<bool()> is_responsible;
+    std::function<bool()> is_responsible;              // whether this gateway checks now
     std::function<void(const std::string& endpoint, bool alive)> report;
   };
 
@@ -38,8 +38,8 @@
  private:
   struct Poll {
     std::unique_ptr<http::Call> call;
-    bool running = false;
-    runtime::MonotonicTime next;
+    bool in_flight = false;
+    // Of the store's event log: where the next poll continues.
     uint64_t epoch = 0;
     uint64_t after = 0;
     int status = 0;
--- a/src/posthatch/routing/traffic_context.h
+++ b/src/posthatch/routing/traffic_context.h
@@ -1,14 +1,14 @@
 #pragma once
 
-#include <functional>
 #include <memory>
-#include <string>
 
 #include "posthatch/gateway/fleet_lookup.h"
+#include "posthatch/http/http.h"
 #include "posthatch/index/prefix_locator.h"
 #include "posthatch/invalidation/object_trust.h"
 #include "posthatch/routing/call_format.h"
 #include "posthatch/routing/in_flight_prefills.h"
+#include "posthatch/routing/load_reporter.h"
 #include "posthatch/routing/placer.h"
 #include "posthatch/routing/prefix_stores.h"
 #include "posthatch/routing/retry_budget.h"
@@ -21,6 +21,17 @@
 
 class TrafficRequest;
 
+// What a request asks of its owner. Event loop thread only.
+class TrafficRequestOwner {
+ public:
+  virtual ~TrafficRequestOwner() = default;
+  // Takes an ended request out of the set of running ones. It is destroyed in a later turn of the
+  // event loop, not from within its own call.
+  virtual void Retire(TrafficRequest* request) = 0;
+  // Destroys a call in a later turn of the event loop, not from within one of its callbacks.
+  virtual void DestroyLater(std::unique_ptr<http::Call> call) = 0;
+};
+
 // What requests in progress work with. Owned by TrafficGateway and outlives every request.
 struct TrafficContext {
   runtime::Runtime* runtime = nullptr;
@@ -29,7 +40,7 @@
   WorkerPool* pool = nullptr;
   Placer* placer = nullptr;
   PrefixStores* stores = nullptr;
-  // Null: nothing is told of prompts that are being read.
+  // Null: prefills are neither announced nor looked up (RoutingSwitches::announcements).
   InFlightPrefills* in_flight_prefills = nullptr;
   LoadReporter* load_reporter = nullptr;
   RetryBudget* retry_budget = nullptr;
@@ -37,10 +48,7 @@
   const gateway::FleetLookup* lookup = nullptr;
   index::PrefixLocator* locator = nullptr;
   const invalidation::ObjectTrust* trust = nullptr;
-  // Takes an ended request out of the set of running ones, not from within its own call.
-  std::function<void(TrafficRequest*)> retire;
-  // Destroys a call later, not from within one of its callbacks.
-  std::function<void(std::unique_ptr<http::Call>)> destroy_later;
+  TrafficRequestOwner* owner = nullptr;
 };
 
 }  // namespace posthatch::routing
--- a/src/posthatch/routing/traffic_gateway.cc
+++ b/src/posthatch/routing/traffic_gateway.cc
@@ -1,5 +1,6 @@
 #include "posthatch/routing/traffic_gateway.h"
 
+#include <optional>
 #include <utility>
 
 #include "absl/strings/str_cat.h"
@@ -7,14 +8,13 @@
 namespace posthatch::routing {
 namespace {
 
-// A list read by the leader that is older than the bound for draining less this is read again by
-// the gateway itself: time for the spread of the gateways' reads, a refusal over the rate, and the
-// read.
+// A gateway reads the inventory itself when the leader's is older than the drain bound less this
+// time, which is for the spread of the gateways' reads, a rejection over the rate, and the read.
 constexpr runtime::Duration kInventoryReadAllowance = std::chrono::milliseconds(1500);
-// Marks that fade with time are looked at this often.
+// State that depends on time alone (slow start, deadlines of revisions) is applied this often.
 constexpr runtime::Duration kRefreshInterval = std::chrono::milliseconds(500);
 constexpr runtime::Duration kRetryAfter = std::chrono::milliseconds(300);
-// After a start of the whole fleet the controllers need about so long to elect a leader.
+// Controllers that start together take about so long to elect a leader.
 constexpr runtime::Duration kRetryAfterWithoutConfiguration = std::chrono::milliseconds(1200);
 
 }  // namespace
@@ -36,7 +36,8 @@
       placer_(runtime, options_.zone, &pool_, options_.switches),
       stores_(runtime),
       in_flight_prefills_(runtime->clock, InFlightPrefills::Options()),
-      store_watch_(runtime, {.format = options_.cache_event_format}, StoreHealthCheckerParts()),
+      store_health_checker_(runtime, {.format = options_.cache_event_format},
+                            StoreHealthCheckerParts()),
       retry_budget_(runtime->clock, MakeRetryBudgetOptions()),
       inventory_(runtime, MakeInventoryWatchOptions(), view),
       split_(runtime->random),
@@ -55,11 +56,7 @@
   context_.lookup = &lookup_;
   context_.locator = locator;
   context_.trust = trust;
-  context_.retire = [this](TrafficRequest* request) { Retire(request); };
-  context_.destroy_later = [this](std::unique_ptr<http::Call> call) {
-    ended_calls_.push_back(std::move(call));
-    Sweep();
-  };
+  context_.owner = this;
 }
 
 TrafficGateway::~TrafficGateway() = default;
@@ -79,7 +76,7 @@
   options.reads_per_second = options_.inventory_reads_per_second;
   options.live_gateways = [this] { return live_gateways_.Get(); };
   options.zone_peers = [this] { return ZonePeers(); };
-  // Without a configuration nothing is served, and the first grant brings the list along.
+  // Without a configuration nothing is served, and the first grant carries the inventory.
   options.needed = [this] { return configuration_ != nullptr; };
   options.on_change = [this] { UpdatePool(); };
   options.on_read = [this](std::string_view outcome) {
@@ -126,7 +123,7 @@
       [this](const std::string& endpoint, bool alive) { stores_.RecordHealth(endpoint, alive); });
   load_reporter_.SetPrefillObserver(
       [this](const PrefillStart& start) { in_flight_prefills_.Add(start); });
-  store_watch_.Start();
+  store_health_checker_.Start();
 }
 
 void TrafficGateway::OnStateChanged() {
@@ -160,7 +157,7 @@
 
 void TrafficGateway::SendLocalReply(http::ResponseWriter* writer, LocalReplyReason reason,
                                     std::string detail) {
-  metrics_.responses.Increment("refused");
+  metrics_.responses.Increment(OutcomeLabel(RequestOutcome::kRejected));
   LocalReply reply{reason, runtime::Duration::zero(), std::move(detail)};
   if (reason == LocalReplyReason::kUnavailable) {
     reply.retry_after = configuration_ == nullptr ? kRetryAfterWithoutConfiguration : kRetryAfter;
@@ -168,44 +165,47 @@
   writer->SendResponse(options_.call_format->MakeLocalReply(reply));
 }
 
-void TrafficGateway::HandleRequest(http::Request request,
-                                   std::shared_ptr<http::ResponseWriter> writer) {
-  const runtime::MonotonicTime received_at = runtime_->clock->Now();
+std::optional<TrafficGateway::Rejection> TrafficGateway::Admit(const http::Request& request,
+                                                               AdmittedCall* admitted) {
   if (configuration_ == nullptr) {
-    return SendLocalReply(writer.get(), LocalReplyReason::kUnavailable,
-                          "no configuration is known yet");
+    return Rejection{LocalReplyReason::kUnavailable, "no configuration is known yet"};
   }
   const control::TrafficRoute* route = routes_.Find(request.headers.Get("Host"), request.target);
   if (route == nullptr) {
-    return SendLocalReply(writer.get(), LocalReplyReason::kUnknownRoute,
-                          "no route takes this call");
+    return Rejection{LocalReplyReason::kUnknownRoute, "no route takes this call"};
   }
   absl::StatusOr<InboundCall> call = options_.call_format->ReadCall(request);
   if (!call.ok()) {
-    return SendLocalReply(writer.get(), LocalReplyReason::kMalformed,
-                          absl::StrCat(call.status().message()));
+    return Rejection{LocalReplyReason::kMalformed, absl::StrCat(call.status().message())};
   }
-  AdmittedCall admitted;
-  admitted.priority = route->priority();
+  admitted->priority = route->priority();
   if (routes_.has_tenants() && !route->public_access()) {
     const control::TrafficTenant* tenant = routes_.FindTenant(call->credential);
     if (tenant == nullptr) {
-      return SendLocalReply(writer.get(), LocalReplyReason::kUnauthorized, "the key is not known");
+      return Rejection{LocalReplyReason::kUnauthorized, "the key is not known"};
     }
-    admitted.tenant = tenant->name();
-    if (tenant->has_priority()) admitted.priority = tenant->priority();
+    admitted->tenant = tenant->name();
+    if (tenant->has_priority()) admitted->priority = tenant->priority();
   }
   const control::TrafficService* service = PickService(*route);
   if (service == nullptr || requests_.size() >= options_.max_concurrent_requests) {
-    return SendLocalReply(writer.get(), LocalReplyReason::kUnavailable,
-                          "too many calls are running");
+    return Rejection{LocalReplyReason::kUnavailable, "too many calls are running"};
+  }
+  admitted->call = *std::move(call);
+  admitted->route = *route;
+  admitted->service = *service;
+  return std::nullopt;
+}
+
+void TrafficGateway::HandleRequest(http::Request request,
+                                   std::shared_ptr<http::ResponseWriter> writer) {
+  AdmittedCall admitted;
+  admitted.received_at = runtime_->clock->Now();
+  if (std::optional<Rejection> rejection = Admit(request, &admitted); rejection.has_value()) {
+    return SendLocalReply(writer.get(), rejection->reason, std::move(rejection->detail));
   }
   admitted.request = std::move(request);
   admitted.writer = std::move(writer);
-  admitted.call = *std::move(call);
-  admitted.route = *route;
-  admitted.service = *service;
-  admitted.received_at = received_at;
   auto running = std::make_shared<TrafficRequest>(&context_, std::move(admitted));
   requests_.emplace(running.get(), running);
   running->Start();
@@ -224,6 +224,11 @@
   Sweep();
 }
 
+void TrafficGateway::DestroyLater(std::unique_ptr<http::Call> call) {
+  ended_calls_.push_back(std::move(call));
+  Sweep();
+}
+
 void TrafficGateway::Sweep() {
   if (sweep_timer_.running()) return;
   sweep_timer_.Start(runtime::Duration::zero(), [this] {
--- a/src/posthatch/routing/traffic_gateway.h
+++ b/src/posthatch/routing/traffic_gateway.h
@@ -2,6 +2,7 @@
 
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -29,27 +30,28 @@
   double retry_budget_slack = 20;
   double inventory_reads_per_second = 4;
   runtime::Duration revision_deadline = std::chrono::seconds(12);
-  // From when the inventory shows a worker as draining until it gets nothing more; above 1.5 s.
+  // From when the inventory shows a worker as draining until it gets no new work; above 1.5 s.
   runtime::Duration drain_bound = std::chrono::seconds(3);
   const index::KvEventFormat* cache_event_format = index::NativeKvEventFormat();
   RoutingSwitches switches;
-  // Requests in flight; further ones are refused at once.
+  // Requests in flight; further ones are rejected.
   size_t max_concurrent_requests = 4096;
-  // Ids of the live gateways of the fleet, with this one; asked often.
+  // Ids of the live gateways of the fleet, with this one; called often.
   std::function<std::vector<std::string>()> gateways;
-  // The other gateways; asked often.
+  // The other live gateways; called often.
   LoadReporter::Peers peers;
 };
 
-// The data plane for routed traffic: takes callers' calls, finds their routes, tenants and workers,
-// and relays (docs/design-docs/platform.md). Goes on serving with the last configuration when no
-// controller can be reached. Owned by the process; everything given to the constructor outlives it.
-// Event loop thread only.
-class TrafficGateway {
+// The data plane for routed traffic, as posthatch-platform's gateways serve it: finds the route,
+// tenant and service of each call and hands it to a TrafficRequest (docs/design-docs/platform.md).
+// Continues with the last configuration when no controller can be reached. (gateway::Gateway is the
+// other data plane, for posthatch's own API.) Owned by the process; everything given to the
+// constructor outlives it. Event loop thread only.
+class TrafficGateway : private TrafficRequestOwner {
  public:
   TrafficGateway(runtime::Runtime* runtime, TrafficGatewayOptions options, control::FleetView* view,
                  index::PrefixLocator* locator, const invalidation::ObjectTrust* trust);
-  ~TrafficGateway();
+  ~TrafficGateway() override;
   TrafficGateway(const TrafficGateway&) = delete;
   TrafficGateway& operator=(const TrafficGateway&) = delete;
 
@@ -57,7 +59,7 @@
   void HandleRequest(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
   // Whether calls can be served: a configuration is known.
   bool Ready() const { return configuration_ != nullptr; }
-  // Calls `done` once no request runs; new ones are still taken.
+  // Calls `done` once no request runs; new ones are still accepted.
   void NotifyWhenIdle(std::function<void()> done);
 
  private:
@@ -67,15 +69,24 @@
   StoreHealthChecker::Parts StoreHealthCheckerParts();
   RetryBudgetOptions MakeRetryBudgetOptions();
   void OnStateChanged();
-  // Whether a section has changed since the last time, as `indices_` knows it.
+  // Whether a section has changed since `indices_`.
   bool Changed(const control::SectionIndices& now, control::Section section) const {
     return control::IndexOf(now, section) != control::IndexOf(indices_, section);
   }
   void UpdatePool();
-  void Retire(TrafficRequest* request);
+  void Retire(TrafficRequest* request) override;
+  void DestroyLater(std::unique_ptr<http::Call> call) override;
   void Sweep();
   void SendLocalReply(http::ResponseWriter* writer, LocalReplyReason reason, std::string detail);
-  // The service of a call: by the weights of its route.
+  // Why a call is not admitted.
+  struct Rejection {
+    LocalReplyReason reason = LocalReplyReason::kUnavailable;
+    std::string detail;  // for people
+  };
+
+  // Fills in all of `admitted` but its request, writer and time; or says why the call is rejected.
+  std::optional<Rejection> Admit(const http::Request& request, AdmittedCall* admitted);
+  // The service for the next call of a route, by its weights; null if there is none.
   const control::TrafficService* PickService(const control::TrafficRoute& route);
 
   runtime::Runtime* const runtime_;
@@ -89,18 +100,18 @@
   Placer placer_;
   PrefixStores stores_;
   InFlightPrefills in_flight_prefills_;
-  StoreHealthChecker store_watch_;
+  StoreHealthChecker store_health_checker_;
   RetryBudget retry_budget_;
   gateway::FleetLookup lookup_;
   control::InventoryWatch inventory_;
   TrafficContext context_;
 
-  // In force; the routes refer into it.
+  // The applied configuration, which routes_ refers into; null: none is known yet.
   std::shared_ptr<const control::TrafficConfiguration> configuration_;
   RouteTable routes_;
   WeightedSplit split_;
   uint64_t traffic_index_ = 0;
-  // Of the sections that were last put in force here.
+  // Of the sections as last applied.
   control::SectionIndices indices_{};
 
   absl::flat_hash_map<TrafficRequest*, std::shared_ptr<TrafficRequest>> requests_;
@@ -110,7 +121,7 @@
   runtime::Timer sweep_timer_;
   runtime::Timer refresh_timer_;
   std::function<void()> on_idle_;
-  // Gone with this object: the view keeps its listeners.
+  // Expires with this object, for the listener that stays with the view.
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
