--- a/src/posthatch/routing/in_flight_prefills.cc
+++ b/src/posthatch/routing/in_flight_prefills.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr runtime::Duration kSweepInterval = std::chrono::seconds(1);
-// Workers that are remembered for the same segments.
+// Workers in the table for the same segments; the oldest is replaced.
 constexpr size_t kMaxLocationsPerPrefix = 4;
 
 }  // namespace
@@ -21,7 +21,7 @@
   });
   if (existing != entries.end()) {
     existing->started_at = now;
-    return;  // it is ready when the first of them has been read
+    return;  // ready when the first of both prefills is
   }
   if (entries.size() >= kMaxLocationsPerPrefix) {
     entries.erase(entries.begin());
--- a/src/posthatch/routing/in_flight_prefills.h
+++ b/src/posthatch/routing/in_flight_prefills.h
@@ -10,38 +10,39 @@
 
 namespace posthatch::routing {
 
-// A gateway has sent a prompt to a worker that has to read its shared segments first.
+// A gateway has dispatched a prompt to a worker that has to prefill its shared segments.
 struct PrefillStart {
   uint64_t affinity = 0;  // PromptShape::affinity
   uint64_t revision = 0;  // model revision of the worker
   std::string worker_id;
-  runtime::Duration ready_in{0};  // until the shared segments are kept there, as expected
+  runtime::Duration ready_in{0};  // until the shared segments are cached there, as expected
 };
 
-// Where shared segments are being read at this moment, or were a moment ago: the prefix cache index
-// hears of them only through the worker's events, a second or more later, and prompts that share
-// them would be read at several workers meanwhile. Only a hint: a wrong one costs a worse
-// placement. Owned by TrafficGateway; event loop thread only.
+// Where shared segments are being prefilled, or were a moment ago. The prefix cache index learns of
+// them through the worker's events only, a second or more later; without this table, prompts that
+// share them would be prefilled at several workers meanwhile. Only a hint: a wrong one costs a
+// worse placement. Owned by TrafficGateway; event loop thread only.
 class InFlightPrefills {
  public:
   struct Options {
-    // By then the index knows, or the worker keeps them no more.
+    // By then the index has them, or the worker has evicted them.
     runtime::Duration entry_ttl = std::chrono::seconds(5);
-    // Starts that are remembered; further ones are not taken.
+    // Bound of the table; further starts are ignored.
     size_t max_starts = 8192;
   };
 
-  // One worker where the segments are read, or have been.
+  // A worker where the segments are being prefilled, or have been.
   struct PrefillLocation {
     std::string worker_id;
-    bool ready = false;  // they should be kept there by now
+    bool ready = false;  // they should be cached there by now
   };
 
   InFlightPrefills(const runtime::Clock* clock, Options options)
       : clock_(clock), options_(options) {}
 
+  // A prefill has started, of this gateway or as announced by another.
   void Add(const PrefillStart& start);
-  // Newest first.
+  // Locations of the segments under a model revision, newest first.
   std::vector<PrefillLocation> Find(uint64_t affinity, uint64_t revision) const;
   size_t size() const { return size_; }
 
--- a/src/posthatch/routing/route_table.h
+++ b/src/posthatch/routing/route_table.h
@@ -10,7 +10,7 @@
 namespace posthatch::routing {
 
 // Look-ups in one traffic configuration. Refers to the configuration it was built from, which must
-// outlive it. Event loop thread only.
+// outlive it. Owned by TrafficGateway; event loop thread only.
 class RouteTable {
  public:
   void Rebuild(const control::TrafficConfiguration& configuration);
--- a/src/posthatch/routing/slow_start_limiter.h
+++ b/src/posthatch/routing/slow_start_limiter.h
@@ -11,13 +11,13 @@
 
 namespace posthatch::routing {
 
-// Keeps what a cold worker gets, from all gateways together, below what it takes: a few gateways,
-// chosen for each worker by rendezvous hashing over those alive, may send to it, each no faster
-// than once in kMinSendInterval. Gateways that see the fleet differently add at most their number
-// to that. Event loop thread only.
+// Limits what a worker in slow start gets from all gateways together: a few gateways, assigned to
+// each worker by rendezvous hashing over those alive, may send to it, each once in kMinSendInterval
+// at the most. Gateways that see the fleet differently add at most their number to that. Owned by
+// TrafficGateway; event loop thread only.
 class SlowStartLimiter {
  public:
-  // Two sends of one gateway fit into a second at the most.
+  // At most two sends of one gateway fall into any second.
   static constexpr runtime::Duration kMinSendInterval = std::chrono::milliseconds(700);
 
   // `gateways`: ids of the live gateways of the fleet, with this one.
@@ -25,14 +25,16 @@
                    std::function<std::vector<std::string>()> gateways)
       : clock_(clock), self_(std::move(self)), gateways_(std::move(gateways)) {}
 
-  // Whether this gateway may send one request now to a cold worker that takes `requests_per_second`
-  // from the whole fleet.
+  // Whether this gateway may send one request now to a worker in slow start that accepts
+  // `requests_per_second` from the whole fleet.
   bool MaySend(const std::string& worker_id, double requests_per_second) const;
+  // A request was sent to a worker in slow start.
   void RecordSend(const std::string& worker_id);
-  // The worker is gone or no longer cold.
+  // The worker has left the inventory.
   void Remove(const std::string& worker_id) { last_send_at_.erase(worker_id); }
 
  private:
+  // Whether this gateway is among the `max_gateways` that may send to the worker.
   bool IsAssigned(const std::string& worker_id, size_t max_gateways) const;
 
   const runtime::Clock* const clock_;
--- a/src/posthatch/routing/sse_framer.cc
+++ b/src/posthatch/routing/sse_framer.cc
@@ -18,7 +18,7 @@
   return line.ends_with('\r') ? line.substr(0, line.size() - 1) : line;
 }
 
-// Value of the event's id field; nothing if it has none.
+// Value of the event's id field; nullopt if it has none.
 std::optional<std::string_view> FindId(std::string_view event) {
   std::optional<std::string_view> id;
   while (!event.empty()) {
@@ -34,7 +34,7 @@
   return id;
 }
 
-// Length of the first event in `text` with the empty line that ends it; npos if it isn't whole.
+// Length of the first event in `text` with the empty line that ends it; npos if it is incomplete.
 size_t EventLength(std::string_view text) {
   size_t line_start = 0;
   while (true) {
--- a/src/posthatch/routing/sse_framer.h
+++ b/src/posthatch/routing/sse_framer.h
@@ -7,22 +7,23 @@
 
 namespace posthatch::routing {
 
-// Cuts a stream of server-sent events into whole events: a part of an event is never passed on,
-// since a worker may break off in the middle of one. Follows the events' ids, so that a stream can
-// go on at another worker without an event missing or coming twice. One per answer.
+// Frames a stream of server-sent events: relays complete events only, since a worker may break off
+// within one. Tracks the events' ids, so that a stream can be resumed at another worker with no
+// event lost or repeated. One per response; not thread-safe.
 class SseFramer {
  public:
-  // Takes bytes; returns those of all events that are whole by now, without events whose id is not
-  // above the last one's.
+  // Takes bytes; returns those of all events that are complete by now, without events whose numeric
+  // id is not above the last one's.
   std::string Feed(std::string_view bytes);
 
-  // A new worker goes on after last_event_id(): what is left of a broken event is dropped.
+  // The stream resumes at another worker after last_event_id(): drops the incomplete event.
   void DiscardPartial() { pending_.clear(); }
 
-  // True if no part of an event is waiting.
+  // Whether no incomplete event is buffered.
   bool at_event_boundary() const { return pending_.empty(); }
-  // Id of the last event that was passed on; empty if it had none.
+  // Id of the last event that was relayed; empty if it had none.
   const std::string& last_event_id() const { return last_event_id_; }
+  // Events relayed so far.
   uint64_t events() const { return events_; }
 
   // The caller already has the events up to this id.
--- a/src/posthatch/routing/traffic_metrics.h
+++ b/src/posthatch/routing/traffic_metrics.h
@@ -5,7 +5,8 @@
 
 namespace posthatch::routing {
 
-// Counters of routed traffic; each is documented by the help text it is registered with.
+// Counters of routed traffic; each is documented by the help text it is registered with. The label
+// values are those of request_outcome.h. Owned by TrafficGateway; event loop thread only.
 struct TrafficMetrics {
   explicit TrafficMetrics(prometheus::Registry* registry)
       : responses(
--- a/src/posthatch/routing/weighted_split.h
+++ b/src/posthatch/routing/weighted_split.h
@@ -10,18 +10,18 @@
 
 namespace posthatch::routing {
 
-// Divides the requests of a route among its targets by their weights. Draws by chance would leave
-// the shares off by some percent over a few hundred requests, and each gateway sees few: each route
-// walks along a sequence that fills the range evenly (the golden ratio's multiples, modulo 1) from
-// a point of its own, so that the shares of one gateway are off by a request or two, and those of
-// many gateways by less. Event loop thread only.
+// Divides the requests of a route among its targets by their weights. Independent random draws
+// would leave the shares off by some percent over a few hundred requests, and each gateway sees
+// few. So each route follows a low-discrepancy sequence (the golden ratio's multiples, modulo 1)
+// from a random start: one gateway's shares are off by a request or two, and those of many gateways
+// by less. Owned by TrafficGateway; event loop thread only.
 class WeightedSplit {
  public:
   explicit WeightedSplit(runtime::Random* random) : random_(random) {}
 
   // The target of the next request; null if all weights are 0.
   const control::RouteTarget* Next(const control::TrafficRoute& route);
-  // Forgets routes that are no more.
+  // Drops all positions, for a new configuration.
   void Clear() { positions_.clear(); }
 
  private:
