--- a/src/posthatch/index/attribution_table.h
+++ b/src/posthatch/index/attribution_table.h
@@ -11,16 +11,16 @@
 
 namespace posthatch::index {
 
-// Under which seed a block was made: known from the cache salt where events name it, and else from
-// dispatches of this gateway and of others (DispatchReport), since workers' events name neither
-// model revision nor tenant. Keeps the newest
-// `max_blocks` blocks and attempts. Owned by IndexNode; event loop thread only.
+// Under which seed a block was made. Known from the cache salt where events carry it, and else from
+// the dispatches of this gateway and of others (DispatchReport), since workers' events name neither
+// model revision nor tenant. Bounded: holds the newest `max_blocks` blocks and as many attempts.
+// Owned by IndexNode; event loop thread only.
 class AttributionTable {
  public:
   explicit AttributionTable(size_t max_blocks) : max_blocks_(max_blocks) {}
 
   void RecordBlocks(const BlockSeed& seed, absl::Span<const BlockHash> blocks);
-  // A seed in use: events that name its cache salt are attributed by that alone.
+  // A seed in use: events that carry its cache salt are attributed by that alone.
   void RecordSeed(const BlockSeed& seed) { Intern(seed); }
   void RecordAttempt(const std::string& attempt, const BlockSeed& seed);
 
--- a/src/posthatch/index/block_hash.h
+++ b/src/posthatch/index/block_hash.h
@@ -7,18 +7,18 @@
 
 namespace posthatch::index {
 
-// What a block's identity depends on besides its content. Two blocks with different seeds can't
-// have the same hash (short of a collision of XXH3-128), so a block made under other weights or for
-// an isolated tenant can't be named.
+// What a block's identity depends on besides its content. Blocks with different seeds have
+// different hashes (short of a collision of XXH3-128), so a block made under other weights or for
+// an isolated tenant can't be named by accident.
 struct BlockSeed {
   std::string model;
   uint64_t model_revision = 0;
-  std::string isolation_tenant;  // empty for the domain that tenants share
+  std::string isolation_tenant;  // empty: the domain that tenants share
   uint64_t isolation_generation = 0;
 };
 
 // Chained: a block's hash covers all blocks before it (XXH3-128 over parent hash and content).
-using BlockHash = uint64_t;  // low half of the 128 bits; what the index keeps
+using BlockHash = uint64_t;  // low half of the 128 bits; the index's key
 
 // The cache salt sent to workers: hexadecimal XXH3-128 of the seed.
 std::string CacheSalt(const BlockSeed& seed);
@@ -33,7 +33,7 @@
 BlockHash HashSegment(std::string_view cache_salt, std::string_view segment_id);
 std::vector<BlockHash> HashSegments(std::string_view cache_salt,
                                     const std::vector<std::string>& segment_ids);
-// One value for the first `count` ids, whatever the salt.
+// One value for the first `count` ids; independent of salts.
 uint64_t HashOfSegments(const std::vector<std::string>& segment_ids, size_t count);
 
 // Bytes of canonical prompt text that count as one token.
--- a/src/posthatch/index/dispatch_recorder.cc
+++ b/src/posthatch/index/dispatch_recorder.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "posthatch/index/replication/index_update_publisher.h"
+#include "posthatch/index/replication/extent_codec.h"
 
 namespace posthatch::index {
 
--- a/src/posthatch/index/dispatch_recorder.h
+++ b/src/posthatch/index/dispatch_recorder.h
@@ -15,16 +15,16 @@
 
 namespace posthatch::index {
 
-// The locator that the gateway routes by. Looks up in TrustedPrefixLocator, and on each dispatch
-// also remembers the chain's seed, tells the gateway that cares for the worker (DispatchReport),
-// and adds the store's entries, since workers put what they make into the store. Owned by
-// IndexNode; event loop thread only.
+// The locator that the gateway routes by. Looks up in TrustedPrefixLocator. On each dispatch it
+// also records the chain's seed, reports it to the gateway that holds the worker's lease
+// (DispatchReport), and adds entries of the stores, since workers save what they make there. Owned
+// by IndexNode; event loop thread only.
 class DispatchRecorder : public PrefixLocator {
  public:
   struct Options {
     runtime::Duration report_period = std::chrono::milliseconds(20);
     bool workers_save_to_store = true;
-    // Workers' events name cache salts: their readers need no reports of dispatches.
+    // Workers' events carry cache salts: their readers need no reports of dispatches.
     bool events_carry_salts = false;
   };
   struct Parts {
@@ -42,7 +42,8 @@
   void RecordDispatch(const BlockSeed& seed, const std::vector<BlockHash>& chain,
                       const std::string& worker_id, uint64_t worker_epoch) override;
 
-  // Where a gateway was last heard from; before that, reports for it go to all gateways.
+  // The endpoint of a gateway, as of its last message; reports to an unknown one go to all
+  // gateways.
   void RecordGatewayEndpoint(const std::string& node_id, const std::string& endpoint);
   // A report of another gateway.
   void ApplyReport(const DispatchReport& report);
@@ -57,7 +58,7 @@
   const Options options_;
   const Parts parts_;
   absl::flat_hash_map<std::string, std::string> endpoint_by_gateway_;
-  // Waiting reports by the node id of the lease holder.
+  // Reports of the running period, by the node id of the lease holder.
   absl::btree_map<std::string, DispatchReport> pending_reports_;
   runtime::Timer report_timer_;
 };
--- a/src/posthatch/index/index_node.cc
+++ b/src/posthatch/index/index_node.cc
@@ -8,7 +8,7 @@
 namespace posthatch::index {
 namespace {
 
-// One segment at most is compacted at each step; with nothing dropped there is little to look for.
+// Each step compacts one segment at the most; with no dropped blocks there is nothing to do.
 constexpr runtime::Duration kSweepInterval = std::chrono::milliseconds(20);
 constexpr runtime::Duration kIdleSweepInterval = std::chrono::milliseconds(500);
 // Between debug events with the counters.
@@ -103,7 +103,7 @@
       served.emplace(backend.model(), backend.model_revision());
     }
   }
-  // Nearly every push of a roll-out leaves them as they were.
+  // Nearly every push during a rollout leaves them unchanged.
   if (served == recorded_revisions_ && state.isolation_index() == recorded_isolation_) return;
   recorded_revisions_ = served;
   recorded_isolation_ = state.isolation_index();
@@ -187,7 +187,7 @@
     fanout_.Forward(envelope.from_incarnation(), message.to_forward());
   } else if (message.has_relayed()) {
     for (const RelayedUpdate& relayed : message.relayed().updates()) {
-      // Its own news come back from the relay of its own zone.
+      // The relay of this zone also forwards this gateway's own updates.
       if (relayed.from_incarnation() == runtime_->transport->incarnation()) continue;
       receiver_.Receive(relayed.from_incarnation(), relayed.update());
     }
--- a/src/posthatch/index/index_node.h
+++ b/src/posthatch/index/index_node.h
@@ -27,9 +27,9 @@
 struct IndexOptions {
   uint64_t index_budget_bytes = 64ull * 1024 * 1024;
   std::string zone;
-  // Serve the channels to further gateways of the zone as a relay point.
+  // Serve the channels to further gateways of the zone as an invalidation relay.
   bool relay = false;
-  // Register once, on the aggregate channel; for fleets with relay points.
+  // Register once, on the aggregate channel; for fleets with invalidation relays.
   bool aggregate_channel = false;
   invalidation::SubscriptionOptions subscription;
   invalidation::PublisherOptions relay_publisher;
@@ -40,17 +40,17 @@
   runtime::Duration store_poll_interval = std::chrono::seconds(1);
   // See TrustedPrefixLocator::Options.
   size_t retained_revisions = 1;
-  // Blocks whose seed is remembered, to attribute workers' events.
+  // Bound on the blocks whose seed is recorded, to attribute workers' events.
   size_t max_attributions = size_t{256} * 1024;
 };
 
 // A gateway's prefix cache index with all that feeds it: channel subscriptions, events of the
-// workers it holds leases of, other gateways' updates. Takes the process's SERVICE_CHANNELS and
-// SERVICE_INDEX messages. Owned by the gateway's assembly; `fleet` and `client` must outlive it.
-// Event loop thread only.
+// workers whose leases it holds, other gateways' updates. Receives the process's SERVICE_CHANNELS
+// and SERVICE_INDEX messages. Owned by the gateway's assembly; `fleet` and `client` must outlive
+// it. Event loop thread only.
 class IndexNode {
  public:
-  // Internal endpoints ("ip:port") of the controllers; asked often.
+  // Internal endpoints ("ip:port") of the controllers; called often.
   using Endpoints = std::function<std::vector<std::string>()>;
 
   IndexNode(runtime::Runtime* runtime, IndexOptions options, control::FleetView* fleet,
@@ -62,10 +62,10 @@
 
   void Start();
 
-  // What routing asks. Valid as long as this node.
+  // The look-ups for routing. Valid as long as this node.
   PrefixLocator* locator() { return &recorder_; }
   const invalidation::ObjectTrust* trust() const { return &subscriptions_; }
-  // Tells under which seed an attempt (its nonce) was dispatched, for attributing events.
+  // Records under which seed an attempt (its nonce) was dispatched, to attribute events.
   void RecordAttempt(const std::string& attempt, const BlockSeed& seed) {
     attributions_.RecordAttempt(attempt, seed);
   }
@@ -73,7 +73,7 @@
   std::string stats_json() const;
 
  private:
-  // Passes version changes on to the locator.
+  // Forwards version changes to the locator and the receiver.
   class ChannelListener : public invalidation::InvalidationSubscriber::Listener {
    public:
     explicit ChannelListener(IndexNode* node) : node_(node) {}
@@ -90,7 +90,7 @@
   bool IsFirstGateway() const;
   std::vector<IndexPeer> OtherGateways() const;
   std::vector<std::string> OtherEndpoints() const;
-  // Makes the seeds in force known, for events that name their cache salts.
+  // Records the seeds in use, for events that carry their cache salts.
   void RecordKnownSeeds(const control::FleetState& state);
   void Sweep();
   void ExportMetrics();
@@ -114,11 +114,11 @@
   runtime::Timer sweep_timer_;
   runtime::MonotonicTime next_stats_;
   invalidation::MetricsExport metrics_;
-  // What RecordKnownSeeds has recorded: models with revisions, and the section of isolation
-  // domains.
+  // What RecordKnownSeeds has recorded: models with their revisions, and the index of the section of
+  // isolation domains.
   std::set<std::pair<std::string, uint64_t>> recorded_revisions_;
   uint64_t recorded_isolation_ = 0;
-  // Guards the listener left with `fleet`, which can't be taken back.
+  // Expires with this object, for the listener that stays with `fleet`.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/posthatch/index/kv_event_format.h
+++ b/src/posthatch/index/kv_event_format.h
@@ -11,19 +11,19 @@
 
 namespace posthatch::index {
 
-// How a worker's cache events are asked and read. Stateless; any thread.
+// The HTTP form of a worker's cache events. Implementations are stateless; any thread.
 class KvEventFormat {
  public:
   virtual ~KvEventFormat() = default;
-  // Events of `epoch` after number `after`; the worker holds the call for up to `wait` if there are
-  // none.
+  // Requests the events of `epoch` after number `after`; the worker delays its response by up to
+  // `wait` while there are none.
   virtual http::Request PollRequest(uint64_t epoch, uint64_t after,
                                     runtime::Duration wait) const = 0;
   // InvalidArgument if `body` is not a batch of events.
   virtual absl::StatusOr<KvEventBatch> ReadBatch(std::string_view body) const = 0;
-  // Asks for everything that the worker keeps; nothing if it can't be asked.
+  // Requests a list of everything that the worker has cached; nullopt if it offers none.
   virtual std::optional<http::Request> ListRequest() const { return std::nullopt; }
-  // The answer as stored events, `next` as in ReadBatch. InvalidArgument if `body` is no such list.
+  // The list as stored events, `next` as in ReadBatch. InvalidArgument if `body` is no such list.
   virtual absl::StatusOr<KvEventBatch> ReadList(std::string_view /*body*/) const {
     return absl::UnimplementedError("no lists");
   }
--- a/src/posthatch/index/kv_events.h
+++ b/src/posthatch/index/kv_events.h
@@ -15,7 +15,7 @@
   enum class Type {
     kStored,
     kRemoved,
-    kLost,  // events up to `seq` were dropped; also an event of a type not known here
+    kLost,  // events up to `seq` were dropped; also any event of an unknown type
   };
   uint64_t seq = 0;
   Type type = Type::kLost;
@@ -27,11 +27,11 @@
 
 struct KvEventBatch {
   uint64_t epoch = 0;
-  uint64_t next = 0;  // the `after` of the next poll: every seq up to here is accounted for
+  uint64_t next = 0;  // `after` of the next poll: every seq up to here is accounted for
   std::vector<KvEvent> events;
 };
 
-// Reads the body of an answer to GET /kv_events. InvalidArgument if it is not as documented.
+// Parses the response body of GET /kv_events. InvalidArgument if it is not as documented.
 absl::StatusOr<KvEventBatch> ParseKvEvents(std::string_view body);
 
 }  // namespace posthatch::index
--- a/src/posthatch/index/observation_reporter.cc
+++ b/src/posthatch/index/observation_reporter.cc
@@ -63,7 +63,7 @@
   if (found == objects_.end() || found->second->request_id != request_id) return;
   State* state = found->second.get();
   if (!accepted) {
-    // It may have been applied: the same request id again.
+    // It may have been applied: the same request id makes a repetition harmless.
     state->retry_timer.Start(kRetryDelay, [this, object] { Send(object); });
     return;
   }
--- a/src/posthatch/index/observation_reporter.h
+++ b/src/posthatch/index/observation_reporter.h
@@ -9,9 +9,9 @@
 
 namespace posthatch::index {
 
-// Brings observations (ObserveObject) into the controllers' log: one at a time for each object,
-// sent again with the same request id until an answer comes; what is observed meanwhile is merged
-// into the next one. Owned by IndexNode; `client` must outlive it. Event loop thread only.
+// Proposes observations (ObserveObject) to the controllers: one at a time for each object, sent
+// again with the same request id until it is accepted; what is observed meanwhile is merged into
+// the next one. Owned by IndexNode; `client` must outlive it. Event loop thread only.
 class ObservationReporter {
  public:
   ObservationReporter(runtime::Runtime* runtime, control::ControlClient* client);
@@ -19,7 +19,7 @@
   ObservationReporter(const ObservationReporter&) = delete;
   ObservationReporter& operator=(const ObservationReporter&) = delete;
 
-  // `epoch`: the holder's own, as seen; `lost`: entries made within it may be wrong.
+  // `epoch`: the holder's, as observed; `lost`: entries made within it may be wrong.
   void Report(const std::string& object, uint64_t epoch, bool lost, const std::string& reason);
 
   uint64_t accepted() const { return accepted_; }
--- a/src/posthatch/index/prefix_index.cc
+++ b/src/posthatch/index/prefix_index.cc
@@ -13,15 +13,15 @@
 // between kMaxFill / kGrowth and kMaxFill: 16 to 20 bytes a block.
 constexpr double kMaxFill = 0.82;
 constexpr double kGrowth = 1.2;
-// What stays after an eviction, as part of the slots.
+// Fraction of the slots that is filled after an eviction.
 constexpr double kFillAfterEviction = 0.74;
 constexpr uint8_t kInsertedRecency = 1;
 constexpr uint8_t kUsedRecency = 3;
-// Insertions ask memory for this many blocks ahead of the one they place.
+// Insertions prefetch the bucket of the block so far ahead of the one they place.
 constexpr size_t kPrefetchDistance = 12;
-// Blocks that a round of the search looks at: fetched together, they cost one wait for memory.
+// Blocks that a step of the search probes: prefetched together, they cost one memory latency.
 constexpr uint32_t kProbesPerStep = 4;
-// Dropped blocks are swept when they are more than this part of all.
+// Dropped blocks are swept when they are more than one in so many of all.
 constexpr uint64_t kSweepDivisor = 16;
 
 }  // namespace
@@ -208,7 +208,7 @@
 
 void PrefixIndex::Narrow(absl::Span<const BlockHash> chain, Range range, const Matches& matches,
                          Ranges* ranges) {
-  // The last possible block and the quarters before it: their memory is fetched at the same time.
+  // The last possible block and the quarters before it: their memory is prefetched together.
   std::array<uint32_t, kProbesPerStep> probes;
   const uint32_t last = range.absent - 1;
   size_t count = 0;
@@ -235,7 +235,7 @@
       if (probe <= known.present || probe >= known.absent) continue;
       ((holding >> match) & 1 ? known.present : known.absent) = probe;
     }
-    // Nothing before the furthest block found needs a look, unless for another match.
+    // Probes before the furthest block found matter for other matches only.
     if (holding != 0 && matches.size() == 1) return;
   }
 }
@@ -275,7 +275,7 @@
 }
 
 void PrefixIndex::EvictDownTo(std::vector<Slot>* slots, size_t limit) {
-  // The clock algorithm, one round a recency step: what was used least goes first.
+  // The clock algorithm, one pass a recency step: least recently used slots are evicted first.
   for (int pass = 0; pass <= kUsedRecency && slots->size() > limit; ++pass) {
     size_t retained = 0;
     for (size_t i = 0; i < slots->size(); ++i) {
--- a/src/posthatch/index/prefix_index.h
+++ b/src/posthatch/index/prefix_index.h
@@ -13,22 +13,22 @@
 
 namespace posthatch::index {
 
-// Which blocks are kept by whom: a hash table from block hashes to generations. A generation stands
-// for one holder in one state (epoch, object versions, seed); what it means is the owner's affair
-// (TrustedPrefixLocator). Memory is what counts here: a block costs one 12-byte slot.
+// Which blocks are cached by whom: a hash table from block hashes to generations. A generation
+// stands for one holder in one state (epoch, object versions, seed); its meaning is the owner's
+// (TrustedPrefixLocator). Memory is the constraint: a block costs one 12-byte slot.
 //
 // Layout: kSegments tables, chosen by the hash's top bits, each of 64-byte buckets with five slots,
 // linear probing from bucket to bucket. Segments grow one by one in small steps, so that the table
 // as a whole stays well filled and no single insertion moves more than one segment. When the byte
-// budget is used up, a segment evicts by the clock algorithm in place of growing.
+// budget is used up, a segment evicts by the clock algorithm instead of growing.
 //
 // Dropping a generation is O(1): its slots count as free from then on and are reused or swept
-// later. Not thread-safe.
+// later. Owned by TrustedPrefixLocator; not thread-safe.
 class PrefixIndex {
  public:
   using GenerationId = uint32_t;
   static constexpr GenerationId kNoGeneration = 0;
-  // More holders of one block than this aren't kept: routing needs a few, not all.
+  // Further holders of one block replace others: routing needs a few, not all.
   static constexpr size_t kMaxHoldersPerBlock = 16;
 
   struct Match {
@@ -39,7 +39,7 @@
   using GenerationFilter = absl::FunctionRef<bool(GenerationId)>;
 
   struct Stats {
-    uint64_t blocks = 0;          // kept, of live generations
+    uint64_t blocks = 0;          // of live generations
     uint64_t dropped_blocks = 0;  // of dropped generations, still in memory
     uint64_t evicted_blocks = 0;
     uint64_t bytes = 0;  // of all segments
@@ -52,20 +52,20 @@
   PrefixIndex& operator=(const PrefixIndex&) = delete;
 
   GenerationId OpenGeneration();
-  // Its blocks are gone from now on.
+  // Its blocks count as removed from now on.
   void DropGeneration(GenerationId generation);
 
   void Insert(GenerationId generation, absl::Span<const BlockHash> blocks);
   // Removes `block` from all generations that `matches` holds for; returns how many.
   size_t Remove(BlockHash block, GenerationFilter matches);
 
-  // For each generation that keeps the first block of `chain` and passes `filter`: how many leading
-  // blocks it keeps. Found by search, and for a generation that has had blocks removed compared
-  // block by block, since only then its chains can have gaps. (A block evicted here for want of
-  // memory is no gap: its holder still keeps it.) Longest first.
+  // For each generation that has the first block of `chain` and passes `filter`: how many leading
+  // blocks it has. Found by binary search; for a generation that has had blocks removed, compared
+  // block by block, since only then its chains can have gaps. (A block evicted here for lack of
+  // memory is no gap: its holder still has it.) Longest first.
   Matches LongestPrefixes(absl::Span<const BlockHash> chain, GenerationFilter filter);
 
-  // Compacts one segment if dropped blocks take up much room; called from time to time.
+  // Compacts one segment if dropped blocks take up much memory; to be called periodically.
   void SweepStep();
 
   Stats stats() const;
@@ -123,29 +123,30 @@
 
   void InsertOne(GenerationId generation, BlockHash hash);
   void Fill(Segment* segment, Bucket* bucket, size_t slot, GenerationId generation, BlockHash hash);
-  // Gives a slot's generation one block less; a dropped one without blocks may be used again.
+  // Takes one block from a generation's count; the id of a dropped one without blocks is reused.
   void Release(GenerationId generation);
-  // Makes room in a segment that is filled to the limit: grows it, or evicts.
+  // Makes room in a segment that is filled to its limit: grows it, or evicts.
   void MakeRoom(Segment* segment);
   void Rebuild(Segment* segment, uint32_t bucket_count, const std::vector<Slot>& slots);
-  // The live slots of a segment; those of dropped generations are released.
+  // The live slots of a segment; releases those of dropped generations.
   std::vector<Slot> ExtractLiveSlots(Segment* segment);
   void EvictDownTo(std::vector<Slot>* slots, size_t limit);
+  // Inserts a slot whose block the segment doesn't have yet.
   static void PlaceNew(Segment* segment, const Slot& slot);
   // Calls `visit(generation, bucket, slot)` for each live slot of `hash`.
   template <typename Visitor>
   void VisitHolders(BlockHash hash, Visitor visit);
   void Prefetch(BlockHash hash) const;
-  // How many of the first `blocks` blocks `generation` keeps without a gap.
+  // How many of the first `blocks` blocks `generation` has without a gap.
   uint32_t CountWithoutGap(absl::Span<const BlockHash> chain, GenerationId generation,
                            uint32_t blocks);
-  // What the search knows of a match: it keeps block `held`, and not block `missing`.
+  // What the search knows of a match: it has block `present`, and not block `absent`.
   struct Range {
     uint32_t present = 0;
     uint32_t absent = 0;
   };
   using Ranges = absl::InlinedVector<Range, 8>;
-  // Compares the blocks at a few places between `range`'s ends, for all matches at once.
+  // Probes a few blocks between the ends of `range`, for all matches at once.
   void Narrow(absl::Span<const BlockHash> chain, Range range, const Matches& matches,
               Ranges* ranges);
 
--- a/src/posthatch/index/prefix_locator.h
+++ b/src/posthatch/index/prefix_locator.h
@@ -8,24 +8,24 @@
 
 namespace posthatch::index {
 
-// A holder of a prefix: the first `blocks` blocks of the chain asked for.
+// A back end that has cached a prefix: the first `blocks` blocks of the requested chain.
 struct PrefixHolder {
   std::string backend_id;
   uint64_t epoch = 0;
   uint32_t blocks = 0;
-  // Under which they were made; a worker that serves another one does not find them.
+  // Under which they were made; a worker that serves another revision can't use them.
   uint64_t model_revision = 0;
 };
 
-// What routing asks of the prefix cache index. Event loop thread only; never blocks.
+// The prefix cache index as routing uses it. Event loop thread only; never blocks.
 class PrefixLocator {
  public:
   virtual ~PrefixLocator() = default;
   // Holders of a prefix of `chain` whose entries may be trusted now, longest first. Entries that
-  // can't be trusted at the moment are left out but kept.
+  // can't be trusted at the moment are left out, but not dropped.
   virtual std::vector<PrefixHolder> Locate(const BlockSeed& seed,
                                            const std::vector<BlockHash>& chain) = 0;
-  // A worker has answered (with its cache epoch): it now keeps `chain`, made by this dispatch.
+  // A worker has responded, with its cache epoch: it has cached `chain` by this dispatch.
   virtual void RecordDispatch(const BlockSeed& seed, const std::vector<BlockHash>& chain,
                               const std::string& worker_id, uint64_t worker_epoch) = 0;
 };
--- a/src/posthatch/index/replication/index_update-test.cc
+++ b/src/posthatch/index/replication/index_update-test.cc
@@ -3,6 +3,7 @@
 #include <numeric>
 
 #include "posthatch/index/fake_parts-test.h"
+#include "posthatch/index/replication/extent_codec.h"
 #include "posthatch/index/replication/index_update_publisher.h"
 #include "posthatch/index/replication/index_update_receiver.h"
 
--- a/src/posthatch/index/replication/index_update_fanout.h
+++ b/src/posthatch/index/replication/index_update_fanout.h
@@ -20,43 +20,43 @@
 
 struct IndexUpdateFanoutOptions {
   std::string zone;  // of this gateway
-  // A zone with fewer gateways is told directly: there a relay saves little and may fail.
+  // A zone with fewer gateways gets updates directly: there a relay saves little and may fail.
   size_t min_gateways_for_relay = 16;
-  // One in so many gateways of a zone relays: few, so that each passes much on at a time.
+  // One in so many gateways of a zone relays: few, so that each has much to forward in a batch.
   size_t gateways_per_relay = 4;
-  // How long a relay gathers what it passes on, with up to `gateways_at_period` gateways in its
+  // How long a relay batches what it forwards, with up to `gateways_at_period` gateways in its
   // zone; longer in proportion in a larger one.
   runtime::Duration relay_period = std::chrono::milliseconds(80);
   size_t gateways_at_period = 8;
 };
 
-// Brings this gateway's index updates to all others, and passes on those of other zones as a relay.
+// Sends this gateway's index updates to all others, and forwards others' updates as a relay.
 //
-// A large zone, also the own one, is told by way of one of its gateways: an update crosses between
-// zones once for each zone in place of once for each gateway, and a gateway gets the news of many
-// workers in one message. Some of a zone's gateways relay, each for some of the workers by
-// rendezvous hashing. Updates keep the numbers of their holder: one that is lost with
-// its relay, or overtaken when the relay changes, is a gap at the receivers, which drop what they
-// know of that worker (IndexUpdateReceiver). Owned by IndexNode; event loop thread only.
+// A large zone, this one included, gets updates through a relay, one of its gateways: an update
+// crosses between zones once for each zone rather than once for each gateway, and a gateway gets
+// the updates of many workers in one message. Some of a zone's gateways are relays, each for some
+// of the workers by rendezvous hashing. Updates keep the numbers of their holder: one that is lost
+// with its relay, or overtaken when the relay changes, is a gap at the receivers, which drop their
+// entries of that worker (IndexUpdateReceiver). Owned by IndexNode; event loop thread only.
 class IndexUpdateFanout {
  public:
-  using Peers = std::function<std::vector<IndexPeer>()>;  // asked often
+  using Peers = std::function<std::vector<IndexPeer>()>;  // called often
 
   IndexUpdateFanout(runtime::Runtime* runtime, IndexUpdateFanoutOptions options, Peers peers);
 
-  // Messages that one update takes now.
+  // Messages that one update takes at present.
   size_t recipients() const;
   // The other gateways of the fleet.
   size_t gateways() const { return peers_().size(); }
-  // Sends `update`, which this gateway made; returns the bytes of one message.
+  // Sends an update of this gateway; returns the bytes of one message.
   size_t Send(const IndexUpdate& update);
-  // As a relay: tells `update` of another zone's gateway, in that life, to this zone's gateways.
+  // As a relay: forwards the update of a gateway with that incarnation to this zone's gateways.
   void Forward(uint64_t from_incarnation, const IndexUpdate& update);
 
   uint64_t relayed() const { return relayed_; }
 
  private:
-  // Whom to tell directly, and the candidates for relays by zone.
+  // Endpoints that get updates directly, and the gateways of zones that get them by relay.
   struct Plan {
     std::vector<std::string> direct;
     std::map<std::string, std::vector<IndexPeer>> relayed_zones;
--- a/src/posthatch/index/replication/index_update_publisher.cc
+++ b/src/posthatch/index/replication/index_update_publisher.cc
@@ -1,44 +1,11 @@
 #include "posthatch/index/replication/index_update_publisher.h"
 
 #include <algorithm>
-#include <bit>
-#include <cstring>
 #include <utility>
 
-namespace posthatch::index {
-
-static_assert(std::endian::native == std::endian::little);
-
-std::string PackBlocks(absl::Span<const BlockHash> blocks) {
-  std::string packed(blocks.size() * sizeof(BlockHash), '\0');
-  if (!blocks.empty()) std::memcpy(packed.data(), blocks.data(), packed.size());
-  return packed;
-}
-
-bool UnpackBlocks(const std::string& packed, std::vector<BlockHash>* blocks) {
-  if (packed.size() % sizeof(BlockHash) != 0) return false;
-  blocks->resize(packed.size() / sizeof(BlockHash));
-  if (!packed.empty()) std::memcpy(blocks->data(), packed.data(), packed.size());
-  return true;
-}
-
-Extent MakeExtent(const std::string& holder, const invalidation::ObjectVersion& version,
-                  const BlockSeed& seed) {
-  Extent extent;
-  extent.set_holder(holder);
-  extent.set_holder_epoch(version.epoch());
-  extent.set_holder_sequence(version.sequence());
-  extent.set_model(seed.model);
-  extent.set_model_revision(seed.model_revision);
-  extent.set_isolation_tenant(seed.isolation_tenant);
-  extent.set_isolation_generation(seed.isolation_generation);
-  return extent;
-}
+#include "posthatch/index/replication/extent_codec.h"
 
-BlockSeed SeedOf(const Extent& extent) {
-  return {extent.model(), extent.model_revision(), extent.isolation_tenant(),
-          extent.isolation_generation()};
-}
+namespace posthatch::index {
 
 IndexUpdatePublisher::IndexUpdatePublisher(runtime::Runtime* runtime,
                                            IndexUpdatePublisherOptions options,
@@ -62,12 +29,12 @@
 void IndexUpdatePublisher::Stored(const std::string& holder, const Extent& extent) {
   const auto found = holders_.find(holder);
   if (found == holders_.end()) return;
-  Holder& pending_update = found->second;
+  Holder& state = found->second;
   std::vector<BlockHash> blocks;
-  if (!pending_update.removed.empty() && UnpackBlocks(extent.block_hashes(), &blocks)) {
-    for (const BlockHash block : blocks) pending_update.removed.erase(block);
+  if (!state.removed.empty() && UnpackBlocks(extent.block_hashes(), &blocks)) {
+    for (const BlockHash block : blocks) state.removed.erase(block);
   }
-  *pending_update.pending_update.add_stored() = extent;
+  *state.pending_update.add_stored() = extent;
   StartBatch();
 }
 
--- a/src/posthatch/index/replication/index_update_publisher.h
+++ b/src/posthatch/index/replication/index_update_publisher.h
@@ -15,21 +15,11 @@
 
 namespace posthatch::index {
 
-// Eight bytes a block, little-endian.
-std::string PackBlocks(absl::Span<const BlockHash> blocks);
-// False if `packed` is not a whole number of blocks.
-bool UnpackBlocks(const std::string& packed, std::vector<BlockHash>* blocks);
-
-// An extent without blocks.
-Extent MakeExtent(const std::string& holder, const invalidation::ObjectVersion& version,
-                  const BlockSeed& seed);
-BlockSeed SeedOf(const Extent& extent);
-
 struct IndexUpdatePublisherOptions {
   // With up to `gateways_at_period` gateways; longer in proportion in a larger fleet, up to
   // `max_period_factor` times.
   runtime::Duration batch_period = std::chrono::milliseconds(50);
-  // Bound of what is published, before it is multiplied by the number of messages.
+  // Bound on the bytes published, counted once whatever the number of recipients.
   double bytes_per_second = 1024.0 * 1024;
   double burst_bytes = 4.0 * 1024 * 1024;
   size_t gateways_at_period = 8;
@@ -39,23 +29,23 @@
 struct IndexUpdatePublisherStats {
   uint64_t updates_sent = 0;
   uint64_t bytes_sent = 0;
-  uint64_t stored_blocks_dropped = 0;  // beyond the rate: others know less
+  uint64_t stored_blocks_dropped = 0;  // beyond the rate: others miss entries
   uint64_t updates_skipped = 0;        // removals beyond the rate: a gap at the receivers
 };
 
-// Tells the other gateways what this one reads of the workers it holds the leases of (IndexUpdate).
-// Beyond its rate, news of stored blocks is left out; if removals have to be left out, a number is
-// skipped, so that the receivers drop what they know of that worker. Owned by IndexNode; event loop
-// thread only.
+// Publishes to the other gateways what this one reads of the workers whose leases it holds
+// (IndexUpdate), in numbered batches for each worker. Beyond its rate stored blocks are left out;
+// if removals have to be left out, a number is skipped, and the gap makes the receivers drop their
+// entries of that worker. Owned by IndexNode; event loop thread only.
 class IndexUpdatePublisher {
  public:
   IndexUpdatePublisher(runtime::Runtime* runtime, IndexUpdatePublisherOptions options,
                        IndexUpdateFanout* fanout);
 
-  // A new holder epoch or a new lease: numbers start at 1.
+  // A new holder epoch or a new lease: numbers start at 1, and what was pending is dropped.
   void Begin(const std::string& holder, uint64_t epoch, uint64_t fencing_token);
   void End(const std::string& holder) { holders_.erase(holder); }
-  // Ignored if `holder` has not begun.
+  // Blocks that the holder has stored or removed. Ignored without Begin.
   void Stored(const std::string& holder, const Extent& extent);
   void Removed(const std::string& holder, absl::Span<const BlockHash> blocks);
 
@@ -65,7 +55,7 @@
   struct Holder {
     uint64_t last_update = 0;
     IndexUpdate pending_update;  // without the removed blocks
-    // Receivers apply what is stored before what is removed: a block that is stored again after its
+    // Receivers apply stored blocks before removed ones, so a block that is stored again after its
     // removal leaves this set. Ordered, so that messages don't depend on hashing.
     absl::btree_set<BlockHash> removed;
 
--- a/src/posthatch/index/replication/index_update_receiver.cc
+++ b/src/posthatch/index/replication/index_update_receiver.cc
@@ -6,15 +6,15 @@
 
 #include "absl/container/flat_hash_set.h"
 #include "posthatch/control/state/fleet_sections.h"
-#include "posthatch/index/replication/index_update_publisher.h"
+#include "posthatch/index/replication/extent_codec.h"
 #include "posthatch/invalidation/channel_names.h"
 
 namespace posthatch::index {
 namespace {
 
-// A version is told everywhere within this, or its channel is silent.
+// Every gateway learns of a new version within this, or its channel has timed out.
 constexpr runtime::Duration kVersionWait = std::chrono::seconds(3);
-constexpr size_t kMaxWaiting = 16384;
+constexpr size_t kMaxPendingExtents = 16384;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 }
 
 HolderKind IndexUpdateReceiver::KindOf(const std::string& holder) {
-  // The extents of an update are of one holder.
+  // All extents of an update are of one holder.
   const uint64_t inventory_index = fleet_->state().inventory_index();
   if (holder == cached_holder_ && inventory_index == cached_inventory_index_) return cached_kind_;
   const control::Backend* backend = control::FindBackend(fleet_->state().inventory(), holder);
@@ -68,7 +68,7 @@
   std::vector<BlockHash> removed;
   if (update.holder().empty() || !UnpackBlocks(update.removed(), &removed)) {
     ++stats_.malformed;
-    return;  // its number is missing from now on, which the next update shows
+    return;  // its number stays missing, which the next update shows as a gap
   }
   if (!Admit(incarnation, update)) return;
   ++stats_.updates_applied;
@@ -93,7 +93,7 @@
   }
   if (!IsAheadOfChannel(extent)) return Apply(extent, blocks);
   ++stats_.extents_deferred;
-  if (pending_.size() >= kMaxWaiting) pending_.pop_front();
+  if (pending_.size() >= kMaxPendingExtents) pending_.pop_front();
   pending_.push_back({extent, std::move(blocks), clock_->Now() + kVersionWait});
 }
 
--- a/src/posthatch/index/replication/index_update_receiver.h
+++ b/src/posthatch/index/replication/index_update_receiver.h
@@ -18,33 +18,33 @@
   uint64_t updates_applied = 0;
   uint64_t gaps = 0;
   uint64_t duplicates = 0;
-  uint64_t fenced = 0;  // from a former lease holder
+  uint64_t fenced = 0;  // from a previous lease holder
   uint64_t malformed = 0;
   uint64_t blocks_stored = 0;
   uint64_t extents_untrusted = 0;  // of versions that are no longer the newest here
-  uint64_t extents_deferred = 0;   // came before the channel told their holder's version
+  uint64_t extents_deferred = 0;   // came before the channel announced their holder's version
 };
 
-// Takes IndexUpdate messages of other gateways into this gateway's index: in the order of fencing
-// tokens and update numbers; a missing number drops what is known of that worker. What rests on a
-// version of its holder that the channels have not told here yet waits for it: after a loss the
-// list of all that a worker keeps follows its new version at once. Owned by IndexNode; event loop
-// thread only.
+// Applies IndexUpdate messages of other gateways to this gateway's index, in the order of fencing
+// tokens and update numbers; a missing number drops the entries of that worker. Extents of a holder
+// version that the channels have not announced here yet are deferred: after a loss, the list of all
+// that a worker has cached follows its new version at once. Owned by IndexNode; event loop thread
+// only.
 class IndexUpdateReceiver {
  public:
   IndexUpdateReceiver(const runtime::Clock* clock, const control::FleetView* fleet,
                       const invalidation::ObjectTrust* trust, TrustedPrefixLocator* locator)
       : clock_(clock), fleet_(fleet), trust_(trust), locator_(locator) {}
 
-  // `incarnation` is that of the gateway that made the update.
+  // `incarnation` is that of the gateway that published the update.
   void Receive(uint64_t incarnation, const IndexUpdate& update);
-  // The channels have told newer versions of some objects.
+  // The channels have announced newer versions of some objects: applies what they make due.
   void OnVersionsAdvanced();
 
   const IndexUpdateReceiverStats& stats() const { return stats_; }
 
  private:
-  // The sender's life that is listened to for one holder.
+  // The gateway incarnation whose updates of one holder are accepted, and how far.
   struct SenderState {
     uint64_t fencing_token = 0;
     uint64_t incarnation = 0;
@@ -55,10 +55,10 @@
   // The newest fencing token known for `worker`; 0 if nobody holds it.
   uint64_t CurrentFencingToken(const std::string& worker) const;
   HolderKind KindOf(const std::string& holder);
-  // Whether the update is to be applied; follows its numbers.
+  // Whether the update is to be applied; records its number.
   bool Admit(uint64_t incarnation, const IndexUpdate& update);
   void ApplyStored(const Extent& extent);
-  // Whether the extent rests on a version of its holder that is not known here yet.
+  // Whether the extent's holder version has not been announced here yet.
   bool IsAheadOfChannel(const Extent& extent);
   void Apply(const Extent& extent, const std::vector<BlockHash>& blocks);
   void DropPending(const std::string& holder);
@@ -76,7 +76,7 @@
   TrustedPrefixLocator* const locator_;
   absl::flat_hash_map<std::string, SenderState> senders_;
   std::deque<PendingExtent> pending_;
-  // The last holder that KindOf was asked for, with the inventory that it was looked up in.
+  // The last look-up of KindOf, and the inventory that it was made in.
   std::string cached_holder_;
   uint64_t cached_inventory_index_ = 0;
   HolderKind cached_kind_ = HolderKind::kWorker;
--- a/src/posthatch/index/store_poller.cc
+++ b/src/posthatch/index/store_poller.cc
@@ -59,8 +59,8 @@
 
 void StorePoller::PollStore(const std::string& store, const std::string& endpoint) {
   Poll& poll = polls_by_store_[store];
-  if (poll.running) return;
-  poll.running = true;
+  if (poll.in_flight) return;
+  poll.in_flight = true;
   poll.status = 0;
   poll.body.clear();
   ++polls_;
@@ -75,14 +75,14 @@
   observer.on_head = [&poll](const http::Response& head) { poll.status = head.status; };
   observer.on_chunk = [&poll](const std::string& chunk) { poll.body += chunk; };
   observer.on_end = [this, store] { OnEnd(store); };
-  observer.on_error = [&poll](const http::CallError&) { poll.running = false; };
+  observer.on_error = [&poll](const http::CallError&) { poll.in_flight = false; };
   poll.call =
       runtime_->http_client->Start(endpoint, std::move(request), options, std::move(observer));
 }
 
 void StorePoller::OnEnd(const std::string& store) {
   Poll& poll = polls_by_store_[store];
-  poll.running = false;
+  poll.in_flight = false;
   const uint64_t epoch = poll.status == kStatusOk ? ReadEpoch(poll.body) : 0;
   if (epoch == 0 || !fleet_->LeaseValid()) return;
   const std::string object = HolderObject(HolderKind::kStore, store);
--- a/src/posthatch/index/store_poller.h
+++ b/src/posthatch/index/store_poller.h
@@ -13,13 +13,13 @@
 
 namespace posthatch::index {
 
-// Learns the epoch of each store of kept KV blocks from GET /status and reports new ones: a store
-// forgets everything when it restarts, and tells nobody. One gateway polls a store: the holder of
-// its lease, or, as stores need not be leased, the first gateway by endpoint. Owned by IndexNode;
-// event loop thread only.
+// Polls GET /status of each store of KV blocks for its epoch and reports new ones: a store that
+// restarts has lost everything and publishes no event of that. One gateway polls a store: the
+// holder of its lease, or, as stores need not be leased, the first gateway by endpoint. Owned by
+// IndexNode; event loop thread only.
 class StorePoller {
  public:
-  // `is_first_gateway`: whether this gateway polls the stores that nobody holds the lease of.
+  // `is_first_gateway`: whether this gateway polls the stores that are not leased.
   StorePoller(runtime::Runtime* runtime, runtime::Duration interval,
               const control::FleetView* fleet, const invalidation::ObjectTrust* trust,
               ObservationReporter* reporter, std::function<bool()> is_first_gateway);
@@ -32,7 +32,7 @@
     std::unique_ptr<http::Call> call;
     int status = 0;
     std::string body;
-    bool running = false;
+    bool in_flight = false;
   };
 
   void Tick();
@@ -46,7 +46,7 @@
   const invalidation::ObjectTrust* const trust_;
   ObservationReporter* const reporter_;
   const std::function<bool()> is_first_gateway_;
-  // By store id; its values stay where they are.
+  // By store id. Callbacks refer to the values, so their addresses must be stable.
   absl::node_hash_map<std::string, Poll> polls_by_store_;
   uint64_t polls_ = 0;
   runtime::Timer timer_;
--- a/src/posthatch/index/trusted_prefix_locator.cc
+++ b/src/posthatch/index/trusted_prefix_locator.cc
@@ -41,7 +41,8 @@
   const std::string object = ModelObject(seed);
   if (trust_->IsFresh(object, invalidation::MakeVersion(seed.model_revision, 0))) return true;
   if (options_.retained_revisions <= 1) return false;
-  // An older revision rests on the same channel: a gateway that hears nothing trusts neither.
+  // An older revision depends on the same channel: a gateway whose channel has timed out trusts
+  // neither.
   invalidation::ObjectVersion newest;
   if (!trust_->CurrentVersion(object, &newest) || seed.model_revision >= newest.epoch()) {
     return false;
@@ -57,7 +58,7 @@
 
 uint64_t TrustedPrefixLocator::OldestRetainedRevision(const std::string& model_object) const {
   const auto found = revisions_.find(model_object);
-  // While fewer are known than are kept, any older one may still be added.
+  // While fewer are known than are retained, any older one may still be added.
   if (found == revisions_.end() || found->second.size() < options_.retained_revisions) return 0;
   return *found->second.begin();
 }
@@ -108,7 +109,7 @@
 bool TrustedPrefixLocator::Add(HolderKind kind, const std::string& holder,
                                const invalidation::ObjectVersion& version, const BlockSeed& seed,
                                absl::Span<const BlockHash> blocks) {
-  // Without an epoch the holder's state has never been seen.
+  // Without an epoch the holder's state has never been observed.
   if (version.epoch() == 0 || !trust_->IsFresh(HolderObject(kind, holder), version) ||
       !IsSeedFresh(seed)) {
     return false;
@@ -118,9 +119,13 @@
 }
 
 TrustedPrefixLocator::Key TrustedPrefixLocator::KeyOf(const Generation& generation) {
-  return Key(generation.holder_object, generation.version.epoch(), generation.version.sequence(),
-             generation.seed.model, generation.seed.model_revision,
-             generation.seed.isolation_tenant, generation.seed.isolation_generation);
+  return {generation.holder_object,
+          generation.version.epoch(),
+          generation.version.sequence(),
+          generation.seed.model,
+          generation.seed.model_revision,
+          generation.seed.isolation_tenant,
+          generation.seed.isolation_generation};
 }
 
 TrustedPrefixLocator::GenerationId TrustedPrefixLocator::OpenGeneration(
@@ -145,10 +150,10 @@
   const Generation& generation = found->second;
   for (const std::string& object :
        {generation.holder_object, ModelObject(generation.seed), TenantObject(generation.seed)}) {
-    const auto resting = generations_by_object_.find(object);
-    auto& ids = resting->second;
+    const auto dependent = generations_by_object_.find(object);
+    auto& ids = dependent->second;
     ids.erase(std::remove(ids.begin(), ids.end(), id), ids.end());
-    if (ids.empty()) generations_by_object_.erase(resting);
+    if (ids.empty()) generations_by_object_.erase(dependent);
   }
   generation_by_key_.erase(KeyOf(generation));
   generations_.erase(found);
@@ -157,9 +162,9 @@
 
 void TrustedPrefixLocator::Remove(HolderKind kind, const std::string& holder,
                                   absl::Span<const BlockHash> blocks) {
-  const auto resting = generations_by_object_.find(HolderObject(kind, holder));
-  if (resting == generations_by_object_.end()) return;
-  const std::vector<GenerationId>& ids = resting->second;
+  const auto dependent = generations_by_object_.find(HolderObject(kind, holder));
+  if (dependent == generations_by_object_.end()) return;
+  const std::vector<GenerationId>& ids = dependent->second;
   const auto is_of_holder = [&ids](GenerationId id) {
     return std::find(ids.begin(), ids.end(), id) != ids.end();
   };
@@ -167,18 +172,18 @@
 }
 
 void TrustedPrefixLocator::DropHolder(HolderKind kind, const std::string& holder) {
-  const auto resting = generations_by_object_.find(HolderObject(kind, holder));
-  if (resting == generations_by_object_.end()) return;
-  const std::vector<GenerationId> ids = resting->second;
+  const auto dependent = generations_by_object_.find(HolderObject(kind, holder));
+  if (dependent == generations_by_object_.end()) return;
+  const std::vector<GenerationId> ids = dependent->second;
   for (const GenerationId id : ids) Drop(id);
 }
 
 void TrustedPrefixLocator::OnObjectChanged(const std::string& object) {
   invalidation::ObjectVersion newest;
-  const auto resting = generations_by_object_.find(object);
-  if (resting == generations_by_object_.end() || !trust_->CurrentVersion(object, &newest)) return;
+  const auto dependent = generations_by_object_.find(object);
+  if (dependent == generations_by_object_.end() || !trust_->CurrentVersion(object, &newest)) return;
   if (revisions_.contains(object)) RecordRevision(object, newest.epoch());
-  const std::vector<GenerationId> ids = resting->second;
+  const std::vector<GenerationId> ids = dependent->second;
   const uint64_t oldest_retained = OldestRetainedRevision(object);
   for (const GenerationId id : ids) {
     const Generation& generation = generations_.find(id)->second;
--- a/src/posthatch/index/trusted_prefix_locator.h
+++ b/src/posthatch/index/trusted_prefix_locator.h
@@ -4,7 +4,6 @@
 #include <functional>
 #include <set>
 #include <string>
-#include <tuple>
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
@@ -16,7 +15,7 @@
 
 enum class HolderKind { kWorker, kStore };
 
-// "worker/<id>" or "store/<id>": the object that a holder's entries rest on.
+// "worker/<id>" or "store/<id>": the object on whose version a holder's entries depend.
 std::string HolderObject(HolderKind kind, const std::string& holder);
 
 struct LocatorStats {
@@ -24,27 +23,28 @@
   uint64_t lookups_matched = 0;  // at least one trusted holder
   uint64_t dispatches_recorded = 0;
   uint64_t dispatches_not_recorded = 0;  // versions unknown, or not those of the dispatch
-  uint64_t untrusted_holders = 0;        // left out of an answer because their trust had run out
+  uint64_t untrusted_holders = 0;        // left out because their trust had expired
 };
 
-// The prefix cache index as routing sees it: PrefixIndex, whose generations each rest on the
-// versions of three objects (holder, model, isolation domain; DESIGN.md "Index trust"). A
-// generation is believed only while `trust` says that all three are fresh at these versions, by the
-// clock at the moment of the look-up. Owned by IndexNode. Event loop thread only.
+// The prefix cache index with trust: a PrefixIndex whose generations each depend on the versions of
+// three objects (holder, model, isolation domain; DESIGN.md "Index trust"). Invariant: an entry is
+// returned only while `trust` says that all three are fresh at these versions, by the clock at the
+// moment of the look-up. Owned by IndexNode; event loop thread only.
 class TrustedPrefixLocator : public PrefixLocator {
  public:
-  // Tells that a holder answered with another epoch than the newest known one.
+  // A holder has responded with a newer epoch than the newest known one.
   using EpochObserver =
       std::function<void(HolderKind kind, const std::string& holder, uint64_t epoch)>;
 
   struct Options {
     uint64_t budget_bytes = 64ull * 1024 * 1024;
-    // Whether this gateway may decide at all (its session lease); asked at each look-up.
+    // Whether this gateway's session lease is valid, without which it may not decide; checked at
+    // each look-up.
     std::function<bool()> has_session_lease;
-    // Revisions of a model whose entries are kept, the newest one included. More than one only
-    // where each dispatch names its worker's revision and a salt of that revision, so that a worker
-    // can't use what was made under another one: then entries of workers that a roll-out has not
-    // reached yet go on being of use.
+    // Revisions of a model whose entries are retained, the newest included. More than one only
+    // where each dispatch carries its worker's revision and a salt of that revision, so that a
+    // worker can't use what was made under another one: then entries of workers that a rollout has
+    // not reached yet stay useful.
     size_t retained_revisions = 1;
   };
 
@@ -59,18 +59,18 @@
 
   void SetEpochObserver(EpochObserver observer) { epoch_observer_ = std::move(observer); }
 
-  // Adds blocks that `holder` kept at `version` of its object. False, and nothing is added, unless
-  // that is the newest version and `seed` names a revision that is kept and the newest isolation
-  // generation.
+  // Adds blocks that `holder` had cached at `version` of its object. Returns false, and adds
+  // nothing, unless that is the newest version and `seed` names a retained revision and the newest
+  // isolation generation.
   bool Add(HolderKind kind, const std::string& holder, const invalidation::ObjectVersion& version,
            const BlockSeed& seed, absl::Span<const BlockHash> blocks);
-  // `holder` keeps these blocks no more, whatever their seed.
+  // `holder` has evicted these blocks, whatever their seed.
   void Remove(HolderKind kind, const std::string& holder, absl::Span<const BlockHash> blocks);
-  // Drops every entry of the holder: something about it was missed.
+  // Drops every entry of the holder: an event about it was missed.
   void DropHolder(HolderKind kind, const std::string& holder);
-  // The newest version of an object has risen: drops what rests on an older one.
+  // The newest version of an object has risen: drops what depends on an older one.
   void OnObjectChanged(const std::string& object);
-  // Frees the memory of dropped entries, a little at a time.
+  // Frees memory of dropped entries, a little at a time.
   void SweepStep() { index_.SweepStep(); }
 
   PrefixIndex::Stats index_stats() const { return index_.stats(); }
@@ -87,14 +87,28 @@
     invalidation::ObjectVersion version;
     BlockSeed seed;
   };
-  // Holder object, its version, model, revision, isolation tenant and generation.
-  using Key =
-      std::tuple<std::string, uint64_t, uint64_t, std::string, uint64_t, std::string, uint64_t>;
+  // What a generation stands for, as a key.
+  struct Key {
+    std::string holder_object;
+    uint64_t epoch = 0;  // with `sequence`, the version of the holder's object
+    uint64_t sequence = 0;
+    std::string model;
+    uint64_t model_revision = 0;
+    std::string isolation_tenant;
+    uint64_t isolation_generation = 0;
+
+    friend bool operator==(const Key&, const Key&) = default;
+    template <typename Hash>
+    friend Hash AbslHashValue(Hash hash, const Key& key) {
+      return Hash::combine(std::move(hash), key.holder_object, key.epoch, key.sequence, key.model,
+                           key.model_revision, key.isolation_tenant, key.isolation_generation);
+    }
+  };
 
   bool HasSessionLease() const {
     return !options_.has_session_lease || options_.has_session_lease();
   }
-  // The seed's isolation generation is the newest and its revision is one that is kept, and both
+  // Whether the seed's isolation generation is the newest and its revision a retained one, and both
   // are known to be so now.
   bool IsSeedFresh(const BlockSeed& seed) const;
   bool IsRevisionTrusted(const BlockSeed& seed) const;
@@ -111,7 +125,7 @@
   PrefixIndex index_;
   absl::flat_hash_map<GenerationId, Generation> generations_;
   absl::flat_hash_map<Key, GenerationId> generation_by_key_;
-  // Generations that rest on an object.
+  // Generations that depend on an object.
   absl::flat_hash_map<std::string, std::vector<GenerationId>> generations_by_object_;
   // By model object, the newest revisions that entries were made under or that were announced.
   absl::flat_hash_map<std::string, std::set<uint64_t>> revisions_;
--- a/src/posthatch/index/worker_event_feed.cc
+++ b/src/posthatch/index/worker_event_feed.cc
@@ -9,17 +9,17 @@
 namespace posthatch::index {
 namespace {
 
-// More missing numbers than this are not waited for one by one.
+// A gap of more numbers counts as lost at once.
 constexpr uint64_t kMaxMissing = 1000;
-// While the newest version known here is not of the worker's epoch, events can't be used, so a poll
-// must not be held for long.
+// While the newest version known here is not of the worker's epoch, events can't be used: the
+// worker must not delay its response for long.
 constexpr runtime::Duration kWaitWithoutVersion = std::chrono::milliseconds(100);
-// On top of the time that the worker may hold a poll.
+// On top of the time by which the worker may delay its response.
 constexpr runtime::Duration kResponseMargin = std::chrono::milliseconds(1500);
 constexpr int kStatusOk = 200;
-// A list holds up the worker's work: no more often than this.
+// A list delays the worker's other work: not more often than this.
 constexpr runtime::Duration kListInterval = std::chrono::seconds(2);
-// Recent events count with a weight that fades by this with each further one.
+// Factor by which the weight of an event decays with each further one.
 constexpr double kRecentDecay = 0.995;
 constexpr double kMinRecentEvents = 50;
 
@@ -90,7 +90,8 @@
 }
 
 void WorkerEventFeed::OnEnd() {
-  // After a freeze the lease may have gone to another gateway: then nothing of this is used.
+  // After a freeze of this process another gateway may hold the lease: then the response is not
+  // used.
   if (!may_read_() || status_ != kStatusOk) {
     OnFailure();
     return;
@@ -106,7 +107,7 @@
   last_response_at_ = runtime_->clock->Now();
   timeout_reported_ = false;
   ApplyBatch(*std::move(batch));
-  // Not from within the call's own callback, which must not destroy the call.
+  // In a later turn: the call's own callback must not destroy the call.
   poll_timer_.Start(runtime::Duration::zero(), [this] { Poll(); });
 }
 
@@ -162,8 +163,8 @@
     observer_.on_event(version_at_request_, std::move(event));
     return;
   }
-  if (missing_.erase(seq) == 0) return;  // a double
-  // Late: what it stored may have been removed by an event that was read before.
+  if (missing_.erase(seq) == 0) return;  // a duplicate
+  // Out of order: what it stored may have been removed by an event that was read before.
   if (event.type == KvEvent::Type::kRemoved)
     observer_.on_event(version_at_request_, std::move(event));
 }
@@ -203,8 +204,8 @@
 }
 
 void WorkerEventFeed::ReportLoss(const std::string& reason) {
-  // Only the lease holder may say so: after a freeze another one may read this worker. If the lease
-  // comes back to this feed, the loss is still said.
+  // Only the lease holder may report it: after a freeze of this process another gateway may read
+  // the worker. If the lease returns to this feed, the loss is reported then.
   if (may_read_()) {
     unreported_loss_.clear();
     relist_needed_ = options_.format->ListRequest().has_value();
--- a/src/posthatch/index/worker_event_feed.h
+++ b/src/posthatch/index/worker_event_feed.h
@@ -14,37 +14,37 @@
 
 namespace posthatch::index {
 
-// Long-polls one worker's events, puts them in order of `seq`, and finds out when some are missing:
-// the change detection that WCIP 4.2 leaves to the origin. After a loss it asks the worker for a
-// list of all it keeps, where the worker has one: entries are revalidated, not made anew. Owned by
-// WorkerEventReader; event loop thread only.
+// Long-polls one worker's events, orders them by `seq`, and detects missing ones: the change
+// detection that WCIP 4.2 leaves to the origin. After a loss it requests a list of all that the
+// worker has cached, where the worker offers one, which restores the entries without new prefills.
+// Owned by WorkerEventReader; event loop thread only.
 class WorkerEventFeed {
  public:
   struct Observer {
     // The worker's cache has begun a new epoch (also the first one seen).
     std::function<void(uint64_t epoch)> on_epoch;
-    // Events of `epoch` are missing for good, or the worker can't be read.
+    // Events of `epoch` are lost, or the worker can't be read.
     std::function<void(uint64_t epoch, const std::string& reason)> on_lost;
     // `version` is the newest version of the worker's object known when the poll was sent.
     std::function<void(const invalidation::ObjectVersion& version, KvEvent event)> on_event;
   };
   struct Options {
     runtime::Duration wait = std::chrono::seconds(2);
-    // How long a missing `seq` may still come late before it counts as lost.
+    // How long a missing `seq` may still arrive before it counts as lost.
     runtime::Duration reorder_window = std::chrono::milliseconds(500);
-    // Without an answer for this long, the worker's entries lose their trust.
+    // Without a response for this long, the worker's entries lose their trust.
     runtime::Duration response_timeout = std::chrono::seconds(6);
     runtime::Duration retry_delay = std::chrono::milliseconds(250);
     size_t max_body_bytes = size_t{8} * 1024 * 1024;
     const KvEventFormat* format = NativeKvEventFormat();
-    // Share of a worker's events that may be missing before its entries lose their trust: where
-    // events get lost one by one, a missing one leaves a single entry wrong, and that costs less
-    // than forgetting the worker. A loss that the worker itself tells always counts.
+    // Fraction of a worker's events that may be missing before its entries lose their trust: where
+    // events get lost one by one, a missing one leaves a single entry wrong, which costs less than
+    // dropping all. A loss that the worker itself reports always counts.
     double tolerated_missing_share = 0;
   };
 
-  // `may_read`: whether this gateway still holds the worker's lease; asked before each poll and
-  // before each answer is used.
+  // `may_read`: whether this gateway still holds the worker's lease; checked before each poll and
+  // before each response is used.
   WorkerEventFeed(runtime::Runtime* runtime, Options options, std::string worker_id,
                   std::string endpoint, const invalidation::ObjectTrust* trust,
                   std::function<bool()> may_read, Observer observer);
@@ -59,8 +59,8 @@
  private:
   void Poll();
   void SendRequest(http::Request request, runtime::Duration wait);
-  // Whether what the worker keeps is to be listed now: events were lost, and the loss has come into
-  // force, so that what is read from now on is trusted again.
+  // Whether the worker's cache is to be listed now: events were lost, and the version that follows
+  // the loss is known here, so that what is read from now on is trusted.
   bool RelistIsDue() const;
   void ApplyList();
   void OnEnd();
@@ -91,14 +91,14 @@
   std::string body_;
   runtime::MonotonicTime last_response_at_;
   bool timeout_reported_ = false;
-  double recent_events_ = 0;  // of the last some hundred, and how many of them are missing
+  double recent_events_ = 0;  // decaying counts of events, and of missing ones
   double recent_missing_ = 0;
-  // A loss is to be made good by a list, once the version is newer than this sequence.
+  // After a loss: a list is due once the version is newer than `sequence_at_loss_`.
   bool relist_needed_ = false;
   uint64_t sequence_at_loss_ = 0;
-  runtime::MonotonicTime last_listed_at_;  // the last time
-  bool list_in_flight_ = false;            // the running call asks for a list
-  std::string unreported_loss_;            // its reason; found while the lease was not held
+  runtime::MonotonicTime last_listed_at_;
+  bool list_in_flight_ = false;  // the running call requests a list
+  std::string unreported_loss_;  // its reason; detected while the lease was not held
   runtime::Timer poll_timer_;
   runtime::Timer missing_timer_;
 };
--- a/src/posthatch/index/worker_event_reader.cc
+++ b/src/posthatch/index/worker_event_reader.cc
@@ -5,11 +5,12 @@
 
 #include "absl/container/flat_hash_set.h"
 #include "posthatch/control/state/fleet_sections.h"
+#include "posthatch/index/replication/extent_codec.h"
 
 namespace posthatch::index {
 namespace {
 
-// An event may come before the dispatching gateway's report: it waits this long for it.
+// How long an event waits for the dispatching gateway's report, which it may overtake.
 constexpr runtime::Duration kAttributionWait = std::chrono::seconds(3);
 constexpr runtime::Duration kAttributionRetry = std::chrono::milliseconds(100);
 constexpr size_t kMaxUnattributedEvents = 4096;
@@ -168,7 +169,7 @@
   const std::vector<BlockHash> blocks = Attribute(event, &seed);
   if (blocks.empty()) return false;
   if (!parts_.locator->Add(HolderKind::kWorker, worker, version, seed, blocks)) {
-    return true;  // of a version that is not the newest: of no use any more
+    return true;  // of a superseded version: useless
   }
   Extent extent = MakeExtent(worker, version, seed);
   extent.set_block_hashes(PackBlocks(blocks));
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -21,15 +21,15 @@
 struct WorkerEventReaderStats {
   uint64_t stored_blocks = 0;
   uint64_t removed_blocks = 0;
-  uint64_t unattributed_blocks = 0;  // given up: never trusted
+  uint64_t unattributed_blocks = 0;  // dropped without being added
   uint64_t losses = 0;
   uint64_t epochs = 0;
 };
 
 // Reads the events of every worker whose lease this gateway holds, reports epochs and losses to the
-// controllers, and adds and publishes what can be attributed to a dispatch. Events name neither
-// model revision nor tenant: a block whose seed is not known from a dispatch is never added. Owned
-// by IndexNode, which outlives it. Event loop thread only.
+// controllers, and adds to the index and publishes what can be attributed to a seed. Events name
+// neither model revision nor tenant: a block whose seed is not known is never added. Owned by
+// IndexNode; event loop thread only.
 class WorkerEventReader {
  public:
   struct Parts {
@@ -45,9 +45,9 @@
   WorkerEventReader(const WorkerEventReader&) = delete;
   WorkerEventReader& operator=(const WorkerEventReader&) = delete;
 
-  // Follows the leases and addresses of `state`.
+  // Starts and stops feeds by the leases and endpoints of `state`.
   void FollowFleet(const control::FleetState& state);
-  // New attributions have come: looks at the events that wait for one.
+  // Attributes the events that wait for their seed, and drops those that have waited too long.
   void RetryUnattributed();
 
   size_t feed_count() const { return feeds_.size(); }
@@ -71,9 +71,9 @@
   void OnLost(const std::string& worker, uint64_t epoch, const std::string& reason);
   void OnEvent(const std::string& worker, const invalidation::ObjectVersion& version,
                KvEvent event);
-  // What `worker` has removed must not be added when its attribution comes.
+  // What `worker` has evicted must not be added when its attribution comes.
   void DropUnattributed(const std::string& worker, const std::vector<BlockHash>& removed);
-  // The blocks of `event` whose seed is known, and the seed.
+  // The blocks of `event` whose seed is known, and that seed.
   std::vector<BlockHash> Attribute(const KvEvent& event, BlockSeed* seed) const;
   // False if the event's seed is not known yet.
   bool ApplyStored(const std::string& worker, const invalidation::ObjectVersion& version,
