--- a/src/posthatch/rollout/revision_enforcer.h
+++ b/src/posthatch/rollout/revision_enforcer.h
@@ -13,23 +13,23 @@
 namespace posthatch::rollout {
 
 struct RevisionEnforcerOptions {
-  // How soon a worker that is still loading, or didn't answer, is asked again.
+  // Before the command is sent again to a worker that is still loading or did not respond.
   runtime::Duration retry_interval = std::chrono::milliseconds(500);
-  // How often a worker that serves the newest revision is asked again: it may have come back cold
-  // with older weights.
+  // Before it is sent again to a worker that serves the newest revision: it may have restarted with
+  // older weights.
   runtime::Duration check_interval = std::chrono::seconds(2);
-  // How often due orders are looked for; also at each change of the fleet state.
+  // Between scans for due commands; also at each change of the fleet state.
   runtime::Duration scan_interval = std::chrono::milliseconds(250);
   runtime::Duration command_timeout = std::chrono::seconds(2);
-  // Orders in flight at one time, over all workers.
+  // Commands in flight at one time, over all workers.
   size_t max_in_flight = 64;
 };
 
-// Brings workers to the newest model revision. Orders (POST /admin/load_weights, docs/BACKENDS.md)
-// go only to workers whose lease this gateway holds, with the lease's fencing token, and the lease
-// is asked for again right before each order. An order repeated to a worker that serves the
-// revision already is answered 200 and changes nothing. Owned by the gateway process, on its event
-// loop thread.
+// Brings workers to the newest model revision, on gateways of posthatch's own API. (On the platform
+// RolloutCoordinator does so.) Commands (POST /admin/load_weights, docs/BACKENDS.md) go only to
+// workers whose lease this gateway holds, with the lease's fencing token; the lease is checked
+// right before each command. A command repeated to a worker that serves the revision already gets
+// status 200 and changes nothing. Owned by the gateway process; event loop thread only.
 class RevisionEnforcer {
  public:
   // Whether this gateway holds the worker's lease now; sets the fencing token.
@@ -42,10 +42,10 @@
 
  private:
   struct WorkerProgress {
-    uint64_t commanded_revision = 0;  // of the newest order; a newer one doesn't wait
+    uint64_t commanded_revision = 0;  // of the newest command; a newer revision doesn't wait
     runtime::MonotonicTime next_command_at;
     std::unique_ptr<http::Call> call;  // null: none in flight
-    uint64_t command_number = 0;       // number of the newest order; older answers are ignored
+    uint64_t command_number = 0;       // of the newest command; other responses are ignored
   };
 
   void ScheduleScan();
--- a/src/posthatch/rollout/rollout_coordinator.cc
+++ b/src/posthatch/rollout/rollout_coordinator.cc
@@ -10,7 +10,7 @@
 
 constexpr int kStatusOk = 200;
 constexpr size_t kMaxStatusBytes = size_t{1} << 20;
-// While nothing is to be done.
+// Between ticks while no worker is in progress.
 constexpr runtime::Duration kIdleTickInterval = std::chrono::milliseconds(200);
 
 }  // namespace
@@ -40,7 +40,8 @@
   for (const control::Backend& backend : parts_.fleet().inventory().backends()) {
     published[backend.id()] = &backend;
   }
-  // What the former leader has ordered goes on: its marks stand until this one may order there.
+  // Commands of the previous leader may still run: its marks stay until this one may send commands
+  // to those workers.
   const bool in_handover = InLeaderHandover();
   for (control::Backend& backend : *inventory->mutable_backends()) {
     const auto known = published.find(backend.id());
@@ -89,53 +90,53 @@
   StartNextWorkers();
 }
 
-size_t RolloutCoordinator::MaxConcurrentWorkers(const std::string& model, size_t workers) const {
+size_t RolloutCoordinator::MaxConcurrentWorkers(const std::string& model,
+                                                const ModelSurvey& survey) const {
   const auto proven = proven_revisions_.find(model);
-  uint64_t target = 0;
-  for (const control::ModelRevision& revision : parts_.fleet().revisions()) {
-    if (revision.model() == model) target = revision.revision();
-  }
-  if (proven == proven_revisions_.end() || proven->second < target) return 1;
-  const auto loading =
-      static_cast<size_t>(std::floor(static_cast<double>(workers) * options_.max_loading_fraction));
+  const bool is_proven =
+      proven != proven_revisions_.end() && proven->second >= survey.target_revision;
+  if (!is_proven) return 1;  // the canary
+  const auto loading = static_cast<size_t>(
+      std::floor(static_cast<double>(survey.workers) * options_.max_loading_fraction));
   return 2 * std::max<size_t>(loading, 1);
 }
 
-void RolloutCoordinator::StartNextWorkers() {
-  std::map<std::string, uint64_t> targets;
+RolloutCoordinator::Survey RolloutCoordinator::SurveyFleet() {
+  Survey survey;
   for (const control::ModelRevision& revision : parts_.fleet().revisions()) {
-    targets[revision.model()] = revision.revision();
+    survey.models[revision.model()].target_revision = revision.revision();
   }
-  std::map<std::string, size_t> workers;
-  std::map<std::string, size_t> in_progress;
-  std::vector<const control::Backend*> outdated;
   for (const control::Backend& backend : parts_.fleet().inventory().backends()) {
     if (backend.kind() != control::BACKEND_KIND_WORKER || backend.draining()) continue;
-    ++workers[backend.model()];
+    ModelSurvey& model = survey.models[backend.model()];
+    ++model.workers;
     const bool commanded_before = InLeaderHandover() && backend.recently_ordered();
     if (active_.contains(backend.id()) || (commanded_before && backend.loading())) {
-      ++in_progress[backend.model()];
+      ++model.in_progress;
       continue;
     }
-    const uint64_t target = targets[backend.model()];
     const uint64_t revision = RevisionOf(backend);
-    if (revision >= target) {
+    if (revision >= model.target_revision) {
       uint64_t& proven = proven_revisions_[backend.model()];
       proven = std::max(proven, revision);
     } else if (revision > 0 && !commanded_before) {
-      outdated.push_back(&backend);
+      survey.outdated.push_back(&backend);
     }
   }
+  return survey;
+}
+
+void RolloutCoordinator::StartNextWorkers() {
+  Survey survey = SurveyFleet();
   bool started = false;
-  for (const control::Backend* backend : outdated) {
-    if (in_progress[backend->model()] >=
-        MaxConcurrentWorkers(backend->model(), workers[backend->model()]))
-      continue;
-    ++in_progress[backend->model()];
+  for (const control::Backend* backend : survey.outdated) {
+    ModelSurvey& model = survey.models[backend->model()];
+    if (model.in_progress >= MaxConcurrentWorkers(backend->model(), model)) continue;
+    ++model.in_progress;
     Progress& progress = active_[backend->id()];
     progress.model = backend->model();
     progress.endpoint = backend->endpoint();
-    progress.target = targets[backend->model()];
+    progress.target = model.target_revision;
     progress.stage_started_at = runtime_->clock->Now();
     started = true;
   }
@@ -151,7 +152,8 @@
   const runtime::MonotonicTime now = runtime_->clock->Now();
   switch (progress->stage) {
     case Stage::kAnnounced:
-      // A new leader must be able to see that this one may have ordered the worker.
+      // Only once the marks are replicated: a new leader must see that this one may have commanded
+      // the worker.
       if (!published->loading() || !published->recently_ordered()) {
         progress->stage_started_at = now;
       } else if (now - progress->stage_started_at >= options_.announce_period) {
@@ -170,20 +172,21 @@
   }
 }
 
-void RolloutCoordinator::Call(const std::string& worker_id, Progress* progress,
-                              http::Request request,
-                              std::function<void(const http::Response*)> done) {
+void RolloutCoordinator::StartCall(const std::string& worker_id, Progress* progress,
+                                   http::Request request,
+                                   std::function<void(const http::Response*)> done) {
   const uint64_t number = ++last_call_;
   progress->call_number = number;
   auto response = std::make_shared<http::Response>();
-  const auto end = [this, worker_id, number, done = std::move(done)](const http::Response* whole) {
+  const auto end = [this, worker_id, number,
+                    done = std::move(done)](const http::Response* complete) {
     const auto found = active_.find(worker_id);
     if (found == active_.end() || found->second.call_number != number) return;
     // The call outlives its own callback.
     runtime_->timers->Schedule(
         runtime::Duration::zero(),
         [call = std::shared_ptr<http::Call>(std::move(found->second.call))] {});
-    done(whole);
+    done(complete);
   };
   http::CallOptions call_options;
   call_options.connect_timeout = options_.call_timeout;
@@ -209,22 +212,21 @@
                           {"model", progress->model},
                           {"revision", progress->target},
                           {"fencing_token", term_}});
-  Call(worker_id, progress, parts_.format->MakeLoadWeightsRequest(command),
-       [this, worker_id](const http::Response* response) {
-         OnCommandResult(worker_id, response == nullptr
-                                        ? WorkerCommandResult::kUnknown
-                                        : parts_.format->ParseCommandResult(*response));
-       });
+  StartCall(worker_id, progress, parts_.format->MakeLoadWeightsRequest(command),
+            [this, worker_id](const http::Response* response) {
+              OnCommandResult(worker_id, response == nullptr
+                                             ? WorkerCommandResult::kUnknown
+                                             : parts_.format->ParseCommandResult(*response));
+            });
 }
 
-void RolloutCoordinator::OnCommandResult(const std::string& worker_id,
-                                         WorkerCommandResult response) {
-  if (response == WorkerCommandResult::kAlreadyServed) {
-    WorkerStatus report;
-    report.revision = active_.at(worker_id).target;
-    return OnStatus(worker_id, report);
+void RolloutCoordinator::OnCommandResult(const std::string& worker_id, WorkerCommandResult result) {
+  if (result == WorkerCommandResult::kAlreadyServed) {
+    WorkerStatus status;
+    status.revision = active_.at(worker_id).target;
+    return OnStatus(worker_id, status);
   }
-  if (response == WorkerCommandResult::kWrongIncarnation) {
+  if (result == WorkerCommandResult::kWrongIncarnation) {
     active_.erase(worker_id);
     return;
   }
@@ -233,30 +235,30 @@
   progress.stage = Stage::kLoading;
   progress.stage_started_at = now;
   progress.next_poll_at = now + options_.poll_interval;
-  // Not taken, as far as it is known: asks for the worker's state and then orders again.
+  // Rejected: polls its status once or twice, and then sends the command again.
   const bool may_have_started =
-      response == WorkerCommandResult::kAccepted || response == WorkerCommandResult::kUnknown;
+      result == WorkerCommandResult::kAccepted || result == WorkerCommandResult::kUnknown;
   if (!may_have_started)
     progress.stage_started_at = now - options_.load_timeout + 2 * options_.poll_interval;
 }
 
 void RolloutCoordinator::RequestStatus(const std::string& worker_id, Progress* progress) {
   progress->next_poll_at = runtime_->clock->Now() + options_.poll_interval;
-  Call(worker_id, progress, parts_.format->MakeStatusRequest(worker_id),
-       [this, worker_id, model = progress->model](const http::Response* response) {
-         if (response == nullptr || response->status != kStatusOk) return;
-         const absl::StatusOr<WorkerStatus> report =
-             parts_.format->ParseStatus(response->body, model);
-         if (report.ok()) OnStatus(worker_id, *report);
-       });
+  StartCall(worker_id, progress, parts_.format->MakeStatusRequest(worker_id),
+            [this, worker_id, model = progress->model](const http::Response* response) {
+              if (response == nullptr || response->status != kStatusOk) return;
+              const absl::StatusOr<WorkerStatus> status =
+                  parts_.format->ParseStatus(response->body, model);
+              if (status.ok()) OnStatus(worker_id, *status);
+            });
 }
 
-void RolloutCoordinator::OnStatus(const std::string& worker_id, const WorkerStatus& report) {
+void RolloutCoordinator::OnStatus(const std::string& worker_id, const WorkerStatus& status) {
   Progress& progress = active_.at(worker_id);
-  if (report.busy || report.revision < progress.target) return;
-  revisions_[worker_id] = std::max(revisions_[worker_id], report.revision);
+  if (status.busy || status.revision < progress.target) return;
+  revisions_[worker_id] = std::max(revisions_[worker_id], status.revision);
   uint64_t& proven = proven_revisions_[progress.model];
-  proven = std::max(proven, report.revision);
+  proven = std::max(proven, status.revision);
   FinishWorker(worker_id);
 }
 
--- a/src/posthatch/rollout/rollout_coordinator.h
+++ b/src/posthatch/rollout/rollout_coordinator.h
@@ -5,6 +5,7 @@
 #include <map>
 #include <memory>
 #include <string>
+#include <vector>
 
 #include "posthatch/control/control.pb.h"
 #include "posthatch/rollout/worker_command_format.h"
@@ -13,78 +14,104 @@
 namespace posthatch::rollout {
 
 struct RolloutOptions {
-  std::string issuer;  // this machine's name in orders
-  // How long a new leader leaves alone the workers that the former one may have ordered: its orders
-  // are over by then. The others need no wait.
+  std::string issuer;  // this controller's node id, sent with commands
+  // How long a new leader sends no command to workers that the previous leader may have commanded:
+  // those commands have ended by then. Other workers need no wait.
   runtime::Duration handover_period = std::chrono::seconds(3);
-  // From the mark that keeps new requests away from a worker until it is ordered: the mark has
-  // reached the gateways by then.
+  // From the mark that keeps new requests away from a worker until it gets its command: the mark
+  // has reached the gateways by then.
   runtime::Duration announce_period = std::chrono::milliseconds(150);
   runtime::Duration tick_interval = std::chrono::milliseconds(50);
   runtime::Duration poll_interval = std::chrono::milliseconds(200);
   runtime::Duration call_timeout = std::chrono::milliseconds(600);
-  // A worker that isn't done by then gets its order again.
+  // A worker that has not loaded by then gets its command again.
   runtime::Duration load_timeout = std::chrono::seconds(6);
-  // Workers that load at one time, as a share of all workers of the model; twice as many may be
-  // under way, since a worker ends its running requests first.
+  // Workers that load at one time, as a fraction of all workers of the model; twice as many may be
+  // in progress, since a worker finishes its running requests first.
   double max_loading_fraction = 0.2;
 };
 
-// Brings workers to the newest model revisions, a few at a time: one worker first, and the others
-// only once it is seen to serve the new revision. Runs on the leading controller alone, whose term
-// is the fencing token of its orders. Holds nothing that must survive: a worker is ordered only
-// once its mark stands in the replicated inventory, so a new leader sees there how far the roll-out
-// got and which workers the former one may have ordered. Owned by the controller process; event
-// loop thread only.
+// Rolls model revisions out to workers, a few at a time: a canary first, and the others only once
+// it serves the new revision. Active on the leading controller only, whose term is the fencing
+// token of its commands. Keeps no state that must survive: a worker gets its command only once its
+// marks (loading, recently_ordered) are in the replicated inventory, so a new leader sees there how
+// far the rollout got and which workers the previous leader may have commanded.
+//
+// A worker's way: announced (marked, and drained of new requests) -> command sent -> loading
+// (polled for its status) -> finished. A command that is lost or rejected is sent again.
+//
+// Owned by the controller process; event loop thread only.
 class RolloutCoordinator {
  public:
   struct Parts {
     const WorkerCommandFormat* format = nullptr;
     // The control state's fleet, as of the last applied command.
     std::function<const control::FleetState&()> fleet;
-    // Whether this controller may order at this moment: it leads, and a majority confirms it.
+    // Whether this controller may send commands now: it leads, and a majority confirms it.
     std::function<bool()> may_command;
-    // The marks have changed: the inventory is to be published again.
+    // Publishes the inventory again: the marks have changed.
     std::function<void()> publish;
   };
 
   RolloutCoordinator(runtime::Runtime* runtime, RolloutOptions options, Parts parts);
 
-  // This controller leads `term` from now on, or leads no more.
+  // This controller has become the leader of `term`, or is leader no more. Resets everything.
   void OnLeadership(bool is_leader, uint64_t term);
-  // Adds to a reading of the inventory what this coordinator knows: newest revisions, and marks of
-  // workers that load or are about to.
+  // Adds to an inventory as it was read what this coordinator knows: newest revisions, and the
+  // marks of workers that load or are about to.
   void Annotate(control::Inventory* inventory) const;
 
   size_t workers_in_progress() const { return active_.size(); }
 
  private:
-  enum class Stage { kAnnounced, kCommandSent, kLoading };
+  enum class Stage {
+    kAnnounced,    // marked; no command yet
+    kCommandSent,  // waiting for the worker's response
+    kLoading,      // polled until it serves the target, or `load_timeout` is over
+  };
+  // A worker in progress.
   struct Progress {
     std::string model;
     std::string endpoint;
     uint64_t target = 0;
     Stage stage = Stage::kAnnounced;
-    runtime::MonotonicTime stage_started_at;  // of the stage
-    runtime::MonotonicTime next_poll_at;      // while loading
-    uint64_t call_number = 0;                 // of the running call; answers to others are ignored
+    runtime::MonotonicTime stage_started_at;
+    runtime::MonotonicTime next_poll_at;  // while loading
+    uint64_t call_number = 0;             // of the running call; responses to others are ignored
     std::unique_ptr<http::Call> call;
   };
 
   void Tick();
+  // Starts as many outdated workers as may be in progress.
   void StartNextWorkers();
-  size_t MaxConcurrentWorkers(const std::string& model, size_t workers) const;
+  // What stands in the replicated inventory of one model.
+  struct ModelSurvey {
+    uint64_t target_revision = 0;
+    size_t workers = 0;
+    size_t in_progress = 0;
+  };
+  struct Survey {
+    std::map<std::string, ModelSurvey> models;
+    std::vector<const control::Backend*> outdated;  // workers that may be started, in its order
+  };
+
+  // Also takes up which revisions are proven.
+  Survey SurveyFleet();
+  // How many of a model's workers may be in progress at one time.
+  size_t MaxConcurrentWorkers(const std::string& model, const ModelSurvey& survey) const;
   bool InLeaderHandover() const { return runtime_->clock->Now() < handover_until_; }
   bool RecentlyCommanded(const std::string& worker_id) const;
-  // The replicated inventory's entry of a worker; null if it has none.
+  // The worker's entry in the replicated inventory; null if there is none.
   const control::Backend* FindPublished(const std::string& worker_id) const;
   void Advance(const std::string& worker_id, Progress* progress);
   void SendCommand(const std::string& worker_id, Progress* progress);
   void RequestStatus(const std::string& worker_id, Progress* progress);
-  void Call(const std::string& worker_id, Progress* progress, http::Request request,
-            std::function<void(const http::Response*)> done);
-  void OnCommandResult(const std::string& worker_id, WorkerCommandResult response);
-  void OnStatus(const std::string& worker_id, const WorkerStatus& report);
+  // `done` gets null if the call failed; it isn't called if the worker is no more in progress or a
+  // newer call was started.
+  void StartCall(const std::string& worker_id, Progress* progress, http::Request request,
+                 std::function<void(const http::Response*)> done);
+  void OnCommandResult(const std::string& worker_id, WorkerCommandResult result);
+  void OnStatus(const std::string& worker_id, const WorkerStatus& status);
   void FinishWorker(const std::string& worker_id);
   uint64_t RevisionOf(const control::Backend& worker) const;
 
@@ -96,9 +123,9 @@
   runtime::MonotonicTime handover_until_;
   uint64_t last_call_ = 0;
   std::map<std::string, Progress> active_;
-  std::map<std::string, runtime::MonotonicTime> commanded_at_;  // by worker, its last order
-  std::map<std::string, uint64_t> revisions_;                   // by worker, as seen in reports
-  std::map<std::string, uint64_t> proven_revisions_;  // by model: a worker serves this revision
+  std::map<std::string, runtime::MonotonicTime> commanded_at_;  // by worker, its last command
+  std::map<std::string, uint64_t> revisions_;                   // by worker, as its status said
+  std::map<std::string, uint64_t> proven_revisions_;            // by model: some worker serves it
   runtime::Timer tick_timer_;
 };
 
--- a/src/posthatch/rollout/worker_command_format.h
+++ b/src/posthatch/rollout/worker_command_format.h
@@ -8,40 +8,44 @@
 
 namespace posthatch::rollout {
 
-// An order to load a model's weights.
+// A command to a worker to load a model's weights.
 struct LoadWeightsCommand {
-  std::string worker_id;  // the only incarnation that may take it
+  std::string worker_id;  // the only incarnation that may accept it
   std::string model;
   uint64_t revision = 0;
-  std::string issuer;  // the machine that orders
+  std::string issuer;  // node id of the controller that sends it
   uint64_t fencing_token = 0;
 };
 
+// A worker's response to a command.
 enum class WorkerCommandResult {
-  kAccepted,          // it is under way
+  kAccepted,          // accepted: the worker loads the weights now
   kAlreadyServed,     // the worker serves the revision already
-  kBusy,              // another order is under way
-  kFenced,            // a newer holder has ordered
-  kWrongIncarnation,  // another worker has the address
-  kRejected,          // it can't be done
-  kUnknown,           // no such answer: it may have been taken
+  kBusy,              // another command is in progress
+  kFenced,            // a command with a newer fencing token has come
+  kWrongIncarnation,  // another incarnation has the address
+  kRejected,          // the worker can't do it
+  kUnknown,           // no such response: it may have been accepted
 };
 
+// A worker's status, as it reports it.
 struct WorkerStatus {
-  uint64_t revision = 0;  // of the model asked for; 0: it doesn't serve that model
-  bool busy = false;      // an order is under way
+  uint64_t revision = 0;  // of the requested model; 0: it doesn't serve that model
+  bool busy = false;      // a command is in progress
   uint32_t running = 0;
   uint32_t waiting = 0;
 };
 
-// How workers are ordered and asked for their state. Stateless; any thread.
+// The HTTP form of commands to workers and of their status, on one platform. Implementations are
+// stateless; any thread.
 class WorkerCommandFormat {
  public:
   virtual ~WorkerCommandFormat() = default;
   virtual http::Request MakeLoadWeightsRequest(const LoadWeightsCommand& command) const = 0;
+  // By the response's status alone.
   virtual WorkerCommandResult ParseCommandResult(const http::Response& head) const = 0;
   virtual http::Request MakeStatusRequest(const std::string& worker_id) const = 0;
-  // InvalidArgument if `body` is not a report.
+  // InvalidArgument if `body` is not a status.
   virtual absl::StatusOr<WorkerStatus> ParseStatus(const std::string& body,
                                                    const std::string& model) const = 0;
 };
