--- a/src/posthatch/index/index_node.h
+++ b/src/posthatch/index/index_node.h
@@ -114,8 +114,8 @@
   runtime::Timer sweep_timer_;
   runtime::MonotonicTime next_stats_;
   invalidation::MetricsExport metrics_;
-  // What RecordKnownSeeds has recorded: models with their revisions, and the index of the section of
-  // isolation domains.
+  // What RecordKnownSeeds has recorded: models with their revisions, and the index of the section
+  // of isolation domains.
   std::set<std::pair<std::string, uint64_t>> recorded_revisions_;
   uint64_t recorded_isolation_ = 0;
   // Expires with this object, for the listener that stays with `fleet`.
--- a/src/posthatch/index/worker_event_feed.cc
+++ b/src/posthatch/index/worker_event_feed.cc
@@ -1,6 +1,7 @@
 #include "posthatch/index/worker_event_feed.h"
 
 #include <algorithm>
+#include <optional>
 #include <utility>
 
 #include "absl/strings/str_cat.h"
@@ -9,8 +10,6 @@
 namespace posthatch::index {
 namespace {
 
-// A gap of more numbers counts as lost at once.
-constexpr uint64_t kMaxMissing = 1000;
 // While the newest version known here is not of the worker's epoch, events can't be used: the
 // worker must not delay its response for long.
 constexpr runtime::Duration kWaitWithoutVersion = std::chrono::milliseconds(100);
@@ -19,22 +18,19 @@
 constexpr int kStatusOk = 200;
 // A list delays the worker's other work: not more often than this.
 constexpr runtime::Duration kListInterval = std::chrono::seconds(2);
-// Factor by which the weight of an event decays with each further one.
-constexpr double kRecentDecay = 0.995;
-constexpr double kMinRecentEvents = 50;
 
 }  // namespace
 
 WorkerEventFeed::WorkerEventFeed(runtime::Runtime* runtime, Options options, std::string worker_id,
                                  std::string endpoint, const invalidation::ObjectTrust* trust,
-                                 std::function<bool()> may_read, Observer observer)
+                                 WorkerEventFeedOwner* owner)
     : runtime_(runtime),
       options_(options),
       worker_id_(std::move(worker_id)),
       endpoint_(std::move(endpoint)),
       trust_(trust),
-      may_read_(std::move(may_read)),
-      observer_(std::move(observer)),
+      owner_(owner),
+      missing_(options.reorder_window, options.tolerated_missing_share),
       poll_timer_(runtime->timers),
       missing_timer_(runtime->timers) {}
 
@@ -45,7 +41,7 @@
 
 void WorkerEventFeed::Poll() {
   CheckTimeout();
-  if (!may_read_()) {
+  if (!owner_->MayRead(worker_id_)) {
     poll_timer_.Start(options_.retry_delay, [this] { Poll(); });
     return;
   }
@@ -92,7 +88,7 @@
 void WorkerEventFeed::OnEnd() {
   // After a freeze of this process another gateway may hold the lease: then the response is not
   // used.
-  if (!may_read_() || status_ != kStatusOk) {
+  if (!owner_->MayRead(worker_id_) || status_ != kStatusOk) {
     OnFailure();
     return;
   }
@@ -120,9 +116,10 @@
                            {{"worker", worker_id_}});
   } else if (list->epoch == epoch_) {
     last_response_at_ = last_listed_at_;
-    for (KvEvent& event : list->events) observer_.on_event(version_at_request_, std::move(event));
+    for (KvEvent& event : list->events)
+      owner_->OnEvent(worker_id_, version_at_request_, std::move(event));
     last_seq_read_ = std::max(last_seq_read_, list->next);
-    missing_.erase(missing_.begin(), missing_.upper_bound(list->next));
+    missing_.RemoveUpTo(list->next);
   }
   poll_timer_.Start(runtime::Duration::zero(), [this] { Poll(); });
 }
@@ -131,9 +128,9 @@
   if (batch.epoch != epoch_) {
     epoch_ = batch.epoch;
     last_seq_read_ = 0;
-    missing_.clear();
+    missing_.Clear();
     relist_needed_ = false;
-    observer_.on_epoch(epoch_);
+    owner_->OnEpoch(worker_id_, epoch_);
   }
   std::stable_sort(batch.events.begin(), batch.events.end(),
                    [](const KvEvent& left, const KvEvent& right) { return left.seq < right.seq; });
@@ -147,53 +144,36 @@
 
 void WorkerEventFeed::ApplyEvent(KvEvent event) {
   ++events_read_;
-  recent_events_ = recent_events_ * kRecentDecay + 1;
-  recent_missing_ *= kRecentDecay;
+  missing_.CountEvent();
   const uint64_t seq = event.seq;
   if (event.type == KvEvent::Type::kLost) {
     // Everything up to here is accounted for by this one loss.
     last_seq_read_ = std::max(last_seq_read_, seq);
-    missing_.erase(missing_.begin(), missing_.upper_bound(seq));
+    missing_.RemoveUpTo(seq);
     ReportLoss("lost mark");
     return;
   }
   if (seq > last_seq_read_) {
     if (seq > last_seq_read_ + 1) RecordMissing(last_seq_read_ + 1, seq - 1);
     last_seq_read_ = seq;
-    observer_.on_event(version_at_request_, std::move(event));
+    owner_->OnEvent(worker_id_, version_at_request_, std::move(event));
     return;
   }
-  if (missing_.erase(seq) == 0) return;  // a duplicate
+  if (!missing_.Remove(seq)) return;  // a duplicate
   // Out of order: what it stored may have been removed by an event that was read before.
   if (event.type == KvEvent::Type::kRemoved)
-    observer_.on_event(version_at_request_, std::move(event));
+    owner_->OnEvent(worker_id_, version_at_request_, std::move(event));
 }
 
-void WorkerEventFeed::RecordMissing(uint64_t from, uint64_t to) {
-  if (to - from >= kMaxMissing) {
-    ReportLoss("gap");
-    return;
-  }
-  const runtime::MonotonicTime lost_at = runtime_->clock->Now() + options_.reorder_window;
-  for (uint64_t seq = from; seq <= to; ++seq) missing_.emplace(seq, lost_at);
+void WorkerEventFeed::RecordMissing(uint64_t first, uint64_t last) {
+  if (!missing_.Add(first, last, runtime_->clock->Now())) ReportLoss("gap");
 }
 
 void WorkerEventFeed::CheckMissing() {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  bool lost = false;
-  while (!missing_.empty() && missing_.begin()->second <= now) {
-    missing_.erase(missing_.begin());
-    recent_missing_ += 1;
-    lost = true;
-  }
-  const double tolerated =
-      options_.tolerated_missing_share * std::max(recent_events_, kMinRecentEvents);
-  if (lost && recent_missing_ > tolerated) {
-    recent_missing_ = 0;
-    ReportLoss("gap");
-  }
-  if (missing_.empty()) return;
-  missing_timer_.Start(missing_.begin()->second - now, [this] { CheckMissing(); });
+  if (missing_.Expire(now)) ReportLoss("gap");
+  const std::optional<runtime::MonotonicTime> next = missing_.next_expiry();
+  if (next.has_value()) missing_timer_.Start(*next - now, [this] { CheckMissing(); });
 }
 
 void WorkerEventFeed::CheckTimeout() {
@@ -206,11 +186,11 @@
 void WorkerEventFeed::ReportLoss(const std::string& reason) {
   // Only the lease holder may report it: after a freeze of this process another gateway may read
   // the worker. If the lease returns to this feed, the loss is reported then.
-  if (may_read_()) {
+  if (owner_->MayRead(worker_id_)) {
     unreported_loss_.clear();
     relist_needed_ = options_.format->ListRequest().has_value();
     sequence_at_loss_ = version_at_request_.sequence();
-    observer_.on_lost(epoch_, reason);
+    owner_->OnLost(worker_id_, epoch_, reason);
   } else {
     unreported_loss_ = reason;
   }
--- a/src/posthatch/index/worker_event_feed.h
+++ b/src/posthatch/index/worker_event_feed.h
@@ -1,33 +1,40 @@
 #pragma once
 
 #include <cstdint>
-#include <functional>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "absl/container/btree_map.h"
 #include "posthatch/index/kv_event_format.h"
 #include "posthatch/index/kv_events.h"
+#include "posthatch/index/missing_events.h"
 #include "posthatch/invalidation/object_trust.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::index {
 
+// The owner of feeds: what a feed asks it and reports to it. Event loop thread only.
+class WorkerEventFeedOwner {
+ public:
+  virtual ~WorkerEventFeedOwner() = default;
+  // Whether this gateway still holds the worker's lease; checked before each poll and before each
+  // response is used.
+  virtual bool MayRead(const std::string& worker_id) const = 0;
+  // The worker's cache has begun a new epoch (also the first one seen).
+  virtual void OnEpoch(const std::string& worker_id, uint64_t epoch) = 0;
+  // Events of `epoch` are lost, or the worker can't be read.
+  virtual void OnLost(const std::string& worker_id, uint64_t epoch, const std::string& reason) = 0;
+  // `version` is the newest version of the worker's object known when the poll was sent.
+  virtual void OnEvent(const std::string& worker_id, const invalidation::ObjectVersion& version,
+                       KvEvent event) = 0;
+};
+
 // Long-polls one worker's events, orders them by `seq`, and detects missing ones: the change
 // detection that WCIP 4.2 leaves to the origin. After a loss it requests a list of all that the
 // worker has cached, where the worker offers one, which restores the entries without new prefills.
 // Owned by WorkerEventReader; event loop thread only.
 class WorkerEventFeed {
  public:
-  struct Observer {
-    // The worker's cache has begun a new epoch (also the first one seen).
-    std::function<void(uint64_t epoch)> on_epoch;
-    // Events of `epoch` are lost, or the worker can't be read.
-    std::function<void(uint64_t epoch, const std::string& reason)> on_lost;
-    // `version` is the newest version of the worker's object known when the poll was sent.
-    std::function<void(const invalidation::ObjectVersion& version, KvEvent event)> on_event;
-  };
   struct Options {
     runtime::Duration wait = std::chrono::seconds(2);
     // How long a missing `seq` may still arrive before it counts as lost.
@@ -43,11 +50,10 @@
     double tolerated_missing_share = 0;
   };
 
-  // `may_read`: whether this gateway still holds the worker's lease; checked before each poll and
-  // before each response is used.
+  // All outlive it.
   WorkerEventFeed(runtime::Runtime* runtime, Options options, std::string worker_id,
                   std::string endpoint, const invalidation::ObjectTrust* trust,
-                  std::function<bool()> may_read, Observer observer);
+                  WorkerEventFeedOwner* owner);
   WorkerEventFeed(const WorkerEventFeed&) = delete;
   WorkerEventFeed& operator=(const WorkerEventFeed&) = delete;
 
@@ -67,7 +73,9 @@
   void OnFailure();
   void ApplyBatch(KvEventBatch batch);
   void ApplyEvent(KvEvent event);
-  void RecordMissing(uint64_t from, uint64_t to);
+  // The numbers `first` to `last` have not arrived.
+  void RecordMissing(uint64_t first, uint64_t last);
+  // Reports a loss if too many numbers never arrived, and waits for the next one to expire.
   void CheckMissing();
   void CheckTimeout();
   void ReportLoss(const std::string& reason);
@@ -77,22 +85,18 @@
   const std::string worker_id_;
   const std::string endpoint_;
   const invalidation::ObjectTrust* const trust_;
-  const std::function<bool()> may_read_;
-  const Observer observer_;
+  WorkerEventFeedOwner* const owner_;
 
   uint64_t epoch_ = 0;
   uint64_t last_seq_read_ = 0;  // `after` of the next poll
   uint64_t events_read_ = 0;
-  // Missing sequence numbers, and when each counts as lost.
-  absl::btree_map<uint64_t, runtime::MonotonicTime> missing_;
+  MissingEvents missing_;
   invalidation::ObjectVersion version_at_request_;
   std::unique_ptr<http::Call> call_;
   int status_ = 0;
   std::string body_;
   runtime::MonotonicTime last_response_at_;
   bool timeout_reported_ = false;
-  double recent_events_ = 0;  // decaying counts of events, and of missing ones
-  double recent_missing_ = 0;
   // After a loss: a list is due once the version is newer than `sequence_at_loss_`.
   bool relist_needed_ = false;
   uint64_t sequence_at_loss_ = 0;
--- a/src/posthatch/index/worker_event_reader.cc
+++ b/src/posthatch/index/worker_event_reader.cc
@@ -21,12 +21,12 @@
                                      Parts parts)
     : runtime_(runtime), options_(options), parts_(parts), retry_timer_(runtime->timers) {}
 
-bool WorkerEventReader::HoldsLease(const std::string& worker, uint64_t fencing_token) const {
+bool WorkerEventReader::MayRead(const std::string& worker) const {
   if (!parts_.fleet->LeaseValid()) return false;
   const control::WorkerLease* lease = control::FindLease(parts_.fleet->state(), worker);
   return lease != nullptr && lease->holder() == runtime_->transport->node_id() &&
          lease->holder_incarnation() == runtime_->transport->incarnation() &&
-         lease->fencing_token() == fencing_token;
+         lease->fencing_token() == feeds_.at(worker).fencing_token;
 }
 
 void WorkerEventReader::FollowFleet(const control::FleetState& state) {
@@ -61,26 +61,15 @@
 
 void WorkerEventReader::StartFeed(const std::string& worker, const std::string& endpoint,
                                   uint64_t fencing_token) {
-  WorkerEventFeed::Observer observer;
-  observer.on_epoch = [this, worker, fencing_token](uint64_t epoch) {
-    OnEpoch(worker, fencing_token, epoch);
-  };
-  observer.on_lost = [this, worker](uint64_t epoch, const std::string& reason) {
-    OnLost(worker, epoch, reason);
-  };
-  observer.on_event = [this, worker](const invalidation::ObjectVersion& version, KvEvent event) {
-    OnEvent(worker, version, std::move(event));
-  };
+  WorkerEventFeedOwner* owner = this;
   Feed& feed = feeds_[worker];
   feed.fencing_token = fencing_token;
-  feed.feed = std::make_unique<WorkerEventFeed>(
-      runtime_, options_, worker, endpoint, parts_.trust,
-      [this, worker, fencing_token] { return HoldsLease(worker, fencing_token); },
-      std::move(observer));
+  feed.feed =
+      std::make_unique<WorkerEventFeed>(runtime_, options_, worker, endpoint, parts_.trust, owner);
   feed.feed->Start();
 }
 
-void WorkerEventReader::OnEpoch(const std::string& worker, uint64_t fencing_token, uint64_t epoch) {
+void WorkerEventReader::OnEpoch(const std::string& worker, uint64_t epoch) {
   ++stats_.epochs;
   const std::string object = HolderObject(HolderKind::kWorker, worker);
   invalidation::ObjectVersion version;
@@ -89,7 +78,7 @@
     parts_.locator->DropHolder(HolderKind::kWorker, worker);
     parts_.reporter->Report(object, epoch, /*lost=*/false, "new epoch");
   }
-  parts_.publisher->Begin(worker, epoch, fencing_token);
+  parts_.publisher->Begin(worker, epoch, feeds_.at(worker).fencing_token);
 }
 
 void WorkerEventReader::OnLost(const std::string& worker, uint64_t epoch,
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -30,7 +30,7 @@
 // controllers, and adds to the index and publishes what can be attributed to a seed. Events name
 // neither model revision nor tenant: a block whose seed is not known is never added. Owned by
 // IndexNode; event loop thread only.
-class WorkerEventReader {
+class WorkerEventReader : private WorkerEventFeedOwner {
  public:
   struct Parts {
     control::FleetView* fleet = nullptr;
@@ -65,12 +65,13 @@
     runtime::MonotonicTime expires_at;
   };
 
-  bool HoldsLease(const std::string& worker, uint64_t fencing_token) const;
   void StartFeed(const std::string& worker, const std::string& endpoint, uint64_t fencing_token);
-  void OnEpoch(const std::string& worker, uint64_t fencing_token, uint64_t epoch);
-  void OnLost(const std::string& worker, uint64_t epoch, const std::string& reason);
+  // Whether this gateway still holds the lease that the worker's feed was started under.
+  bool MayRead(const std::string& worker) const override;
+  void OnEpoch(const std::string& worker, uint64_t epoch) override;
+  void OnLost(const std::string& worker, uint64_t epoch, const std::string& reason) override;
   void OnEvent(const std::string& worker, const invalidation::ObjectVersion& version,
-               KvEvent event);
+               KvEvent event) override;
   // What `worker` has evicted must not be added when its attribution comes.
   void DropUnattributed(const std::string& worker, const std::vector<BlockHash>& removed);
   // The blocks of `event` whose seed is known, and that seed.
