--- a/src/posthatch/index/index_node.cc
+++ b/src/posthatch/index/index_node.cc
@@ -1,7 +1,6 @@
 #include "posthatch/index/index_node.h"
 
 #include <algorithm>
-#include <boost/json.hpp>
 #include <set>
 #include <utility>
 
@@ -57,7 +56,13 @@
       store_poller_(runtime, options_.store_poll_interval, fleet, &subscriptions_, &reporter_,
                     [this] { return IsFirstGateway(); }),
       sweep_timer_(runtime->timers),
-      metrics_(runtime) {
+      statistics_(runtime, {.locator = &locator_,
+                            .subscriptions = &subscriptions_,
+                            .receiver = &receiver_,
+                            .publisher = &publisher_,
+                            .fanout = &fanout_,
+                            .reader = &reader_,
+                            .reporter = &reporter_}) {
   subscriptions_.AddListener(&listener_);
   if (options_.relay) {
     relay_ = std::make_unique<invalidation::InvalidationRelay>(runtime, options_.relay_publisher,
@@ -88,7 +93,7 @@
   subscriptions_.Start();
   store_poller_.Start();
   Sweep();
-  ExportMetrics();
+  statistics_.Export();
 }
 
 void IndexNode::RecordKnownSeeds(const control::FleetState& state) {
@@ -116,35 +121,6 @@
   }
 }
 
-void IndexNode::ExportMetrics() {
-  const auto add = [this](const char* name, const char* help, auto read) {
-    metrics_.Add(name, help, [read] { return static_cast<double>(read()); });
-  };
-  add("posthatch_index_blocks", "Blocks in the prefix cache index.",
-      [this] { return locator_.index_stats().blocks; });
-  add("posthatch_index_bytes", "Memory of the prefix cache index in bytes.",
-      [this] { return locator_.index_stats().bytes; });
-  add("posthatch_index_evicted_blocks", "Blocks evicted since start: the byte budget is used up.",
-      [this] { return locator_.index_stats().evicted_blocks; });
-  add("posthatch_index_lookups", "Look-ups of prefixes since start.",
-      [this] { return locator_.stats().lookups; });
-  add("posthatch_index_lookups_matched", "Look-ups that named at least one trusted holder.",
-      [this] { return locator_.stats().lookups_matched; });
-  add("posthatch_index_untrusted_holders",
-      "Holders left out of answers because their trust had run out.",
-      [this] { return locator_.stats().untrusted_holders; });
-  add("posthatch_index_channels_live", "Channels whose registration is live.",
-      [this] { return subscriptions_.live_channels(); });
-  add("posthatch_index_update_gaps", "Updates of other gateways found missing since start.",
-      [this] { return receiver_.stats().gaps; });
-  add("posthatch_index_event_losses", "Losses in the events of the workers read here, since start.",
-      [this] { return reader_.stats().losses; });
-  add("posthatch_index_unattributed_blocks",
-      "Blocks of events given up because no dispatch said under which seed they were made.",
-      [this] { return reader_.stats().unattributed_blocks; });
-  metrics_.Start();
-}
-
 void IndexNode::Sweep() {
   locator_.SweepStep();
   const bool idle = locator_.index_stats().dropped_blocks == 0;
@@ -211,47 +187,7 @@
 }
 
 std::string IndexNode::stats_json() const {
-  const PrefixIndex::Stats index = locator_.index_stats();
-  const LocatorStats& lookups = locator_.stats();
-  const invalidation::SubscriptionStats channels = subscriptions_.TotalStats();
-  const IndexUpdateReceiverStats& updates = receiver_.stats();
-  const WorkerEventReaderStats& events = reader_.stats();
-  const boost::json::object document = {
-      {"blocks", index.blocks},
-      {"dropped_blocks", index.dropped_blocks},
-      {"evicted_blocks", index.evicted_blocks},
-      {"bytes", index.bytes},
-      {"generations", locator_.generation_count()},
-      {"lookups", lookups.lookups},
-      {"lookups_matched", lookups.lookups_matched},
-      {"untrusted_holders", lookups.untrusted_holders},
-      {"dispatches_recorded", lookups.dispatches_recorded},
-      {"dispatches_not_recorded", lookups.dispatches_not_recorded},
-      {"channels_live", subscriptions_.live_channels()},
-      {"channels", subscriptions_.Channels().size()},
-      {"channel_messages", channels.messages},
-      {"channel_gaps", channels.gaps},
-      {"channel_silences", channels.heartbeat_timeouts},
-      {"channel_epoch_changes", channels.epoch_changes},
-      {"registrations_refused", channels.refusals},
-      {"relay_subscribers", relay_ == nullptr ? 0 : relay_->registration_count()},
-      {"updates_applied", updates.updates_applied},
-      {"update_gaps", updates.gaps},
-      {"updates_fenced", updates.fenced},
-      {"extents_waited", updates.extents_deferred},
-      {"extents_not_trusted", updates.extents_untrusted},
-      {"updates_sent", publisher_.stats().updates_sent},
-      {"update_bytes_sent", publisher_.stats().bytes_sent},
-      {"updates_relayed", fanout_.relayed()},
-      {"workers_read", reader_.feed_count()},
-      {"events_stored_blocks", events.stored_blocks},
-      {"events_removed_blocks", events.removed_blocks},
-      {"events_unattributed_blocks", events.unattributed_blocks},
-      {"events_losses", events.losses},
-      {"observations_accepted", reporter_.accepted()},
-      {"observations_waiting", reporter_.pending()},
-  };
-  return boost::json::serialize(document);
+  return statistics_.ToJson(relay_ == nullptr ? 0 : relay_->registration_count());
 }
 
 }  // namespace posthatch::index
--- a/src/posthatch/index/index_node.h
+++ b/src/posthatch/index/index_node.h
@@ -10,6 +10,7 @@
 #include "posthatch/control/client/control_client.h"
 #include "posthatch/index/attribution_table.h"
 #include "posthatch/index/dispatch_recorder.h"
+#include "posthatch/index/index_statistics.h"
 #include "posthatch/index/observation_reporter.h"
 #include "posthatch/index/replication/index_update_fanout.h"
 #include "posthatch/index/replication/index_update_publisher.h"
@@ -19,7 +20,6 @@
 #include "posthatch/index/worker_event_reader.h"
 #include "posthatch/invalidation/invalidation_relay.h"
 #include "posthatch/invalidation/invalidation_subscriber.h"
-#include "posthatch/invalidation/metrics_export.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::index {
@@ -93,7 +93,6 @@
   // Records the seeds in use, for events that carry their cache salts.
   void RecordKnownSeeds(const control::FleetState& state);
   void Sweep();
-  void ExportMetrics();
 
   runtime::Runtime* const runtime_;
   const IndexOptions options_;
@@ -113,7 +112,7 @@
   StorePoller store_poller_;
   runtime::Timer sweep_timer_;
   runtime::MonotonicTime next_stats_;
-  invalidation::MetricsExport metrics_;
+  IndexStatistics statistics_;
   // What RecordKnownSeeds has recorded: models with their revisions, and the index of the section
   // of isolation domains.
   std::set<std::pair<std::string, uint64_t>> recorded_revisions_;
