--- a/src/posthatch/index/worker_event_feed.cc
+++ b/src/posthatch/index/worker_event_feed.cc
@@ -1,6 +1,7 @@
 #include "posthatch/index/worker_event_feed.h"
 
 #include <algorithm>
+#include <optional>
 #include <utility>
 
 #include "absl/strings/str_cat.h"
@@ -9,32 +10,27 @@
 namespace posthatch::index {
 namespace {
 
-// More missing numbers than this are not waited for one by one.
-constexpr uint64_t kMaxMissing = 1000;
-// While the newest version known here is not of the worker's epoch, events can't be used, so a poll
-// must not be held for long.
+// While the newest version known here is not of the worker's epoch, events can't be used: the
+// worker must not delay its response for long.
 constexpr runtime::Duration kWaitWithoutVersion = std::chrono::milliseconds(100);
-// On top of the time that the worker may hold a poll.
+// On top of the time by which the worker may delay its response.
 constexpr runtime::Duration kResponseMargin = std::chrono::milliseconds(1500);
 constexpr int kStatusOk = 200;
-// A list holds up the worker's work: no more often than this.
+// A list delays the worker's other work: not more often than this.
 constexpr runtime::Duration kListInterval = std::chrono::seconds(2);
-// Recent events count with a weight that fades by this with each further one.
-constexpr double kRecentDecay = 0.995;
-constexpr double kMinRecentEvents = 50;
 
 }  // namespace
 
 WorkerEventFeed::WorkerEventFeed(runtime::Runtime* runtime, Options options, std::string worker_id,
                                  std::string endpoint, const invalidation::ObjectTrust* trust,
-                                 std::function<bool()> may_read, Observer observer)
+                                 WorkerEventFeedOwner* owner)
     : runtime_(runtime),
       options_(options),
       worker_id_(std::move(worker_id)),
       endpoint_(std::move(endpoint)),
       trust_(trust),
-      may_read_(std::move(may_read)),
-      observer_(std::move(observer)),
+      owner_(owner),
+      missing_(options.reorder_window, options.tolerated_missing_share),
       poll_timer_(runtime->timers),
       missing_timer_(runtime->timers) {}
 
@@ -45,7 +41,7 @@
 
 void WorkerEventFeed::Poll() {
   CheckTimeout();
-  if (!may_read_()) {
+  if (!owner_->MayRead(worker_id_)) {
     poll_timer_.Start(options_.retry_delay, [this] { Poll(); });
     return;
   }
@@ -90,8 +86,9 @@
 }
 
 void WorkerEventFeed::OnEnd() {
-  // After a freeze the lease may have gone to another gateway: then nothing of this is used.
-  if (!may_read_() || status_ != kStatusOk) {
+  // After a freeze of this process another gateway may hold the lease: then the response is not
+  // used.
+  if (!owner_->MayRead(worker_id_) || status_ != kStatusOk) {
     OnFailure();
     return;
   }
@@ -106,7 +103,7 @@
   last_response_at_ = runtime_->clock->Now();
   timeout_reported_ = false;
   ApplyBatch(*std::move(batch));
-  // Not from within the call's own callback, which must not destroy the call.
+  // In a later turn: the call's own callback must not destroy the call.
   poll_timer_.Start(runtime::Duration::zero(), [this] { Poll(); });
 }
 
@@ -119,9 +116,10 @@
                            {{"worker", worker_id_}});
   } else if (list->epoch == epoch_) {
     last_response_at_ = last_listed_at_;
-    for (KvEvent& event : list->events) observer_.on_event(version_at_request_, std::move(event));
+    for (KvEvent& event : list->events)
+      owner_->OnEvent(worker_id_, version_at_request_, std::move(event));
     last_seq_read_ = std::max(last_seq_read_, list->next);
-    missing_.erase(missing_.begin(), missing_.upper_bound(list->next));
+    missing_.RemoveUpTo(list->next);
   }
   poll_timer_.Start(runtime::Duration::zero(), [this] { Poll(); });
 }
@@ -130,9 +128,9 @@
   if (batch.epoch != epoch_) {
     epoch_ = batch.epoch;
     last_seq_read_ = 0;
-    missing_.clear();
+    missing_.Clear();
     relist_needed_ = false;
-    observer_.on_epoch(epoch_);
+    owner_->OnEpoch(worker_id_, epoch_);
   }
   std::stable_sort(batch.events.begin(), batch.events.end(),
                    [](const KvEvent& left, const KvEvent& right) { return left.seq < right.seq; });
@@ -146,53 +144,36 @@
 
 void WorkerEventFeed::ApplyEvent(KvEvent event) {
   ++events_read_;
-  recent_events_ = recent_events_ * kRecentDecay + 1;
-  recent_missing_ *= kRecentDecay;
+  missing_.CountEvent();
   const uint64_t seq = event.seq;
   if (event.type == KvEvent::Type::kLost) {
     // Everything up to here is accounted for by this one loss.
     last_seq_read_ = std::max(last_seq_read_, seq);
-    missing_.erase(missing_.begin(), missing_.upper_bound(seq));
+    missing_.RemoveUpTo(seq);
     ReportLoss("lost mark");
     return;
   }
   if (seq > last_seq_read_) {
     if (seq > last_seq_read_ + 1) RecordMissing(last_seq_read_ + 1, seq - 1);
     last_seq_read_ = seq;
-    observer_.on_event(version_at_request_, std::move(event));
+    owner_->OnEvent(worker_id_, version_at_request_, std::move(event));
     return;
   }
-  if (missing_.erase(seq) == 0) return;  // a double
-  // Late: what it stored may have been removed by an event that was read before.
+  if (!missing_.Remove(seq)) return;  // a duplicate
+  // Out of order: what it stored may have been removed by an event that was read before.
   if (event.type == KvEvent::Type::kRemoved)
-    observer_.on_event(version_at_request_, std::move(event));
+    owner_->OnEvent(worker_id_, version_at_request_, std::move(event));
 }
 
-void WorkerEventFeed::RecordMissing(uint64_t from, uint64_t to) {
-  if (to - from >= kMaxMissing) {
-    ReportLoss("gap");
-    return;
-  }
-  const runtime::MonotonicTime lost_at = runtime_->clock->Now() + options_.reorder_window;
-  for (uint64_t seq = from; seq <= to; ++seq) missing_.emplace(seq, lost_at);
+void WorkerEventFeed::RecordMissing(uint64_t first, uint64_t last) {
+  if (!missing_.Add(first, last, runtime_->clock->Now())) ReportLoss("gap");
 }
 
 void WorkerEventFeed::CheckMissing() {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  bool lost = false;
-  while (!missing_.empty() && missing_.begin()->second <= now) {
-    missing_.erase(missing_.begin());
-    recent_missing_ += 1;
-    lost = true;
-  }
-  const double tolerated =
-      options_.tolerated_missing_share * std::max(recent_events_, kMinRecentEvents);
-  if (lost && recent_missing_ > tolerated) {
-    recent_missing_ = 0;
-    ReportLoss("gap");
-  }
-  if (missing_.empty()) return;
-  missing_timer_.Start(missing_.begin()->second - now, [this] { CheckMissing(); });
+  if (missing_.Expire(now)) ReportLoss("gap");
+  const std::optional<runtime::MonotonicTime> next = missing_.next_expiry();
+  if (next.has_value()) missing_timer_.Start(*next - now, [this] { CheckMissing(); });
 }
 
 void WorkerEventFeed::CheckTimeout() {
@@ -203,13 +184,13 @@
 }
 
 void WorkerEventFeed::ReportLoss(const std::string& reason) {
-  // Only the lease holder may say so: after a freeze another one may read this worker. If the lease
-  // comes back to this feed, the loss is still said.
-  if (may_read_()) {
+  // Only the lease holder may report it: after a freeze of this process another gateway may read
+  // the worker. If the lease returns to this feed, the loss is reported then.
+  if (owner_->MayRead(worker_id_)) {
     unreported_loss_.clear();
     relist_needed_ = options_.format->ListRequest().has_value();
     sequence_at_loss_ = version_at_request_.sequence();
-    observer_.on_lost(epoch_, reason);
+    owner_->OnLost(worker_id_, epoch_, reason);
   } else {
     unreported_loss_ = reason;
   }
--- a/src/posthatch/index/worker_event_reader.cc
+++ b/src/posthatch/index/worker_event_reader.cc
@@ -5,11 +5,12 @@
 
 #include "absl/container/flat_hash_set.h"
 #include "posthatch/control/state/fleet_sections.h"
+#include "posthatch/index/replication/extent_codec.h"
 
 namespace posthatch::index {
 namespace {
 
-// An event may come before the dispatching gateway's report: it waits this long for it.
+// How long an event waits for the dispatching gateway's report, which it may overtake.
 constexpr runtime::Duration kAttributionWait = std::chrono::seconds(3);
 constexpr runtime::Duration kAttributionRetry = std::chrono::milliseconds(100);
 constexpr size_t kMaxUnattributedEvents = 4096;
@@ -20,12 +21,12 @@
                                      Parts parts)
     : runtime_(runtime), options_(options), parts_(parts), retry_timer_(runtime->timers) {}
 
-bool WorkerEventReader::HoldsLease(const std::string& worker, uint64_t fencing_token) const {
+bool WorkerEventReader::MayRead(const std::string& worker) const {
   if (!parts_.fleet->LeaseValid()) return false;
   const control::WorkerLease* lease = control::FindLease(parts_.fleet->state(), worker);
   return lease != nullptr && lease->holder() == runtime_->transport->node_id() &&
          lease->holder_incarnation() == runtime_->transport->incarnation() &&
-         lease->fencing_token() == fencing_token;
+         lease->fencing_token() == feeds_.at(worker).fencing_token;
 }
 
 void WorkerEventReader::FollowFleet(const control::FleetState& state) {
@@ -60,26 +61,15 @@
 
 void WorkerEventReader::StartFeed(const std::string& worker, const std::string& endpoint,
                                   uint64_t fencing_token) {
-  WorkerEventFeed::Observer observer;
-  observer.on_epoch = [this, worker, fencing_token](uint64_t epoch) {
-    OnEpoch(worker, fencing_token, epoch);
-  };
-  observer.on_lost = [this, worker](uint64_t epoch, const std::string& reason) {
-    OnLost(worker, epoch, reason);
-  };
-  observer.on_event = [this, worker](const invalidation::ObjectVersion& version, KvEvent event) {
-    OnEvent(worker, version, std::move(event));
-  };
+  WorkerEventFeedOwner* owner = this;
   Feed& feed = feeds_[worker];
   feed.fencing_token = fencing_token;
-  feed.feed = std::make_unique<WorkerEventFeed>(
-      runtime_, options_, worker, endpoint, parts_.trust,
-      [this, worker, fencing_token] { return HoldsLease(worker, fencing_token); },
-      std::move(observer));
+  feed.feed =
+      std::make_unique<WorkerEventFeed>(runtime_, options_, worker, endpoint, parts_.trust, owner);
   feed.feed->Start();
 }
 
-void WorkerEventReader::OnEpoch(const std::string& worker, uint64_t fencing_token, uint64_t epoch) {
+void WorkerEventReader::OnEpoch(const std::string& worker, uint64_t epoch) {
   ++stats_.epochs;
   const std::string object = HolderObject(HolderKind::kWorker, worker);
   invalidation::ObjectVersion version;
@@ -88,7 +78,7 @@
     parts_.locator->DropHolder(HolderKind::kWorker, worker);
     parts_.reporter->Report(object, epoch, /*lost=*/false, "new epoch");
   }
-  parts_.publisher->Begin(worker, epoch, fencing_token);
+  parts_.publisher->Begin(worker, epoch, feeds_.at(worker).fencing_token);
 }
 
 void WorkerEventReader::OnLost(const std::string& worker, uint64_t epoch,
@@ -168,7 +158,7 @@
   const std::vector<BlockHash> blocks = Attribute(event, &seed);
   if (blocks.empty()) return false;
   if (!parts_.locator->Add(HolderKind::kWorker, worker, version, seed, blocks)) {
-    return true;  // of a version that is not the newest: of no use any more
+    return true;  // of a superseded version: useless
   }
   Extent extent = MakeExtent(worker, version, seed);
   extent.set_block_hashes(PackBlocks(blocks));
