--- a/src/posthatch/consensus/raft_replica.h
+++ b/src/posthatch/consensus/raft_replica.h
@@ -19,8 +19,9 @@
 #include "posthatch/consensus/raft_core.h"
 #include "posthatch/consensus/replicated_log.h"
 #include "posthatch/runtime/runtime.h"
+#include "posthatch/storage/log_recovery.h"
 #include "posthatch/storage/log_writer.h"
-#include "posthatch/storage/snapshot_file.h"
+#include "posthatch/storage/snapshot_writer.h"
 
 namespace posthatch::consensus {
 
--- a/src/posthatch/consensus/raft_types.h
+++ b/src/posthatch/consensus/raft_types.h
@@ -9,7 +9,8 @@
 
 #include "posthatch/consensus/consensus.pb.h"
 #include "posthatch/runtime/clock.h"
-#include "posthatch/storage/log_recovery.h"
+#include "posthatch/storage/log_record.pb.h"
+#include "posthatch/storage/snapshot_file.h"
 
 namespace posthatch::consensus {
 
--- a/src/posthatch/storage/log_recovery-test.cc
+++ b/src/posthatch/storage/log_recovery-test.cc
@@ -4,6 +4,7 @@
 
 #include <string>
 
+#include "posthatch/storage/file_names.h"
 #include "posthatch/storage/record_format.h"
 #include "posthatch/storage/snapshot_file.h"
 
--- a/src/posthatch/storage/log_writer-test.cc
+++ b/src/posthatch/storage/log_writer-test.cc
@@ -2,14 +2,17 @@
 
 #include <gtest/gtest.h>
 
-#include <deque>
 #include <map>
+#include <memory>
 #include <string>
 #include <utility>
 #include <vector>
 
 #include "posthatch/runtime/clock.h"
+#include "posthatch/storage/file_names.h"
+#include "posthatch/storage/log_recovery.h"
 #include "posthatch/storage/snapshot_file.h"
+#include "posthatch/storage/steered_file_system-test.h"
 
 namespace posthatch::storage {
 namespace {
@@ -17,63 +20,6 @@
 using runtime::FileOperation;
 using Kind = FileOperation::Kind;
 
-// Keeps the batches until the test lets them finish; applies them to files in memory.
-class SteeredFileSystem : public runtime::FileSystem {
- public:
-  void Submit(std::vector<FileOperation> operations, Done done) override {
-    batches.push_back({std::move(operations), std::move(done)});
-  }
-  absl::StatusOr<std::string> ReadFile(const std::string& path) override {
-    if (files.count(path) == 0) return absl::NotFoundError(path);
-    return files[path];
-  }
-  absl::StatusOr<std::vector<std::string>> ListDirectory(const std::string& directory) override {
-    std::vector<std::string> names;
-    for (const auto& [path, contents] : files) names.push_back(path.substr(directory.size() + 1));
-    return names;
-  }
-
-  // Runs the oldest batch, or with an error only its first `operations_done` operations.
-  void FinishOne(const absl::Status& status = absl::OkStatus(), size_t operations_done = 99) {
-    auto [operations, done] = std::move(batches.front());
-    batches.pop_front();
-    for (size_t i = 0; i < operations.size() && i < operations_done; ++i) Apply(operations[i]);
-    done(status);
-  }
-  void FinishAll() {
-    while (!batches.empty()) FinishOne();
-  }
-
-  std::deque<std::pair<std::vector<FileOperation>, Done>> batches;
-  std::map<std::string, std::string> files;
-  std::vector<FileOperation> applied;
-
- private:
-  void Apply(const FileOperation& operation) {
-    applied.push_back(operation);
-    switch (operation.kind) {
-      case Kind::kAppend:
-        files[operation.path] += operation.data;
-        break;
-      case Kind::kFullWrite:
-        files[operation.path] = operation.data;
-        break;
-      case Kind::kRename:
-        files[operation.target] = files[operation.path];
-        files.erase(operation.path);
-        break;
-      case Kind::kRemove:
-        files.erase(operation.path);
-        break;
-      case Kind::kTruncate:
-        files[operation.path].resize(operation.size);
-        break;
-      default:
-        break;
-    }
-  }
-};
-
 class FixedClock : public runtime::Clock {
  public:
   runtime::MonotonicTime Now() const override { return runtime::MonotonicTime(); }
@@ -197,35 +143,5 @@
   EXPECT_EQ(directory->log.hard_state.replica_id(), 7U) << "repeated in each segment";
 }
 
-TEST_F(LogWriterTest, SnapshotAppearsUnderItsNameOnlyWhenSyncedAndReplacesTheFormer) {
-  SnapshotWriter snapshots(&files_, options_.directory);
-  Snapshot snapshot;
-  snapshot.metadata.set_index(5);
-  snapshot.data = std::string(3u << 20, 's');
-  absl::Status result = absl::UnknownError("not yet");
-  snapshots.Write(snapshot, [&result](const absl::Status& status) { result = status; });
-  files_.FinishAll();
-  ASSERT_TRUE(result.ok());
-  bool synced = false;
-  for (const FileOperation& operation : files_.applied) {
-    EXPECT_TRUE(operation.kind != Kind::kRename || synced);
-    synced = operation.kind == Kind::kSync;
-  }
-  EXPECT_EQ(files_.applied.back().kind, Kind::kSyncDirectory);
-  snapshot.metadata.set_index(6);
-  snapshots.Write(snapshot, [&result](const absl::Status& status) { result = status; });
-  files_.FinishOne();
-  files_.FinishOne(absl::ResourceExhaustedError("full"));
-  files_.FinishAll();
-  EXPECT_TRUE(absl::IsResourceExhausted(result));
-  EXPECT_EQ(files_.files.size(), 1U) << "the former snapshot only";
-  snapshots.Write(snapshot, [&result](const absl::Status& status) { result = status; });
-  files_.FinishAll();
-  EXPECT_TRUE(result.ok());
-  EXPECT_EQ(files_.files.count(SnapshotPath(options_.directory, 5)), 0U);
-  EXPECT_EQ(ParseSnapshot(files_.files.at(SnapshotPath(options_.directory, 6)))->data,
-            snapshot.data);
-}
-
 }  // namespace
 }  // namespace posthatch::storage
--- a/src/posthatch/storage/log_writer.cc
+++ b/src/posthatch/storage/log_writer.cc
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "posthatch/storage/file_names.h"
+#include "posthatch/storage/file_operations.h"
 #include "posthatch/storage/record_format.h"
 
 namespace posthatch::storage {
@@ -21,28 +23,23 @@
       segments_(recovered.segments),
       next_sequence_(recovered.next_sequence) {}
 
-runtime::FileSystem::Done LogWriter::Guard(std::function<void(absl::Status)> next) {
-  return [alive = std::weak_ptr<bool>(alive_), next = std::move(next)](absl::Status status) {
-    if (!alive.expired()) next(std::move(status));
-  };
-}
-
 void LogWriter::Open(Done done) {
   writing_ = true;
   write_started_ = clock_->Now();
   std::vector<FileOperation> operations = repairs_;  // all of them may be done again
-  file_system_->Submit(
-      std::move(operations), Guard([this, done = std::move(done)](const absl::Status& status) {
-        disk_full_ = absl::IsResourceExhausted(status);
-        if (disk_full_) {
-          retry_timer_.Start(options_.full_disk_retry_interval, [this, done] { Open(done); });
-          return;
-        }
-        writing_ = false;
-        if (!status.ok()) failure_ = status;
-        done(status);
-        if (!writing_) WriteNext();
-      }));
+  file_system_->Submit(std::move(operations),
+                       guard_.Wrap([this, done = std::move(done)](const absl::Status& status) {
+                         disk_full_ = absl::IsResourceExhausted(status);
+                         if (disk_full_) {
+                           retry_timer_.Start(options_.full_disk_retry_interval,
+                                              [this, done] { Open(done); });
+                           return;
+                         }
+                         writing_ = false;
+                         if (!status.ok()) failure_ = status;
+                         done(status);
+                         if (!writing_) WriteNext();
+                       }));
 }
 
 void LogWriter::Append(LogBatch batch, Done done) {
@@ -81,7 +78,7 @@
     // What was durable before this batch: the segments before this one may be removed.
     append(RecordType::kHardState, hard_state_.SerializeAsString());
   }
-  for (Pending& pending : pending_) {
+  for (PendingBatch& pending : pending_) {
     const LogBatch& batch = pending.batch;
     if (batch.reset.has_value()) append(RecordType::kReset, batch.reset->SerializeAsString());
     for (const LogEntry& entry : batch.entries) {
@@ -101,19 +98,17 @@
   const std::string path = SegmentPath(options_.directory, segments_.back().sequence);
   std::vector<FileOperation> operations;
   if (write_attempted_) {
-    const auto undo =
-        synced_bytes_ == 0 ? FileOperation::Kind::kRemove : FileOperation::Kind::kTruncate;
-    operations.push_back({undo, path, "", "", synced_bytes_});
+    operations.push_back(synced_bytes_ == 0 ? RemoveFile(path) : TruncateFile(path, synced_bytes_));
   }
-  operations.push_back({FileOperation::Kind::kAppend, path, encoded_, "", 0});
-  operations.push_back({FileOperation::Kind::kSync, path, "", "", 0});
+  operations.push_back(AppendToFile(path, encoded_));
+  operations.push_back(SyncFile(path));
   if (synced_bytes_ == 0) {
-    operations.push_back({FileOperation::Kind::kSyncDirectory, options_.directory, "", "", 0});
+    operations.push_back(SyncDirectory(options_.directory));
   }
   write_attempted_ = true;
   write_started_ = clock_->Now();
   file_system_->Submit(std::move(operations),
-                       Guard([this](const absl::Status& status) { OnWritten(status); }));
+                       guard_.Wrap([this](const absl::Status& status) { OnWritten(status); }));
 }
 
 void LogWriter::OnWritten(const absl::Status& status) {
@@ -141,7 +136,7 @@
 void LogWriter::Fail(const absl::Status& status) {
   std::vector<Done> failed = std::move(in_flight_);
   in_flight_.clear();
-  for (Pending& pending : pending_) failed.push_back(std::move(pending.done));
+  for (PendingBatch& pending : pending_) failed.push_back(std::move(pending.done));
   pending_.clear();
   writing_ = false;
   for (Done& done : failed) done(status);
@@ -151,9 +146,8 @@
   std::vector<FileOperation> operations;
   // Each removal is made durable before the next, so that the segments left are always without gap.
   while (segments_.size() > 1 && segments_.front().max_index <= index) {
-    operations.push_back({FileOperation::Kind::kRemove,
-                          SegmentPath(options_.directory, segments_.front().sequence), "", "", 0});
-    operations.push_back({FileOperation::Kind::kSyncDirectory, options_.directory, "", "", 0});
+    operations.push_back(RemoveFile(SegmentPath(options_.directory, segments_.front().sequence)));
+    operations.push_back(SyncDirectory(options_.directory));
     segments_.erase(segments_.begin());
   }
   if (operations.empty()) return;
--- a/src/posthatch/storage/log_writer.h
+++ b/src/posthatch/storage/log_writer.h
@@ -2,7 +2,6 @@
 
 #include <cstdint>
 #include <functional>
-#include <memory>
 #include <optional>
 #include <string>
 #include <vector>
@@ -11,7 +10,8 @@
 #include "posthatch/runtime/clock.h"
 #include "posthatch/runtime/file_system.h"
 #include "posthatch/runtime/timer_service.h"
-#include "posthatch/storage/log_recovery.h"
+#include "posthatch/storage/callback_guard.h"
+#include "posthatch/storage/log_replay.h"
 
 namespace posthatch::storage {
 
@@ -59,7 +59,7 @@
   uint64_t segment_count() const { return segments_.size(); }
 
  private:
-  struct Pending {
+  struct PendingBatch {
     LogBatch batch;
     Done done;
   };
@@ -68,13 +68,11 @@
   void SubmitEncoded();
   void OnWritten(const absl::Status& status);
   void Fail(const absl::Status& status);
-  runtime::FileSystem::Done Guard(std::function<void(absl::Status)> next);
 
   runtime::FileSystem* const file_system_;
   runtime::Clock* const clock_;
   const LogWriterOptions options_;
   runtime::Timer retry_timer_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   SyncObserver sync_observer_;
 
   std::vector<runtime::FileOperation> repairs_;
@@ -85,7 +83,7 @@
   uint64_t synced_bytes_ = 0;  // of the segment being written
   uint64_t encoded_max_index_ = 0;
 
-  std::vector<Pending> pending_;
+  std::vector<PendingBatch> pending_;
   std::vector<Done> in_flight_;
   std::string encoded_;  // bytes of the write in flight, kept for another try
   bool writing_ = false;
@@ -93,6 +91,7 @@
   bool disk_full_ = false;
   absl::Status failure_;
   runtime::MonotonicTime write_started_;
+  CallbackGuard guard_;
 };
 
 }  // namespace posthatch::storage
--- /dev/null
+++ b/src/posthatch/storage/snapshot_writer.h
@@ -0,0 +1,51 @@
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <string>
+
+#include "absl/status/status.h"
+#include "posthatch/runtime/file_system.h"
+#include "posthatch/storage/callback_guard.h"
+#include "posthatch/storage/snapshot_file.h"
+
+namespace posthatch::storage {
+
+// Writes snapshots: to a temporary file in chunks (so that log writes get in between), synced,
+// renamed, directory synced. One at a time. Event loop thread only. If it is destroyed during a
+// write, `done` is not called.
+class SnapshotWriter {
+ public:
+  using Done = std::function<void(absl::Status)>;
+
+  // `file_system` must outlive this object.
+  SnapshotWriter(runtime::FileSystem* file_system, std::string directory);
+  SnapshotWriter(const SnapshotWriter&) = delete;
+  SnapshotWriter& operator=(const SnapshotWriter&) = delete;
+
+  bool busy() const { return busy_; }
+  // Calls `done` when the snapshot is durable under its final name; the one written before is then
+  // removed. Errors leave the previous snapshot as it was: ResourceExhausted (disk full: may be
+  // retried), Internal. Must not be called while busy().
+  void Write(const Snapshot& snapshot, Done done);
+  // Index of the snapshot that recovery found (0 for none), to be removed after the next write.
+  void SetPrevious(uint64_t index) { previous_index_ = index; }
+
+ private:
+  void WriteChunk();
+  void Publish();
+  void Finish(absl::Status status);
+  void RemoveObsoleteFile(bool written);
+
+  runtime::FileSystem* const file_system_;
+  const std::string directory_;
+  bool busy_ = false;
+  uint64_t index_ = 0;
+  uint64_t previous_index_ = 0;
+  std::string contents_;
+  size_t written_bytes_ = 0;
+  Done done_;
+  CallbackGuard guard_;
+};
+
+}  // namespace posthatch::storage
