--- a/src/posthatch/consensus/raft_core.cc
+++ b/src/posthatch/consensus/raft_core.cc
@@ -44,7 +44,7 @@
 
 const ClusterConfiguration& RaftCore::configuration() const {
   static const ClusterConfiguration none;
-  return configurations_.empty() ? none : configurations_.back().second;
+  return configurations_.empty() ? none : configurations_.back().configuration;
 }
 
 ClusterConfiguration RaftCore::ConfigurationAt(uint64_t index) const {
@@ -74,6 +74,10 @@
   return found == addresses_.end() ? std::string() : found->second.endpoint;
 }
 
+std::string RaftCore::LeaderEndpoint() const {
+  return leader_id_ == 0 ? std::string() : EndpointOf(leader_id_);
+}
+
 // ---------------------------------------------------------------------------------- messages
 
 RaftMessage RaftCore::NewMessage(uint64_t to) const {
@@ -106,7 +110,7 @@
       hard_state_dirty_ || reset_.has_value() || first_unstaged_ <= log_.last_index();
   const uint64_t needed = unstaged ? next_persist_id_ : next_persist_id_ - 1;
   if (needed <= durable_persist_id_) return Send(std::move(message));
-  awaiting_durability_.emplace_back(needed, std::move(message));
+  awaiting_durability_.push_back({needed, std::move(message)});
 }
 
 bool RaftCore::Accepts(const RaftMessage& message) {
@@ -202,7 +206,7 @@
 absl::StatusOr<uint64_t> RaftCore::Propose(std::string command, MonotonicTime now) {
   if (!IsLeader()) return absl::FailedPreconditionError("not leader");
   if (transfer_target_ != 0) return absl::FailedPreconditionError("handing leadership over");
-  if (now - leader_since_ >= options_.election_timeout_min && !HasQuorum(now)) {
+  if (HasLostQuorum(now)) {
     return absl::FailedPreconditionError("not leader: no majority heard");
   }
   if (command.size() > options_.max_command_bytes) {
@@ -255,7 +259,7 @@
   durable_index_ = std::min(durable_index_, from_index - 1);
   verified_index_ = std::min(verified_index_, from_index - 1);
   for (Staged& staged : staged_) staged.last_index = std::min(staged.last_index, from_index - 1);
-  while (!configurations_.empty() && configurations_.back().first >= from_index) {
+  while (!configurations_.empty() && configurations_.back().index >= from_index) {
     configurations_.pop_back();
   }
 }
@@ -278,8 +282,8 @@
     durable_index_ = std::max(durable_index_, staged_.front().last_index);
     staged_.pop_front();
   }
-  while (!awaiting_durability_.empty() && awaiting_durability_.front().first <= persist_id) {
-    Send(std::move(awaiting_durability_.front().second));
+  while (!awaiting_durability_.empty() && awaiting_durability_.front().persist_id <= persist_id) {
+    Send(std::move(awaiting_durability_.front().message));
     awaiting_durability_.pop_front();
   }
   if (role_ == Role::kCandidate) CountVotes(now);
--- a/src/posthatch/consensus/raft_core.h
+++ b/src/posthatch/consensus/raft_core.h
@@ -81,6 +81,7 @@
   // Whether a leader has been heard (or this replica leads).
   bool HasLeader(runtime::MonotonicTime now) const;
   std::string EndpointOf(uint64_t replica_id) const;  // empty if unknown
+  std::string LeaderEndpoint() const;                 // empty if unknown
   uint64_t commit_index() const { return commit_index_; }
   uint64_t applied_index() const { return applied_index_; }
   uint64_t durable_index() const { return durable_index_; }
@@ -103,6 +104,15 @@
     uint64_t persist_id;
     uint64_t last_index;
   };
+  // A message that may be sent once what was handed out as `persist_id` is durable.
+  struct DeferredMessage {
+    uint64_t persist_id;
+    RaftMessage message;
+  };
+  struct ConfigurationEntry {
+    uint64_t index;  // of its log entry, or of the snapshot that it came with
+    ClusterConfiguration configuration;
+  };
   struct PendingRead {
     uint64_t id;
     uint64_t sequence = 0;  // 0: not yet asked of the followers
@@ -144,6 +154,8 @@
   void AdvanceTransfer(runtime::MonotonicTime now);
 
   // raft_replication.cc
+  // Whether this leader has had time to hear from a majority and has not: it must not act as one.
+  bool HasLostQuorum(runtime::MonotonicTime now) const;
   void LeaderTick(runtime::MonotonicTime now);
   void BroadcastHeartbeat(runtime::MonotonicTime now);
   void SendHeartbeat(uint64_t to, Progress* progress, runtime::MonotonicTime now);
@@ -168,6 +180,8 @@
                            runtime::MonotonicTime now) const;
   void StartSnapshot(uint64_t to, Progress* progress, runtime::MonotonicTime now);
   void SendChunk(uint64_t to, Progress* progress, runtime::MonotonicTime now);
+  // Where the leader is to go on sending the snapshot.
+  uint64_t ReceiveChunk(const SnapshotChunk& chunk);
   void HandleSnapshotChunk(const RaftMessage& message, runtime::MonotonicTime now);
   void HandleSnapshotResponse(const RaftMessage& message, runtime::MonotonicTime now);
 
@@ -208,11 +222,10 @@
   uint64_t durable_index_ = 0;
   uint64_t next_persist_id_ = 1;
   uint64_t durable_persist_id_ = 0;
-  // In order of persist id: sent when that is durable.
-  std::deque<std::pair<uint64_t, RaftMessage>> awaiting_durability_;
+  std::deque<DeferredMessage> awaiting_durability_;  // in order of persist id
 
-  // Configurations that may still matter, by the index of their entry; the last is in force.
-  std::vector<std::pair<uint64_t, ClusterConfiguration>> configurations_;
+  // Configurations that may still matter, rising by index; the last is in force.
+  std::vector<ConfigurationEntry> configurations_;
   std::map<uint64_t, Address> addresses_;
   uint64_t joining_cluster_id_ = 0;  // of a fresh replica: the first cluster that wrote to it
 
@@ -228,7 +241,6 @@
   runtime::MonotonicTime election_deadline_;
   std::set<uint64_t> votes_;
   uint64_t self_vote_persist_id_ = 0;
-  bool transfer_election_ = false;
 
   uint64_t commit_index_ = 0;
   uint64_t applied_index_ = 0;
--- a/src/posthatch/consensus/raft_election.cc
+++ b/src/posthatch/consensus/raft_election.cc
@@ -75,6 +75,10 @@
   });
 }
 
+bool RaftCore::HasLostQuorum(MonotonicTime now) const {
+  return now - leader_since_ >= options_.election_timeout_min && !HasQuorum(now);
+}
+
 // A voter that has heard from a leader keeps it in office for the shortest election timeout: the
 // leader counts on that (HasQuorum), and replicas with bad links can't depose it (section 4.2.3).
 bool RaftCore::MustRefuseVotes(MonotonicTime now) const {
--- a/src/posthatch/consensus/raft_membership.cc
+++ b/src/posthatch/consensus/raft_membership.cc
@@ -11,7 +11,7 @@
 using runtime::MonotonicTime;
 
 void RaftCore::AdoptConfiguration(uint64_t index, const ClusterConfiguration& configuration) {
-  configurations_.emplace_back(index, configuration);
+  configurations_.push_back({index, configuration});
   for (const Member& member : configuration.members()) {
     if (member.replica_id() == replica_id()) continue;
     const auto found = addresses_.find(member.replica_id());
@@ -66,7 +66,7 @@
 
 void RaftCore::RunMembershipPolicy(MonotonicTime now) {
   if (!CurrentTermCommitted() || IsTransferring() || !HasQuorum(now)) return;
-  if (configurations_.back().first > commit_index_) return;
+  if (configurations_.back().index > commit_index_) return;
   // The first that has something to do.
   static_cast<void>(DropReplacedVoter(now) || DropExcessVoter(now) || PromoteLearner(now) ||
                     RemoveUnresponsiveLearner(now) || AdmitLearner(now) || RefreshEndpoints(now));
--- a/src/posthatch/consensus/raft_replication.cc
+++ b/src/posthatch/consensus/raft_replication.cc
@@ -15,9 +15,7 @@
 // ---------------------------------------------------------------------------------- leader
 
 void RaftCore::LeaderTick(MonotonicTime now) {
-  if (now - leader_since_ >= options_.election_timeout_min && !HasQuorum(now)) {
-    return BecomeFollower(term(), 0, now);
-  }
+  if (HasLostQuorum(now)) return BecomeFollower(term(), 0, now);
   AdvanceTransfer(now);
   if (!IsLeader() || now < next_heartbeat_) return;
   RunMembershipPolicy(now);
@@ -223,7 +221,7 @@
 
 absl::StatusOr<uint64_t> RaftCore::RequestRead(MonotonicTime now) {
   if (!IsLeader()) return absl::FailedPreconditionError("not leader");
-  if (now - leader_since_ >= options_.election_timeout_min && !HasQuorum(now)) {
+  if (HasLostQuorum(now)) {
     return absl::FailedPreconditionError("not leader: no majority heard");
   }
   reads_.push_back({next_read_id_++});
--- a/src/posthatch/consensus/raft_snapshot.cc
+++ b/src/posthatch/consensus/raft_snapshot.cc
@@ -47,7 +47,7 @@
   const uint64_t index = snapshot->metadata.index();
   const uint64_t compact_to = CompactionIndex(index, retention, now);
   if (compact_to > log_.base_index()) log_.CompactTo(compact_to);
-  while (configurations_.size() > 1 && configurations_[1].first <= index) {
+  while (configurations_.size() > 1 && configurations_[1].index <= index) {
     configurations_.erase(configurations_.begin());
   }
 }
@@ -93,6 +93,32 @@
   }
 }
 
+uint64_t RaftCore::ReceiveChunk(const SnapshotChunk& chunk) {
+  const storage::SnapshotMetadata& metadata = chunk.metadata();
+  if (installing_ != nullptr) {
+    return SameSnapshot(installing_->metadata, metadata) ? chunk.total_bytes() : 0;
+  }
+  if (chunk.offset() == 0 || !receiving_.has_value() ||
+      !SameSnapshot(receiving_->metadata, metadata)) {
+    receiving_ = ReceivedSnapshot{metadata, chunk.total_bytes(), std::string()};
+  }
+  const size_t missing_bytes = receiving_->total_bytes - receiving_->data.size();
+  if (chunk.offset() == receiving_->data.size() && chunk.data().size() <= missing_bytes &&
+      receiving_->total_bytes <= kMaxSnapshotBytes) {
+    receiving_->data += chunk.data();
+  }
+  const uint64_t next_offset = receiving_->data.size();
+  if (next_offset == receiving_->total_bytes) {
+    auto snapshot = std::make_shared<storage::Snapshot>();
+    snapshot->metadata = metadata;
+    snapshot->data = std::move(receiving_->data);
+    receiving_.reset();
+    installing_ = std::move(snapshot);
+    install_taken_ = false;
+  }
+  return next_offset;
+}
+
 void RaftCore::HandleSnapshotChunk(const RaftMessage& message, MonotonicTime now) {
   if (IsLeader()) return;
   if (role_ != Role::kFollower) BecomeFollower(term(), message.from(), now);
@@ -106,29 +132,7 @@
     verified_index_ = std::max(verified_index_, commit_index_);
     return SendAppendResponse(message.from(), chunk.sent_at_ns(), chunk.read_sequence());
   }
-  uint64_t next_offset = 0;
-  if (installing_ != nullptr) {
-    if (SameSnapshot(installing_->metadata, metadata)) next_offset = chunk.total_bytes();
-  } else {
-    if (chunk.offset() == 0 || !receiving_.has_value() ||
-        !SameSnapshot(receiving_->metadata, metadata)) {
-      receiving_ = ReceivedSnapshot{metadata, chunk.total_bytes(), std::string()};
-    }
-    const size_t room = receiving_->total_bytes - receiving_->data.size();
-    if (chunk.offset() == receiving_->data.size() && chunk.data().size() <= room &&
-        receiving_->total_bytes <= kMaxSnapshotBytes) {
-      receiving_->data += chunk.data();
-    }
-    next_offset = receiving_->data.size();
-    if (next_offset == receiving_->total_bytes) {
-      auto snapshot = std::make_shared<storage::Snapshot>();
-      snapshot->metadata = metadata;
-      snapshot->data = std::move(receiving_->data);
-      receiving_.reset();
-      installing_ = std::move(snapshot);
-      install_taken_ = false;
-    }
-  }
+  const uint64_t next_offset = ReceiveChunk(chunk);
   RaftMessage reply = NewMessage(message.from());
   SnapshotResponse* response = reply.mutable_snapshot_response();
   response->set_snapshot_index(metadata.index());
@@ -159,10 +163,10 @@
   commit_index_ = std::max(commit_index_, index);
   applied_index_ = index;
   verified_index_ = std::max(verified_index_, index);
-  while (!configurations_.empty() && configurations_.front().first <= index) {
+  while (!configurations_.empty() && configurations_.front().index <= index) {
     configurations_.erase(configurations_.begin());
   }
-  std::vector<std::pair<uint64_t, ClusterConfiguration>> later = std::move(configurations_);
+  std::vector<ConfigurationEntry> later = std::move(configurations_);
   configurations_.clear();
   AdoptConfiguration(index, ParseConfiguration(snapshot->metadata.configuration()));
   configurations_.insert(configurations_.end(), later.begin(), later.end());
--- /dev/null
+++ b/src/posthatch/consensus/snapshot_manager.h
@@ -0,0 +1,73 @@
+#pragma once
+
+#include <cstdint>
+#include <memory>
+
+#include "absl/status/status.h"
+#include "posthatch/consensus/raft_core.h"
+#include "posthatch/consensus/replica_metrics.h"
+#include "posthatch/consensus/replica_options.h"
+#include "posthatch/consensus/replicated_log.h"
+#include "posthatch/runtime/runtime.h"
+#include "posthatch/storage/log_writer.h"
+#include "posthatch/storage/snapshot_writer.h"
+
+namespace posthatch::consensus {
+
+// Takes snapshots of the state machine when the log has grown, and installs those that a leader
+// sends. One is written at a time; a full disk is retried until it has space. Owned by RaftReplica;
+// event loop thread only. Callbacks pending at destruction are not called.
+class SnapshotManager {
+ public:
+  class Owner {
+   public:
+    virtual ~Owner() = default;
+    // RaftCore has continued from an installed snapshot and may have messages to send.
+    virtual void OnSnapshotInstalled() = 0;
+    // A snapshot could not be installed: the replica must stop, its state may be incomplete.
+    virtual void OnSnapshotFailed(const absl::Status& status) = 0;
+  };
+
+  // The pointers must outlive this object. `recovered_index` is that of the snapshot that the
+  // state machine was restored from at start; 0 if there was none.
+  SnapshotManager(runtime::Runtime* runtime, const ReplicaOptions* options, RaftCore* core,
+                  storage::LogWriter* log_writer, StateMachine* state_machine,
+                  ReplicaMetrics* metrics, Owner* owner, uint64_t recovered_index);
+
+  // A committed entry with this much data was applied.
+  void OnApplied(uint64_t bytes) { applied_bytes_ += bytes; }
+  // Takes a snapshot if enough was applied since the previous one and nothing is being written.
+  void TakeIfDue();
+  // Makes `snapshot` durable, then restores the state machine from it.
+  void Install(std::shared_ptr<const storage::Snapshot> snapshot);
+  // The replica has failed: results of writes in flight are ignored from now on.
+  void Stop() { stopped_ = true; }
+
+  // Of the newest snapshot taken or installed, durable or being written.
+  uint64_t snapshot_index() const { return snapshot_index_; }
+
+ private:
+  bool IsDue(uint64_t applied_index) const;
+  void OnTakenWritten(const std::shared_ptr<const storage::Snapshot>& snapshot,
+                      const absl::Status& status);
+  void WriteInstalling();
+  void OnInstallWritten(const absl::Status& status);
+  runtime::MonotonicTime Now() const { return runtime_->clock->Now(); }
+
+  runtime::Runtime* const runtime_;
+  const ReplicaOptions* const options_;
+  RaftCore* const core_;
+  storage::LogWriter* const log_writer_;
+  StateMachine* const state_machine_;
+  ReplicaMetrics* const metrics_;
+  Owner* const owner_;
+  storage::SnapshotWriter snapshot_writer_;
+  runtime::Timer install_retry_timer_;
+  bool stopped_ = false;
+  uint64_t snapshot_index_;
+  uint64_t applied_bytes_ = 0;  // since the newest snapshot
+  runtime::MonotonicTime next_attempt_at_;
+  std::shared_ptr<const storage::Snapshot> installing_;
+};
+
+}  // namespace posthatch::consensus
