--- a/src/posthatch/membership/broadcast_queue.cc
+++ b/src/posthatch/membership/broadcast_queue.cc
@@ -23,8 +23,8 @@
     if (bytes > max_bytes) break;
     max_bytes -= bytes;
     taken.push_back(next->second.record);
-    const Key key{next->first.first + 1, next->first.second};
-    if (key.first >= transmit_limit) {
+    const Key key{next->first.transmissions + 1, next->first.tie_breaker};
+    if (key.transmissions >= transmit_limit) {
       keys_by_node_.erase(next->second.node_id);
     } else {
       again.emplace_back(key, std::move(next->second));
--- a/src/posthatch/membership/broadcast_queue.h
+++ b/src/posthatch/membership/broadcast_queue.h
@@ -1,5 +1,6 @@
 #pragma once
 
+#include <compare>
 #include <cstdint>
 #include <map>
 #include <string>
@@ -32,7 +33,12 @@
     std::string node_id;
     std::string record;
   };
-  using Key = std::pair<int, uint64_t>;  // times passed on, then the newest first
+  // Order of transmission: fewest transmissions first, then the newest.
+  struct Key {
+    int transmissions;
+    uint64_t tie_breaker;  // falls with each update added
+    auto operator<=>(const Key&) const = default;
+  };
 
   const size_t max_updates_;
   uint64_t next_tie_breaker_ = UINT64_MAX;
--- a/src/posthatch/membership/failure_detector.cc
+++ b/src/posthatch/membership/failure_detector.cc
@@ -12,11 +12,13 @@
 }  // namespace
 
 FailureDetector::FailureDetector(runtime::Runtime* runtime, const GossipOptions* options,
-                                 MemberTable* table, MessageSender* sender, Observer* observer)
+                                 MemberTable* table, MessageSender* sender,
+                                 PauseDetector* pause_detector, Observer* observer)
     : runtime_(runtime),
       options_(options),
       table_(table),
       sender_(sender),
+      pause_detector_(pause_detector),
       observer_(observer),
       last_response_at_(runtime->clock->Now()) {}
 
@@ -51,7 +53,7 @@
 }
 
 void FailureDetector::Retry(uint64_t sequence) {
-  observer_->OnActivity();
+  pause_detector_->OnActivity();
   const auto found = probes_.find(sequence);
   if (found == probes_.end()) return;
   ActiveProbe& probe = found->second;
@@ -71,7 +73,7 @@
 }
 
 void FailureDetector::Expire(uint64_t sequence) {
-  observer_->OnActivity();
+  pause_detector_->OnActivity();
   const auto found = probes_.find(sequence);
   if (found == probes_.end()) return;
   const std::string node_id = found->second.node_id;
@@ -127,7 +129,7 @@
 }
 
 void FailureDetector::ExpireRelay(uint64_t sequence) {
-  observer_->OnActivity();
+  pause_detector_->OnActivity();
   const auto relay = relays_.find(sequence);
   if (relay == relays_.end()) return;
   MembershipMessage message;
--- a/src/posthatch/membership/failure_detector.h
+++ b/src/posthatch/membership/failure_detector.h
@@ -9,6 +9,7 @@
 #include "posthatch/membership/gossip_options.h"
 #include "posthatch/membership/member_table.h"
 #include "posthatch/membership/message_sender.h"
+#include "posthatch/membership/pause_detector.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::membership {
@@ -23,13 +24,10 @@
     virtual ~Observer() = default;
     virtual void OnProbeSucceeded(const std::string& node_id) = 0;
     virtual void OnProbeFailed(const std::string& node_id) = 0;
-    // Called first in each timer callback, so that a pause of the process is noticed before any
-    // conclusion is drawn from it.
-    virtual void OnActivity() = 0;
   };
 
   FailureDetector(runtime::Runtime* runtime, const GossipOptions* options, MemberTable* table,
-                  MessageSender* sender, Observer* observer);
+                  MessageSender* sender, PauseDetector* pause_detector, Observer* observer);
 
   // Starts a round with a member, unless one is running. `record` (serialized, may be empty) is put
   // into the pings: what is said of the member and it should deny.
@@ -74,6 +72,7 @@
   const GossipOptions* const options_;
   MemberTable* const table_;
   MessageSender* const sender_;
+  PauseDetector* const pause_detector_;
   Observer* const observer_;
   uint64_t last_sequence_ = 0;
   std::map<uint64_t, ActiveProbe> probes_;
--- a/src/posthatch/membership/gossip_membership.cc
+++ b/src/posthatch/membership/gossip_membership.cc
@@ -1,8 +1,6 @@
 #include "posthatch/membership/gossip_membership.h"
 
 #include <algorithm>
-#include <cmath>
-#include <set>
 #include <utility>
 
 #include "posthatch/membership/member_record.h"
@@ -13,14 +11,10 @@
 constexpr runtime::Duration kTick = std::chrono::milliseconds(250);
 // No member is asked about one contradiction more often.
 constexpr runtime::Duration kVerifyInterval = std::chrono::seconds(2);
-// Tag and length fields around updates in a message.
-constexpr size_t kMessageMargin = 8;
 // A leaving process tells so many others, so many times, because it may end right after.
 constexpr size_t kLeaveFanout = 8;
 constexpr int kLeaveSends = 3;
 constexpr runtime::Duration kLeaveInterval = std::chrono::milliseconds(100);
-// Attempts to join go to so many addresses at a time.
-constexpr size_t kJoinFanout = 4;
 
 Member WithIncarnation(Member member, const runtime::Runtime& runtime) {
   member.incarnation = runtime.transport->incarnation();
@@ -39,12 +33,16 @@
       table_(self_.node_id, runtime->random),
       suspicions_(&options_),
       queue_(options_.max_queued_updates),
+      pause_detector_(runtime->clock, options_.pause_threshold,
+                      [this](runtime::Duration gap) { OnPause(gap); }),
+      sender_(runtime, &options_, &table_, &queue_, &metrics_, &pause_detector_),
       merger_(runtime, &options_, &table_, &suspicions_, &queue_, &metrics_, this),
-      detector_(runtime, &options_, &table_, this, this),
-      sync_(runtime, &options_, &table_, this),
+      detector_(runtime, &options_, &table_, &sender_, &pause_detector_, this),
+      isolation_(runtime->clock, &options_, &table_, &detector_),
+      sync_(runtime, &options_, &table_, &sender_),
       peers_(runtime, &options_, std::move(seeds)),
-      tick_timer_(runtime->timers),
-      gossip_timer_(runtime->timers) {
+      discovery_(&options_, &table_, &peers_, runtime->random),
+      tick_timer_(runtime->timers) {
   sync_.set_on_pulled([this] { metrics_.pulls.Increment(); });
 }
 
@@ -54,7 +52,7 @@
 
 void GossipMembership::Start() {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  last_activity_ = now;
+  pause_detector_.Start();
   next_probe_ = now + runtime_->random->Between({}, options_.probe_interval);
   next_sync_ = now + runtime_->random->Between({}, options_.sync_interval);
   next_peers_write_ = now + runtime_->random->Between({}, options_.peers_write_interval);
@@ -91,86 +89,28 @@
   return entry->damped ? MemberState::kDead : entry->member.state;
 }
 
-// Sending.
-
-int GossipMembership::TransmitLimit() const {
-  const auto fleet_size = static_cast<double>(table_.live_count() + 2);
-  return options_.retransmit_factor * static_cast<int>(std::ceil(std::log2(fleet_size)));
-}
-
-void GossipMembership::SendPlain(const std::string& endpoint, const MembershipMessage& message) {
-  std::string payload = message.SerializeAsString();
-  metrics_.sent_bytes.Increment(static_cast<double>(payload.size()));
-  metrics_.sent_datagrams.Increment();
-  runtime_->transport->Send(endpoint, runtime::SERVICE_MEMBERSHIP, std::move(payload),
-                            runtime::Delivery::kDatagram);
-}
-
-void GossipMembership::SendWithUpdates(const std::string& endpoint, MembershipMessage message) {
-  if (!queue_.empty()) {
-    const size_t used = message.ByteSizeLong() + kMessageMargin;
-    const size_t room = kMaxPayloadBytes - std::min(used, kMaxPayloadBytes);
-    for (std::string& record :
-         queue_.Take(std::min(room, options_.piggyback_bytes), TransmitLimit())) {
-      message.add_records(std::move(record));
-    }
-  }
-  SendPlain(endpoint, message);
-}
-
-void GossipMembership::SendGossip(const std::string& endpoint, size_t max_bytes) {
-  MembershipMessage message;
-  message.mutable_gossip();
-  for (std::string& record : queue_.Take(max_bytes, TransmitLimit())) {
-    message.add_records(std::move(record));
-  }
-  if (message.records_size() == 0) return;
-  gossip_budget_bytes_ -= static_cast<double>(message.ByteSizeLong());
-  SendPlain(endpoint, message);
-}
-
-void GossipMembership::StartGossip() {
-  if (queue_.empty() || gossip_timer_.running()) return;
-  gossip_timer_.Start(options_.gossip_interval, [this] {
-    OnActivity();
-    GossipOnce();
-  });
-}
-
-void GossipMembership::GossipOnce() {
-  const auto rate = static_cast<double>(options_.max_gossip_bytes_per_second);
-  const double interval = static_cast<double>(options_.gossip_interval.count()) /
-                          std::chrono::nanoseconds(std::chrono::seconds(1)).count();
-  gossip_budget_bytes_ = std::min(rate, gossip_budget_bytes_ + rate * interval);
-  for (const MemberEntry* member :
-       table_.PickLive(static_cast<size_t>(options_.gossip_fanout), "")) {
-    if (gossip_budget_bytes_ <= 0) break;
-    SendGossip(member->member.internal_endpoint, kMaxPayloadBytes - kMessageMargin);
-  }
-  metrics_.queued_updates.Set(static_cast<double>(queue_.size()));
-  if (table_.live_count() > 0) StartGossip();
-}
-
 // Receiving.
 
 void GossipMembership::OnEnvelope(const runtime::Envelope& envelope) {
-  OnActivity();
+  pause_detector_.OnActivity();
   MembershipMessage message;
   if (!message.ParseFromString(envelope.payload())) {
     metrics_.malformed.Increment();
     return;
   }
-  const bool rebroadcast = !message.has_bucket_chunk() || !sync_.pulling_many_buckets();
+  const Dissemination dissemination = message.has_bucket_chunk() && sync_.pulling_many_buckets()
+                                          ? Dissemination::kLocalOnly
+                                          : Dissemination::kRebroadcast;
   for (const std::string& serialized : message.records()) {
     MemberRecord record;
     if (record.ParseFromString(serialized)) {
-      merger_.Apply(record, rebroadcast);
+      merger_.Apply(record, dissemination);
     } else {
       metrics_.malformed.Increment();
     }
   }
   Dispatch(envelope, message);
-  StartGossip();
+  sender_.ScheduleGossip();
 }
 
 void GossipMembership::Dispatch(const runtime::Envelope& envelope,
@@ -224,7 +164,7 @@
   MemberEntry* entry = table_.Find(node_id);
   if (entry == nullptr || !entry->live() || left_) return;
   ++entry->failed_probes;
-  if (IsIsolated() || runtime_->clock->Now() < suspicions_paused_until_) return;
+  if (!MayAccuse()) return;
   const bool suspected = entry->member.state == MemberState::kSuspect;
   if (!suspected && entry->failed_probes < options_.failed_probes_to_suspect) {
     detector_.Probe(*entry, "");
@@ -234,14 +174,11 @@
     runtime_->trace->Event(runtime::Severity::kInfo, "MemberSuspected", {{"member", node_id}});
   }
   merger_.Suspect(entry);
-  StartGossip();
+  sender_.ScheduleGossip();
 }
 
-void GossipMembership::OnActivity() {
+void GossipMembership::OnPause(runtime::Duration gap) {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  const runtime::Duration gap = now - last_activity_;
-  last_activity_ = now;
-  if (gap < options_.pause_threshold) return;
   metrics_.pauses.Increment();
   runtime_->trace->Event(runtime::Severity::kWarning, "ProcessPauseDetected",
                          {{"gap_ms", runtime::ToMilliseconds(gap)}});
@@ -280,7 +217,7 @@
 }
 
 void GossipMembership::Tick() {
-  OnActivity();
+  pause_detector_.OnActivity();
   tick_timer_.Start(kTick, [this] { Tick(); });
   if (left_) return;
   ExpireSuspicions();
@@ -313,25 +250,17 @@
                             : std::string());
 }
 
-bool GossipMembership::IsIsolated() const {
-  const runtime::Duration since_last_response =
-      runtime_->clock->Now() - detector_.last_response_at();
-  // With fewer others, their silence may as well be their death.
-  constexpr size_t kMinLivePeers = 3;
-  return table_.live_count() >= kMinLivePeers &&
-         since_last_response >= options_.isolation_timeout &&
-         since_last_response < options_.isolation_timeout + options_.max_isolation;
+bool GossipMembership::MayAccuse() const {
+  return !isolation_.IsIsolated() && runtime_->clock->Now() >= suspicions_paused_until_;
 }
 
 void GossipMembership::ExpireSuspicions() {
-  const runtime::MonotonicTime now = runtime_->clock->Now();
-  const bool isolated = IsIsolated();
-  if (isolated && !was_isolated_) isolated_since_ = now;
-  if (!isolated && was_isolated_) suspicions_.Extend(now - isolated_since_);
-  was_isolated_ = isolated;
-  if (isolated || now < suspicions_paused_until_) return;
-  for (const std::string& node_id : suspicions_.TakeExpired(now)) merger_.DeclareDead(node_id);
-  StartGossip();
+  if (const auto ended = isolation_.TakeEndedIsolation()) suspicions_.Extend(*ended);
+  if (!MayAccuse()) return;
+  for (const std::string& node_id : suspicions_.TakeExpired(runtime_->clock->Now())) {
+    merger_.DeclareDead(node_id);
+  }
+  sender_.ScheduleGossip();
 }
 
 void GossipMembership::SyncWithRandomMember() {
@@ -341,28 +270,9 @@
 }
 
 void GossipMembership::ContactUnknownPeers() {
-  std::vector<std::string> addresses = peers_.Addresses(self_.internal_endpoint);
-  size_t attempts = kJoinFanout;
-  if (table_.live_count() > 0) {
-    // The whole fleet together tries a few addresses per interval, whatever its size.
-    attempts = 1;
-    const double share = static_cast<double>(options_.reconnects_per_interval) /
-                         static_cast<double>(table_.live_count() + 1);
-    if (!runtime_->random->Chance(std::min(1.0, share))) return;
-  }
-  std::set<std::string> candidates(addresses.begin(), addresses.end());
-  for (const auto& [node_id, entry] : table_.entries()) {
-    if (entry.member.state == MemberState::kDead) {
-      candidates.insert(entry.member.internal_endpoint);
-    }
-  }
-  for (const auto& [node_id, entry] : table_.entries()) {
-    if (entry.live()) candidates.erase(entry.member.internal_endpoint);
+  for (const std::string& address : discovery_.ChooseAddresses(self_.internal_endpoint)) {
+    sync_.StartExchange(address);
   }
-  addresses.assign(candidates.begin(), candidates.end());
-  std::shuffle(addresses.begin(), addresses.end(), *runtime_->random);
-  if (addresses.size() > attempts) addresses.resize(attempts);
-  for (const std::string& address : addresses) sync_.StartExchange(address);
 }
 
 // Leaving.
@@ -382,7 +292,7 @@
   const MemberEntry* self = table_.Find(self_.node_id);
   message.add_records(MakeRecord(self->member, self->version, false).SerializeAsString());
   for (const MemberEntry* member : table_.PickLive(kLeaveFanout, "")) {
-    SendPlain(member->member.internal_endpoint, message);
+    sender_.SendPlain(member->member.internal_endpoint, message);
   }
   if (remaining_sends <= 1) return;
   tick_timer_.Start(kLeaveInterval,
--- a/src/posthatch/membership/gossip_membership.h
+++ b/src/posthatch/membership/gossip_membership.h
@@ -9,9 +9,13 @@
 #include "posthatch/membership/failure_detector.h"
 #include "posthatch/membership/gossip_metrics.h"
 #include "posthatch/membership/gossip_options.h"
+#include "posthatch/membership/gossip_sender.h"
+#include "posthatch/membership/isolation_monitor.h"
 #include "posthatch/membership/member_table.h"
 #include "posthatch/membership/membership.h"
+#include "posthatch/membership/pause_detector.h"
 #include "posthatch/membership/peer_cache.h"
+#include "posthatch/membership/peer_discovery.h"
 #include "posthatch/membership/record_merger.h"
 #include "posthatch/membership/state_sync.h"
 #include "posthatch/membership/suspicion_list.h"
@@ -24,7 +28,6 @@
 // about as much in a fleet of 1,000 as in one of 10. Owned by the node's assembly; event loop
 // thread only; the runtime must outlive it.
 class GossipMembership : public Membership,
-                         private MessageSender,
                          private FailureDetector::Observer,
                          private RecordMerger::Owner {
  public:
@@ -52,13 +55,9 @@
   std::optional<MemberState> StateOf(const std::string& node_id) const;
 
  private:
-  // MessageSender.
-  void SendWithUpdates(const std::string& endpoint, MembershipMessage message) override;
-  void SendPlain(const std::string& endpoint, const MembershipMessage& message) override;
   // FailureDetector::Observer.
   void OnProbeSucceeded(const std::string& node_id) override;
   void OnProbeFailed(const std::string& node_id) override;
-  void OnActivity() override;
   // RecordMerger::Owner.
   void Notify(const Member& member) override;
   void Verify(MemberEntry* entry, const std::string& record) override;
@@ -74,13 +73,12 @@
   void ContactUnknownPeers();
   void SyncWithRandomMember();
   void ExpireSuspicions();
-  void StartGossip();
-  void GossipOnce();
-  void SendGossip(const std::string& endpoint, size_t max_bytes);
   void BroadcastLeave(int remaining_sends);
-  int TransmitLimit() const;
-  // Whether this process seems to be cut off itself, so that it should accuse nobody.
-  bool IsIsolated() const;
+  // This process was stopped for `gap`: what it knows is that old.
+  void OnPause(runtime::Duration gap);
+  // Whether this process's failed probes say anything about others: not while it seems to be cut
+  // off itself, nor shortly after it was stopped.
+  bool MayAccuse() const;
   bool AdvanceIfDue(runtime::MonotonicTime* next, runtime::Duration interval);
 
   runtime::Runtime* const runtime_;
@@ -90,23 +88,22 @@
   MemberTable table_;
   SuspicionList suspicions_;
   BroadcastQueue queue_;
+  PauseDetector pause_detector_;
+  GossipSender sender_;
   RecordMerger merger_;
   FailureDetector detector_;
+  IsolationMonitor isolation_;
   StateSync sync_;
   PeerCache peers_;
+  PeerDiscovery discovery_;
   std::vector<Listener> listeners_;
   runtime::Timer tick_timer_;
-  runtime::Timer gossip_timer_;
   bool left_ = false;
-  bool was_isolated_ = false;
-  runtime::MonotonicTime isolated_since_{};
-  runtime::MonotonicTime last_activity_{};
   runtime::MonotonicTime suspicions_paused_until_{};
   runtime::MonotonicTime next_probe_{};
   runtime::MonotonicTime next_join_attempt_{};
   runtime::MonotonicTime next_sync_{};
   runtime::MonotonicTime next_peers_write_{};
-  double gossip_budget_bytes_ = 0;
 };
 
 }  // namespace posthatch::membership
--- /dev/null
+++ b/src/posthatch/membership/isolation_monitor.h
@@ -0,0 +1,37 @@
+#pragma once
+
+#include <optional>
+
+#include "posthatch/membership/failure_detector.h"
+#include "posthatch/membership/gossip_options.h"
+#include "posthatch/membership/member_table.h"
+#include "posthatch/runtime/clock.h"
+
+namespace posthatch::membership {
+
+// Judges whether this process seems to be cut off from the network itself: nobody has answered it
+// for some time. It should accuse nobody then, since all its probes fail. After `max_isolation` the
+// others are taken for dead after all. Owned by GossipMembership; event loop thread only.
+class IsolationMonitor {
+ public:
+  // The pointers must outlive this object.
+  IsolationMonitor(const runtime::Clock* clock, const GossipOptions* options,
+                   const MemberTable* table, const FailureDetector* detector)
+      : clock_(clock), options_(options), table_(table), detector_(detector) {}
+
+  // By the clock at this moment.
+  bool IsIsolated() const;
+  // To be called regularly. The length of an isolation that ended since the last call, else
+  // nothing.
+  std::optional<runtime::Duration> TakeEndedIsolation();
+
+ private:
+  const runtime::Clock* const clock_;
+  const GossipOptions* const options_;
+  const MemberTable* const table_;
+  const FailureDetector* const detector_;
+  bool was_isolated_ = false;
+  runtime::MonotonicTime isolated_since_{};
+};
+
+}  // namespace posthatch::membership
--- a/src/posthatch/membership/record_merger.cc
+++ b/src/posthatch/membership/record_merger.cc
@@ -26,19 +26,23 @@
 
 void RecordMerger::Join(const Member& self) {
   self_ = table_->Upsert(self, 1, runtime_->clock->Now());
-  EnqueueBroadcast(MakeRecord(self, 1, true), true);
+  Broadcast(MakeRecord(self, 1, true));
 }
 
 void RecordMerger::Leave() {
   table_->SetState(self_, self_->version + 1, MemberState::kLeft, runtime_->clock->Now());
-  EnqueueBroadcast(MakeRecord(self_->member, self_->version, false), true);
+  Broadcast(MakeRecord(self_->member, self_->version, false));
 }
 
-void RecordMerger::EnqueueBroadcast(const MemberRecord& record, bool rebroadcast) {
-  if (rebroadcast) queue_->Add(record.node_id(), record.SerializeAsString());
+void RecordMerger::Broadcast(const MemberRecord& record) {
+  queue_->Add(record.node_id(), record.SerializeAsString());
 }
 
-void RecordMerger::Apply(const MemberRecord& record, bool rebroadcast) {
+void RecordMerger::Disseminate(const MemberRecord& record, Dissemination dissemination) {
+  if (dissemination == Dissemination::kRebroadcast) Broadcast(record);
+}
+
+void RecordMerger::Apply(const MemberRecord& record, Dissemination dissemination) {
   if (record.node_id().empty()) return;
   if (record.node_id() == self_->member.node_id) {
     ApplyToSelf(record);
@@ -46,24 +50,24 @@
   }
   MemberEntry* entry = table_->Find(record.node_id());
   if (entry == nullptr) {
-    AddNew(record, rebroadcast);
+    AddNew(record, dissemination);
     return;
   }
   if (!Supersedes(record, entry->version, entry->member.incarnation, entry->member.state)) {
     const bool same =
         record.version() == entry->version && record.incarnation() == entry->member.incarnation;
-    if (same && record.state() == RECORD_SUSPECT) ConfirmSuspicion(record, rebroadcast);
+    if (same && record.state() == RECORD_SUSPECT) ConfirmSuspicion(record, dissemination);
     return;
   }
   switch (record.state()) {
     case RECORD_ALIVE:
-      ApplyAlive(entry, record, rebroadcast);
+      ApplyAlive(entry, record, dissemination);
       break;
     case RECORD_SUSPECT:
-      ApplySuspect(entry, record, rebroadcast);
+      ApplySuspect(entry, record, dissemination);
       break;
     default:
-      ApplyDeadOrLeft(entry, record, rebroadcast);
+      ApplyDeadOrLeft(entry, record, dissemination);
       break;
   }
 }
@@ -75,7 +79,7 @@
   if (!same_incarnation && !MayOverrideNow(record)) return;
   // Only this process raises its version: above what is said wrongly of it, or of its former life.
   table_->SetState(self_, record.version() + 1, MemberState::kAlive, runtime_->clock->Now());
-  EnqueueBroadcast(MakeRecord(self_->member, self_->version, !same_incarnation), true);
+  Broadcast(MakeRecord(self_->member, self_->version, !same_incarnation));
   metrics_->refutations.Increment();
   if (same_incarnation) owner_->OnRefuted();
 }
@@ -90,11 +94,11 @@
   return record.version() < UINT32_MAX;
 }
 
-void RecordMerger::AddNew(const MemberRecord& record, bool rebroadcast) {
+void RecordMerger::AddNew(const MemberRecord& record, Dissemination dissemination) {
   if (!record.has_details()) return;  // anti-entropy will bring the whole record
   MemberEntry* entry = table_->Upsert(MakeMember(record), record.version(), runtime_->clock->Now());
   if (!entry->live()) return;
-  EnqueueBroadcast(record, rebroadcast);
+  Disseminate(record, dissemination);
   if (entry->member.state == MemberState::kSuspect) {
     suspicions_->Start(record.node_id(), record.accuser(), table_->live_count() + 1,
                        runtime_->clock->Now());
@@ -102,7 +106,8 @@
   Report(*entry);
 }
 
-void RecordMerger::ApplyAlive(MemberEntry* entry, const MemberRecord& record, bool rebroadcast) {
+void RecordMerger::ApplyAlive(MemberEntry* entry, const MemberRecord& record,
+                              Dissemination dissemination) {
   const bool new_incarnation = record.incarnation() != entry->member.incarnation;
   // A life that isn't known needs its details; anti-entropy will bring them.
   if (new_incarnation && !record.has_details()) return;
@@ -116,12 +121,13 @@
   }
   suspicions_->Remove(record.node_id());
   entry->failed_probes = 0;
-  EnqueueBroadcast(record, rebroadcast);
+  Disseminate(record, dissemination);
   if (!was_live || new_incarnation) DampIfFlapping(entry);
   if (changed && !entry->damped) Report(*entry);
 }
 
-void RecordMerger::ApplySuspect(MemberEntry* entry, const MemberRecord& record, bool rebroadcast) {
+void RecordMerger::ApplySuspect(MemberEntry* entry, const MemberRecord& record,
+                                Dissemination dissemination) {
   if (record.incarnation() != entry->member.incarnation) {
     // Of another life than the one that is known to live: that one must raise its version.
     if (entry->live()) owner_->Verify(entry, record.SerializeAsString());
@@ -132,13 +138,13 @@
   suspicions_->Start(record.node_id(), record.accuser(), table_->live_count() + 1,
                      runtime_->clock->Now());
   metrics_->suspicions.Increment();
-  EnqueueBroadcast(record, rebroadcast);
+  Disseminate(record, dissemination);
   if (!was_live) DampIfFlapping(entry);
   if (!entry->damped) Report(*entry);
 }
 
 void RecordMerger::ApplyDeadOrLeft(MemberEntry* entry, const MemberRecord& record,
-                                   bool rebroadcast) {
+                                   Dissemination dissemination) {
   const bool known_incarnation = record.incarnation() == entry->member.incarnation;
   const bool reported_by_itself = record.state() == RECORD_LEFT && known_incarnation;
   const bool suspected = entry->member.state == MemberState::kSuspect && known_incarnation;
@@ -162,13 +168,12 @@
   } else if (record.has_details()) {
     table_->Upsert(MakeMember(record), record.version(), runtime_->clock->Now());
   }
-  if (was_live) EnqueueBroadcast(record, rebroadcast);
+  if (was_live) Disseminate(record, dissemination);
   if (was_live && !was_damped) Report(*entry);
 }
 
-void RecordMerger::ConfirmSuspicion(const MemberRecord& record, bool rebroadcast) {
-  if (suspicions_->Confirm(record.node_id(), record.accuser()))
-    EnqueueBroadcast(record, rebroadcast);
+void RecordMerger::ConfirmSuspicion(const MemberRecord& record, Dissemination dissemination) {
+  if (suspicions_->Confirm(record.node_id(), record.accuser())) Disseminate(record, dissemination);
 }
 
 void RecordMerger::Suspect(MemberEntry* entry) {
@@ -176,7 +181,7 @@
   member.state = MemberState::kSuspect;
   MemberRecord record = MakeRecord(member, entry->version, false);
   record.set_accuser(self_->member.node_id);
-  Apply(record, true);
+  Apply(record, Dissemination::kRebroadcast);
 }
 
 void RecordMerger::DeclareDead(const std::string& node_id) {
@@ -184,7 +189,7 @@
   if (entry == nullptr || entry->member.state != MemberState::kSuspect) return;
   Member member = entry->member;
   member.state = MemberState::kDead;
-  Apply(MakeRecord(member, entry->version, false), true);
+  Apply(MakeRecord(member, entry->version, false), Dissemination::kRebroadcast);
 }
 
 double RecordMerger::FlapsNow(const MemberEntry& entry) const {
--- a/src/posthatch/membership/record_merger.h
+++ b/src/posthatch/membership/record_merger.h
@@ -13,6 +13,10 @@
 
 namespace posthatch::membership {
 
+// Whether an update that a record brings is passed on to others. Not if it came by a large pull:
+// the others have it, and queueing it would displace newer updates.
+enum class Dissemination { kRebroadcast, kLocalOnly };
+
 // Decides what a record changes: in the table, the suspicions, the updates passed on, and the view
 // reported to listeners, where flapping is damped. Owned by GossipMembership.
 class RecordMerger {
@@ -38,8 +42,8 @@
   // Tells the others that this process leaves.
   void Leave();
 
-  // Takes a record in. News is passed on if `rebroadcast`.
-  void Apply(const MemberRecord& record, bool rebroadcast);
+  // Applies a record received from another process, or made by this one about another.
+  void Apply(const MemberRecord& record, Dissemination dissemination);
   // This process's own finding: starts or confirms a suspicion.
   void Suspect(MemberEntry* entry);
   // A suspicion's time has run out.
@@ -53,12 +57,13 @@
  private:
   void ApplyToSelf(const MemberRecord& record);
   bool MayOverrideNow(const MemberRecord& record);
-  void AddNew(const MemberRecord& record, bool rebroadcast);
-  void ApplyAlive(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
-  void ApplySuspect(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
-  void ApplyDeadOrLeft(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
-  void ConfirmSuspicion(const MemberRecord& record, bool rebroadcast);
-  void EnqueueBroadcast(const MemberRecord& record, bool rebroadcast);
+  void AddNew(const MemberRecord& record, Dissemination dissemination);
+  void ApplyAlive(MemberEntry* entry, const MemberRecord& record, Dissemination dissemination);
+  void ApplySuspect(MemberEntry* entry, const MemberRecord& record, Dissemination dissemination);
+  void ApplyDeadOrLeft(MemberEntry* entry, const MemberRecord& record, Dissemination dissemination);
+  void ConfirmSuspicion(const MemberRecord& record, Dissemination dissemination);
+  void Broadcast(const MemberRecord& record);
+  void Disseminate(const MemberRecord& record, Dissemination dissemination);
   void CountFlap(MemberEntry* entry);
   double FlapsNow(const MemberEntry& entry) const;
   void DampIfFlapping(MemberEntry* entry);
