--- a/src/posthatch/invalidation/channel_subscription.h
+++ b/src/posthatch/invalidation/channel_subscription.h
@@ -1,16 +1,15 @@
 #pragma once
 
 #include <cstdint>
-#include <functional>
 #include <optional>
 #include <string>
-#include <utility>
 #include <vector>
 
-#include "absl/container/btree_map.h"
 #include "absl/container/btree_set.h"
-#include "absl/container/flat_hash_map.h"
 #include "posthatch/invalidation/invalidation.pb.h"
+#include "posthatch/invalidation/server_selector.h"
+#include "posthatch/invalidation/subscribed_objects.h"
+#include "posthatch/invalidation/subscription_observer.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::invalidation {
@@ -19,19 +18,20 @@
   runtime::Duration lifetime = std::chrono::minutes(2);   // wished; zero: volume validation
   runtime::Duration heartbeat = std::chrono::seconds(1);  // wished
   runtime::Duration response_timeout = std::chrono::milliseconds(400);
-  runtime::Duration retry_delay = std::chrono::milliseconds(100);
+  runtime::Duration retry_delay = std::chrono::milliseconds(100);  // after a refusal
   std::string zone;
   bool relay = false;     // this process runs a relay point
   bool targeted = false;  // only objects given to Include(), not the whole channel
 };
 
+// Counted since the subscription was created.
 struct SubscriptionStats {
   uint64_t requests_sent = 0;
   uint64_t responses = 0;
   uint64_t refusals = 0;
   uint64_t redirections = 0;
   uint64_t messages = 0;
-  uint64_t ignored = 0;  // of an old registration, doubled, or not asked for
+  uint64_t ignored = 0;  // of an old registration, duplicated, or not requested
   uint64_t gaps = 0;
   uint64_t epoch_changes = 0;
   uint64_t heartbeat_timeouts = 0;  // no message for two heartbeats
@@ -41,19 +41,17 @@
 // objects. Trust rests on nothing but this process's monotonic clock and the server's stated times:
 // an object may be used until t1 + (t3 - t2) + X. Owned by InvalidationSubscriber; event loop
 // thread only.
+//
+// States: requesting (an attempt is in flight, or the retry timer runs), registered, and both while
+// a registration is renewed. Any doubt (a gap, another epoch, missed heartbeats, the end of the
+// lifetime) drops the registration and requests a new one.
 class ChannelSubscription {
  public:
-  struct Observer {
-    std::function<void(const std::vector<std::string>& objects)> on_objects;  // new versions
-    std::function<void()> on_synchronized;  // an answer came: objects() is whole
-    std::function<void()> on_renewed;       // proven() has moved on
-    std::function<void()> on_lost;          // nothing is trusted until the next answer
-  };
-  using Endpoints = std::function<std::vector<std::string>()>;
+  using Endpoints = ServerSelector::Endpoints;
 
-  // `endpoints`: internal endpoints of the controllers, in any order.
+  // `observer` and `runtime` must outlive this object.
   ChannelSubscription(runtime::Runtime* runtime, SubscriptionOptions options, std::string channel,
-                      Endpoints endpoints, Observer observer);
+                      Endpoints endpoints, SubscriptionObserver* observer);
   ChannelSubscription(const ChannelSubscription&) = delete;
   ChannelSubscription& operator=(const ChannelSubscription&) = delete;
 
@@ -68,14 +66,15 @@
   bool IsFresh(const std::string& object, const ObjectVersion& version) const;
   bool CurrentVersion(const std::string& object, ObjectVersion* version) const;
 
-  // Registered, and heard from within two heartbeats, by the clock at this moment.
+  // Registered, and a message has come within two heartbeats, by the clock at this moment.
   bool IsLive() const;
   // This process's time up to which the channel's objects are proved to be the newest.
   runtime::MonotonicTime proven() const;
   // Covered objects, sorted by name.
-  std::vector<RegisteredObject> Objects() const;
+  std::vector<RegisteredObject> Objects() const { return objects_.Covered(); }
   // Every object ever heard of, covered or not, sorted.
-  std::vector<std::string> KnownObjectNames() const;
+  std::vector<std::string> KnownObjectNames() const { return objects_.KnownNames(); }
+  // False if the object is not covered.
   bool Find(const std::string& object, ObjectVersion* version) const;
   const std::string& server() const;  // empty if not registered
   const SubscriptionStats& stats() const { return stats_; }
@@ -99,43 +98,37 @@
     runtime::MonotonicTime proven;
     runtime::MonotonicTime last_arrival;
   };
-  struct Object {
-    ObjectVersion version;
-    runtime::Duration guarantee{};
-    bool covered = false;
-  };
 
   void Register();
-  std::string ChooseServer();
+  void SendRequest(const std::string& server);
   void OnResponseTimeout();
   void TryNextServer();
+  void OnRefused();
+  ActiveRegistration MakeRegistration(const RegistrationResponse& response) const;
   void ApplyResponse(const RegistrationResponse& response);
   void ApplyIncrementResponse(const RegistrationResponse& response);
+  void ApplyInvalidation(const ChannelMessage& message);
+  void SendAck(const ChannelMessage& message);
   void SendIncrement();
-  void ApplyObjects(const google::protobuf::RepeatedPtrField<ObjectState>& states);
+  void SendEnvelope(const std::string& server, const ChannelEnvelope& envelope);
   // This process's time of the server's moment `server_ns` at the latest.
   runtime::MonotonicTime ProvenAt(const ActiveRegistration& registered, int64_t server_ns) const;
+  // When the registration ends or counts as lost if no further message comes.
+  runtime::MonotonicTime HeartbeatDeadline() const;
   void DropRegistration();
   void CheckHeartbeatTimeout();
-  void AvoidRelay(const std::string& endpoint);
 
   runtime::Runtime* const runtime_;
   const SubscriptionOptions options_;
   const std::string channel_;
-  const Endpoints endpoints_;
-  const Observer observer_;
+  SubscriptionObserver* const observer_;
 
   uint64_t last_registration_number_;
-  size_t server_index_ = 0;
-  std::string redirected_to_;  // a relay point, while it is used
-  std::string redirected_from_;
-  int consecutive_redirections_ = 0;
-  // Relay points that fell silent, until when they are not used.
-  absl::btree_map<std::string, runtime::MonotonicTime> avoided_;
+  ServerSelector server_selector_;
   std::optional<Attempt> attempt_;
   std::optional<ActiveRegistration> registered_;
-  absl::flat_hash_map<std::string, Object> objects_;
-  // Targeted service: what is wished, and what the running increment changes.
+  SubscribedObjects objects_;
+  // Targeted service: what is wished, and what the increment in flight changes.
   absl::btree_set<std::string> targets_;
   absl::btree_set<std::string> increment_include_;
   absl::btree_set<std::string> increment_exclude_;
--- a/src/posthatch/invalidation/invalidation_publisher.cc
+++ b/src/posthatch/invalidation/invalidation_publisher.cc
@@ -1,8 +1,12 @@
 #include "posthatch/invalidation/invalidation_publisher.h"
 
 #include <algorithm>
+#include <memory>
+#include <utility>
 
 #include "posthatch/invalidation/channel_names.h"
+#include "posthatch/invalidation/object_states.h"
+#include "posthatch/invalidation/wire_duration.h"
 
 namespace posthatch::invalidation {
 namespace {
@@ -12,22 +16,29 @@
 constexpr int kHeartbeatsPerGuarantee = 3;
 constexpr runtime::Duration kMinHeartbeat = std::chrono::milliseconds(50);
 
-uint32_t Milliseconds(runtime::Duration duration) {
-  const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
-  return static_cast<uint32_t>(std::max<int64_t>(milliseconds, 0));
-}
-
 runtime::Duration CommittedHeartbeat(const PublisherOptions& options,
                                      const RegistrationRequest& request) {
   runtime::Duration heartbeat = options.heartbeat;
   if (request.heartbeat_ms() > 0) {
-    heartbeat =
-        std::min<runtime::Duration>(heartbeat, std::chrono::milliseconds(request.heartbeat_ms()));
+    heartbeat = std::min(heartbeat, FromWireMilliseconds(request.heartbeat_ms()));
   }
   heartbeat = std::min(heartbeat, LowestGuarantee(request.channel()) / kHeartbeatsPerGuarantee);
   return std::max(heartbeat, kMinHeartbeat);
 }
 
+// Applies the changes that an increment makes to the objects of a registration.
+void ApplyIncrement(const RegistrationRequest& request, Registration* registration) {
+  const auto cover = [registration](const std::string& object, bool covered) {
+    if (covered == registration->all_objects) {
+      registration->listed_objects.erase(object);
+    } else {
+      registration->listed_objects.insert(object);
+    }
+  };
+  for (const auto& object : request.include()) cover(object.object(), true);
+  for (const auto& object : request.exclude()) cover(object, false);
+}
+
 }  // namespace
 
 InvalidationPublisher::InvalidationPublisher(runtime::Runtime* runtime, PublisherOptions options,
@@ -38,11 +49,13 @@
       batch_timer_(runtime->timers),
       tick_timer_(runtime->timers) {}
 
+// ---------------------------------------------------------------------------------- registrations
+
 void InvalidationPublisher::HandleEnvelope(const runtime::Envelope& envelope,
                                            const ChannelEnvelope& content) {
   if (content.has_request()) HandleRequest(envelope, content.request());
   // Acknowledgements (WCIP 5.3.1) only keep the connection's other direction in use: what a
-  // subscriber has seen is proved by its own sequence check.
+  // subscriber has received is proved by its own sequence check.
 }
 
 void InvalidationPublisher::HandleRequest(const runtime::Envelope& envelope,
@@ -57,15 +70,12 @@
     HandleIncrement(envelope, request, proof);
     return;
   }
-  const auto found = registrations_.find(Key(request.channel(), envelope.from_endpoint()));
-  if (found != registrations_.end()) {
-    const Registration& known = *found->second;
-    // A doubled or overtaken request. Answering it again would start its sequence anew while
-    // messages of the first answer are under way.
-    if (known.incarnation == envelope.from_incarnation() && known.epoch == proof.epoch &&
-        request.registration() <= known.number) {
-      return;
-    }
+  const Registration* known = registrations_.Find(request.channel(), envelope.from_endpoint());
+  // A duplicated or overtaken request is ignored: a second response would start its sequence anew
+  // while messages of the first registration are in flight.
+  if (known != nullptr && known->incarnation == envelope.from_incarnation() &&
+      known->epoch == proof.epoch && request.registration() <= known->number) {
+    return;
   }
   const std::string relay = ChooseRelay(request, envelope.from_endpoint());
   if (!relay.empty()) {
@@ -79,18 +89,16 @@
 std::string InvalidationPublisher::ChooseRelay(const RegistrationRequest& request,
                                                const std::string& endpoint) const {
   if (request.relay()) return "";
-  const auto count = registrations_by_channel_.find(request.channel());
-  if (count == registrations_by_channel_.end()) return "";
-  if (count->second < options_.max_direct_registrations) return "";
+  if (registrations_.CountOfChannel(request.channel()) < options_.max_direct_registrations) {
+    return "";
+  }
+  const auto& avoid = request.avoid();
   std::vector<std::string> relays;
-  for (auto it = registrations_.lower_bound(Key(request.channel(), ""));
-       it != registrations_.end() && it->first.first == request.channel(); ++it) {
-    const Registration& candidate = *it->second;
-    if (!candidate.relay || candidate.zone != request.zone()) continue;
-    if (candidate.endpoint == endpoint) continue;
-    const auto& avoid = request.avoid();
-    if (std::find(avoid.begin(), avoid.end(), candidate.endpoint) != avoid.end()) continue;
-    relays.push_back(candidate.endpoint);
+  for (const Registration* candidate : registrations_.OfChannel(request.channel())) {
+    if (!candidate->relay || candidate->zone != request.zone()) continue;
+    if (candidate->endpoint == endpoint) continue;
+    if (std::find(avoid.begin(), avoid.end(), candidate->endpoint) != avoid.end()) continue;
+    relays.push_back(candidate->endpoint);
   }
   if (relays.empty()) return "";
   return relays[runtime_->random->Uniform(relays.size())];
@@ -99,13 +107,24 @@
 void InvalidationPublisher::Grant(const runtime::Envelope& envelope,
                                   const RegistrationRequest& request, const PublisherProof& proof) {
   Flush();
-  const Key key(request.channel(), envelope.from_endpoint());
-  Erase(key);
-  runtime::Duration lifetime = std::min<runtime::Duration>(
-      std::chrono::milliseconds(request.lifetime_ms()), options_.max_lifetime);
+  registrations_.Erase(request.channel(), envelope.from_endpoint());
+  runtime::Duration lifetime =
+      std::min(FromWireMilliseconds(request.lifetime_ms()), options_.max_lifetime);
   if (registrations_.size() >= options_.max_registrations) lifetime = {};
   const runtime::Duration heartbeat = CommittedHeartbeat(options_, request);
+  SendGrant(envelope.from_endpoint(), request, proof, lifetime, heartbeat);
+  if (lifetime <= runtime::Duration::zero()) {
+    ++stats_.volume_validations;
+    return;
+  }
+  ++stats_.registrations_granted;
+  AddRegistration(envelope, request, proof, lifetime, heartbeat);
+}
 
+void InvalidationPublisher::SendGrant(const std::string& endpoint,
+                                      const RegistrationRequest& request,
+                                      const PublisherProof& proof, runtime::Duration lifetime,
+                                      runtime::Duration heartbeat) {
   ChannelEnvelope reply;
   RegistrationResponse* response = reply.mutable_response();
   response->set_channel(request.channel());
@@ -115,17 +134,17 @@
   response->set_request_sent_ns(request.sent_ns());
   response->set_server_ns(runtime::ToNanoseconds(runtime_->clock->Now()));
   response->set_proven_ns(runtime::ToNanoseconds(proof.proven));
-  response->set_lifetime_ms(Milliseconds(lifetime));
-  response->set_heartbeat_ms(Milliseconds(heartbeat));
+  response->set_lifetime_ms(ToWireMilliseconds(lifetime));
+  response->set_heartbeat_ms(ToWireMilliseconds(heartbeat));
   response->set_next_sequence(1);
-  FillObjects(request, response);
-  SendEnvelope(envelope.from_endpoint(), reply);
+  AddRequestedStates(*source_, request, response);
+  SendEnvelope(endpoint, reply);
+}
 
-  if (lifetime <= runtime::Duration::zero()) {
-    ++stats_.volume_validations;
-    return;
-  }
-  ++stats_.registrations_granted;
+void InvalidationPublisher::AddRegistration(const runtime::Envelope& envelope,
+                                            const RegistrationRequest& request,
+                                            const PublisherProof& proof, runtime::Duration lifetime,
+                                            runtime::Duration heartbeat) {
   auto registration = std::make_unique<Registration>();
   registration->endpoint = envelope.from_endpoint();
   registration->channel = request.channel();
@@ -138,86 +157,30 @@
   if (registration->all_objects) {
     registration->listed_objects.insert(request.exclude().begin(), request.exclude().end());
   } else {
-    for (const auto& object : request.include())
+    for (const auto& object : request.include()) {
       registration->listed_objects.insert(object.object());
+    }
   }
   registration->heartbeat = heartbeat;
   const runtime::MonotonicTime now = runtime_->clock->Now();
   registration->expires_at = now + lifetime;
-  Registration* const added = registration.get();
-  registrations_[key] = std::move(registration);
-  ++registrations_by_channel_[request.channel()];
-  ScheduleHeartbeat(added, now + heartbeat);
-  StartTicking();
-}
-
-void InvalidationPublisher::FillObjects(const RegistrationRequest& request,
-                                        RegistrationResponse* response) const {
-  absl::flat_hash_map<std::string, ObjectVersion> subscriber_versions;
-  for (const auto& object : request.include())
-    subscriber_versions[object.object()] = object.version();
-  const absl::flat_hash_set<std::string> excluded(request.exclude().begin(),
-                                                  request.exclude().end());
-  const auto classify = [&subscriber_versions](const std::string& object,
-                                               const ObjectVersion& newest) {
-    const auto found = subscriber_versions.find(object);
-    if (found == subscriber_versions.end()) return UNKNOWN;
-    const int comparison = CompareVersions(found->second, newest);
-    if (comparison == 0) return FRESH;
-    return comparison < 0 ? STALE : UNKNOWN;
-  };
-  const auto add = [response](const std::string& object, const ObjectVersion& version,
-                              Freshness freshness) {
-    ObjectState* state = response->add_objects();
-    state->set_object(object);
-    *state->mutable_version() = version;
-    state->set_freshness(freshness);
-    state->set_guarantee_ms(Milliseconds(GuaranteeOf(object)));
-  };
-  if (request.base() == RegistrationRequest::INCLUDE_ALL) {
-    for (const auto& object : source_->Objects(request.channel())) {
-      if (excluded.contains(object.object())) continue;
-      add(object.object(), object.version(), classify(object.object(), object.version()));
-      subscriber_versions.erase(object.object());
-    }
-  }
-  for (const auto& object : request.include()) {
-    if (!subscriber_versions.contains(object.object())) continue;  // said above
-    ObjectVersion newest;
-    if (source_->Find(request.channel(), object.object(), &newest)) {
-      add(object.object(), newest, classify(object.object(), newest));
-    } else {
-      add(object.object(), ObjectVersion(), EXCLUDED);
-    }
-  }
+  registration->next_heartbeat_at = now + heartbeat;
+  registrations_.Add(std::move(registration));
+  ScheduleTick();
 }
 
 void InvalidationPublisher::HandleIncrement(const runtime::Envelope& envelope,
                                             const RegistrationRequest& request,
                                             const PublisherProof& proof) {
-  const auto found = registrations_.find(Key(request.channel(), envelope.from_endpoint()));
-  if (found == registrations_.end() || found->second->number != request.registration() ||
-      found->second->incarnation != envelope.from_incarnation() ||
-      found->second->epoch != proof.epoch || found->second->expires_at <= runtime_->clock->Now()) {
+  Registration* registration = registrations_.Find(request.channel(), envelope.from_endpoint());
+  if (registration == nullptr || registration->number != request.registration() ||
+      registration->incarnation != envelope.from_incarnation() ||
+      registration->epoch != proof.epoch || registration->expires_at <= runtime_->clock->Now()) {
     RespondWithoutObjects(envelope, request, RegistrationResponse::REFUSED, "");
     return;
   }
   Flush();
-  Registration* registration = found->second.get();
-  for (const auto& object : request.include()) {
-    if (registration->all_objects) {
-      registration->listed_objects.erase(object.object());
-    } else {
-      registration->listed_objects.insert(object.object());
-    }
-  }
-  for (const auto& object : request.exclude()) {
-    if (registration->all_objects) {
-      registration->listed_objects.insert(object);
-    } else {
-      registration->listed_objects.erase(object);
-    }
-  }
+  ApplyIncrement(request, registration);
   ChannelEnvelope reply;
   RegistrationResponse* response = reply.mutable_response();
   response->set_channel(request.channel());
@@ -227,7 +190,7 @@
   response->set_server_epoch(proof.epoch);
   // Proves nothing about the objects registered before: only channel messages renew trust.
   response->set_next_sequence(registration->next_sequence);
-  FillObjects(request, response);
+  AddRequestedStates(*source_, request, response);
   SendEnvelope(envelope.from_endpoint(), reply);
 }
 
@@ -246,6 +209,8 @@
   SendEnvelope(envelope.from_endpoint(), reply);
 }
 
+// ---------------------------------------------------------------------------------- invalidations
+
 void InvalidationPublisher::ObjectChanged(const std::string& object) {
   const std::string channel = ChannelOf(object);
   if (channel.empty()) return;
@@ -263,9 +228,8 @@
 void InvalidationPublisher::Flush() {
   batch_timer_.Cancel();
   for (auto it = pending_objects_.begin(); it != pending_objects_.end();) {
-    if (!registrations_by_channel_.contains(it->first)) {
-      it = pending_objects_.erase(
-          it);  // nobody to tell; a later registration gets the newest versions
+    if (registrations_.CountOfChannel(it->first) == 0) {
+      it = pending_objects_.erase(it);  // a later registration gets the newest versions anyway
       continue;
     }
     const PublisherProof proof = source_->CurrentProof(it->first);
@@ -282,11 +246,11 @@
                                          const std::vector<std::string>& objects) {
   std::vector<ObjectState> states;
   states.reserve(objects.size());
-  for (const std::string& object : objects) states.push_back(StateOf(channel, object));
+  for (const std::string& object : objects) {
+    states.push_back(ChangedState(*source_, channel, object));
+  }
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  for (auto it = registrations_.lower_bound(Key(channel, ""));
-       it != registrations_.end() && it->first.first == channel; ++it) {
-    Registration* registration = it->second.get();
+  for (Registration* registration : registrations_.OfChannel(channel)) {
     if (registration->epoch != proof.epoch || registration->expires_at <= now) continue;
     std::vector<ObjectState> covered_states;
     for (const ObjectState& state : states) {
@@ -296,48 +260,28 @@
   }
 }
 
-ObjectState InvalidationPublisher::StateOf(const std::string& channel,
-                                           const std::string& object) const {
-  ObjectState state;
-  state.set_object(object);
-  ObjectVersion version;
-  if (source_->Find(channel, object, &version)) {
-    *state.mutable_version() = version;
-    state.set_freshness(STALE);
-    state.set_guarantee_ms(Milliseconds(GuaranteeOf(object)));
-  } else {
-    state.set_freshness(EXCLUDED);
-  }
-  return state;
-}
-
 void InvalidationPublisher::ExcludeObjects(const std::string& channel,
                                            const std::vector<std::string>& objects,
                                            runtime::MonotonicTime proven) {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  for (auto it = registrations_.lower_bound(Key(channel, ""));
-       it != registrations_.end() && it->first.first == channel; ++it) {
-    Registration* registration = it->second.get();
+  for (Registration* registration : registrations_.OfChannel(channel)) {
     if (registration->expires_at <= now) continue;
     std::vector<ObjectState> states;
     for (const std::string& object : objects) {
-      if (!registration->Covers(object)) continue;
-      ObjectState& state = states.emplace_back();
-      state.set_object(object);
-      state.set_freshness(EXCLUDED);
+      if (registration->Covers(object)) states.push_back(ExcludedState(object));
     }
     if (!states.empty()) SendMessage(registration, proven, std::move(states));
   }
 }
 
+// ---------------------------------------------------------------------------------- heartbeats
+
 void InvalidationPublisher::Renew(const std::string& channel) {
   Flush();
   const PublisherProof proof = source_->CurrentProof(channel);
   if (!proof.live || pending_objects_.contains(channel)) return;
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  for (auto it = registrations_.lower_bound(Key(channel, ""));
-       it != registrations_.end() && it->first.first == channel; ++it) {
-    Registration* registration = it->second.get();
+  for (Registration* registration : registrations_.OfChannel(channel)) {
     if (registration->epoch != proof.epoch || registration->expires_at <= now) continue;
     SendHeartbeat(registration, proof);
   }
@@ -358,7 +302,7 @@
   message->set_server_epoch(registration->epoch);
   message->set_sequence(registration->next_sequence);
   message->set_server_ns(runtime::ToNanoseconds(proven));
-  message->set_remaining_lifetime_ms(Milliseconds(registration->expires_at - now));
+  message->set_remaining_lifetime_ms(ToWireMilliseconds(registration->expires_at - now));
   if (!objects.empty()) {
     ++registration->next_sequence;
     ++stats_.invalidation_messages_sent;
@@ -366,7 +310,7 @@
     for (ObjectState& state : objects) *message->add_objects() = std::move(state);
   }
   SendEnvelope(registration->endpoint, envelope);
-  ScheduleHeartbeat(registration, now + registration->heartbeat);
+  registrations_.ScheduleHeartbeat(registration, now + registration->heartbeat);
 }
 
 void InvalidationPublisher::SendEnvelope(const std::string& endpoint,
@@ -375,52 +319,35 @@
                             runtime::Delivery::kStream);
 }
 
-void InvalidationPublisher::ScheduleHeartbeat(Registration* registration,
-                                              runtime::MonotonicTime next_heartbeat_at) {
-  const Key key(registration->channel, registration->endpoint);
-  heartbeat_schedule_.erase({registration->next_heartbeat_at, key});
-  registration->next_heartbeat_at = next_heartbeat_at;
-  heartbeat_schedule_.insert({next_heartbeat_at, key});
-}
-
-void InvalidationPublisher::Erase(const Key& key) {
-  const auto found = registrations_.find(key);
-  if (found == registrations_.end()) return;
-  heartbeat_schedule_.erase({found->second->next_heartbeat_at, key});
-  const auto count = registrations_by_channel_.find(key.first);
-  if (--count->second == 0) registrations_by_channel_.erase(count);
-  registrations_.erase(found);
-}
-
-void InvalidationPublisher::StartTicking() {
-  if (heartbeat_schedule_.empty()) {
+void InvalidationPublisher::ScheduleTick() {
+  const Registration* next = registrations_.NextHeartbeat();
+  if (next == nullptr) {
     tick_timer_.Cancel();
     return;
   }
-  const runtime::MonotonicTime now = runtime_->clock->Now();
   const runtime::Duration wait =
-      std::max(heartbeat_schedule_.begin()->first - now, runtime::Duration::zero());
+      std::max(next->next_heartbeat_at - runtime_->clock->Now(), runtime::Duration::zero());
   tick_timer_.Start(wait, [this] { Tick(); });
 }
 
 void InvalidationPublisher::Tick() {
-  // What waits goes first: a heartbeat never overtakes an earlier invalidation (WCIP 3.2).
+  // Pending invalidations first: a heartbeat never overtakes an earlier invalidation (WCIP 3.2).
   Flush();
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  while (!heartbeat_schedule_.empty() && heartbeat_schedule_.begin()->first <= now) {
-    const Key key = heartbeat_schedule_.begin()->second;
-    Registration* registration = registrations_.find(key)->second.get();
-    const PublisherProof proof = source_->CurrentProof(key.first);
+  while (Registration* registration = registrations_.NextHeartbeat()) {
+    if (registration->next_heartbeat_at > now) break;
+    const PublisherProof proof = source_->CurrentProof(registration->channel);
     if (registration->expires_at <= now || (proof.live && proof.epoch != registration->epoch)) {
       ++stats_.expired;
-      Erase(key);
-    } else if (!proof.live || pending_objects_.contains(key.first)) {
-      ScheduleHeartbeat(registration, now + registration->heartbeat);
+      // Copies: Erase destroys the registration that they belong to.
+      registrations_.Erase(std::string(registration->channel), std::string(registration->endpoint));
+    } else if (!proof.live || pending_objects_.contains(registration->channel)) {
+      registrations_.ScheduleHeartbeat(registration, now + registration->heartbeat);
     } else {
       SendHeartbeat(registration, proof);
     }
   }
-  StartTicking();
+  ScheduleTick();
 }
 
 }  // namespace posthatch::invalidation
--- a/src/posthatch/invalidation/invalidation_subscriber.cc
+++ b/src/posthatch/invalidation/invalidation_subscriber.cc
@@ -26,21 +26,26 @@
 
 void InvalidationSubscriber::AddChannel(const std::string& channel,
                                         const ChannelSubscription::Endpoints& endpoints) {
-  ChannelSubscription::Observer observer;
-  observer.on_objects = [this, channel](const std::vector<std::string>& objects) {
-    for (Listener* listener : listeners_) listener->OnObjects(channel, objects);
-  };
-  observer.on_synchronized = [this, channel] {
-    for (Listener* listener : listeners_) listener->OnSynchronized(channel);
-  };
-  observer.on_renewed = [this, channel] {
-    for (Listener* listener : listeners_) listener->OnRenewed(channel);
-  };
-  observer.on_lost = [this, channel] {
-    for (Listener* listener : listeners_) listener->OnLost(channel);
-  };
-  subscriptions_[channel] = std::make_unique<ChannelSubscription>(
-      runtime_, options_.subscription, channel, endpoints, std::move(observer));
+  subscriptions_[channel] =
+      std::make_unique<ChannelSubscription>(runtime_, options_.subscription, channel, endpoints,
+                                            static_cast<SubscriptionObserver*>(this));
+}
+
+void InvalidationSubscriber::OnObjects(const std::string& channel,
+                                       const std::vector<std::string>& objects) {
+  for (Listener* listener : listeners_) listener->OnObjects(channel, objects);
+}
+
+void InvalidationSubscriber::OnSynchronized(const std::string& channel) {
+  for (Listener* listener : listeners_) listener->OnSynchronized(channel);
+}
+
+void InvalidationSubscriber::OnRenewed(const std::string& channel) {
+  for (Listener* listener : listeners_) listener->OnRenewed(channel);
+}
+
+void InvalidationSubscriber::OnLost(const std::string& channel) {
+  for (Listener* listener : listeners_) listener->OnLost(channel);
 }
 
 void InvalidationSubscriber::Start() {
--- a/src/posthatch/invalidation/invalidation_subscriber.h
+++ b/src/posthatch/invalidation/invalidation_subscriber.h
@@ -8,6 +8,7 @@
 #include "absl/container/btree_map.h"
 #include "posthatch/invalidation/channel_subscription.h"
 #include "posthatch/invalidation/object_trust.h"
+#include "posthatch/invalidation/subscription_observer.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::invalidation {
@@ -22,17 +23,9 @@
 // All registrations of one process, and its answer to "may this be trusted now?". Takes the
 // process's SERVICE_CHANNELS messages; requests from further subscribers go to the relay point, if
 // one is set. Owned by index::IndexNode. Event loop thread only.
-class InvalidationSubscriber : public ObjectTrust {
+class InvalidationSubscriber : public ObjectTrust, private SubscriptionObserver {
  public:
-  // Hears of everything that happens to the channels, after the set has taken it in.
-  class Listener {
-   public:
-    virtual ~Listener() = default;
-    virtual void OnObjects(const std::string& channel, const std::vector<std::string>& objects) = 0;
-    virtual void OnSynchronized(const std::string& channel) = 0;
-    virtual void OnRenewed(const std::string& channel) = 0;
-    virtual void OnLost(const std::string& channel) = 0;
-  };
+  using Listener = SubscriptionObserver;
   using RequestHandler =
       std::function<void(const runtime::Envelope& envelope, const ChannelEnvelope& content)>;
 
@@ -64,6 +57,12 @@
   SubscriptionStats TotalStats() const;
 
  private:
+  // SubscriptionObserver: passes everything on to the listeners.
+  void OnObjects(const std::string& channel, const std::vector<std::string>& objects) override;
+  void OnSynchronized(const std::string& channel) override;
+  void OnRenewed(const std::string& channel) override;
+  void OnLost(const std::string& channel) override;
+
   ChannelSubscription* FindFor(const std::string& object) const;
   void AddChannel(const std::string& channel, const ChannelSubscription::Endpoints& endpoints);
   void Receive(const runtime::Envelope& envelope);
--- /dev/null
+++ b/src/posthatch/invalidation/registration_table.h
@@ -0,0 +1,68 @@
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "absl/container/btree_map.h"
+#include "absl/container/btree_set.h"
+#include "absl/container/flat_hash_map.h"
+#include "absl/container/flat_hash_set.h"
+#include "posthatch/runtime/clock.h"
+
+namespace posthatch::invalidation {
+
+// What a publisher keeps of one subscriber on one channel.
+struct Registration {
+  std::string endpoint;  // internal endpoint of the subscriber
+  std::string channel;
+  std::string zone;
+  uint64_t incarnation = 0;  // of the subscriber's process
+  uint64_t number = 0;       // the subscriber's registration number
+  uint64_t epoch = 0;        // of the publisher when it was granted
+  uint64_t next_sequence = 1;
+  bool relay = false;  // the subscriber is a relay point
+  // Whether all objects of the channel are covered but the listed ones, or only the listed ones.
+  bool all_objects = false;
+  absl::flat_hash_set<std::string> listed_objects;
+  runtime::Duration heartbeat{};
+  runtime::MonotonicTime expires_at;
+  runtime::MonotonicTime next_heartbeat_at;
+
+  bool Covers(const std::string& object) const {
+    return all_objects != listed_objects.contains(object);
+  }
+};
+
+// The registrations of a publisher, at most one for each channel and endpoint, and the schedule of
+// their heartbeats. Ordered by channel and endpoint, so that equal seeds send in equal order. Owned
+// by InvalidationPublisher; not thread-safe. Pointers to a registration are valid until it is
+// erased.
+class RegistrationTable {
+ public:
+  // Null if there is none.
+  Registration* Find(const std::string& channel, const std::string& endpoint) const;
+  // There must be none for the same channel and endpoint. Its first heartbeat is due at
+  // `next_heartbeat_at`.
+  void Add(std::unique_ptr<Registration> registration);
+  void Erase(const std::string& channel, const std::string& endpoint);
+  void ScheduleHeartbeat(Registration* registration, runtime::MonotonicTime next_heartbeat_at);
+
+  // The registration whose heartbeat is due first; null if there is none.
+  Registration* NextHeartbeat() const;
+  // All of a channel, by endpoint.
+  std::vector<Registration*> OfChannel(const std::string& channel) const;
+  size_t CountOfChannel(const std::string& channel) const;
+  size_t size() const { return registrations_.size(); }
+
+ private:
+  using Key = std::pair<std::string, std::string>;  // channel, endpoint
+
+  absl::btree_map<Key, std::unique_ptr<Registration>> registrations_;
+  absl::btree_set<std::pair<runtime::MonotonicTime, Key>> heartbeat_schedule_;
+  absl::flat_hash_map<std::string, size_t> count_by_channel_;
+};
+
+}  // namespace posthatch::invalidation
--- /dev/null
+++ b/src/posthatch/invalidation/server_selector.h
@@ -0,0 +1,58 @@
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "absl/container/btree_map.h"
+#include "posthatch/runtime/clock.h"
+
+namespace posthatch::invalidation {
+
+// Chooses the server that a subscription registers with: the controllers in turn, or the relay
+// point that one of them has redirected it to. A relay point that fails is avoided for some time.
+// Owned by ChannelSubscription; event loop thread only.
+class ServerSelector {
+ public:
+  // Internal endpoints of the controllers, in any order; asked at each registration.
+  using Endpoints = std::function<std::vector<std::string>()>;
+
+  // `clock` must outlive this object.
+  ServerSelector(const runtime::Clock* clock, Endpoints controllers)
+      : clock_(clock), controllers_(std::move(controllers)) {}
+
+  // Endpoint of the server to register with; empty if none is known.
+  std::string Current() const;
+  // The server that redirected here, if Current() is a relay point; else empty.
+  const std::string& redirected_from() const { return redirected_from_; }
+  // Relay points that are avoided now, sorted.
+  std::vector<std::string> AvoidedRelays() const;
+
+  void OnGranted() { consecutive_redirections_ = 0; }
+  // `from` redirected to relay point `to`. False if that was one redirection in a row too many:
+  // `from` then counts as having refused.
+  bool Redirect(const std::string& from, const std::string& to);
+  // `server` refused, or redirected too often.
+  void OnRefused(const std::string& server);
+  // `server` did not respond to a request.
+  void OnNoResponse(const std::string& server);
+  // The registration at `server` was lost; if it is a relay point, the controllers are next.
+  void OnRegistrationLost(const std::string& server);
+  // Leaves a relay point and moves on to the next controller.
+  void Advance();
+
+ private:
+  void Avoid(const std::string& relay);
+
+  const runtime::Clock* const clock_;
+  const Endpoints controllers_;
+  size_t controller_index_ = 0;
+  std::string redirected_to_;  // a relay point, while it is used
+  std::string redirected_from_;
+  int consecutive_redirections_ = 0;
+  absl::btree_map<std::string, runtime::MonotonicTime> avoided_until_;  // by relay endpoint
+};
+
+}  // namespace posthatch::invalidation
--- /dev/null
+++ b/src/posthatch/invalidation/subscribed_objects.h
@@ -0,0 +1,41 @@
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "absl/container/flat_hash_map.h"
+#include "google/protobuf/repeated_ptr_field.h"
+#include "posthatch/invalidation/invalidation.pb.h"
+#include "posthatch/runtime/clock.h"
+
+namespace posthatch::invalidation {
+
+// The objects of a channel as its subscriber knows them. Versions never go back: an object whose
+// server states an older version than known is not covered until a newer one comes. Owned by
+// ChannelSubscription; event loop thread only.
+class SubscribedObjects {
+ public:
+  struct Object {
+    ObjectVersion version;  // newest known
+    runtime::Duration guarantee{};
+    bool covered = false;
+  };
+
+  void Apply(const google::protobuf::RepeatedPtrField<ObjectState>& states);
+  void Uncover(const std::string& object);
+  void UncoverAll();
+
+  // Null if the object is not covered.
+  const Object* FindCovered(const std::string& name) const;
+  // Null if the object was never heard of; covered or not.
+  const Object* FindKnown(const std::string& name) const;
+  // Covered ones, sorted by name.
+  std::vector<RegisteredObject> Covered() const;
+  // Covered or not, sorted.
+  std::vector<std::string> KnownNames() const;
+
+ private:
+  absl::flat_hash_map<std::string, Object> objects_;
+};
+
+}  // namespace posthatch::invalidation
