--- a/src/posthatch/consensus/raft_core.cc
+++ b/src/posthatch/consensus/raft_core.cc
@@ -13,8 +13,8 @@
                    MonotonicTime now)
     : options_(options),
       random_(random),
-      endpoint_(std::move(recovered.endpoint)),
       hard_state_(recovered.hard_state),
+      addresses_(recovered.hard_state.replica_id(), std::move(recovered.endpoint)),
       snapshot_(std::move(recovered.snapshot)) {
   log_.Restore(recovered.base_index, recovered.base_term, std::move(recovered.entries));
   first_unstaged_ = log_.last_index() + 1;
@@ -69,9 +69,7 @@
 }
 
 std::string RaftCore::EndpointOf(uint64_t replica_id) const {
-  if (replica_id == this->replica_id()) return endpoint_;
-  const auto found = addresses_.find(replica_id);
-  return found == addresses_.end() ? std::string() : found->second.endpoint;
+  return addresses_.EndpointOf(replica_id);
 }
 
 std::string RaftCore::LeaderEndpoint() const {
@@ -86,17 +84,18 @@
   message.set_from(replica_id());
   message.set_to(to);
   message.set_term(term());
-  message.set_from_endpoint(endpoint_);
+  message.set_from_endpoint(addresses_.self_endpoint());
   message.set_from_boot_count(boot_count());
   return message;
 }
 
 void RaftCore::RecordEndpoint(const RaftMessage& message) {
   if (message.from() == 0 || message.from() == replica_id()) return;
-  if (message.from_endpoint().empty() || message.from_endpoint() == endpoint_) return;
-  const auto known = addresses_.find(message.from());
-  if (known != addresses_.end() && message.from_boot_count() < known->second.boot_count) return;
-  SetAddress(message.from(), {message.from_endpoint(), message.from_boot_count()});
+  const std::string& endpoint = message.from_endpoint();
+  if (endpoint.empty() || endpoint == addresses_.self_endpoint()) return;
+  const ReplicaAddress* known = addresses_.Find(message.from());
+  if (known != nullptr && message.from_boot_count() < known->boot_count) return;
+  addresses_.Set(message.from(), {endpoint, message.from_boot_count()});
 }
 
 void RaftCore::Send(RaftMessage message) {
--- a/src/posthatch/consensus/raft_core.h
+++ b/src/posthatch/consensus/raft_core.h
@@ -12,6 +12,7 @@
 
 #include "absl/status/status.h"
 #include "absl/status/statusor.h"
+#include "posthatch/consensus/address_book.h"
 #include "posthatch/consensus/consensus.pb.h"
 #include "posthatch/consensus/memory_log.h"
 #include "posthatch/consensus/raft_types.h"
@@ -96,10 +97,6 @@
 
  private:
   enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
-  struct Address {
-    std::string endpoint;
-    uint64_t boot_count = 0;
-  };
   struct Staged {  // handed out for persisting, not yet durable
     uint64_t persist_id;
     uint64_t last_index;
@@ -197,7 +194,6 @@
   bool DropExcessVoter(runtime::MonotonicTime now);
   bool RemoveUnresponsiveLearner(runtime::MonotonicTime now);
   bool RefreshEndpoints(runtime::MonotonicTime now);
-  void SetAddress(uint64_t replica_id, Address address);
   bool IsLive(const Member& member, runtime::MonotonicTime now) const;
   bool IsPresumedLost(const Member& member, runtime::MonotonicTime now) const;
   // No message came from it for the longest election timeout.
@@ -210,7 +206,6 @@
 
   const RaftOptions options_;
   runtime::Random* const random_;
-  const std::string endpoint_;
 
   // Durable (through Ready).
   storage::HardState hard_state_;
@@ -226,7 +221,7 @@
 
   // Configurations that may still matter, rising by index; the last is in force.
   std::vector<ConfigurationEntry> configurations_;
-  std::map<uint64_t, Address> addresses_;
+  AddressBook addresses_;
   uint64_t joining_cluster_id_ = 0;  // of a fresh replica: the first cluster that wrote to it
 
   Role role_ = Role::kFollower;
@@ -260,9 +255,7 @@
   std::deque<PendingRead> reads_;
   uint64_t transfer_target_ = 0;
   runtime::MonotonicTime transfer_deadline_;
-  std::map<uint64_t, Address> pending_joins_;
-  // Which replica speaks from the endpoint of another one, by the other one's id.
-  std::map<uint64_t, uint64_t> successors_;
+  std::map<uint64_t, ReplicaAddress> pending_joins_;
   // Voters that were silent when a replica with a place of its own was promoted
   // (DropReplacedVoter).
   std::set<uint64_t> replaced_while_unresponsive_;
--- a/src/posthatch/consensus/raft_membership.cc
+++ b/src/posthatch/consensus/raft_membership.cc
@@ -14,25 +14,13 @@
   configurations_.push_back({index, configuration});
   for (const Member& member : configuration.members()) {
     if (member.replica_id() == replica_id()) continue;
-    const auto found = addresses_.find(member.replica_id());
-    if (found == addresses_.end() || found->second.boot_count < member.boot_count()) {
-      SetAddress(member.replica_id(), {member.endpoint(), member.boot_count()});
+    const ReplicaAddress* known = addresses_.Find(member.replica_id());
+    if (known == nullptr || known->boot_count < member.boot_count()) {
+      addresses_.Set(member.replica_id(), {member.endpoint(), member.boot_count()});
     }
   }
 }
 
-// One replica lives at an endpoint: whoever was there before has moved or has lost its disk.
-// Members that were added later stand later in the configuration.
-void RaftCore::SetAddress(uint64_t replica_id, Address address) {
-  if (address.endpoint == endpoint_) address.endpoint.clear();
-  for (auto& [id, other] : addresses_) {
-    if (id == replica_id || other.endpoint.empty() || other.endpoint != address.endpoint) continue;
-    other.endpoint.clear();
-    successors_[id] = replica_id;
-  }
-  addresses_[replica_id] = std::move(address);
-}
-
 // Brings the progress table in line with the configuration in force.
 void RaftCore::RefreshProgress(MonotonicTime now) {
   for (const Member& member : configuration().members()) {
@@ -89,9 +77,9 @@
 }
 
 bool RaftCore::HasSuccessor(const Member& member) const {
-  const auto successor = successors_.find(member.replica_id());
-  return successor != successors_.end() && EndpointOf(member.replica_id()).empty() &&
-         IsVoter(configuration(), successor->second);
+  const uint64_t successor = addresses_.SuccessorOf(member.replica_id());
+  return successor != 0 && EndpointOf(member.replica_id()).empty() &&
+         IsVoter(configuration(), successor);
 }
 
 uint64_t RaftCore::LongestUnresponsiveVoter(MonotonicTime now) const {
@@ -188,9 +176,7 @@
   if (candidate == nullptr || !wanted || !will_commit) return false;
   Member promoted = *candidate;
   promoted.set_voter(true);
-  const bool takes_over_endpoint =
-      std::any_of(successors_.begin(), successors_.end(),
-                  [&](const auto& entry) { return entry.second == promoted.replica_id(); });
+  const bool takes_over_endpoint = addresses_.IsSuccessor(promoted.replica_id());
   const uint64_t unresponsive = takes_over_endpoint ? 0 : LongestUnresponsiveVoter(now);
   if (unresponsive != 0) replaced_while_unresponsive_.insert(unresponsive);
   ProposeConfiguration(WithMember(configuration(), promoted), now);
@@ -235,11 +221,14 @@
   ClusterConfiguration refreshed = configuration();
   bool changed = false;
   for (Member& member : *refreshed.mutable_members()) {
-    Address known{endpoint_, boot_count()};
-    if (member.replica_id() != replica_id()) known = addresses_[member.replica_id()];
-    if (known.endpoint.empty() || known.endpoint == member.endpoint()) continue;
-    member.set_endpoint(known.endpoint);
-    member.set_boot_count(known.boot_count);
+    const ReplicaAddress self{addresses_.self_endpoint(), boot_count()};
+    const ReplicaAddress* known =
+        member.replica_id() == replica_id() ? &self : addresses_.Find(member.replica_id());
+    if (known == nullptr || known->endpoint.empty() || known->endpoint == member.endpoint()) {
+      continue;
+    }
+    member.set_endpoint(known->endpoint);
+    member.set_boot_count(known->boot_count);
     changed = true;
   }
   if (changed) ProposeConfiguration(refreshed, now);
