--- a/src/posthatch/membership/record_merger.cc
+++ b/src/posthatch/membership/record_merger.cc
@@ -1,8 +1,5 @@
 #include "posthatch/membership/record_merger.h"
 
-#include <algorithm>
-#include <cmath>
-
 #include "posthatch/membership/member_record.h"
 
 namespace posthatch::membership {
@@ -22,7 +19,8 @@
       suspicions_(suspicions),
       queue_(queue),
       metrics_(metrics),
-      owner_(owner) {}
+      owner_(owner),
+      flap_damper_(runtime->clock, options) {}
 
 void RecordMerger::Join(const Member& self) {
   self_ = table_->Upsert(self, 1, runtime_->clock->Now());
@@ -113,7 +111,7 @@
   if (new_incarnation && !record.has_details()) return;
   const bool was_live = entry->live();
   const bool changed = new_incarnation || entry->member.state != MemberState::kAlive;
-  if (new_incarnation && was_live) CountFlap(entry);
+  if (new_incarnation && was_live) flap_damper_.CountFlap(entry);
   if (record.has_details()) {
     table_->Upsert(MakeMember(record), record.version(), runtime_->clock->Now());
   } else {
@@ -155,12 +153,10 @@
   }
   const bool was_live = entry->live();
   if (was_live && record.state() == RECORD_DEAD) {
-    CountFlap(entry);
+    flap_damper_.CountFlap(entry);
     metrics_->deaths.Increment();
   }
-  const bool was_damped = entry->damped;
-  if (was_damped) --damped_count_;
-  entry->damped = false;
+  const bool was_damped = flap_damper_.Release(entry);
   suspicions_->Remove(record.node_id());
   if (known_incarnation) {
     table_->SetState(entry, record.version(), FromRecordState(record.state()),
@@ -192,26 +188,8 @@
   Apply(MakeRecord(member, entry->version, false), Dissemination::kRebroadcast);
 }
 
-double RecordMerger::FlapsNow(const MemberEntry& entry) const {
-  const auto age = static_cast<double>((runtime_->clock->Now() - entry.flaps_updated_at).count());
-  return entry.flaps * std::exp2(-age / static_cast<double>(options_->flap_half_life.count()));
-}
-
-void RecordMerger::CountFlap(MemberEntry* entry) {
-  entry->flaps = FlapsNow(*entry) + 1;
-  entry->flaps_updated_at = runtime_->clock->Now();
-}
-
 void RecordMerger::DampIfFlapping(MemberEntry* entry) {
-  const double excess = FlapsNow(*entry) - options_->flap_limit;
-  if (excess < 0) return;
-  const auto damping = std::min(
-      static_cast<double>(options_->flap_max_damping_period.count()),
-      static_cast<double>(options_->flap_damping_period.count()) * std::exp2(std::floor(excess)));
-  entry->damped_until = runtime_->clock->Now() + runtime::Duration(static_cast<int64_t>(damping));
-  if (entry->damped) return;
-  entry->damped = true;
-  ++damped_count_;
+  if (!flap_damper_.DampIfFlapping(entry)) return;
   metrics_->damped.Increment();
   Member reported = entry->member;
   reported.state = MemberState::kDead;
@@ -219,12 +197,11 @@
 }
 
 void RecordMerger::ReleaseDamped() {
-  if (damped_count_ == 0) return;
+  if (flap_damper_.damped_count() == 0) return;
   for (const auto& [node_id, known] : table_->entries()) {
     MemberEntry* entry = table_->Find(node_id);
-    if (!entry->damped || entry->damped_until > runtime_->clock->Now()) continue;
-    entry->damped = false;
-    --damped_count_;
+    if (!flap_damper_.IsReleasable(*entry)) continue;
+    flap_damper_.Release(entry);
     Report(*entry);
   }
 }
--- a/src/posthatch/membership/record_merger.h
+++ b/src/posthatch/membership/record_merger.h
@@ -4,6 +4,7 @@
 #include <string>
 
 #include "posthatch/membership/broadcast_queue.h"
+#include "posthatch/membership/flap_damper.h"
 #include "posthatch/membership/gossip_metrics.h"
 #include "posthatch/membership/gossip_options.h"
 #include "posthatch/membership/member_table.h"
@@ -64,8 +65,6 @@
   void ConfirmSuspicion(const MemberRecord& record, Dissemination dissemination);
   void Broadcast(const MemberRecord& record);
   void Disseminate(const MemberRecord& record, Dissemination dissemination);
-  void CountFlap(MemberEntry* entry);
-  double FlapsNow(const MemberEntry& entry) const;
   void DampIfFlapping(MemberEntry* entry);
   void Report(const MemberEntry& entry);
 
@@ -76,8 +75,8 @@
   BroadcastQueue* const queue_;
   GossipMetrics* const metrics_;
   Owner* const owner_;
+  FlapDamper flap_damper_;
   MemberEntry* self_ = nullptr;
-  size_t damped_count_ = 0;
   runtime::MonotonicTime next_override_{};
 };
 
