--- a/src/posthatch/membership/record_merger.h
+++ b/src/posthatch/membership/record_merger.h
@@ -4,6 +4,7 @@
 #include <string>
 
 #include "posthatch/membership/broadcast_queue.h"
+#include "posthatch/membership/flap_damper.h"
 #include "posthatch/membership/gossip_metrics.h"
 #include "posthatch/membership/gossip_options.h"
 #include "posthatch/membership/member_table.h"
@@ -13,6 +14,10 @@
 
 namespace posthatch::membership {
 
+// Whether an update that a record brings is passed on to others. Not if it came by a large pull:
+// the others have it, and queueing it would displace newer updates.
+enum class Dissemination { kRebroadcast, kLocalOnly };
+
 // Decides what a record changes: in the table, the suspicions, the updates passed on, and the view
 // reported to listeners, where flapping is damped. Owned by GossipMembership.
 class RecordMerger {
@@ -38,8 +43,8 @@
   // Tells the others that this process leaves.
   void Leave();
 
-  // Takes a record in. News is passed on if `rebroadcast`.
-  void Apply(const MemberRecord& record, bool rebroadcast);
+  // Applies a record received from another process, or made by this one about another.
+  void Apply(const MemberRecord& record, Dissemination dissemination);
   // This process's own finding: starts or confirms a suspicion.
   void Suspect(MemberEntry* entry);
   // A suspicion's time has run out.
@@ -53,14 +58,13 @@
  private:
   void ApplyToSelf(const MemberRecord& record);
   bool MayOverrideNow(const MemberRecord& record);
-  void AddNew(const MemberRecord& record, bool rebroadcast);
-  void ApplyAlive(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
-  void ApplySuspect(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
-  void ApplyDeadOrLeft(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
-  void ConfirmSuspicion(const MemberRecord& record, bool rebroadcast);
-  void EnqueueBroadcast(const MemberRecord& record, bool rebroadcast);
-  void CountFlap(MemberEntry* entry);
-  double FlapsNow(const MemberEntry& entry) const;
+  void AddNew(const MemberRecord& record, Dissemination dissemination);
+  void ApplyAlive(MemberEntry* entry, const MemberRecord& record, Dissemination dissemination);
+  void ApplySuspect(MemberEntry* entry, const MemberRecord& record, Dissemination dissemination);
+  void ApplyDeadOrLeft(MemberEntry* entry, const MemberRecord& record, Dissemination dissemination);
+  void ConfirmSuspicion(const MemberRecord& record, Dissemination dissemination);
+  void Broadcast(const MemberRecord& record);
+  void Disseminate(const MemberRecord& record, Dissemination dissemination);
   void DampIfFlapping(MemberEntry* entry);
   void Report(const MemberEntry& entry);
 
@@ -71,8 +75,8 @@
   BroadcastQueue* const queue_;
   GossipMetrics* const metrics_;
   Owner* const owner_;
+  FlapDamper flap_damper_;
   MemberEntry* self_ = nullptr;
-  size_t damped_count_ = 0;
   runtime::MonotonicTime next_override_{};
 };
 
