--- a/src/posthatch/compatibility/stored_data-test.cc
+++ b/src/posthatch/compatibility/stored_data-test.cc
@@ -38,9 +38,9 @@
   Command command;
   control::SetInventory* reading = command.mutable_set_inventory();
   reading->set_base_version(1);
-  reading->mutable_change()->set_version(2);
-  reading->mutable_change()->add_removed("w2");
-  control::Backend* backend = reading->mutable_change()->add_changed();
+  reading->mutable_delta()->set_version(2);
+  reading->mutable_delta()->add_removed("w2");
+  control::Backend* backend = reading->mutable_delta()->add_changed();
   backend->set_id("w0");
   backend->set_kind(control::BACKEND_KIND_WORKER);
   backend->set_endpoint("127.0.0.1:2");
@@ -80,7 +80,7 @@
 
 // Every kind of replicated command, each of them accepted.
 std::vector<Command> EveryCommand() {
-  return {control::WholeChange("c1", 0, control::SmallConfiguration()),
+  return {control::FullChange("c1", 0, control::SmallConfiguration()),
           control::PatchChange("c2", 1, "gamma", 4),
           control::EvacuationChange("e1", "rack-9", "z1", /*lifted=*/false),
           control::RevisionChange("m1", "m"),
--- a/src/posthatch/control/state/fleet_sections.cc
+++ b/src/posthatch/control/state/fleet_sections.cc
@@ -1,9 +1,6 @@
 #include "posthatch/control/state/fleet_sections.h"
 
 #include <algorithm>
-#include <utility>
-
-#include "posthatch/control/state/configuration_patch.h"
 
 namespace posthatch::control {
 namespace {
@@ -125,35 +122,27 @@
   return *std::max_element(indices.begin(), indices.end());
 }
 
-void CopyNewerSections(const FleetState& state, const SectionIndices& known, FleetState* changed,
+void CopyNewerSections(const FleetState& state, const SectionIndices& acked_versions,
+                       FleetState* changed,
                        google::protobuf::RepeatedPtrField<std::string>* names) {
   for (size_t i = 0; i < kSectionCount; ++i) {
-    if (IndexOf(state, kSections[i]) <= known[i]) continue;
+    if (IndexOf(state, kSections[i]) <= acked_versions[i]) continue;
     CopySection(state, kSections[i], changed);
     names->Add(std::string(SectionName(kSections[i])));
   }
 }
 
-void EncodeConfigurationDelta(const ConfigurationHistory& history, uint64_t acked_index,
-                              FleetState* changed) {
-  if (acked_index == 0 || !changed->has_configuration()) return;
-  const ConfigurationVersion* known = history.FindByLogIndex(acked_index);
-  if (known == nullptr) return;
-  ConfigurationPatch patch = MakePatch(known->configuration(), changed->configuration());
-  if (patch.ByteSizeLong() >= changed->configuration().ByteSizeLong()) return;
-  changed->clear_configuration();
-  *changed->mutable_configuration_patch() = std::move(patch);
-  changed->set_patch_base_index(acked_index);
-}
-
-bool ApplyConfigurationDelta(const FleetState& state, FleetState* changed) {
-  if (changed->patch_base_index() == 0) return true;
-  if (changed->configuration_index() <= state.configuration_index()) return true;  // not newer
-  if (changed->patch_base_index() != state.configuration_index()) return false;
-  std::vector<std::string> errors;
-  *changed->mutable_configuration() =
-      ApplyPatch(state.configuration(), changed->configuration_patch(), &errors);
-  return errors.empty();
+bool ApplyNewerSections(const FleetState& changed,
+                        const google::protobuf::RepeatedPtrField<std::string>& names,
+                        FleetState* state) {
+  bool any_newer = false;
+  for (const Section section : kSections) {
+    const bool named = std::find(names.begin(), names.end(), SectionName(section)) != names.end();
+    if (!named || IndexOf(changed, section) <= IndexOf(*state, section)) continue;
+    CopySection(changed, section, state);
+    any_newer = true;
+  }
+  return any_newer;
 }
 
 const WorkerLease* FindLease(const FleetState& state, std::string_view worker_id) {
@@ -170,17 +159,4 @@
   return backend == inventory.backends().end() || backend->id() != id ? nullptr : &*backend;
 }
 
-bool ApplyNewerSections(const FleetState& changed,
-                        const google::protobuf::RepeatedPtrField<std::string>& names,
-                        FleetState* state) {
-  bool any = false;
-  for (const Section section : kSections) {
-    const bool named = std::find(names.begin(), names.end(), SectionName(section)) != names.end();
-    if (!named || IndexOf(changed, section) <= IndexOf(*state, section)) continue;
-    CopySection(changed, section, state);
-    any = true;
-  }
-  return any;
-}
-
 }  // namespace posthatch::control
--- a/src/posthatch/routing/traffic_gateway.h
+++ b/src/posthatch/routing/traffic_gateway.h
@@ -45,11 +45,11 @@
 // and relays (docs/design-docs/platform.md). Goes on serving with the last configuration when no
 // controller can be reached. Owned by the process; everything given to the constructor outlives it.
 // Event loop thread only.
-class TrafficGateway {
+class TrafficGateway : private control::InventoryWatchHost {
  public:
   TrafficGateway(runtime::Runtime* runtime, TrafficGatewayOptions options, control::FleetView* view,
                  index::PrefixLocator* locator, const invalidation::ObjectTrust* trust);
-  ~TrafficGateway();
+  ~TrafficGateway() override;
   TrafficGateway(const TrafficGateway&) = delete;
   TrafficGateway& operator=(const TrafficGateway&) = delete;
 
@@ -62,8 +62,14 @@
 
  private:
   LoadReporterOptions MakeLoadReporterOptions() const;
-  control::InventoryWatchOptions MakeInventoryWatchOptions();
-  std::vector<control::ZonePeer> ZonePeers() const;
+  control::InventoryWatchOptions MakeInventoryWatchOptions() const;
+  // control::InventoryWatchHost. Without a configuration nothing is served, and the first grant
+  // brings the inventory along.
+  uint32_t LiveGateways() override { return live_gateways_.Get(); }
+  std::vector<control::ZonePeer> ZonePeers() const override;
+  bool NeedsInventory() const override { return configuration_ != nullptr; }
+  void OnLocalSnapshotChange() override { UpdatePool(); }
+  void OnInventoryRead(control::InventoryReadResult result) override;
   StoreHealthChecker::Parts StoreHealthCheckerParts();
   RetryBudgetOptions MakeRetryBudgetOptions();
   void OnStateChanged();
