--- a/src/posthatch/gateway/delivery_request.cc
+++ b/src/posthatch/gateway/delivery_request.cc
@@ -172,7 +172,7 @@
 void DeliveryRequest::OnResponseComplete(http::Response response) {
   deadline_timer_.Cancel();
   if (GuaranteesNotExecuted(response)) {
-    context_->backends->OnRefused(attempt_->backend(), 0, response.status);
+    context_->backends->health()->OnRefused(attempt_->backend(), 0, response.status);
     CloseNotExecuted({ErrorCode::kNoCapacity, "the back end refused the operation before it ran",
                       Executed::kNo, 1});
     return;
@@ -180,13 +180,13 @@
   const bool valid =
       response.status != 200 || CheckServiceBody(response.body, call_.request_id, operation_).ok();
   if (!valid || response.body.size() > kMaxStoredBodyBytes) {
-    context_->backends->OnFailure(attempt_->backend());
+    context_->backends->health()->OnFailure(attempt_->backend());
     context_->metrics->attempt_failures.Increment("bad_answer");
     CloseUnknown(
         {ErrorCode::kBackendFailed, "the back end's answer was broken", Executed::kUnknown});
     return;
   }
-  context_->backends->OnSuccess(attempt_->backend());
+  context_->backends->health()->OnSuccess(attempt_->backend());
   control::DeliveryOutcome outcome;
   outcome.set_kind(control::DeliveryOutcome::RESPONDED);
   outcome.set_status(static_cast<uint32_t>(response.status));
--- a/src/posthatch/gateway/inference_request.cc
+++ b/src/posthatch/gateway/inference_request.cc
@@ -98,7 +98,7 @@
   // From here on silence is bounded, not the whole length.
   deadline_timer()->Cancel();
   ObserveFirstByte();
-  context()->backends->OnSuccess(attempt()->backend());
+  context()->backends->health()->OnSuccess(attempt()->backend());
   MeasureFirstChunk();
   RecordPrefixCached(stream_headers_);
 }
@@ -111,7 +111,8 @@
   BackendEntry* const worker = attempt()->backend();
   if (decision_.fetch_endpoint.empty()) {
     const double explained = static_cast<double>(prefilled) * context()->links->PrefillCost();
-    context()->backends->OnWaitMeasured(worker, runtime::ToMilliseconds(elapsed) - explained);
+    context()->backends->load()->OnWaitMeasured(worker,
+                                                runtime::ToMilliseconds(elapsed) - explained);
     context()->links->RecordPrefill(prefilled, elapsed);
     return;
   }
@@ -143,7 +144,7 @@
 void InferenceRequest::OnStreamEnd() {
   if (absl::Status status = relay_->Finish(); !status.ok()) {
     // The attempt itself has ended and can't fail any more.
-    context()->backends->OnFailure(attempt()->backend());
+    context()->backends->health()->OnFailure(attempt()->backend());
     OnAttemptFailed({AttemptFailure::Cause::kTruncated, status.ToString()});
     return;
   }
@@ -157,7 +158,8 @@
 void InferenceRequest::OnAttemptFailed(AttemptFailure failure) {
   stall_timer_.Cancel();
   if (failure.cause == AttemptFailure::Cause::kRefused) {
-    context()->backends->OnRefused(attempt()->backend(), seed_.model_revision, failure.status);
+    context()->backends->health()->OnRefused(attempt()->backend(), seed_.model_revision,
+                                             failure.status);
   }
   RetryableRequest::OnAttemptFailed(std::move(failure));
 }
--- a/src/posthatch/gateway/retryable_request.cc
+++ b/src/posthatch/gateway/retryable_request.cc
@@ -97,11 +97,11 @@
   if (response.status >= 500)
     status = absl::UnavailableError("the back end answered with an error");
   if (!status.ok()) {
-    context_->backends->OnFailure(attempt_->backend());
+    context_->backends->health()->OnFailure(attempt_->backend());
     OnAttemptFailed({AttemptFailure::Cause::kInvalidResponse, status.ToString()});
     return;
   }
-  context_->backends->OnSuccess(attempt_->backend());
+  context_->backends->health()->OnSuccess(attempt_->backend());
   if (response.status == 200) OnValidResponse(response);
   ObserveFirstByte();
   call_.writer->SendResponse(MakeCallerResponse(call_, std::move(response)));
--- a/src/posthatch/gateway/service_request.cc
+++ b/src/posthatch/gateway/service_request.cc
@@ -21,7 +21,7 @@
 
 void ServiceRequest::OnAttemptFailed(AttemptFailure failure) {
   if (failure.cause == AttemptFailure::Cause::kRefused) {
-    context()->backends->OnRefused(attempt()->backend(), 0, failure.status);
+    context()->backends->health()->OnRefused(attempt()->backend(), 0, failure.status);
   }
   RetryableRequest::OnAttemptFailed(std::move(failure));
 }
--- a/src/posthatch/gateway/upstream_attempt.cc
+++ b/src/posthatch/gateway/upstream_attempt.cc
@@ -51,7 +51,7 @@
   started_ = runtime_->clock->Now();
   head_completed_ = false;
   ended_ = false;
-  directory_->OnDispatched(plan_.backend.get(), plan_.pending_blocks);
+  directory_->load()->OnDispatched(plan_.backend.get(), plan_.pending_blocks);
   http::CallObserver observer;
   observer.on_head = [this](const http::Response& head) { OnResponseHead(head); };
   observer.on_chunk = [this](std::string chunk) { OnChunk(std::move(chunk)); };
@@ -71,13 +71,13 @@
 
 void UpstreamAttempt::CompleteHead() {
   if (std::exchange(head_completed_, true)) return;
-  directory_->OnResponseHead(plan_.backend.get(), plan_.pending_blocks);
+  directory_->load()->OnResponseHead(plan_.backend.get(), plan_.pending_blocks);
 }
 
 void UpstreamAttempt::CompleteAttempt() {
   CompleteHead();
   if (std::exchange(ended_, true)) return;
-  directory_->OnEnded(plan_.backend.get());
+  directory_->load()->OnEnded(plan_.backend.get());
 }
 
 void UpstreamAttempt::OnResponseHead(const http::Response& head) {
@@ -87,7 +87,8 @@
     return;
   }
   CompleteHead();
-  directory_->OnEpoch(plan_.backend.get(), NumberField(head.headers, header::kWorkerEpoch));
+  directory_->health()->OnEpoch(plan_.backend.get(),
+                                NumberField(head.headers, header::kWorkerEpoch));
   streaming_ = plan_.stream && head.status == 200;
   if (streaming_) {
     listener_->OnStreamHead(head);
@@ -125,7 +126,10 @@
 void UpstreamAttempt::Fail(AttemptFailure failure) {
   if (ended_) return;
   CompleteAttempt();
-  directory_->OnFailure(plan_.backend.get(), failure.cause == AttemptFailure::Cause::kNotSent);
+  directory_->health()->OnFailure(plan_.backend.get(),
+                                  failure.cause == AttemptFailure::Cause::kNotSent
+                                      ? FailureKind::kUnreachable
+                                      : FailureKind::kFailed);
   listener_->OnAttemptFailed(std::move(failure));
 }
 
--- a/src/posthatch/gateway/worker_router.cc
+++ b/src/posthatch/gateway/worker_router.cc
@@ -24,15 +24,16 @@
 
 double WorkerRouter::RelativeLoad(const BackendEntry& entry) const {
   const double unresponsive_seconds =
-      std::chrono::duration<double>(directory_->UnresponsiveTime(entry)).count();
-  return (entry.in_flight + 1.0) / directory_->Limit(entry) * (1.0 + unresponsive_seconds);
+      std::chrono::duration<double>(directory_->load()->UnresponsiveTime(entry)).count();
+  return (entry.in_flight + 1.0) / directory_->health()->Limit(entry) *
+         (1.0 + unresponsive_seconds);
 }
 
 BackendPointer WorkerRouter::NextRoundRobin(BackendPool* pool, uint64_t revision,
                                             const std::vector<std::string>& attempted_backends) {
   for (size_t step = 0; step < pool->all.size(); ++step) {
     const BackendPointer& entry = pool->all[pool->round_robin_next++ % pool->all.size()];
-    if (!directory_->Eligible(*entry, revision) ||
+    if (!directory_->health()->Eligible(*entry, revision) ||
         Contains(attempted_backends, entry->backend.id()))
       continue;
     return entry;
@@ -48,8 +49,8 @@
   for (int draw = 0; draw < kMaxSamples; ++draw) {
     const BackendPointer& entry = from[runtime_->random->Uniform(from.size())];
     if (entry.get() == other || Contains(attempted_backends, entry->backend.id())) continue;
-    if (!directory_->Eligible(*entry, revision)) continue;
-    const double share = directory_->SlowStartShare(*entry);
+    if (!directory_->health()->Eligible(*entry, revision)) continue;
+    const double share = directory_->health()->SlowStartShare(*entry);
     if (share >= 1.0 || runtime_->random->Chance(share)) return entry;
   }
   return nullptr;
@@ -69,14 +70,15 @@
                                        const std::vector<std::string>& attempted_backends) {
   BackendPointer best;
   for (const BackendPointer& entry : pool.all) {
-    if (!directory_->Eligible(*entry, revision) ||
+    if (!directory_->health()->Eligible(*entry, revision) ||
         Contains(attempted_backends, entry->backend.id()))
       continue;
     if (best == nullptr || RelativeLoad(*entry) < RelativeLoad(*best)) best = entry;
   }
   if (best != nullptr) return best;
   for (const BackendPointer& entry : pool.all) {
-    if (!directory_->EligibleForTrial(*entry) || Contains(attempted_backends, entry->backend.id()))
+    if (!directory_->health()->EligibleForTrial(*entry) ||
+        Contains(attempted_backends, entry->backend.id()))
       continue;
     if (best == nullptr || entry->ejected_until < best->ejected_until) best = entry;
   }
@@ -116,19 +118,19 @@
   double cost =
       static_cast<double>(entry.pending_blocks) * prefill +
       entry.in_flight * kRunningRequestCostMs +
-      runtime::ToMilliseconds(directory_->UnresponsiveTime(entry)) +
-      directory_->ExpectedWait(entry) +
+      runtime::ToMilliseconds(directory_->load()->UnresponsiveTime(entry)) +
+      directory_->load()->ExpectedWait(entry) +
       static_cast<double>(chain_length - std::min<size_t>(reachable, chain_length)) * prefill;
   if (candidate->source != nullptr) {
     cost += (reachable - candidate->cached_blocks) *
             links_->FetchCost(candidate->source->backend_id, entry.backend.id());
   }
-  candidate->cost = cost / directory_->SlowStartShare(entry);
+  candidate->cost = cost / directory_->health()->SlowStartShare(entry);
 }
 
 bool WorkerRouter::HasCapacity(const BackendEntry& entry, uint32_t priority) const {
   const double allowed =
-      std::ceil(AdmissionControl::AllowedShare(priority) * directory_->Limit(entry));
+      std::ceil(AdmissionControl::AllowedShare(priority) * directory_->health()->Limit(entry));
   return entry.in_flight + 1.0 <= allowed;
 }
 
@@ -140,7 +142,7 @@
     const BackendPointer entry = directory_->Find(holder.backend_id);
     if (entry == nullptr || entry->backend.kind() != control::BACKEND_KIND_WORKER) continue;
     if (entry->backend.model() != *query.model) continue;
-    if (!directory_->Eligible(*entry, query.seed->model_revision)) continue;
+    if (!directory_->health()->Eligible(*entry, query.seed->model_revision)) continue;
     if (!HasCapacity(*entry, query.priority) ||
         Contains(*query.attempted_backends, holder.backend_id))
       continue;
