--- a/src/posthatch/net/asio_runtime.cc
+++ b/src/posthatch/net/asio_runtime.cc
@@ -25,6 +25,29 @@
   return (static_cast<uint64_t>(device()) << 32) | device();
 }
 
+// Runs a callback at each of some signals, on the event loop thread, until it is destroyed.
+class SignalWatch {
+ public:
+  template <typename... Signals>
+  SignalWatch(boost::asio::io_context* io_context, std::function<void()> callback,
+              Signals... signals)
+      : signals_(*io_context, signals...), callback_(std::move(callback)) {
+    Wait();
+  }
+
+ private:
+  void Wait() {
+    signals_.async_wait([this](const boost::system::error_code& error, int) {
+      if (error) return;
+      callback_();
+      Wait();
+    });
+  }
+
+  boost::asio::signal_set signals_;
+  const std::function<void()> callback_;
+};
+
 class AsioRuntimeImpl : public AsioRuntime {
  public:
   explicit AsioRuntimeImpl(std::unique_ptr<JsonTraceSink> trace)
@@ -97,15 +120,11 @@
   }
 
   void OnTerminationSignal(std::function<void()> callback) override {
-    signals_.emplace(io_context_, SIGTERM, SIGINT);
-    on_signal_ = std::move(callback);
-    WaitSignal();
+    termination_watch_.emplace(&io_context_, std::move(callback), SIGTERM, SIGINT);
   }
 
   void OnReloadSignal(std::function<void()> callback) override {
-    reload_signals_.emplace(io_context_, SIGHUP);
-    on_reload_ = std::move(callback);
-    WaitReloadSignal();
+    reload_watch_.emplace(&io_context_, std::move(callback), SIGHUP);
   }
 
  private:
@@ -121,22 +140,6 @@
     runtime_.metrics = &metrics_;
   }
 
-  void WaitSignal() {
-    signals_->async_wait([this](const boost::system::error_code& error, int) {
-      if (error) return;
-      on_signal_();
-      WaitSignal();
-    });
-  }
-
-  void WaitReloadSignal() {
-    reload_signals_->async_wait([this](const boost::system::error_code& error, int) {
-      if (error) return;
-      on_reload_();
-      WaitReloadSignal();
-    });
-  }
-
   // In this order: the event loop outlives what hangs on it.
   const std::unique_ptr<JsonTraceSink> trace_;
   prometheus::Registry metrics_;
@@ -147,10 +150,8 @@
   AsioClock clock_;
   AsioTimerService timers_;
   runtime::Random random_;
-  std::optional<boost::asio::signal_set> signals_;
-  std::function<void()> on_signal_;
-  std::optional<boost::asio::signal_set> reload_signals_;
-  std::function<void()> on_reload_;
+  std::optional<SignalWatch> termination_watch_;
+  std::optional<SignalWatch> reload_watch_;
   std::unique_ptr<http::HttpClient> http_client_;
   std::unique_ptr<http::HttpServerFactory> http_servers_;
   std::unique_ptr<runtime::FileSystem> file_system_;
--- a/src/posthatch/net/beast_http_client.cc
+++ b/src/posthatch/net/beast_http_client.cc
@@ -2,19 +2,16 @@
 
 #include <algorithm>
 #include <utility>
-#include <vector>
 
-#include "absl/container/flat_hash_map.h"
 #include "posthatch/net/endpoint.h"
 #include "posthatch/net/http_client_connection.h"
+#include "posthatch/net/idle_connection_pool.h"
 #include "prometheus/counter.h"
 #include "prometheus/gauge.h"
 
 namespace posthatch::net {
 namespace {
 
-class BeastHttpClient;
-
 // Handle of a running call.
 class BeastCall : public http::Call {
  public:
@@ -50,12 +47,11 @@
   return CheckHeaders(request.headers);
 }
 
-class BeastHttpClient : public http::HttpClient, public HttpConnectionPool {
+class BeastHttpClient : public http::HttpClient {
  public:
   BeastHttpClient(IoEnvironment* environment, const HttpClientOptions& options,
                   prometheus::Registry* metrics)
       : environment_(environment),
-        options_(options),
         calls_(prometheus::BuildCounter()
                    .Name("posthatch_http_client_calls_total")
                    .Help("HTTP calls started, by whether they went out on a new or kept connection")
@@ -66,13 +62,8 @@
                   .Name("posthatch_http_client_idle_connections")
                   .Help("Kept connections that wait for a call")
                   .Register(*metrics)
-                  .Add({})) {}
-
-  ~BeastHttpClient() override {
-    for (auto& [endpoint, connections] : pools_) {
-      for (const auto& connection : connections) connection->CloseIdle();
-    }
-  }
+                  .Add({})),
+        pool_(options, &idle_) {}
 
   std::unique_ptr<http::Call> Start(const std::string& endpoint, http::Request request,
                                     http::CallOptions options,
@@ -82,11 +73,11 @@
     if (status.ok()) status = CheckRequest(request);
     std::shared_ptr<HttpClientConnection> connection;
     if (status.ok() && !options.fresh_connection) {
-      connection = TakeIdle(endpoint, options.max_idle_fraction);
+      connection = pool_.Take(endpoint, options.max_idle_fraction);
     }
     (connection == nullptr ? calls_new_ : calls_pooled_).Increment();
     if (connection == nullptr) {
-      connection = std::make_shared<HttpClientConnection>(environment_, endpoint, this);
+      connection = std::make_shared<HttpClientConnection>(environment_, endpoint, &pool_);
     }
     const uint64_t call = ++last_call_;
     if (status.ok()) {
@@ -97,61 +88,18 @@
     return std::make_unique<BeastCall>(std::move(connection), call);
   }
 
-  bool HasPooledConnection(const std::string& endpoint, double share) const override {
-    const auto pool = pools_.find(endpoint);
-    return pool != pools_.end() && !pool->second.empty() &&
-           pool->second.back()->IdleWithin(share, BootNow());
-  }
-
-  bool ReturnToPool(const std::shared_ptr<HttpClientConnection>& connection) override {
-    auto& connections = pools_[connection->endpoint()];
-    if (connections.size() >= options_.max_idle_per_endpoint) return false;
-    const runtime::Duration keep_alive_timeout = connection->keep_alive_timeout();
-    const runtime::Duration idle_lifetime = keep_alive_timeout > runtime::Duration::zero()
-                                                ? keep_alive_timeout
-                                                : options_.default_keep_alive_timeout;
-    connection->MarkIdle(BootNow(), idle_lifetime);
-    connection->SetIdleDeadline(std::min(options_.idle_timeout, idle_lifetime));
-    connections.push_back(connection);
-    idle_.Increment();
-    return true;
-  }
-
-  void Forget(HttpClientConnection* connection) override {
-    const auto pool = pools_.find(connection->endpoint());
-    if (pool == pools_.end()) return;
-    auto& connections = pool->second;
-    const auto found =
-        std::find_if(connections.begin(), connections.end(),
-                     [connection](const auto& pooled) { return pooled.get() == connection; });
-    if (found == connections.end()) return;
-    idle_.Decrement();
-    connections.erase(found);
-    if (connections.empty()) pools_.erase(pool);
+  bool HasPooledConnection(const std::string& endpoint, double max_idle_fraction) const override {
+    return pool_.Has(endpoint, max_idle_fraction);
   }
 
  private:
-  // The connection used last, so that superfluous ones run into their idle timeout.
-  std::shared_ptr<HttpClientConnection> TakeIdle(const std::string& endpoint, double share) {
-    const auto pool = pools_.find(endpoint);
-    if (pool == pools_.end() || pool->second.empty()) return nullptr;
-    // The others have been idle for longer.
-    if (!pool->second.back()->IdleWithin(share, BootNow())) return nullptr;
-    std::shared_ptr<HttpClientConnection> connection = std::move(pool->second.back());
-    pool->second.pop_back();
-    if (pool->second.empty()) pools_.erase(pool);
-    idle_.Decrement();
-    return connection;
-  }
-
   IoEnvironment* const environment_;
-  const HttpClientOptions options_;
   prometheus::Family<prometheus::Counter>& calls_;
   prometheus::Counter& calls_new_;
   prometheus::Counter& calls_pooled_;
   prometheus::Gauge& idle_;
   uint64_t last_call_ = 0;
-  absl::flat_hash_map<std::string, std::vector<std::shared_ptr<HttpClientConnection>>> pools_;
+  IdleConnectionPool pool_;
 };
 
 }  // namespace
--- /dev/null
+++ b/src/posthatch/net/idle_connection_pool.h
@@ -0,0 +1,42 @@
+#pragma once
+
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "absl/container/flat_hash_map.h"
+#include "posthatch/net/beast_http_client.h"
+#include "posthatch/net/http_client_connection.h"
+#include "prometheus/gauge.h"
+
+namespace posthatch::net {
+
+// The idle connections of an HTTP client, by endpoint. A connection stays for as long as its server
+// said that it keeps it, and at most `idle_timeout`. Owned by the client; closes its connections
+// when destroyed. Event loop thread only.
+class IdleConnectionPool final : public HttpConnectionPool {
+ public:
+  // `idle_connections` counts the connections and outlives the pool.
+  IdleConnectionPool(const HttpClientOptions& options, prometheus::Gauge* idle_connections)
+      : options_(options), idle_connections_(idle_connections) {}
+  ~IdleConnectionPool();
+  IdleConnectionPool(const IdleConnectionPool&) = delete;
+  IdleConnectionPool& operator=(const IdleConnectionPool&) = delete;
+
+  // The connection to `endpoint` that was used last, so that superfluous ones run into their idle
+  // timeout; null unless it has been idle for less than `max_idle_fraction` of the time that its
+  // server keeps it. The others have been idle for longer.
+  std::shared_ptr<HttpClientConnection> Take(const std::string& endpoint, double max_idle_fraction);
+  // Whether Take would return a connection.
+  bool Has(const std::string& endpoint, double max_idle_fraction) const;
+
+  bool ReturnToPool(const std::shared_ptr<HttpClientConnection>& connection) override;
+  void Forget(HttpClientConnection* connection) override;
+
+ private:
+  const HttpClientOptions options_;
+  prometheus::Gauge* const idle_connections_;
+  absl::flat_hash_map<std::string, std::vector<std::shared_ptr<HttpClientConnection>>> connections_;
+};
+
+}  // namespace posthatch::net
--- a/src/posthatch/net/tcp_stream.cc
+++ b/src/posthatch/net/tcp_stream.cc
@@ -20,10 +20,10 @@
 
 void CloseHealedSockets(IoEnvironment* environment) {
   std::erase_if(environment->partitioned_sockets, [environment](auto& entry) {
-    if (environment->faults->DropsTo(entry.first)) return false;
+    if (environment->faults->DropsTo(entry.remote_endpoint)) return false;
     // Asio's destructor would end a connection in order that was to be reset.
     boost::system::error_code ignored;
-    entry.second.close(ignored);
+    entry.socket.close(ignored);
     return true;
   });
 }
@@ -232,7 +232,7 @@
   if (reset_on_close_) socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
   if (connected_ && OutboundPartitioned()) {
     socket_.cancel(ignored);
-    environment_->partitioned_sockets.emplace_back(remote_endpoint_, std::move(socket_));
+    environment_->partitioned_sockets.push_back({remote_endpoint_, std::move(socket_)});
     return;
   }
   socket_.close(ignored);
--- a/src/posthatch/net/tcp_stream.h
+++ b/src/posthatch/net/tcp_stream.h
@@ -17,13 +17,18 @@
 
 namespace posthatch::net {
 
+// A socket that was closed while its peer was behind a partition: the peer must not see the end
+// before the partition heals.
+struct PartitionedSocket {
+  std::string remote_endpoint;
+  TcpSocket socket;
+};
+
 // What the streams of one event loop share. Owned by AsioRuntime.
 struct IoEnvironment {
   boost::asio::io_context* io_context = nullptr;
   FaultInjection* faults = nullptr;  // null unless the process was started for a rehearsal
-  // Sockets that were closed while their peer was cut off, with the peer's endpoint: the peer must
-  // not see the end before the cut heals.
-  std::vector<std::pair<std::string, TcpSocket>> partitioned_sockets;
+  std::vector<PartitionedSocket> partitioned_sockets;
   // Bytes are read into this and handed on at once, so an idle connection holds no buffer.
   std::string read_buffer = std::string(64UL * 1024, '\0');
 };
