--- a/src/posthatch/simulation/host_executor.cc
+++ b/src/posthatch/simulation/host_executor.cc
@@ -31,9 +31,9 @@
   frozen_ = false;
 }
 
-void HostExecutor::EndProcess(bool power_lost) {
+void HostExecutor::EndProcess(ProcessEnd end) {
   process_id_ = 0;
-  powered_ = !power_lost;
+  powered_ = end != ProcessEnd::kPowerLoss;
   frozen_ = false;
   waiting_datagrams_ = 0;
   deferred_timers_.clear();
--- a/src/posthatch/simulation/host_executor.h
+++ b/src/posthatch/simulation/host_executor.h
@@ -8,6 +8,12 @@
 
 namespace posthatch::simulation {
 
+// How a simulated process ends.
+enum class ProcessEnd {
+  kCrash,      // the operating system goes on
+  kPowerLoss,  // the whole machine is off
+};
+
 // Runs what happens to one simulated process, unless it is gone or frozen. Each start of the
 // process is a "life"; work scheduled for an earlier life is dropped. Owned by the host, and lives
 // as long as the world.
@@ -37,7 +43,7 @@
   void Run(uint64_t process_id, Work work, Callback callback);
 
   void StartProcess(uint64_t process_id);
-  void EndProcess(bool power_lost);
+  void EndProcess(ProcessEnd end);
   void Freeze() { frozen_ = running(); }
   // Whether timers or the network come first on waking is the caller's choice.
   void Thaw(bool timers_first);
--- a/src/posthatch/simulation/network.h
+++ b/src/posthatch/simulation/network.h
@@ -52,6 +52,16 @@
   SimHttpServer* FindServer(const std::string& endpoint) const;
 
  private:
+  // Who listens at an endpoint.
+  struct TransportBinding {
+    HostExecutor* host;
+    SimTransport* transport;
+  };
+  struct ServerBinding {
+    HostExecutor* host;
+    SimHttpServer* server;
+  };
+
   static uint64_t Key(uint32_t from, uint32_t to) {
     return (static_cast<uint64_t>(from) << 32) | to;
   }
@@ -61,8 +71,8 @@
   absl::flat_hash_set<uint64_t> partitions_;
   absl::flat_hash_map<uint64_t, runtime::Duration> slow_links_;
   absl::flat_hash_map<std::string, HostExecutor*> addresses_;
-  absl::flat_hash_map<std::string, std::pair<HostExecutor*, SimTransport*>> transports_;
-  absl::flat_hash_map<std::string, std::pair<HostExecutor*, SimHttpServer*>> servers_;
+  absl::flat_hash_map<std::string, TransportBinding> transports_;
+  absl::flat_hash_map<std::string, ServerBinding> servers_;
 };
 
 }  // namespace posthatch::simulation
--- a/src/posthatch/simulation/sim_host_impl.cc
+++ b/src/posthatch/simulation/sim_host_impl.cc
@@ -38,13 +38,13 @@
                 [this] { process_ = boot_(runtime_->runtime()); });
 }
 
-void SimHostImpl::End(bool power_lost) {
+void SimHostImpl::End(ProcessEnd end) {
   if (!running()) return;
   if (executor_.executing()) {
     core_->queue.ScheduleAfter(runtime::Duration(0),
-                               [this, process_id = executor_.process_id(), power_lost] {
+                               [this, process_id = executor_.process_id(), end] {
                                  if (executor_.process_id() != process_id) return;
-                                 if (power_lost) {
+                                 if (end == ProcessEnd::kPowerLoss) {
                                    PowerLoss();
                                  } else {
                                    Crash();
@@ -52,8 +52,8 @@
                                });
     return;
   }
-  MixProcessEvent(power_lost ? "power loss" : "crash");
-  executor_.EndProcess(power_lost);
+  MixProcessEvent(end == ProcessEnd::kPowerLoss ? "power loss" : "crash");
+  executor_.EndProcess(end);
   std::shared_ptr<void> process = std::move(process_);
   process_ = nullptr;
   process.reset();
@@ -62,7 +62,7 @@
 }
 
 void SimHostImpl::PowerLoss() {
-  End(true);
+  End(ProcessEnd::kPowerLoss);
   if (!running()) disk_.PowerLoss();
 }
 
--- a/src/posthatch/simulation/sim_host_impl.h
+++ b/src/posthatch/simulation/sim_host_impl.h
@@ -31,7 +31,7 @@
   bool running() const override { return executor_.running(); }
   runtime::Runtime* runtime() override;
 
-  void Crash() override { End(false); }
+  void Crash() override { End(ProcessEnd::kCrash); }
   void PowerLoss() override;
   void LoseDisk() override;
   void Freeze() override { executor_.Freeze(); }
@@ -44,7 +44,7 @@
   HostExecutor* executor() { return &executor_; }
 
  private:
-  void End(bool power_lost);
+  void End(ProcessEnd end);
   void MixProcessEvent(const char* what);
 
   WorldCore* const core_;
