--- a/src/posthatch/fleettest/node_plan.cc
+++ b/src/posthatch/fleettest/node_plan.cc
@@ -34,7 +34,7 @@
                                     const std::string& http_endpoint, bool round_robin) {
   server::GatewaySettings settings;
   settings.node = PlanNode(process, addresses, internal_endpoint, http_endpoint);
-  if (round_robin) settings.routing_mode = "round_robin";
+  if (round_robin) settings.routing_mode = gateway::RoutingMode::kRoundRobin;
   return settings;
 }
 
--- a/src/posthatch/fleettest/process_settings-test.cc
+++ b/src/posthatch/fleettest/process_settings-test.cc
@@ -17,7 +17,7 @@
   planned.node.http_endpoint = "127.0.0.1:8080";
   planned.node.seeds = {"127.0.0.1:7001"};
   planned.node.inventory_endpoint = "127.0.0.1:9000";
-  planned.routing_mode = "round_robin";
+  planned.routing_mode = gateway::RoutingMode::kRoundRobin;
   server::GatewaySettings loaded;
   const auto errors =
       server::LoadGatewaySettings({"gateway.toml", GatewayToml(planned), {}}, &loaded);
--- a/src/posthatch/fleettest/process_settings.cc
+++ b/src/posthatch/fleettest/process_settings.cc
@@ -35,7 +35,8 @@
 
 std::string GatewayToml(const server::GatewaySettings& settings) {
   return NodeToml(settings.node) +
-         fmt::format("\n[gateway]\nrouting_mode = {}\n", Quoted(settings.routing_mode));
+         fmt::format("\n[gateway]\nrouting_mode = {}\n",
+                     Quoted(std::string(gateway::RoutingModeName(settings.routing_mode))));
 }
 
 std::string ControllerToml(const server::ControllerSettings& settings,
--- a/src/posthatch/gateway/gateway_options.h
+++ b/src/posthatch/gateway/gateway_options.h
@@ -3,7 +3,9 @@
 #include <cstddef>
 #include <cstdint>
 #include <functional>
+#include <optional>
 #include <string>
+#include <string_view>
 
 namespace posthatch::gateway {
 
@@ -12,6 +14,19 @@
   kRoundRobin,   // the baseline that rehearsals compare with: ignores prefixes and load
 };
 
+// The name in the settings.
+inline std::string_view RoutingModeName(RoutingMode mode) {
+  return mode == RoutingMode::kRoundRobin ? "round_robin" : "prefix_aware";
+}
+
+// The reverse of RoutingModeName; nothing for any other text.
+inline std::optional<RoutingMode> ParseRoutingMode(std::string_view name) {
+  for (const RoutingMode mode : {RoutingMode::kPrefixAware, RoutingMode::kRoundRobin}) {
+    if (RoutingModeName(mode) == name) return mode;
+  }
+  return std::nullopt;
+}
+
 // What the process assembly gives a Gateway. Limits that operators change at run time are in
 // control.RoutingPolicy instead.
 struct GatewayOptions {
--- a/src/posthatch/server/command_line.cc
+++ b/src/posthatch/server/command_line.cc
@@ -32,7 +32,7 @@
     for (const SettingDescription& setting : SettingsTable()) {
       const auto flag = flags.find(setting.Key());
       if (flag == flags.end() || command->count(setting.Flag()) == 0) continue;
-      source.overrides.emplace_back(flag->first, flag->second);
+      source.overrides.push_back({flag->first, flag->second});
     }
     return source;
   }
--- a/src/posthatch/server/gateway_node.cc
+++ b/src/posthatch/server/gateway_node.cc
@@ -31,9 +31,7 @@
   options.gateway_id = settings.node.node_id;
   options.zone = settings.node.zone;
   options.inventory_endpoint = settings.node.inventory_endpoint;
-  options.routing_mode = settings.routing_mode == "round_robin"
-                             ? gateway::RoutingMode::kRoundRobin
-                             : gateway::RoutingMode::kPrefixAware;
+  options.routing_mode = settings.routing_mode;
   options.live_gateways = [membership] { return CountLiveGateways(*membership); };
   return options;
 }
--- a/src/posthatch/server/settings/node_settings.h
+++ b/src/posthatch/server/settings/node_settings.h
@@ -4,6 +4,7 @@
 #include <string>
 #include <vector>
 
+#include "posthatch/gateway/gateway_options.h"
 #include "posthatch/http/http.h"
 #include "posthatch/membership/membership.h"
 #include "posthatch/routing/routing_switches.h"
@@ -40,8 +41,7 @@
   runtime::Duration session_renew_interval = std::chrono::seconds(1);
   // Index entries in memory, in bytes.
   uint64_t index_budget_bytes = 64ull * 1024 * 1024;
-  // "prefix_aware", or "round_robin": ignores prefixes and load, the baseline of rehearsals.
-  std::string routing_mode = "prefix_aware";
+  gateway::RoutingMode routing_mode = gateway::RoutingMode::kPrefixAware;
   // Of routed traffic, for all gateways together; see docs/design-docs/platform.md.
   double retry_budget_ratio = 0.2;
   double retry_budget_slack = 20;
--- a/src/posthatch/server/settings/setting_description.h
+++ b/src/posthatch/server/settings/setting_description.h
@@ -36,8 +36,9 @@
   kMilliseconds,  // whole number of milliseconds
 };
 
-using SettingTarget = std::variant<std::string*, std::vector<std::string>*, uint32_t*, uint64_t*,
-                                   double*, bool*, runtime::Duration*, runtime::Severity*>;
+using SettingTarget =
+    std::variant<std::string*, std::vector<std::string>*, uint32_t*, uint64_t*, double*, bool*,
+                 runtime::Duration*, runtime::Severity*, gateway::RoutingMode*>;
 
 // Which processes have a setting.
 enum class SettingRoles { kBoth, kGateway, kController };
--- a/src/posthatch/server/settings/setting_value.cc
+++ b/src/posthatch/server/settings/setting_value.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <chrono>
+#include <optional>
 
 #include "absl/container/flat_hash_set.h"
 #include "absl/strings/ascii.h"
@@ -60,8 +61,6 @@
       return net::IsConnectableEndpoint(text);
     case SettingKind::kSha256:
       return IsSha256(text);
-    case SettingKind::kRoutingMode:
-      return text == "prefix_aware" || text == "round_robin";
     default:
       return IsText(text);
   }
@@ -96,6 +95,16 @@
   return absl::OkStatus();
 }
 
+absl::Status StoreRoutingMode(const SettingDescription& setting, const RawSetting& value,
+                              SettingTarget target) {
+  const auto* text = std::get_if<std::string>(&value);
+  if (text == nullptr) return Refuse(setting, value);
+  const std::optional<gateway::RoutingMode> mode = gateway::ParseRoutingMode(*text);
+  if (!mode) return Refuse(setting, value);
+  *std::get<gateway::RoutingMode*>(target) = *mode;
+  return absl::OkStatus();
+}
+
 absl::Status StoreEndpoints(const SettingDescription& setting, const RawSetting& value,
                             SettingTarget target) {
   const auto* list = std::get_if<std::vector<std::string>>(&value);
@@ -164,8 +173,9 @@
     case SettingKind::kName:
     case SettingKind::kEndpoint:
     case SettingKind::kSha256:
-    case SettingKind::kRoutingMode:
       return StoreText(setting, value, target);
+    case SettingKind::kRoutingMode:
+      return StoreRoutingMode(setting, value, target);
     case SettingKind::kSwitch:
       return StoreSwitch(setting, value, target);
     case SettingKind::kLogLevel:
--- a/src/posthatch/server/settings/settings_loader-fuzz.cc
+++ b/src/posthatch/server/settings/settings_loader-fuzz.cc
@@ -12,7 +12,7 @@
   posthatch::server::SettingsSource source{"fuzz.toml", text, {}};
   if (size > 0) {
     const auto& setting = SettingsTable()[data[0] % SettingsTable().size()];
-    source.overrides.emplace_back(setting.Key(), text.substr(1));
+    source.overrides.push_back({setting.Key(), text.substr(1)});
   }
   posthatch::server::GatewaySettings gateway;
   posthatch::server::ControllerSettings controller;
--- a/src/posthatch/server/settings/settings_loader-test.cc
+++ b/src/posthatch/server/settings/settings_loader-test.cc
@@ -33,7 +33,7 @@
 }
 
 std::vector<std::string> LoadGateway(const std::string& text, GatewaySettings* settings,
-                                     std::vector<std::pair<std::string, std::string>> flags = {}) {
+                                     std::vector<SettingOverride> flags = {}) {
   return Texts(LoadGatewaySettings({"g.toml", text, std::move(flags)}, settings));
 }
 
@@ -155,7 +155,7 @@
       GatewaySettings gateway;
       ControllerSettings controller;
       if (setting.AppliesTo(Role::kGateway)) return LoadGatewaySettings(source, &gateway).empty();
-      source.overrides.emplace_back("node.data_folder", "/data");
+      source.overrides.push_back({"node.data_folder", "/data"});
       return LoadControllerSettings(source, &controller).empty();
     };
     const auto load = [&load_text](int64_t value) { return load_text(std::to_string(value)); };
--- a/src/posthatch/server/settings/settings_loader.h
+++ b/src/posthatch/server/settings/settings_loader.h
@@ -1,7 +1,6 @@
 #pragma once
 
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "posthatch/server/settings/node_settings.h"
@@ -19,11 +18,16 @@
   std::string ToString() const;
 };
 
+// A flag that was given.
+struct SettingOverride {
+  std::string key;  // "node.zone"
+  std::string text;
+};
+
 struct SettingsSource {
   std::string file_name;  // for messages
   std::string text;       // TOML
-  // Key ("node.zone") and text of each flag given.
-  std::vector<std::pair<std::string, std::string>> overrides;
+  std::vector<SettingOverride> overrides;
 };
 
 // Check a whole settings file with the flags that override it, and fill `settings` if nothing is
--- a/src/posthatch/server/settings/settings_page.cc
+++ b/src/posthatch/server/settings/settings_page.cc
@@ -39,6 +39,9 @@
   std::string operator()(const runtime::Duration* duration) const {
     return absl::StrCat(std::chrono::duration_cast<std::chrono::milliseconds>(*duration).count());
   }
+  std::string operator()(const gateway::RoutingMode* mode) const {
+    return absl::StrCat("\"", util::ToAbsl(gateway::RoutingModeName(*mode)), "\"");
+  }
   // The default level is the only one that is ever formatted.
   std::string operator()(const runtime::Severity*) const { return "\"info\""; }
 };
