--- a/src/posthatch/server/common_http.cc
+++ b/src/posthatch/server/common_http.cc
@@ -77,9 +77,10 @@
     writer->SendResponse(get ? Readiness() : MethodNotAllowed("GET"));
   } else if (path == "/metrics") {
     writer->SendResponse(get ? Metrics() : MethodNotAllowed("GET"));
-  } else if (path == "/admin/v1/log-level" && options_.set_log_level != nullptr) {
+  } else if (path == "/admin/v1/log-level" && options_.controls != nullptr) {
     writer->SendResponse(put ? SetLogLevel(request) : MethodNotAllowed("PUT"));
-  } else if (path == "/debug/faults" && options_.set_faults != nullptr) {
+  } else if (path == "/debug/faults" && options_.controls != nullptr &&
+             options_.controls->FaultInjectionEnabled()) {
     writer->SendResponse(put ? SetFaults(request) : MethodNotAllowed("PUT"));
   } else {
     options_.process->HandleHttp(std::move(request), std::move(writer));
@@ -125,7 +126,7 @@
     return ErrorResponse(400, "bad_request", R"(expected {"level": "info"})", "no");
   }
   const json::string& name = level->get_string();
-  absl::Status status = options_.set_log_level({name.data(), name.size()});
+  absl::Status status = options_.controls->SetLogLevel({name.data(), name.size()});
   if (!status.ok()) {
     return ErrorResponse(400, "bad_request", util::ToStd(status.message()), "no");
   }
@@ -134,7 +135,7 @@
 
 http::Response CommonHttp::SetFaults(const http::Request& request) const {
   if (!Authorized(request)) return ErrorResponse(401, "unauthorized", "no such token", "no");
-  absl::Status status = options_.set_faults(request.body);
+  absl::Status status = options_.controls->SetFaults(request.body);
   if (!status.ok()) {
     return ErrorResponse(400, "bad_request", util::ToStd(status.message()), "no");
   }
--- a/src/posthatch/server/common_http.h
+++ b/src/posthatch/server/common_http.h
@@ -1,6 +1,5 @@
 #pragma once
 
-#include <functional>
 #include <memory>
 #include <string>
 #include <string_view>
@@ -12,14 +11,26 @@
 
 namespace posthatch::server {
 
+// What operators and fleet tests may change in a running process.
+class ProcessControls {
+ public:
+  // `level` as in the setting log_level. Errors: InvalidArgument.
+  virtual absl::Status SetLogLevel(std::string_view level) = 0;
+  // Whether the process was started with fault injection; PUT /debug/faults is unknown otherwise.
+  virtual bool FaultInjectionEnabled() const = 0;
+  // Replaces the injected faults; `json` as in ParseFaultRules. Errors: InvalidArgument.
+  virtual absl::Status SetFaults(std::string_view json) = 0;
+
+ protected:
+  ~ProcessControls() = default;
+};
+
 struct CommonHttpOptions {
   Process* process = nullptr;
   prometheus::Registry* metrics = nullptr;
-  // Applies the "level" of PUT /admin/v1/log-level; null: the call is answered 404.
-  std::function<absl::Status(std::string_view level)> set_log_level;
-  // Applies the body of PUT /debug/faults; null unless the process runs in a rehearsal: 404.
-  std::function<absl::Status(std::string_view json)> set_faults;
-  // As NodeSettings::admin_token_sha256; asked for by the two calls above.
+  // Null in the simulator: the calls that go to it are then unknown.
+  ProcessControls* controls = nullptr;
+  // As NodeSettings::admin_token_sha256; asked for by the calls that change something.
   std::string admin_token_sha256;
 };
 
--- a/src/posthatch/server/process_runner.cc
+++ b/src/posthatch/server/process_runner.cc
@@ -16,7 +16,7 @@
 // How often a draining process looks whether its last answers have ended.
 constexpr runtime::Duration kDrainPollInterval = std::chrono::milliseconds(10);
 
-class ProcessRunner {
+class ProcessRunner : private ProcessControls {
  public:
   ProcessRunner(net::AsioRuntime* asio_runtime, const NodeSettings& node,
                 const http::ServerLimits& limits, const SettingsFile& settings_file)
@@ -67,27 +67,31 @@
     CommonHttpOptions options;
     options.process = process_.get();
     options.metrics = runtime_->metrics;
+    options.controls = this;
     options.admin_token_sha256 = node_.admin_token_sha256;
-    options.set_log_level = [this](std::string_view name) -> absl::Status {
-      const auto level = net::ParseSeverity(name);
-      if (!level.ok()) return level.status();
-      asio_runtime_->trace()->SetLevel(*level);
-      return absl::OkStatus();
-    };
-    if (asio_runtime_->faults() == nullptr) return options;
-    options.set_faults = [this](std::string_view json) -> absl::Status {
-      auto rules = net::ParseFaultRules(json);
-      if (!rules.ok()) return rules.status();
-      // After the answer to this call has gone out: it may cut its own caller off.
-      asio_runtime_->Post([this, rules = *std::move(rules)]() mutable {
-        asio_runtime_->faults()->SetRules(std::move(rules));
-      });
-      runtime_->trace->Event(Severity::kWarning, "FaultsInjected", {{"rules", json}});
-      return absl::OkStatus();
-    };
     return options;
   }
 
+  absl::Status SetLogLevel(std::string_view name) override {
+    const auto level = net::ParseSeverity(name);
+    if (!level.ok()) return level.status();
+    asio_runtime_->trace()->SetLevel(*level);
+    return absl::OkStatus();
+  }
+
+  bool FaultInjectionEnabled() const override { return asio_runtime_->faults() != nullptr; }
+
+  absl::Status SetFaults(std::string_view json) override {
+    auto rules = net::ParseFaultRules(json);
+    if (!rules.ok()) return rules.status();
+    // After the response to this call has gone out: it may partition its own caller.
+    asio_runtime_->Post([this, rules = *std::move(rules)]() mutable {
+      asio_runtime_->faults()->SetRules(std::move(rules));
+    });
+    runtime_->trace->Event(Severity::kWarning, "FaultsInjected", {{"rules", json}});
+    return absl::OkStatus();
+  }
+
   // A listener for readiness alone: it goes on answering while the others drain.
   absl::Status ListenForReadiness() {
     if (node_.readiness_endpoint.empty()) return absl::OkStatus();
