--- a/src/posthatch/ctl/ctl-test.cc
+++ b/src/posthatch/ctl/ctl-test.cc
@@ -20,9 +20,9 @@
 TEST(CommandLineTest, CommandsBecomeRequestsOfTheAdminInterface) {
   const auto target = [](const std::vector<const char*>& arguments) {
     ParseOutcome outcome = Parse(arguments);
-    EXPECT_TRUE(outcome.run) << outcome.message;
-    outcome.invocation.request_id = "r";
-    const absl::StatusOr<http::Request> request = MakeRequest(outcome.invocation);
+    EXPECT_TRUE(outcome.invocation.has_value()) << outcome.message;
+    outcome.invocation->request_id = "r";
+    const absl::StatusOr<http::Request> request = MakeRequest(*outcome.invocation);
     EXPECT_TRUE(request.ok()) << request.status();
     return request->method + " " + request->target + " " + request->body;
   };
@@ -50,7 +50,7 @@
                                                     {"config", "rollback", "0"},
                                                     {"evacuate", "e"}}) {
     const ParseOutcome outcome = Parse(arguments);
-    EXPECT_FALSE(outcome.run);
+    EXPECT_FALSE(outcome.invocation.has_value());
     EXPECT_EQ(outcome.exit_code, ExitCode::kUsage) << outcome.message;
     EXPECT_FALSE(outcome.message.empty());
   }
@@ -92,7 +92,7 @@
     answers_[host][method] = {status, {}, std::move(body)};
   }
   RunResult Run(const std::vector<const char*>& arguments) {
-    CommandRunner runner(world_.FindHost("tool")->runtime(), Parse(arguments).invocation);
+    CommandRunner runner(world_.FindHost("tool")->runtime(), Parse(arguments).invocation.value());
     RunResult result;
     bool finished = false;
     runner.Run([&](RunResult run_result) {
--- a/src/posthatch/ctl/invocation.cc
+++ b/src/posthatch/ctl/invocation.cc
@@ -44,9 +44,11 @@
       return outcome;
     }
     outcome.message = ReadFiles();
-    outcome.run = outcome.message.empty();
-    outcome.exit_code = outcome.run ? ExitCode::kOk : ExitCode::kUsage;
-    outcome.invocation = invocation_;
+    if (outcome.message.empty()) {
+      outcome.invocation = invocation_;
+    } else {
+      outcome.exit_code = ExitCode::kUsage;
+    }
     return outcome;
   }
 
--- a/src/posthatch/ctl/invocation.h
+++ b/src/posthatch/ctl/invocation.h
@@ -1,6 +1,7 @@
 #pragma once
 
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -57,10 +58,10 @@
 };
 
 struct ParseOutcome {
-  bool run = false;  // false: print `message` and end with `exit_code`
+  // What to run. Empty after a call for help or an error: print `message`, end with `exit_code`.
+  std::optional<Invocation> invocation;
   ExitCode exit_code = ExitCode::kOk;
-  std::string message;  // help text or error
-  Invocation invocation;
+  std::string message;
 };
 
 // Reads a command line, and the files that it names.
--- a/src/posthatch/ctl/main.cc
+++ b/src/posthatch/ctl/main.cc
@@ -37,7 +37,7 @@
 int main(int argument_count, char** arguments) {
   const posthatch::ctl::ParseOutcome outcome =
       posthatch::ctl::ParseCommandLine(argument_count, arguments);
-  if (outcome.run) return Run(outcome.invocation);
+  if (outcome.invocation.has_value()) return Run(*outcome.invocation);
   std::fputs(outcome.message.c_str(),
              outcome.exit_code == posthatch::ctl::ExitCode::kOk ? stdout : stderr);
   return static_cast<int>(outcome.exit_code);
--- a/src/posthatch/ctl/target_caller.cc
+++ b/src/posthatch/ctl/target_caller.cc
@@ -9,6 +9,9 @@
 namespace {
 
 constexpr int kStatusUnavailable = 503;
+// The error code of a 503 that says that the change may have been applied; any other code says that
+// it was not.
+constexpr const char* kUncertainCode = "\"uncertain\"";
 constexpr runtime::Duration kRetryBackoff = std::chrono::milliseconds(300);
 // Longest wait for one target: a change waits for up to a session lease, and for an election.
 constexpr runtime::Duration kAttemptTimeout = std::chrono::seconds(10);
@@ -55,8 +58,7 @@
     return;
   }
   outcome_.error = outcome_.response.body;
-  // "unavailable" says that it was not taken, "uncertain" that it may have been.
-  if (outcome_.error.find("\"uncertain\"") != std::string::npos) outcome_.may_be_applied = true;
+  if (outcome_.error.find(kUncertainCode) != std::string::npos) outcome_.may_be_applied = true;
   ScheduleNextAttempt();
 }
 
