--- /dev/null
+++ b/src/posthatch/routing/outlier_detector.h
@@ -0,0 +1,33 @@
+#pragma once
+
+#include "posthatch/routing/worker.h"
+#include "posthatch/runtime/runtime.h"
+
+namespace posthatch::routing {
+
+// How a dispatch to a worker failed, as far as it concerns the worker's health.
+enum class WorkerFailure {
+  kUnreachable,    // no connection, or another incarnation has the address
+  kRequestFailed,  // the request was sent and brought no usable response
+};
+
+// Outlier ejection by what dispatches bring: a worker that is unreachable, or fails repeatedly,
+// gets nothing for a time that doubles with each consecutive ejection; one that rejects requests
+// backs off briefly. Keeps its state in the workers. Owned by WorkerPool; event loop thread only.
+class OutlierDetector {
+ public:
+  explicit OutlierDetector(runtime::Runtime* runtime) : runtime_(runtime) {}
+
+  // Neither ejected nor backing off.
+  bool IsHealthy(const Worker& worker) const;
+  void RecordSuccess(Worker* worker) const;
+  // Ejects an unreachable worker at once, any other after several recent failures.
+  void RecordFailure(Worker* worker, WorkerFailure failure) const;
+  // The worker rejected a request without running it.
+  void RecordRejection(Worker* worker) const;
+
+ private:
+  runtime::Runtime* const runtime_;
+};
+
+}  // namespace posthatch::routing
--- a/src/posthatch/routing/traffic_request.cc
+++ b/src/posthatch/routing/traffic_request.cc
@@ -217,7 +217,7 @@
   const bool wrong_worker = !classification.instance_id.empty() &&
                             classification.instance_id != attempt_.worker->backend.id();
   if (wrong_worker) {
-    pool->OnFailure(attempt_.worker.get(), /*unreachable=*/true);
+    pool->OnFailure(attempt_.worker.get(), WorkerFailure::kUnreachable);
   } else if (classification.revision > 0) {
     pool->OnRevisionSeen(attempt_.worker.get(), classification.revision);
   }
@@ -297,7 +297,7 @@
     return OnAttemptFailed(DispatchFailure::kServerError);
   }
   if (worker_failed) {
-    context_->pool->OnFailure(attempt_.worker.get(), /*unreachable=*/false);
+    context_->pool->OnFailure(attempt_.worker.get(), WorkerFailure::kRequestFailed);
   } else {
     context_->pool->OnSuccess(attempt_.worker.get());
   }
@@ -319,7 +319,7 @@
 void TrafficRequest::ReportFailureToPool(DispatchFailure failure) {
   switch (failure) {
     case DispatchFailure::kUnreachable:
-      return context_->pool->OnFailure(attempt_.worker.get(), /*unreachable=*/true);
+      return context_->pool->OnFailure(attempt_.worker.get(), WorkerFailure::kUnreachable);
     case DispatchFailure::kNotExecuted:
     case DispatchFailure::kMisdirected:
       return context_->pool->OnRejected(attempt_.worker.get());
@@ -327,7 +327,7 @@
     case DispatchFailure::kTruncated:
     case DispatchFailure::kMismatched:
     case DispatchFailure::kServerError:
-      return context_->pool->OnFailure(attempt_.worker.get(), /*unreachable=*/false);
+      return context_->pool->OnFailure(attempt_.worker.get(), WorkerFailure::kRequestFailed);
   }
 }
 
--- a/src/posthatch/routing/worker_pool.cc
+++ b/src/posthatch/routing/worker_pool.cc
@@ -9,15 +9,9 @@
 namespace posthatch::routing {
 namespace {
 
-// Tunables of outlier ejection and of the measured wait.
+// Tunables of the measured wait.
 constexpr double kWaitWeight = 0.3;  // of a new measurement in the average
 constexpr double kWaitHalfLifeMs = 1500;
-constexpr double kFailureDecay = 0.6;
-constexpr double kFailuresToEject = 2.0;
-constexpr runtime::Duration kFirstEjection = std::chrono::milliseconds(1000);
-constexpr uint32_t kMaxEjectionDoublings = 3;
-constexpr runtime::Duration kInitialOverloadBackoff = std::chrono::milliseconds(150);
-constexpr uint32_t kMaxOverloadDoublings = 2;
 constexpr runtime::Duration kSlowTransferBackoff = std::chrono::seconds(2);
 // Workers of an older revision get no new work from so long before the deadline on: this gateway
 // may have learnt of the revision one session renewal later than its sender was acknowledged.
@@ -27,7 +21,11 @@
 
 WorkerPool::WorkerPool(runtime::Runtime* runtime, WorkerPoolOptions options,
                        SlowStartLimiter* limiter, LoadReporter* loads)
-    : runtime_(runtime), options_(options), limiter_(limiter), load_reporter_(loads) {}
+    : runtime_(runtime),
+      options_(options),
+      limiter_(limiter),
+      load_reporter_(loads),
+      outlier_detector_(runtime) {}
 
 void WorkerPool::PublishLoad(const Worker& worker) {
   load_reporter_->SetLocalLoad(worker.backend.id(), {worker.in_flight, worker.pending_tokens});
@@ -185,8 +183,7 @@
 }
 
 bool WorkerPool::IsEligible(const Worker& worker) const {
-  const runtime::MonotonicTime now = runtime_->clock->Now();
-  return now >= worker.ejected_until && now >= worker.overloaded_until && AcceptsNewWork(worker);
+  return outlier_detector_.IsHealthy(worker) && AcceptsNewWork(worker);
 }
 
 bool WorkerPool::IsEligibleAsLastResort(const Worker& worker) const {
@@ -238,29 +235,13 @@
   return runtime_->clock->Now() >= worker.no_transfers_until;
 }
 
-void WorkerPool::OnSuccess(Worker* worker) {
-  worker->failure_score *= kFailureDecay;
-  worker->rejections = 0;
-  worker->ejections = 0;
-}
+void WorkerPool::OnSuccess(Worker* worker) { outlier_detector_.RecordSuccess(worker); }
 
-void WorkerPool::OnFailure(Worker* worker, bool unreachable) {
-  if (!options_.switches.ejection) return;
-  worker->failure_score += 1;
-  if (!unreachable && worker->failure_score < kFailuresToEject) return;
-  const uint32_t doublings = std::min(worker->ejections, kMaxEjectionDoublings);
-  worker->ejected_until = runtime_->clock->Now() + kFirstEjection * (1U << doublings);
-  ++worker->ejections;
-  worker->failure_score = 0;
-  runtime_->trace->Event(runtime::Severity::kInfo, "WorkerEjected",
-                         {{"worker", worker->backend.id()}, {"unreachable", unreachable}});
+void WorkerPool::OnFailure(Worker* worker, WorkerFailure failure) {
+  if (options_.switches.ejection) outlier_detector_.RecordFailure(worker, failure);
 }
 
-void WorkerPool::OnRejected(Worker* worker) {
-  const uint32_t doublings = std::min(worker->rejections, kMaxOverloadDoublings);
-  worker->overloaded_until = runtime_->clock->Now() + kInitialOverloadBackoff * (1U << doublings);
-  ++worker->rejections;
-}
+void WorkerPool::OnRejected(Worker* worker) { outlier_detector_.RecordRejection(worker); }
 
 void WorkerPool::OnRevisionSeen(Worker* worker, uint64_t revision) {
   worker->revision = std::max(worker->revision, revision);
--- a/src/posthatch/routing/worker_pool.h
+++ b/src/posthatch/routing/worker_pool.h
@@ -1,43 +1,20 @@
 #pragma once
 
 #include <cstdint>
-#include <memory>
 #include <string>
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
 #include "posthatch/control/control.pb.h"
 #include "posthatch/routing/load_reporter.h"
+#include "posthatch/routing/outlier_detector.h"
 #include "posthatch/routing/routing_switches.h"
 #include "posthatch/routing/slow_start_limiter.h"
+#include "posthatch/routing/worker.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::routing {
 
-// One worker incarnation as this gateway sees it. Requests hold it after it has left the inventory.
-struct Worker {
-  control::Backend backend;
-  bool in_inventory = true;
-  bool draining = false;  // stays so: an incarnation that drains never returns
-  bool evacuated = false;
-  uint64_t revision = 0;  // newest model revision it was seen to serve; never decreases
-  runtime::MonotonicTime slow_start_until;
-
-  uint32_t in_flight = 0;       // dispatched by this gateway and not ended
-  uint64_t pending_tokens = 0;  // of those, prompt tokens to be prefilled before the first event
-  double wait_ms = 0;           // decaying average of measured waits, as of `wait_measured_at`
-  runtime::MonotonicTime wait_measured_at;
-  double failure_score = 0;  // rises by one with each failure, decays with each success
-  uint32_t ejections = 0;    // consecutive
-  runtime::MonotonicTime ejected_until;
-  uint32_t rejections = 0;  // consecutive
-  // Transfers of cached segments to or from it were slow: none is requested until then.
-  runtime::MonotonicTime no_transfers_until;
-  runtime::MonotonicTime overloaded_until;  // it rejected a request for lack of capacity
-};
-
-using WorkerPointer = std::shared_ptr<Worker>;
-
 struct WorkerPoolOptions {
   // From when a model revision is ordered until no request may start on an older one.
   runtime::Duration revision_deadline = std::chrono::seconds(12);
@@ -92,8 +69,8 @@
   // Whether cached segments may be transferred to or from it now.
   bool MayTransfer(const Worker& worker) const;
   void OnSuccess(Worker* worker);
-  // A dispatch failed. An unreachable worker is ejected at once.
-  void OnFailure(Worker* worker, bool unreachable);
+  // A dispatch failed.
+  void OnFailure(Worker* worker, WorkerFailure failure);
   // It rejected a request without running it.
   void OnRejected(Worker* worker);
   void OnRevisionSeen(Worker* worker, uint64_t revision);
@@ -120,6 +97,7 @@
   const WorkerPoolOptions options_;
   SlowStartLimiter* const limiter_;
   LoadReporter* const load_reporter_;
+  const OutlierDetector outlier_detector_;
   absl::flat_hash_map<std::string, WorkerPointer> workers_;
   absl::flat_hash_map<std::string, std::vector<WorkerPointer>> services_;
   absl::flat_hash_map<std::string, SlowStart> slow_starts_;                 // by service
