--- a/src/posthatch/consensus/raft_core.cc
+++ b/src/posthatch/consensus/raft_core.cc
@@ -13,8 +13,8 @@
                    MonotonicTime now)
     : options_(options),
       random_(random),
-      endpoint_(std::move(recovered.endpoint)),
       hard_state_(recovered.hard_state),
+      addresses_(recovered.hard_state.replica_id(), std::move(recovered.endpoint)),
       snapshot_(std::move(recovered.snapshot)) {
   log_.Restore(recovered.base_index, recovered.base_term, std::move(recovered.entries));
   first_unstaged_ = log_.last_index() + 1;
@@ -44,7 +44,7 @@
 
 const ClusterConfiguration& RaftCore::configuration() const {
   static const ClusterConfiguration none;
-  return configurations_.empty() ? none : configurations_.back().second;
+  return configurations_.empty() ? none : configurations_.back().configuration;
 }
 
 ClusterConfiguration RaftCore::ConfigurationAt(uint64_t index) const {
@@ -69,9 +69,11 @@
 }
 
 std::string RaftCore::EndpointOf(uint64_t replica_id) const {
-  if (replica_id == this->replica_id()) return endpoint_;
-  const auto found = addresses_.find(replica_id);
-  return found == addresses_.end() ? std::string() : found->second.endpoint;
+  return addresses_.EndpointOf(replica_id);
+}
+
+std::string RaftCore::LeaderEndpoint() const {
+  return leader_id_ == 0 ? std::string() : EndpointOf(leader_id_);
 }
 
 // ---------------------------------------------------------------------------------- messages
@@ -82,17 +84,18 @@
   message.set_from(replica_id());
   message.set_to(to);
   message.set_term(term());
-  message.set_from_endpoint(endpoint_);
+  message.set_from_endpoint(addresses_.self_endpoint());
   message.set_from_boot_count(boot_count());
   return message;
 }
 
 void RaftCore::RecordEndpoint(const RaftMessage& message) {
   if (message.from() == 0 || message.from() == replica_id()) return;
-  if (message.from_endpoint().empty() || message.from_endpoint() == endpoint_) return;
-  const auto known = addresses_.find(message.from());
-  if (known != addresses_.end() && message.from_boot_count() < known->second.boot_count) return;
-  SetAddress(message.from(), {message.from_endpoint(), message.from_boot_count()});
+  const std::string& endpoint = message.from_endpoint();
+  if (endpoint.empty() || endpoint == addresses_.self_endpoint()) return;
+  const ReplicaAddress* known = addresses_.Find(message.from());
+  if (known != nullptr && message.from_boot_count() < known->boot_count) return;
+  addresses_.Set(message.from(), {endpoint, message.from_boot_count()});
 }
 
 void RaftCore::Send(RaftMessage message) {
@@ -106,7 +109,7 @@
       hard_state_dirty_ || reset_.has_value() || first_unstaged_ <= log_.last_index();
   const uint64_t needed = unstaged ? next_persist_id_ : next_persist_id_ - 1;
   if (needed <= durable_persist_id_) return Send(std::move(message));
-  awaiting_durability_.emplace_back(needed, std::move(message));
+  awaiting_durability_.push_back({needed, std::move(message)});
 }
 
 bool RaftCore::Accepts(const RaftMessage& message) {
@@ -202,7 +205,7 @@
 absl::StatusOr<uint64_t> RaftCore::Propose(std::string command, MonotonicTime now) {
   if (!IsLeader()) return absl::FailedPreconditionError("not leader");
   if (transfer_target_ != 0) return absl::FailedPreconditionError("handing leadership over");
-  if (now - leader_since_ >= options_.election_timeout_min && !HasQuorum(now)) {
+  if (HasLostQuorum(now)) {
     return absl::FailedPreconditionError("not leader: no majority heard");
   }
   if (command.size() > options_.max_command_bytes) {
@@ -255,7 +258,7 @@
   durable_index_ = std::min(durable_index_, from_index - 1);
   verified_index_ = std::min(verified_index_, from_index - 1);
   for (Staged& staged : staged_) staged.last_index = std::min(staged.last_index, from_index - 1);
-  while (!configurations_.empty() && configurations_.back().first >= from_index) {
+  while (!configurations_.empty() && configurations_.back().index >= from_index) {
     configurations_.pop_back();
   }
 }
@@ -278,8 +281,8 @@
     durable_index_ = std::max(durable_index_, staged_.front().last_index);
     staged_.pop_front();
   }
-  while (!awaiting_durability_.empty() && awaiting_durability_.front().first <= persist_id) {
-    Send(std::move(awaiting_durability_.front().second));
+  while (!awaiting_durability_.empty() && awaiting_durability_.front().persist_id <= persist_id) {
+    Send(std::move(awaiting_durability_.front().message));
     awaiting_durability_.pop_front();
   }
   if (role_ == Role::kCandidate) CountVotes(now);
