--- a/scripts/check-help.sh
+++ b/scripts/check-help.sh
@@ -14,8 +14,8 @@
   # CLI11 prints the program by the path it was called by.
   "$@" --help | sed "s|$build/src/posthatch/[a-z]*/||" >"$now/$file.txt"
 }
-daemon=$(find "$build/src" -name posthatchd -type f)
-control=$(find "$build/src" -name posthatchctl -type f)
+daemon=$build/src/posthatch/server/posthatchd
+control=$build/src/posthatch/ctl/posthatchctl
 help_of posthatchd "$daemon"
 help_of posthatchd-gateway "$daemon" gateway
 help_of posthatchd-controller "$daemon" controller
