--- a/src/posthatch/invalidation/invalidation_relay.cc
+++ b/src/posthatch/invalidation/invalidation_relay.cc
@@ -9,7 +9,7 @@
 
 InvalidationRelay::InvalidationRelay(runtime::Runtime* runtime, PublisherOptions options,
                                      InvalidationSubscriber* upstream)
-    : runtime_(runtime), upstream_(upstream), publisher_(runtime, options, this) {
+    : PublishingSource(runtime, options), upstream_(upstream) {
   for (const std::string& channel : upstream_->Channels()) {
     const ChannelSubscription* subscription = upstream_->Find(channel);
     if (subscription->IsLive()) relayed_[channel] = subscription->proven();
--- a/src/posthatch/invalidation/invalidation_relay.h
+++ b/src/posthatch/invalidation/invalidation_relay.h
@@ -4,8 +4,8 @@
 #include <vector>
 
 #include "absl/container/btree_map.h"
-#include "posthatch/invalidation/invalidation_publisher.h"
 #include "posthatch/invalidation/invalidation_subscriber.h"
+#include "posthatch/invalidation/publishing_source.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::invalidation {
@@ -18,16 +18,11 @@
 // whose upstream fell silent, can't lengthen anybody's trust.
 //
 // Owned next to the set, which must outlive it. Event loop thread only.
-class InvalidationRelay : private PublisherSource, private InvalidationSubscriber::Listener {
+class InvalidationRelay : public PublishingSource, private InvalidationSubscriber::Listener {
  public:
   InvalidationRelay(runtime::Runtime* runtime, PublisherOptions options,
                     InvalidationSubscriber* upstream);
   ~InvalidationRelay() override;
-  InvalidationRelay(const InvalidationRelay&) = delete;
-  InvalidationRelay& operator=(const InvalidationRelay&) = delete;
-
-  size_t registration_count() const { return publisher_.registration_count(); }
-  const PublisherStats& stats() const { return publisher_.stats(); }
 
  private:
   PublisherProof CurrentProof(const std::string& channel) override;
@@ -45,12 +40,10 @@
   // Object names of a channel, as last announced downstream.
   std::vector<std::string> ObjectNames(const std::string& channel) const;
 
-  runtime::Runtime* const runtime_;
   InvalidationSubscriber* const upstream_;
   // Upstream channels whose objects are relayed, and up to when each is proved. A channel that is
   // lost leaves this map only together with the exclusion of its objects downstream.
   absl::btree_map<std::string, runtime::MonotonicTime> relayed_;
-  InvalidationPublisher publisher_;
 };
 
 }  // namespace posthatch::invalidation
--- a/src/posthatch/invalidation/invalidation_server.cc
+++ b/src/posthatch/invalidation/invalidation_server.cc
@@ -8,10 +8,9 @@
 
 InvalidationServer::InvalidationServer(runtime::Runtime* runtime, InvalidationServerOptions options,
                                        ObjectSource* objects, std::function<ServingState()> serving)
-    : runtime_(runtime),
+    : PublishingSource(runtime, options.publisher),
       objects_(objects),
       serving_(std::move(serving)),
-      publisher_(runtime, options.publisher, this),
       metrics_(runtime) {
   ExportMetrics();
   const std::weak_ptr<bool> alive = alive_;
--- a/src/posthatch/invalidation/invalidation_server.h
+++ b/src/posthatch/invalidation/invalidation_server.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/invalidation/invalidation_publisher.h"
 #include "posthatch/invalidation/metrics_export.h"
 #include "posthatch/invalidation/object_source.h"
+#include "posthatch/invalidation/publishing_source.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::invalidation {
@@ -19,18 +19,13 @@
 // The invalidation server of every channel (WCIP 2, 5), on each controller; it answers and sends
 // only while this process leads. Takes the process's SERVICE_CHANNELS messages. Owned by the
 // controller's assembly; must not outlive `objects`. Event loop thread only.
-class InvalidationServer : private PublisherSource {
+class InvalidationServer : public PublishingSource {
  public:
   // `serving` is asked at each moment of sending, after the time to be proved has been read: it
   // must check its right to serve against the clock (lease, quorum), not against a cached flag.
   InvalidationServer(runtime::Runtime* runtime, InvalidationServerOptions options,
                      ObjectSource* objects, std::function<ServingState()> serving);
   ~InvalidationServer() override;
-  InvalidationServer(const InvalidationServer&) = delete;
-  InvalidationServer& operator=(const InvalidationServer&) = delete;
-
-  size_t registration_count() const { return publisher_.registration_count(); }
-  const PublisherStats& stats() const { return publisher_.stats(); }
 
  private:
   PublisherProof CurrentProof(const std::string& channel) override;
@@ -40,10 +35,8 @@
   void Receive(const runtime::Envelope& envelope);
   void ExportMetrics();
 
-  runtime::Runtime* const runtime_;
   ObjectSource* const objects_;
   const std::function<ServingState()> serving_;
-  InvalidationPublisher publisher_;
   MetricsExport metrics_;
   // Guards the listener left with `objects_`, which can't be taken back.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
