--- a/src/posthatch/compatibility/stored_data-test.cc
+++ b/src/posthatch/compatibility/stored_data-test.cc
@@ -15,6 +15,7 @@
 #include "posthatch/control/state/control_state.h"
 #include "posthatch/net/envelope_codec.h"
 #include "posthatch/simulation/sim_world.h"
+#include "posthatch/storage/file_names.h"
 #include "posthatch/storage/log_recovery.h"
 #include "posthatch/storage/record_format.h"
 #include "posthatch/storage/snapshot_file.h"
