--- /dev/null
+++ b/src/posthatch/control/server/control_messenger.cc
@@ -0,0 +1,36 @@
+#include "posthatch/control/server/control_messenger.h"
+
+#include <utility>
+
+#include "posthatch/control/state/fingerprint.h"
+
+namespace posthatch::control {
+
+ControlMessenger::ControlMessenger(runtime::Runtime* runtime, Receiver receiver)
+    : runtime_(runtime), receiver_(std::move(receiver)) {
+  runtime_->transport->SetReceiver(
+      runtime::SERVICE_CONTROL, [this](const runtime::Envelope& envelope) {
+        ControlMessage message;
+        if (!message.ParseFromString(envelope.payload())) return;
+        receiver_({envelope.from_endpoint(), envelope.from_incarnation()}, message);
+      });
+}
+
+ControlMessenger::~ControlMessenger() {
+  runtime_->transport->SetReceiver(runtime::SERVICE_CONTROL, [](const runtime::Envelope&) {});
+}
+
+void ControlMessenger::Send(const std::string& endpoint, const ControlMessage& message) {
+  if (endpoint != runtime_->transport->endpoint()) {
+    runtime_->transport->Send(endpoint, runtime::SERVICE_CONTROL,
+                              SerializeDeterministically(message), runtime::Delivery::kStream);
+    return;
+  }
+  runtime_->timers->Schedule(
+      runtime::Duration::zero(), [this, message, alive = std::weak_ptr<bool>(alive_)] {
+        if (alive.expired()) return;
+        receiver_({runtime_->transport->endpoint(), runtime_->transport->incarnation()}, message);
+      });
+}
+
+}  // namespace posthatch::control
--- a/src/posthatch/control/server/controller_service.h
+++ b/src/posthatch/control/server/controller_service.h
@@ -1,153 +1,101 @@
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
-#include <functional>
-#include <map>
-#include <memory>
-#include <string>
-#include <tuple>
-#include <vector>
 
 #include "posthatch/consensus/replicated_log.h"
 #include "posthatch/control/client/leader_client.h"
 #include "posthatch/control/client/leader_locator.h"
 #include "posthatch/control/inventory/inventory_poller.h"
-#include "posthatch/control/server/in_force_waiters.h"
+#include "posthatch/control/server/control_messenger.h"
+#include "posthatch/control/server/controller_host.h"
+#include "posthatch/control/server/controller_metrics.h"
+#include "posthatch/control/server/internal_proposer.h"
+#include "posthatch/control/server/inventory_publisher.h"
 #include "posthatch/control/server/leader_lease_guard.h"
+#include "posthatch/control/server/leadership.h"
+#include "posthatch/control/server/proposal_server.h"
+#include "posthatch/control/server/push_scheduler.h"
+#include "posthatch/control/server/query_server.h"
+#include "posthatch/control/server/session_server.h"
 #include "posthatch/control/server/session_table.h"
+#include "posthatch/control/server/worker_lease_manager.h"
 #include "posthatch/control/state/control_state.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::control {
 
-class ControllerMetrics;
-
 struct ControllerServiceOptions {
   runtime::Duration session_lease = std::chrono::seconds(4);
-  // How much longer than a lease a new leader waits before it relies on the ends of sessions that a
-  // former leader granted.
+  // Fraction by which a new leader waits longer than a lease before it relies on the end of the
+  // sessions that a previous leader granted: clocks may run at different rates.
   double clock_rate_margin = 0.02;
   InventoryPollerOptions inventory;
-  // Proposals under way at this controller, those waiting to come into force included; beyond, new
-  // ones are answered OVERLOADED.
+  // Pending proposals, those waiting to come into force included; further ones are rejected with
+  // OVERLOADED.
   size_t max_proposals = 2048;
+  // Queries that wait for their read barrier; further ones are rejected.
   size_t max_queries = 256;
-  // How often the worker leases are looked at.
+  // Between two plans of the worker leases.
   runtime::Duration plan_interval = std::chrono::milliseconds(250);
-  // How long an unacknowledged push is waited for before it is sent again.
-  runtime::Duration push_retry = std::chrono::milliseconds(250);
-  // Pushes sent on average at the most: with many sessions, changes wait for each other.
-  double pushes_per_second = 4000;
+  PushSchedulerOptions push;
   LeaderClientOptions client;
-  // Internal endpoints of the other controllers, for as long as the log knows no leader.
-  LeaderLocator::Endpoints controllers;
-  // Body of GET /admin/v1/controllers; may be empty.
-  std::function<std::string()> controllers_view;
-  // Adds to each reading of the inventory what the leader knows besides; may be empty.
-  std::function<void(Inventory*)> annotate_inventory;
-  // Told after this service has taken or given up leadership; may be empty.
-  std::function<void(bool is_leader, uint64_t term)> on_leadership;
 };
 
-// What a controller does for gateways and operators, besides the log itself. On the leader:
-// sessions, grants, pushes, acknowledgements, worker leases, the inventory
-// (docs/design-docs/configuration.md); on the others: names the leader. One per controller, on its
-// event loop thread; it takes SERVICE_CONTROL of the runtime's transport, the log's leadership
-// listener and the state's section listener. All that it is given outlives it.
+// What a controller does for gateways and operators on top of the replicated log
+// (docs/design-docs/configuration.md). It owns the parts that act while this controller leads,
+// dispatches messages to them, and starts, resets and stops them with its leadership: SessionServer
+// (session leases), PushScheduler (changed sections), ProposalServer (commands), QueryServer
+// (views), InventoryPublisher (platform inventory) and WorkerLeaseManager (worker leases). While
+// another one leads they only name the leader.
+//
+// One per controller, on its event loop thread. Takes SERVICE_CONTROL of the runtime's transport,
+// the log's leadership listener and the state's section listener.
 class ControllerService {
  public:
-  ControllerService(runtime::Runtime* runtime, ControllerServiceOptions options,
-                    consensus::ReplicatedLog* log, LeaderLeaseGuard* guard, ControlState* state);
+  // All pointers outlive this object.
+  ControllerService(runtime::Runtime* runtime, const ControllerServiceOptions& options,
+                    ControllerHost* host, consensus::ReplicatedLog* log,
+                    const LeaderLeaseGuard* leader_lease_guard, ControlState* state);
   ~ControllerService();
   ControllerService(const ControllerService&) = delete;
   ControllerService& operator=(const ControllerService&) = delete;
 
-  // This controller's own way to the leader (itself perhaps), for its operators' interface.
+  // The leader, perhaps this process itself, for this controller's own operators' interface.
   LeaderClient* client() { return &client_; }
   // True if this controller leads and has applied all that earlier leaders acknowledged.
-  bool leading() const { return leading_; }
+  bool leading() const { return leadership_.active(); }
   size_t session_count() const { return sessions_.sessions().size(); }
   // Publishes the last reading of the inventory again, with new annotations.
-  void RefreshInventory();
+  void RefreshInventory() { inventory_.Refresh(); }
 
  private:
-  struct Sender {
-    std::string endpoint;
-    uint64_t incarnation = 0;
-  };
-  // Sender's endpoint and incarnation, request id, until_in_force.
-  using ProposalKey = std::tuple<std::string, uint64_t, std::string, bool>;
-
   void OnLeadership(bool is_leader, uint64_t term);
-  void OnMessage(const Sender& sender, const ControlMessage& message);
-  bool HasLeaderLease() const;
-
-  // Sessions.
-  void OnRenewal(const Sender& sender, const SessionRenewal& renewal);
-  void SendGrant(const SessionRenewal& renewal, runtime::Duration lease,
-                 const std::string& endpoint, Session* session);
-  void OnPushAck(const StatePushAck& ack);
-  void SchedulePush();
-  void SendPushes();
-  uint32_t InventoryAgeMs() const;
-
-  // Proposals and queries.
-  void OnProposeRequest(const Sender& sender, const ProposeRequest& request);
-  void StampControlTime(Command* command) const;
-  void OnProposalDone(const ProposalKey& key, const absl::StatusOr<std::string>& answer);
-  void WaitUntilInForce(const ProposalKey& key, const CommandResult& result);
-  void SendProposeResponse(const ProposalKey& key, ProposeResponse response);
-  void ScheduleAckCheck(runtime::Duration delay);
-  void CheckInForceWaiters();
-  void OnQueryRequest(const Sender& sender, const QueryRequest& request);
-  void RespondToQuery(const std::string& endpoint, const QueryRequest& request);
-  void RejectQuery(const std::string& endpoint, uint64_t call);
-
-  // The leader's own decisions.
-  void PlanWorkerLeases();
-  void OnInventoryRead(Inventory inventory, runtime::MonotonicTime requested_at);
-  void ProposeInternal(const Command& command, std::function<void(bool applied)> done);
-
-  void Send(const std::string& endpoint, const ControlMessage& message);
-  // Replaces whole sections of `changed` by differences from the receiver's, where they are known.
-  void EncodeAsDeltas(const SectionIndices& acked_versions, FleetState* changed) const;
+  void BeginLeadership(uint64_t term);
+  void EndLeadership(uint64_t term);
+  void ResetTerm();
+  void OnMessage(const ControlPeer& sender, const ControlMessage& message);
 
   runtime::Runtime* const runtime_;
-  const ControllerServiceOptions options_;
+  // Longest session of a previous leader, by this controller's clock.
+  const runtime::Duration max_previous_lease_;
+  ControllerHost* const host_;
   consensus::ReplicatedLog* const log_;
-  LeaderLeaseGuard* const leader_lease_guard_;
   ControlState* const state_;
-  // Callbacks that may outlive this object hold a weak pointer to it.
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  LeaderLocator locator_;
-  LeaderClient client_;
-  InventoryPoller inventory_poller_;
-  const std::unique_ptr<ControllerMetrics> metrics_;
 
-  bool leading_ = false;
-  uint64_t term_ = 0;
-  runtime::MonotonicTime leading_since_;
-  // From here on no session of a former leader is left.
-  runtime::MonotonicTime previous_leases_expire_at_;
-  int64_t control_time_base_ms_ = 0;
+  ControllerMetrics metrics_;
+  Leadership leadership_;
   SessionTable sessions_;
-  InForceWaiters waiters_;
-  std::map<ProposalKey, uint64_t> pending_proposals_;  // the newest call of each, which is answered
-  uint64_t anonymous_proposal_count_ = 0;              // tells apart proposals without request id
-  size_t pending_queries_ = 0;
-  uint64_t last_push_id_ = 0;
-  runtime::MonotonicTime next_push_;  // by the bound of pushes a second
-  bool plan_in_flight_ = false;
-  bool inventory_proposal_in_flight_ = false;
-  bool inventory_known_ = false;
-  Inventory last_reading_;  // as the platform told it
-  runtime::MonotonicTime last_reading_requested_at_;
-  runtime::Timer refresh_timer_;
-  bool refresh_pending_ = false;  // annotations changed while a reading was under way
-  runtime::MonotonicTime inventory_requested_at_;
-  runtime::Timer push_timer_;
-  runtime::Timer check_timer_;
-  runtime::Timer plan_timer_;
+  ControlMessenger messenger_;
+  LeaderLocator locator_;
+  LeaderClient client_;
+  InternalProposer proposer_;
+  InventoryPublisher inventory_;
+  PushScheduler pushes_;
+  ProposalServer proposals_;
+  QueryServer queries_;
+  SessionServer session_server_;
+  WorkerLeaseManager worker_leases_;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/server/fleet_harness-test.h
+++ b/src/posthatch/control/server/fleet_harness-test.h
@@ -4,6 +4,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <utility>
@@ -45,13 +46,31 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
+// A process that knows the controllers' endpoints, and nothing more.
+class HarnessControllerHost : public ControllerHost {
+ public:
+  explicit HarnessControllerHost(LeaderLocator::Endpoints controllers)
+      : controllers_(std::move(controllers)) {}
+
+  std::vector<std::string> ControllerEndpoints() const override { return controllers_(); }
+  std::optional<std::string> ControllersView() const override { return std::nullopt; }
+  void AnnotateInventory(Inventory*) override {}
+  void OnLeadershipChange(bool, uint64_t) override {}
+
+ private:
+  const LeaderLocator::Endpoints controllers_;
+};
+
 struct ControllerProcess {
   ControllerProcess(runtime::Runtime* runtime, const simulation::SimHost& host,
-                    const ControllerServiceOptions& options, const LogFactory& make_log)
-      : log(make_log(runtime, &state)),
-        service(runtime, options, log.log, log.guard, &state),
+                    const ControllerServiceOptions& options, LeaderLocator::Endpoints controllers,
+                    const LogFactory& make_log)
+      : controller_host(std::move(controllers)),
+        log(make_log(runtime, &state)),
+        service(runtime, options, &controller_host, log.log, log.guard, &state),
         port(runtime, host.http_endpoint(), service.client(), service.client()) {}
 
+  HarnessControllerHost controller_host;
   ControlState state;
   LogParts log;
   ControllerService service;
@@ -278,8 +297,8 @@
     host->SetBoot([this, host](runtime::Runtime* runtime) {
       ControllerServiceOptions options;
       options.inventory.endpoint = "10.0.3.1:8080";
-      options.controllers = [this] { return ControllerEndpoints(); };
-      auto process = std::make_shared<ControllerProcess>(runtime, *host, options, make_log_);
+      auto process = std::make_shared<ControllerProcess>(
+          runtime, *host, options, [this] { return ControllerEndpoints(); }, make_log_);
       controllers_[host] = process;
       return process;
     });
--- /dev/null
+++ b/src/posthatch/control/server/internal_proposer.h
@@ -0,0 +1,33 @@
+#pragma once
+
+#include <functional>
+#include <memory>
+
+#include "posthatch/consensus/replicated_log.h"
+#include "posthatch/control/control.pb.h"
+#include "posthatch/control/server/leadership.h"
+
+namespace posthatch::control {
+
+// Proposes the commands that the leader itself originates: inventory changes and worker leases.
+// Owned by ControllerService; event loop thread only.
+class InternalProposer {
+ public:
+  // `applied` is true if the command committed and the state machine answered OK.
+  using Done = std::function<void(bool applied)>;
+
+  // Both outlive this object.
+  InternalProposer(consensus::ReplicatedLog* log, const Leadership* leadership)
+      : log_(log), leadership_(leadership) {}
+
+  // `done` is dropped if the term of the proposal ends first: its owner has been reset by then.
+  void Propose(const Command& command, Done done);
+
+ private:
+  consensus::ReplicatedLog* const log_;
+  const Leadership* const leadership_;
+  // Callbacks that may outlive this object hold a weak pointer to it.
+  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace posthatch::control
--- /dev/null
+++ b/src/posthatch/control/server/inventory_publisher.cc
@@ -0,0 +1,85 @@
+#include "posthatch/control/server/inventory_publisher.h"
+
+#include <utility>
+
+#include "posthatch/control/state/inventory_state.h"
+#include "posthatch/control/state/section_deltas.h"
+
+namespace posthatch::control {
+namespace {
+
+// Annotations that change close together go into one command.
+constexpr runtime::Duration kRefreshDelay = std::chrono::milliseconds(40);
+
+}  // namespace
+
+InventoryPublisher::InventoryPublisher(runtime::Runtime* runtime,
+                                       const InventoryPollerOptions& options,
+                                       const Leadership* leadership, ControllerHost* host,
+                                       const ControlState* state, InternalProposer* proposer)
+    : runtime_(runtime),
+      leadership_(leadership),
+      host_(host),
+      state_(state),
+      proposer_(proposer),
+      poller_(runtime, options,
+              [this](Inventory inventory, runtime::MonotonicTime requested_at) {
+                OnRead(std::move(inventory), requested_at);
+              }),
+      refresh_timer_(runtime->timers) {}
+
+void InventoryPublisher::Reset() {
+  proposal_in_flight_ = false;
+  is_current_ = false;
+  last_reading_.Clear();
+  refresh_pending_ = false;
+}
+
+uint32_t InventoryPublisher::InventoryAgeMs() const {
+  if (!is_current_) return kInventoryNeverRead;
+  return static_cast<uint32_t>(
+      runtime::ToMilliseconds(runtime_->clock->Now() - current_requested_at_));
+}
+
+void InventoryPublisher::Refresh() {
+  if (last_reading_.backends().empty() || refresh_timer_.running()) return;
+  if (proposal_in_flight_) {
+    refresh_pending_ = true;
+    return;
+  }
+  refresh_timer_.Start(kRefreshDelay, [this] {
+    if (leadership_->active()) OnRead(last_reading_, last_reading_requested_at_);
+  });
+}
+
+void InventoryPublisher::OnRead(Inventory inventory, runtime::MonotonicTime requested_at) {
+  if (!leadership_->HasLeaderLease()) return;
+  last_reading_ = inventory;
+  last_reading_requested_at_ = requested_at;
+  host_->AnnotateInventory(&inventory);
+  if (SameBackends(inventory, state_->fleet().inventory())) {
+    MarkCurrent(requested_at);
+    return;
+  }
+  if (!proposal_in_flight_) Propose(inventory, requested_at);
+}
+
+void InventoryPublisher::Propose(const Inventory& inventory, runtime::MonotonicTime requested_at) {
+  proposal_in_flight_ = true;
+  const Inventory& replicated = state_->fleet().inventory();
+  Command command;
+  *command.mutable_set_inventory()->mutable_change() = ComputeDelta(replicated, inventory);
+  command.mutable_set_inventory()->set_base_version(replicated.version());
+  proposer_->Propose(command, [this, requested_at](bool applied) {
+    proposal_in_flight_ = false;
+    if (applied) MarkCurrent(requested_at);
+    if (std::exchange(refresh_pending_, false)) Refresh();
+  });
+}
+
+void InventoryPublisher::MarkCurrent(runtime::MonotonicTime requested_at) {
+  is_current_ = true;
+  current_requested_at_ = requested_at;
+}
+
+}  // namespace posthatch::control
--- /dev/null
+++ b/src/posthatch/control/server/proposal_server.h
@@ -0,0 +1,89 @@
+#pragma once
+
+#include <compare>
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <string>
+
+#include "absl/status/statusor.h"
+#include "posthatch/consensus/replicated_log.h"
+#include "posthatch/control/server/control_messenger.h"
+#include "posthatch/control/server/controller_metrics.h"
+#include "posthatch/control/server/in_force_waiters.h"
+#include "posthatch/control/server/leadership.h"
+#include "posthatch/control/server/push_scheduler.h"
+#include "posthatch/control/server/session_table.h"
+#include "posthatch/control/state/control_state.h"
+#include "posthatch/runtime/runtime.h"
+
+namespace posthatch::control {
+
+// On the leader: brings the commands of gateways and operators into the replicated log and responds
+// once they are applied or, if the proposer wants so, in force at every session. On the others it
+// names the leader. Owned by ControllerService; event loop thread only.
+class ProposalServer {
+ public:
+  // `max_proposals` bounds the pending proposals, those waiting to come into force included; beyond
+  // it new ones are rejected with OVERLOADED. All pointers outlive this object.
+  ProposalServer(runtime::Runtime* runtime, size_t max_proposals, consensus::ReplicatedLog* log,
+                 const Leadership* leadership, const ControlState* state,
+                 const SessionTable* sessions, PushScheduler* pushes, ControlMessenger* messenger,
+                 ControllerMetrics* metrics);
+
+  void OnRequest(const ControlPeer& sender, const ProposeRequest& request);
+  // Ends the waits for changes to come into force with UNCERTAIN.
+  void Reset() { waiters_.FailAll(); }
+  // Control time goes on from where the previous leader left it.
+  void BeginTerm() { control_time_base_ms_ = state_->delivery_now_ms(); }
+  // A session ended: changes may be in force everywhere now.
+  void OnSessionEnded();
+  // A session acknowledged sections or was renewed.
+  void OnSessionAcked();
+
+ private:
+  // A sent-again request has the key of the first one.
+  struct ProposalKey {
+    std::string endpoint;  // of the proposer
+    uint64_t incarnation = 0;
+    std::string request_id;
+    bool until_in_force = false;
+
+    friend auto operator<=>(const ProposalKey&, const ProposalKey&) = default;
+  };
+
+  ProposalKey MakeKey(const ControlPeer& sender, const ProposeRequest& request);
+  // STATUS_UNSPECIFIED if a proposal can be taken.
+  ProposeResponse::Status CheckAdmission() const;
+  void Reject(const ControlPeer& sender, uint64_t call, ProposeResponse::Status status);
+  // Sets the time of commands whose effect depends on it.
+  void StampControlTime(Command* command) const;
+  void OnProposalDone(const ProposalKey& key, const absl::StatusOr<std::string>& applied);
+  void RespondNotApplied(const ProposalKey& key, const absl::Status& status);
+  void WaitUntilInForce(const ProposalKey& key, const CommandResult& result);
+  void Respond(const ProposalKey& key, ProposeResponse response);
+  void RespondUncertain(const ProposalKey& key);
+  void RespondDone(const ProposalKey& key, const CommandResult& result);
+  void ScheduleInForceCheck(runtime::Duration delay);
+  void CheckInForce();
+
+  runtime::Runtime* const runtime_;
+  const size_t max_proposals_;
+  consensus::ReplicatedLog* const log_;
+  const Leadership* const leadership_;
+  const ControlState* const state_;
+  const SessionTable* const sessions_;
+  PushScheduler* const pushes_;
+  ControlMessenger* const messenger_;
+  ControllerMetrics* const metrics_;
+
+  InForceWaiters waiters_;
+  std::map<ProposalKey, uint64_t> pending_;  // to the newest call, which gets the response
+  uint64_t anonymous_proposal_count_ = 0;    // tells apart proposals without request id
+  int64_t control_time_base_ms_ = 0;
+  runtime::Timer check_timer_;
+  // Callbacks that may outlive this object hold a weak pointer to it.
+  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace posthatch::control
--- /dev/null
+++ b/src/posthatch/control/server/push_scheduler.cc
@@ -0,0 +1,78 @@
+#include "posthatch/control/server/push_scheduler.h"
+
+#include <algorithm>
+
+#include "posthatch/control/server/section_encoder.h"
+#include "posthatch/control/state/fingerprint.h"
+
+namespace posthatch::control {
+namespace {
+
+// Changes that come close together go out in one push.
+constexpr runtime::Duration kPushDelay = std::chrono::milliseconds(1);
+
+}  // namespace
+
+PushScheduler::PushScheduler(runtime::Runtime* runtime, const PushSchedulerOptions& options,
+                             const Leadership* leadership, const ControlState* state,
+                             const InventoryPublisher* inventory, SessionTable* sessions,
+                             ControllerMetrics* metrics)
+    : runtime_(runtime),
+      options_(options),
+      leadership_(leadership),
+      state_(state),
+      inventory_(inventory),
+      sessions_(sessions),
+      metrics_(metrics),
+      timer_(runtime->timers) {}
+
+void PushScheduler::Schedule() {
+  if (!leadership_->active() || timer_.running()) return;
+  const runtime::Duration until_allowed = next_push_at_ - runtime_->clock->Now();
+  timer_.Start(std::max(kPushDelay, until_allowed), [this] { PushAll(); });
+}
+
+void PushScheduler::PushAll() {
+  if (!leadership_->active()) return;
+  const runtime::MonotonicTime now = runtime_->clock->Now();
+  const uint64_t newest_index = HighestIndex(IndicesOf(state_->fleet()));
+  // Most sessions lack the same sections: each message is made and serialized once.
+  std::map<SectionIndices, std::string> payloads;
+  double sent = 0;
+  ++last_push_id_;
+  for (auto& [key, session] : sessions_->mutable_sessions()) {
+    if (!NeedsPush(session, newest_index, now)) continue;
+    std::string& payload = payloads[session.acked_versions];
+    if (payload.empty()) payload = SerializePush(session.acked_versions);
+    session.sent_index = newest_index;
+    session.sent_at = now;
+    ++sent;
+    metrics_->pushes().Increment();
+    runtime_->transport->Send(session.endpoint, runtime::SERVICE_CONTROL, payload,
+                              runtime::Delivery::kStream);
+  }
+  next_push_at_ = now + std::chrono::duration_cast<runtime::Duration>(
+                            std::chrono::duration<double>(sent / options_.pushes_per_second));
+}
+
+bool PushScheduler::NeedsPush(const Session& session, uint64_t newest_index,
+                              runtime::MonotonicTime now) const {
+  const uint64_t acked_index = HighestIndex(session.acked_versions);
+  if (session.expiry <= now || acked_index >= newest_index) return false;
+  const bool push_in_flight =
+      session.sent_index > acked_index && now - session.sent_at < options_.retry_interval;
+  return !push_in_flight;
+}
+
+std::string PushScheduler::SerializePush(const SectionIndices& acked_versions) const {
+  ControlMessage message;
+  StatePush* push = message.mutable_state_push();
+  push->set_push(last_push_id_);
+  push->set_term(leadership_->term());
+  push->set_inventory_age_ms(inventory_->InventoryAgeMs());
+  EncodeChangedSections(*state_, acked_versions, push->mutable_changed(),
+                        push->mutable_changed_sections());
+  return SerializeDeterministically(message);
+}
+
+}  // namespace posthatch::control
--- /dev/null
+++ b/src/posthatch/control/server/session_server.cc
@@ -0,0 +1,95 @@
+#include "posthatch/control/server/session_server.h"
+
+#include "posthatch/control/server/section_encoder.h"
+#include "posthatch/control/state/fleet_sections.h"
+
+namespace posthatch::control {
+
+SessionServer::SessionServer(runtime::Runtime* runtime, runtime::Duration session_lease,
+                             const consensus::ReplicatedLog* log, const Leadership* leadership,
+                             const ControlState* state, const InventoryPublisher* inventory,
+                             SessionTable* sessions, PushScheduler* pushes,
+                             ProposalServer* proposals, ControlMessenger* messenger,
+                             ControllerMetrics* metrics)
+    : runtime_(runtime),
+      session_lease_(session_lease),
+      log_(log),
+      leadership_(leadership),
+      state_(state),
+      inventory_(inventory),
+      sessions_(sessions),
+      pushes_(pushes),
+      proposals_(proposals),
+      messenger_(messenger),
+      metrics_(metrics) {}
+
+void SessionServer::OnRenewal(const ControlPeer& sender, const SessionRenewal& renewal) {
+  if (!leadership_->IsLeader()) {
+    SendLeaderHint(sender.endpoint);
+  } else if (renewal.leaving()) {
+    sessions_->End({renewal.gateway(), renewal.incarnation()});
+    proposals_->OnSessionEnded();
+  } else if (!leadership_->HasLeaderLease()) {
+    metrics_->grants_denied_no_lease().Increment();
+  } else if (!renewal.rejection().empty()) {
+    RejectLease(sender, renewal);
+  } else {
+    RenewSession(sender, renewal);
+  }
+}
+
+void SessionServer::SendLeaderHint(const std::string& endpoint) {
+  ControlMessage message;
+  message.set_leader_hint(log_->leader_endpoint());
+  messenger_->Send(endpoint, message);
+}
+
+void SessionServer::RejectLease(const ControlPeer& sender, const SessionRenewal& renewal) {
+  runtime_->trace->Event(runtime::Severity::kError, "ConfigurationRejectedByGateway",
+                         {{"gateway", renewal.gateway()}, {"error", renewal.rejection()}});
+  messenger_->Send(sender.endpoint, MakeGrant(renewal, runtime::Duration::zero()));
+}
+
+void SessionServer::RenewSession(const ControlPeer& sender, const SessionRenewal& renewal) {
+  const uint64_t newest_index = HighestIndex(IndicesOf(state_->fleet()));
+  Session* session = sessions_->Renew(renewal, sender.endpoint, runtime_->clock->Now(),
+                                      session_lease_, newest_index, leadership_->term());
+  if (session == nullptr) return;
+  const ControlMessage grant = MakeGrant(renewal, session_lease_);
+  session->sent_index = newest_index;
+  session->sent_at = runtime_->clock->Now();
+  messenger_->Send(sender.endpoint, grant);
+  metrics_->grants().Increment();
+  metrics_->sessions().Set(static_cast<double>(sessions_->sessions().size()));
+  proposals_->OnSessionAcked();
+}
+
+ControlMessage SessionServer::MakeGrant(const SessionRenewal& renewal,
+                                        runtime::Duration lease) const {
+  const auto lease_ms = std::chrono::duration_cast<std::chrono::milliseconds>(lease);
+  ControlMessage message;
+  SessionGrant* grant = message.mutable_session_grant();
+  grant->set_renewal(renewal.renewal());
+  grant->set_incarnation(renewal.incarnation());
+  grant->set_term(leadership_->term());
+  grant->set_lease_ms(static_cast<uint32_t>(lease_ms.count()));
+  grant->set_inventory_age_ms(inventory_->InventoryAgeMs());
+  EncodeChangedSections(*state_, IndicesOf(renewal), grant->mutable_changed(),
+                        grant->mutable_changed_sections());
+  return message;
+}
+
+void SessionServer::OnPushAck(const StatePushAck& ack) {
+  if (!leadership_->active()) return;
+  const SessionKey key{ack.gateway(), ack.incarnation()};
+  sessions_->Acknowledge(key, IndicesOf(ack));
+  Session* session = sessions_->Find(key);
+  if (session != nullptr &&
+      HighestIndex(session->acked_versions) < HighestIndex(IndicesOf(state_->fleet()))) {
+    session->sent_index = 0;  // no push is in flight: the next one is a delta to what it has now
+    pushes_->Schedule();
+  }
+  proposals_->OnSessionAcked();
+}
+
+}  // namespace posthatch::control
--- /dev/null
+++ b/src/posthatch/control/server/session_server.h
@@ -0,0 +1,54 @@
+#pragma once
+
+#include <string>
+
+#include "posthatch/consensus/replicated_log.h"
+#include "posthatch/control/server/control_messenger.h"
+#include "posthatch/control/server/controller_metrics.h"
+#include "posthatch/control/server/inventory_publisher.h"
+#include "posthatch/control/server/leadership.h"
+#include "posthatch/control/server/proposal_server.h"
+#include "posthatch/control/server/push_scheduler.h"
+#include "posthatch/control/server/session_table.h"
+#include "posthatch/control/state/control_state.h"
+#include "posthatch/runtime/runtime.h"
+
+namespace posthatch::control {
+
+// On the leader: grants and renews the gateways' session leases and takes in their acknowledgements
+// of pushed sections. On the others it names the leader. Owned by ControllerService; event loop
+// thread only.
+class SessionServer {
+ public:
+  // `session_lease` is granted with each renewal. All pointers outlive this object.
+  SessionServer(runtime::Runtime* runtime, runtime::Duration session_lease,
+                const consensus::ReplicatedLog* log, const Leadership* leadership,
+                const ControlState* state, const InventoryPublisher* inventory,
+                SessionTable* sessions, PushScheduler* pushes, ProposalServer* proposals,
+                ControlMessenger* messenger, ControllerMetrics* metrics);
+
+  void OnRenewal(const ControlPeer& sender, const SessionRenewal& renewal);
+  void OnPushAck(const StatePushAck& ack);
+
+ private:
+  void SendLeaderHint(const std::string& endpoint);
+  // Answers a gateway that can't apply the newest configuration (NACK): without a lease it may no
+  // longer decide by the previous one, but it gets newer sections, which may be valid.
+  void RejectLease(const ControlPeer& sender, const SessionRenewal& renewal);
+  void RenewSession(const ControlPeer& sender, const SessionRenewal& renewal);
+  ControlMessage MakeGrant(const SessionRenewal& renewal, runtime::Duration lease) const;
+
+  runtime::Runtime* const runtime_;
+  const runtime::Duration session_lease_;
+  const consensus::ReplicatedLog* const log_;
+  const Leadership* const leadership_;
+  const ControlState* const state_;
+  const InventoryPublisher* const inventory_;
+  SessionTable* const sessions_;
+  PushScheduler* const pushes_;
+  ProposalServer* const proposals_;
+  ControlMessenger* const messenger_;
+  ControllerMetrics* const metrics_;
+};
+
+}  // namespace posthatch::control
--- a/src/posthatch/control/state/object_versions.h
+++ b/src/posthatch/control/state/object_versions.h
@@ -11,8 +11,8 @@
 
 namespace posthatch::control {
 
-// Versions of the objects that index entries rest on (names: invalidation.proto). A version never goes
-// back. Part of the replicated state; owned by ControlState.
+// Versions of the objects that index entries rest on (names: invalidation.proto). A version never
+// goes back. Part of the replicated state; owned by ControlState.
 class ObjectVersions {
  public:
   static constexpr size_t kMaxNameLength = 256;
--- a/src/posthatch/server/controller_node.cc
+++ b/src/posthatch/server/controller_node.cc
@@ -35,7 +35,7 @@
                                  runtime->transport->incarnation()),
                   settings_.node.seeds, membership::GossipOptions{}),
       replica_(runtime, MakeReplicaOptions(settings_, &membership_), &state_),
-      service_(runtime, ServiceOptions(), &replica_, this, &state_),
+      service_(runtime, ServiceOptions(), this, &replica_, this, &state_),
       invalidation_server_(runtime, invalidation::InvalidationServerOptions{}, &state_,
                            [this] { return Serving(); }),
       admin_api_(runtime, MakeAdminOptions(settings_.node, &membership_), service_.client(),
@@ -70,27 +70,31 @@
   membership_.SetSeeds(seeds);
 }
 
-control::ControllerServiceOptions ControllerNode::ServiceOptions() {
+control::ControllerServiceOptions ControllerNode::ServiceOptions() const {
   control::ControllerServiceOptions options;
   options.session_lease = settings_.session_lease;
   options.inventory.endpoint = settings_.node.inventory_endpoint;
   options.inventory.poll_interval = settings_.inventory_poll_interval;
-  if (formats_ != nullptr) {
-    options.inventory.format = formats_->inventory;
-    options.annotate_inventory = [this](control::Inventory* inventory) {
-      if (rollouts_ != nullptr) rollouts_->Annotate(inventory);
-    };
-    options.on_leadership = [this](bool is_leader, uint64_t term) {
-      if (rollouts_ != nullptr) rollouts_->OnLeadership(is_leader, term);
-    };
-  }
-  options.controllers = [this] {
-    return LiveEndpoints(membership_, membership::MemberRole::kController, settings_.node.seeds);
-  };
-  options.controllers_view = [this] { return ControllersView(replica_.Status()); };
+  if (formats_ != nullptr) options.inventory.format = formats_->inventory;
   return options;
 }
 
+std::vector<std::string> ControllerNode::ControllerEndpoints() const {
+  return LiveEndpoints(membership_, membership::MemberRole::kController, settings_.node.seeds);
+}
+
+std::optional<std::string> ControllerNode::ControllersView() const {
+  return server::ControllersView(replica_.Status());
+}
+
+void ControllerNode::AnnotateInventory(control::Inventory* inventory) {
+  if (rollouts_ != nullptr) rollouts_->Annotate(inventory);
+}
+
+void ControllerNode::OnLeadershipChange(bool is_leader, uint64_t term) {
+  if (rollouts_ != nullptr) rollouts_->OnLeadership(is_leader, term);
+}
+
 absl::Status ControllerNode::Start() {
   replica_.SetFailureListener([this](const absl::Status& status) {
     // The replica has stopped for good; this process answers reads through the leader, and is not
--- a/src/posthatch/server/controller_node.h
+++ b/src/posthatch/server/controller_node.h
@@ -1,10 +1,15 @@
 #pragma once
 
+#include <cstdint>
 #include <memory>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "posthatch/consensus/raft_replica.h"
 #include "posthatch/control/admin/admin_api.h"
 #include "posthatch/control/admin/operator_api.h"
+#include "posthatch/control/server/controller_host.h"
 #include "posthatch/control/server/controller_service.h"
 #include "posthatch/control/server/leader_lease_guard.h"
 #include "posthatch/control/state/control_state.h"
@@ -19,7 +24,9 @@
 
 // A controller: one replica of the log with the control state on it, the invalidation server, and
 // what gateways and operators ask of the leader. The same in real processes and in the simulator.
-class ControllerNode : public Process, public control::LeaderLeaseGuard {
+class ControllerNode : public Process,
+                       public control::LeaderLeaseGuard,
+                       private control::ControllerHost {
  public:
   // `formats`: how the platform speaks, for a fleet that carries routed traffic; null for one that
   // serves the product's own interface only.
@@ -43,7 +50,13 @@
 
  private:
   invalidation::ServingState Serving() const;
-  control::ControllerServiceOptions ServiceOptions();
+  // control::ControllerHost.
+  std::vector<std::string> ControllerEndpoints() const override;
+  std::optional<std::string> ControllersView() const override;
+  void AnnotateInventory(control::Inventory* inventory) override;
+  void OnLeadershipChange(bool is_leader, uint64_t term) override;
+
+  control::ControllerServiceOptions ServiceOptions() const;
   rollout::RolloutOptions RolloutSettings() const;
   rollout::RolloutCoordinator::Parts RolloutParts();
   void LeaveFleet(std::function<void()> done);
