--- a/src/posthatch/control/control-bench.cc
+++ b/src/posthatch/control/control-bench.cc
@@ -22,6 +22,7 @@
 #include "posthatch/control/client/gateway_session.h"
 #include "posthatch/control/server/controller_service.h"
 #include "posthatch/control/server/memory_log-test.h"
+#include "posthatch/control/server/static_controller_host-test.h"
 #include "posthatch/control/state/commands-test.h"
 #include "posthatch/simulation/sim_world.h"
 
@@ -125,8 +126,9 @@
   Leader(runtime::Runtime* host_runtime, Meter* meter, MemoryCluster* cluster)
       : metered(host_runtime, meter),
         log(&metered.runtime, cluster, &state),
-        service(&metered.runtime, {}, &log, &log, &state) {}
+        service(&metered.runtime, {}, &controller_host, &log, &log, &state) {}
   MeteredRuntime metered;
+  StaticControllerHost controller_host{[] { return std::vector<std::string>(); }};
   ControlState state;
   MemoryLog log;
   ControllerService service;
--- a/src/posthatch/control/inventory/inventory_fetch.cc
+++ b/src/posthatch/control/inventory/inventory_fetch.cc
@@ -20,7 +20,7 @@
       endpoint_(std::move(endpoint)),
       format_(format),
       timeout_(timeout),
-      next_(runtime->timers) {}
+      next_step_(runtime->timers) {}
 
 void InventoryFetch::Start(Done done) {
   Cancel();
@@ -33,7 +33,7 @@
 
 void InventoryFetch::Cancel() {
   call_.reset();
-  next_.Cancel();
+  next_step_.Cancel();
 }
 
 void InventoryFetch::RequestPage(const std::string& page) {
@@ -49,7 +49,7 @@
   observer.on_chunk = [this](const std::string& piece) { response_.body.append(piece); };
   observer.on_end = [this] { OnPage(); };
   observer.on_error = [this](const http::CallError& error) {
-    Finish(absl::UnavailableError(error.status.message()), runtime::Duration::zero());
+    Fail(absl::UnavailableError(error.status.message()));
   };
   call_ = runtime_->http_client->Start(endpoint_, format_->PageRequest(page), options,
                                        std::move(observer));
@@ -61,11 +61,10 @@
                   format_->RetryAfter(response_));
   }
   if (response_.status != kStatusOk) {
-    return Finish(absl::UnavailableError("the inventory answered with an error"),
-                  runtime::Duration::zero());
+    return Fail(absl::UnavailableError("the inventory answered with an error"));
   }
   absl::StatusOr<InventoryPage> page = format_->ParsePage(response_.body);
-  if (!page.ok()) return Finish(page.status(), runtime::Duration::zero());
+  if (!page.ok()) return Fail(page.status());
   for (Backend& backend : *page->inventory.mutable_backends()) {
     *collected_.add_backends() = std::move(backend);
   }
@@ -73,15 +72,15 @@
     SortBackends(&collected_);
     return Finish(std::move(collected_), runtime::Duration::zero());
   }
-  next_.Start(runtime::Duration::zero(),
-              [this, next_page = std::move(page->next_page)] { RequestPage(next_page); });
+  next_step_.Start(runtime::Duration::zero(),
+                   [this, next_page = std::move(page->next_page)] { RequestPage(next_page); });
 }
 
-void InventoryFetch::Finish(absl::StatusOr<Inventory> inventory, runtime::Duration pause) {
+void InventoryFetch::Finish(absl::StatusOr<Inventory> inventory, runtime::Duration retry_after) {
   const Done done = std::exchange(done_, nullptr);
-  // The call must outlive its own callback: it goes with the next one or with this object.
-  next_.Start(runtime::Duration::zero(), [this] { call_.reset(); });
-  if (done) done({std::move(inventory), pause, requested_at_, calls_});
+  // The call must outlive its own callback, which this may be.
+  next_step_.Start(runtime::Duration::zero(), [this] { call_.reset(); });
+  if (done) done({std::move(inventory), retry_after, requested_at_, calls_});
 }
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/inventory/inventory_fetch.h
+++ b/src/posthatch/control/inventory/inventory_fetch.h
@@ -10,19 +10,20 @@
 
 namespace posthatch::control {
 
-// Reads a platform's whole inventory once, page by page. Owned by InventoryPoller or by a gateway's
-// own watch on the inventory; event loop thread only.
+// Reads a platform's complete inventory once, page by page. Owned by InventoryPoller or
+// InventoryWatch; event loop thread only.
 class InventoryFetch {
  public:
   struct Outcome {
-    // The whole list, sorted by id. ResourceExhausted: read too often; Unavailable: no answer;
-    // InvalidArgument: an answer that isn't an inventory.
+    // All pages, sorted by id. ResourceExhausted: rate-limited by the platform (429); Unavailable:
+    // no response, or another status; InvalidArgument: the body isn't an inventory.
     absl::StatusOr<Inventory> inventory;
-    // Asked for by a refusal; zero if it named none.
-    runtime::Duration pause{0};
-    // When the first page was asked for: the list is not older, but for the platform's own lag.
+    // With ResourceExhausted: how long the platform asks to wait; zero if it doesn't say.
+    runtime::Duration retry_after{0};
+    // When the first page was requested: the inventory is at least as new, except for the
+    // platform's own lag.
     runtime::MonotonicTime requested_at;
-    // Calls that it took: the platform counts each page.
+    // HTTP calls made, one a page: the platform's rate limit counts each.
     int calls = 0;
   };
   using Done = std::function<void(Outcome)>;
@@ -30,7 +31,7 @@
   InventoryFetch(runtime::Runtime* runtime, std::string endpoint, const InventoryFormat* format,
                  runtime::Duration timeout);
 
-  // Gives up a fetch that is under way. `done` runs once, unless Cancel or Start comes first.
+  // Cancels a fetch in flight. `done` runs once, unless Cancel or Start is called before.
   void Start(Done done);
   void Cancel();
   bool running() const { return call_ != nullptr; }
@@ -40,7 +41,8 @@
 
   void RequestPage(const std::string& page);
   void OnPage();
-  void Finish(absl::StatusOr<Inventory> inventory, runtime::Duration pause);
+  void Finish(absl::StatusOr<Inventory> inventory, runtime::Duration retry_after);
+  void Fail(const absl::Status& status) { Finish(status, runtime::Duration::zero()); }
 
   runtime::Runtime* const runtime_;
   const std::string endpoint_;
@@ -52,7 +54,8 @@
   Inventory collected_;
   int calls_ = 0;
   runtime::MonotonicTime requested_at_;
-  runtime::Timer next_;  // the next page is not asked for from within the last one's callback
+  // Leaves the HTTP call's own callback before the call is replaced or destroyed.
+  runtime::Timer next_step_;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/inventory/inventory_format.h
+++ b/src/posthatch/control/inventory/inventory_format.h
@@ -13,22 +13,23 @@
   std::string next_page;  // empty on the last one
 };
 
-// How a platform's inventory is asked and read. Stateless; any thread.
+// Requests and responses of a platform's inventory interface. Stateless; any thread.
 class InventoryFormat {
  public:
   virtual ~InventoryFormat() = default;
-  // `page` is empty for the first one.
+  // `page` is InventoryPage::next_page of the previous one; empty for the first.
   virtual http::Request PageRequest(const std::string& page) const = 0;
-  // InvalidArgument if `body` is not a whole page.
+  // InvalidArgument if `body` is not a complete page.
   virtual absl::StatusOr<InventoryPage> ParsePage(const std::string& body) const = 0;
-  // How long a refusal for reading too often asks to wait; zero if it doesn't say.
-  virtual runtime::Duration RetryAfter(const http::Response& refusal) const = 0;
+  // Delay that a 429 asks for; zero if it names none.
+  virtual runtime::Duration RetryAfter(const http::Response& response) const = 0;
 };
 
-// The inventory of docs/BACKENDS.md: one page.
+// The format of docs/BACKENDS.md, which has a single page.
 const InventoryFormat* NativeInventoryFormat();
 
-// Reads a whole inventory of docs/BACKENDS.md, sorted by id. InvalidArgument if it isn't one.
+// Parses a complete inventory in the format of docs/BACKENDS.md, sorted by id. InvalidArgument if
+// `json` isn't one.
 absl::StatusOr<Inventory> ParseInventory(const std::string& json);
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/inventory/inventory_poller.cc
+++ b/src/posthatch/control/inventory/inventory_poller.cc
@@ -33,11 +33,11 @@
 }
 
 void InventoryPoller::OnOutcome(InventoryFetch::Outcome outcome) {
-  runtime::Duration pause = options_.poll_interval;
+  runtime::Duration delay = options_.poll_interval;
   if (absl::IsResourceExhausted(outcome.inventory.status())) {
-    pause = std::clamp(outcome.pause, options_.poll_interval, options_.max_retry_after);
+    delay = std::clamp(outcome.retry_after, options_.poll_interval, options_.max_retry_after);
   }
-  timer_.Start(pause, [this] { Poll(); });
+  timer_.Start(delay, [this] { Poll(); });
   if (outcome.inventory.ok()) {
     done_(*std::move(outcome.inventory), outcome.requested_at);
   } else if (absl::IsInvalidArgument(outcome.inventory.status())) {
--- a/src/posthatch/control/inventory/inventory_poller.h
+++ b/src/posthatch/control/inventory/inventory_poller.h
@@ -11,20 +11,20 @@
 namespace posthatch::control {
 
 struct InventoryPollerOptions {
-  std::string endpoint;  // "ip:port" of the platform's inventory; empty: nothing is read
+  std::string endpoint;  // "ip:port" of the platform's inventory; empty: never read
   const InventoryFormat* format = NativeInventoryFormat();
   runtime::Duration poll_interval = std::chrono::milliseconds(500);
   runtime::Duration timeout = std::chrono::milliseconds(1000);
-  // Longest pause that a refusal may ask for.
+  // Bound of the platform's own retry delay.
   runtime::Duration max_retry_after = std::chrono::seconds(5);
 };
 
-// Reads the platform's inventory again and again while it runs, one reading at a time; a refusal
-// for reading too often puts the next one off. Owned by ControllerService.
+// Reads the platform's inventory periodically while it is started, one fetch at a time; a 429
+// delays the next one. Owned by InventoryPublisher; event loop thread only.
 class InventoryPoller {
  public:
-  // A whole list, and when it was asked for: it is not older than that, but for the platform's own
-  // lateness.
+  // A complete inventory, and when it was requested: it is at least as new, except for the
+  // platform's own lag.
   using ReadCallback =
       std::function<void(Inventory inventory, runtime::MonotonicTime requested_at)>;
 
--- a/src/posthatch/control/inventory/inventory_watch-test.cc
+++ b/src/posthatch/control/inventory/inventory_watch-test.cc
@@ -2,6 +2,7 @@
 
 #include <gtest/gtest.h>
 
+#include <functional>
 #include <map>
 #include <memory>
 #include <set>
@@ -21,36 +22,50 @@
 constexpr int kZones = 6;
 constexpr runtime::Duration kDrainBound = seconds(4);
 constexpr runtime::Duration kStaleAge = milliseconds(2500);
-// What the gateways are told of the cap, which may be wrong.
-constexpr double kBelievedRate = 1000;
+// Rate limit in the gateways' settings, above the platform's actual one.
+constexpr double kConfiguredRate = 1000;
 
-// What the controllers told a gateway when they were last heard from.
-class SilentControllers : public FleetView {
+// The last state that a gateway received before the controllers became unreachable.
+class StaleFleetView : public FleetView {
  public:
-  SilentControllers(const runtime::Clock* clock, const Inventory& inventory) : clock_(clock) {
+  StaleFleetView(const runtime::Clock* clock, const Inventory& inventory) : clock_(clock) {
     *state_.mutable_inventory() = inventory;
-    heard_at_ = clock->Now();
+    inventory_requested_at_ = clock->Now();
   }
   bool LeaseValid() const override { return false; }
   runtime::MonotonicTime lease_expiry() const override { return {}; }
   const FleetState& state() const override { return state_; }
-  runtime::Duration InventoryAge() const override { return clock_->Now() - heard_at_; }
+  runtime::Duration InventoryAge() const override {
+    return clock_->Now() - inventory_requested_at_;
+  }
   void AddListener(Listener) override {}
 
   FleetState state_;
-  runtime::MonotonicTime heard_at_;
+  runtime::MonotonicTime inventory_requested_at_;
 
  private:
   const runtime::Clock* const clock_;
 };
 
-struct WatchingGateway {
-  WatchingGateway(runtime::Runtime* host_runtime, const Inventory& told,
-                  const InventoryWatchOptions& options)
-      : view(host_runtime->clock, told), watch(host_runtime, options, &view) {
+// A gateway with nothing but the watch.
+struct WatchingGateway : InventoryWatchHost {
+  using PeersSource = std::function<std::vector<ZonePeer>()>;
+
+  WatchingGateway(runtime::Runtime* host_runtime, const Inventory& inventory,
+                  const InventoryWatchOptions& options, uint32_t fleet_size, PeersSource peers)
+      : live_gateways(fleet_size),
+        zone_peers(std::move(peers)),
+        view(host_runtime->clock, inventory),
+        watch(host_runtime, options, this, &view) {
     watch.Start();
   }
-  bool KnowsAsDraining(const std::string& id) const {
+  uint32_t LiveGateways() override { return live_gateways; }
+  std::vector<ZonePeer> ZonePeers() const override { return zone_peers(); }
+  bool NeedsInventory() const override { return true; }
+  void OnLocalSnapshotChange() override {}
+  void OnInventoryRead(InventoryReadResult) override {}
+
+  bool SeesDraining(const std::string& id) const {
     const Inventory& list =
         watch.local_snapshot() == nullptr ? view.state().inventory() : *watch.local_snapshot();
     for (const Backend& backend : list.backends()) {
@@ -58,20 +73,23 @@
     }
     return false;
   }
-  SilentControllers view;
+  const uint32_t live_gateways;
+  const PeersSource zone_peers;
+  StaleFleetView view;
   InventoryWatch watch;
 };
 
-// The platform's list: some workers, and a cap on the calls of all together.
-class ListServer {
+// The platform's inventory: 20 workers, and a rate limit over all callers.
+class FakeInventoryServer {
  public:
-  ListServer(runtime::Runtime* runtime, const std::string& endpoint, double calls_per_second)
+  FakeInventoryServer(runtime::Runtime* runtime, const std::string& endpoint,
+                      double calls_per_second)
       : runtime_(runtime), calls_per_second_(calls_per_second) {
     server_ = *runtime->http_servers->Listen(
         endpoint, {}, [this](const http::Request&, auto writer) { Answer(writer.get()); });
   }
   uint64_t calls = 0;
-  uint64_t refused = 0;
+  uint64_t rate_limited = 0;
   std::set<std::string> draining;
 
  private:
@@ -84,7 +102,7 @@
     }
     http::Response response;
     if (++in_second_ > calls_per_second_) {
-      ++refused;
+      ++rate_limited;
       response.status = 429;
       return writer->SendResponse(response);
     }
@@ -106,53 +124,56 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
-// Gateways of several zones, none of which hears of the controllers any more.
-class BlindFleet {
+// Gateways of several zones that can't reach the controllers.
+class FleetWithoutControllers {
  public:
-  BlindFleet(uint64_t seed, int gateways, double calls_per_second, bool by_zone = true)
+  FleetWithoutControllers(uint64_t seed, int gateways, double calls_per_second,
+                          bool share_within_zone = true)
       : world(seed) {
     for (int i = 0; i < 20; ++i) {
-      Backend* backend = told_.add_backends();
+      Backend* backend = initial_inventory_.add_backends();
       backend->set_id(absl::StrCat("w", i));
       backend->set_kind(BACKEND_KIND_WORKER);
     }
-    SortBackends(&told_);
-    told_.set_version(7);
+    SortBackends(&initial_inventory_);
+    initial_inventory_.set_version(7);
     simulation::SimHost* list = world.AddHost("list", "z0", "10.0.3.1");
     list->SetBoot([this, list, calls_per_second](runtime::Runtime* runtime) {
-      auto process = std::make_shared<ListServer>(runtime, list->http_endpoint(), calls_per_second);
+      auto process =
+          std::make_shared<FakeInventoryServer>(runtime, list->http_endpoint(), calls_per_second);
       server = process.get();
       return process;
     });
-    for (int i = 0; i < gateways; ++i) AddGateway(i, gateways, by_zone);
+    for (int i = 0; i < gateways; ++i) AddGateway(i, gateways, share_within_zone);
     for (simulation::SimHost* host : world.hosts()) host->Start();
   }
 
   WatchingGateway* Gateway(const simulation::SimHost* host) const {
     return gateways_.at(host).lock().get();
   }
-  // How long every running gateway takes to know of a mark that the list shows from now on.
-  runtime::Duration TimeUntilAllKnow(const std::string& worker) {
+  // Marks `worker` as draining in the platform's inventory; returns how long it takes until every
+  // running gateway sees that.
+  runtime::Duration TimeUntilAllSeeDraining(const std::string& worker) {
     server->draining.insert(worker);
-    const runtime::MonotonicTime shown = world.Now();
-    const auto all_know = [this, &worker] {
+    const runtime::MonotonicTime marked_at = world.Now();
+    const auto all_see = [this, &worker] {
       for (const simulation::SimHost* host : hosts) {
-        if (silenced.contains(host->name())) continue;
-        if (!Gateway(host)->KnowsAsDraining(worker)) return false;
+        if (frozen.contains(host->name())) continue;
+        if (!Gateway(host)->SeesDraining(worker)) return false;
       }
       return true;
     };
-    while (!all_know() && world.Now() - shown < seconds(20)) world.RunFor(milliseconds(50));
-    return world.Now() - shown;
+    while (!all_see() && world.Now() - marked_at < seconds(20)) world.RunFor(milliseconds(50));
+    return world.Now() - marked_at;
   }
 
   simulation::SimWorld world;
-  ListServer* server = nullptr;
+  FakeInventoryServer* server = nullptr;
   std::vector<simulation::SimHost*> hosts;
-  std::set<std::string> silenced;
+  std::set<std::string> frozen;
 
  private:
-  void AddGateway(int number, int gateways, bool by_zone) {
+  void AddGateway(int number, int gateways, bool share_within_zone) {
     const std::string zone = absl::StrCat("z", number % kZones);
     simulation::SimHost* host =
         world.AddHost(absl::StrCat("g", 1000 + number), zone,
@@ -162,10 +183,11 @@
       InventoryWatchOptions options;
       options.endpoint = "10.0.3.1:8080";
       options.stale_age = kStaleAge;
-      options.reads_per_second = kBelievedRate;
-      options.live_gateways = [gateways] { return static_cast<uint32_t>(gateways); };
-      if (by_zone) options.zone_peers = [this, host] { return PeersOf(host); };
-      auto process = std::make_shared<WatchingGateway>(runtime, told_, options);
+      options.reads_per_second = kConfiguredRate;
+      options.share_within_zone = share_within_zone;
+      auto process = std::make_shared<WatchingGateway>(runtime, initial_inventory_, options,
+                                                       static_cast<uint32_t>(gateways),
+                                                       [this, host] { return PeersOf(host); });
       gateways_[host] = process;
       return process;
     });
@@ -179,64 +201,65 @@
     return peers;
   }
 
-  Inventory told_;
+  Inventory initial_inventory_;
   std::map<const simulation::SimHost*, std::weak_ptr<WatchingGateway>> gateways_;
 };
 
 class InventoryWatchTest : public testing::TestWithParam<uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, InventoryWatchTest, testing::Range<uint64_t>(1, 6));
 
-TEST_P(InventoryWatchTest, ALargeBlindFleetReadsTheListOnceAZone) {
-  BlindFleet fleet(GetParam(), 300, /*calls_per_second=*/100);
+TEST_P(InventoryWatchTest, ALargeFleetWithoutControllersReadsTheListOnceAZone) {
+  FleetWithoutControllers fleet(GetParam(), 300, /*calls_per_second=*/100);
   fleet.world.RunFor(seconds(5));
-  EXPECT_LT(fleet.TimeUntilAllKnow("w3"), kDrainBound);
+  EXPECT_LT(fleet.TimeUntilAllSeeDraining("w3"), kDrainBound);
   fleet.world.RunFor(seconds(10));
   // One reader a zone, once a second, over at most 19 s.
   EXPECT_LE(fleet.server->calls, 2U * kZones * 19);
-  EXPECT_EQ(fleet.server->refused, 0U);
+  EXPECT_EQ(fleet.server->rate_limited, 0U);
 }
 
-TEST_P(InventoryWatchTest, ReadersThatAreFrozenOrCutOffAreReplacedWithinTheBound) {
-  BlindFleet fleet(GetParam(), 300, /*calls_per_second=*/100);
+TEST_P(InventoryWatchTest, FrozenOrPartitionedReadersAreReplacedWithinDrainBound) {
+  FleetWithoutControllers fleet(GetParam(), 300, /*calls_per_second=*/100);
   fleet.world.RunFor(seconds(5));
-  // The first gateway of each zone freezes; the second can't reach the platform.
+  // In each zone the first gateway freezes and the second one can't reach the platform.
   for (int zone = 0; zone < kZones; ++zone) {
     fleet.hosts[zone]->Freeze();
-    fleet.silenced.insert(fleet.hosts[zone]->name());
+    fleet.frozen.insert(fleet.hosts[zone]->name());
     fleet.world.Partition(fleet.hosts[kZones + zone]->name(), "list");
   }
-  EXPECT_LT(fleet.TimeUntilAllKnow("w3"), kDrainBound);
+  EXPECT_LT(fleet.TimeUntilAllSeeDraining("w3"), kDrainBound);
 }
 
-TEST_P(InventoryWatchTest, ListsOfOtherVersionsAreToldWhole) {
-  BlindFleet fleet(GetParam(), 24, /*calls_per_second=*/100);
+TEST_P(InventoryWatchTest, SendsCompleteInventoryWhenVersionsDiffer) {
+  FleetWithoutControllers fleet(GetParam(), 24, /*calls_per_second=*/100);
   for (size_t i = 0; i < fleet.hosts.size(); i += 2) {
-    SilentControllers& view = fleet.Gateway(fleet.hosts[i])->view;
+    StaleFleetView& view = fleet.Gateway(fleet.hosts[i])->view;
     view.state_.mutable_inventory()->mutable_backends()->DeleteSubrange(0, 5);
     view.state_.mutable_inventory()->set_version(i);
   }
   fleet.world.RunFor(seconds(5));
-  EXPECT_LT(fleet.TimeUntilAllKnow("w0"), kDrainBound);
+  EXPECT_LT(fleet.TimeUntilAllSeeDraining("w0"), kDrainBound);
   for (const simulation::SimHost* host : fleet.hosts) {
     EXPECT_EQ(fleet.Gateway(host)->watch.local_snapshot()->backends_size(), 20);
   }
 }
 
-TEST_P(InventoryWatchTest, RefusalsAreAnsweredByPausesThatGrow) {
-  BlindFleet fleet(GetParam(), 300, /*calls_per_second=*/0, /*by_zone=*/false);
+TEST_P(InventoryWatchTest, BacksOffExponentiallyWhenRateLimited) {
+  FleetWithoutControllers fleet(GetParam(), 300, /*calls_per_second=*/0,
+                                /*share_within_zone=*/false);
   fleet.world.RunFor(seconds(5));
   const uint64_t before = fleet.server->calls;
   fleet.world.RunFor(seconds(10));
-  // 300 gateways that ask every 4 s and more: 75 a second; without growth 900 a second.
+  // 300 gateways at a backoff of 4 s and more make 75 calls a second; without growth it were 900.
   EXPECT_LE(fleet.server->calls - before, 900U);
 }
 
-TEST_P(InventoryWatchTest, ALeaderThatIsHeardFromAgainEndsTheOwnReadings) {
-  BlindFleet fleet(GetParam(), 60, /*calls_per_second=*/100);
+TEST_P(InventoryWatchTest, StopsReadingOnceLeaderIsFresh) {
+  FleetWithoutControllers fleet(GetParam(), 60, /*calls_per_second=*/100);
   fleet.world.RunFor(seconds(5));
   for (const simulation::SimHost* host : fleet.hosts) {
-    SilentControllers& view = fleet.Gateway(host)->view;
-    view.heard_at_ = fleet.world.Now() + seconds(60);  // and goes on
+    StaleFleetView& view = fleet.Gateway(host)->view;
+    view.inventory_requested_at_ = fleet.world.Now() + seconds(60);  // stays fresh
   }
   fleet.world.RunFor(seconds(1));
   const uint64_t before = fleet.server->calls;
--- a/src/posthatch/control/inventory/native_inventory_format.cc
+++ b/src/posthatch/control/inventory/native_inventory_format.cc
@@ -74,12 +74,12 @@
     return page;
   }
 
-  runtime::Duration RetryAfter(const http::Response& refusal) const override {
-    int64_t pause_ms = 0;
-    if (!absl::SimpleAtoi(util::ToAbsl(refusal.headers.Get("Retry-After-Ms")), &pause_ms)) {
+  runtime::Duration RetryAfter(const http::Response& response) const override {
+    int64_t delay_ms = 0;
+    if (!absl::SimpleAtoi(util::ToAbsl(response.headers.Get("Retry-After-Ms")), &delay_ms)) {
       return runtime::Duration::zero();
     }
-    return std::chrono::milliseconds(std::max<int64_t>(pause_ms, 0));
+    return std::chrono::milliseconds(std::max<int64_t>(delay_ms, 0));
   }
 };
 
--- a/src/posthatch/control/inventory/zone_inventory.h
+++ b/src/posthatch/control/inventory/zone_inventory.h
@@ -10,6 +10,7 @@
 #include "absl/container/flat_hash_map.h"
 #include "posthatch/control/client/control_client.h"
 #include "posthatch/control/control.pb.h"
+#include "posthatch/control/inventory/zone_peer.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::control {
@@ -21,12 +22,6 @@
   runtime::MonotonicTime requested_at;
 };
 
-// Another gateway of the same zone.
-struct ZonePeer {
-  std::string node_id;
-  std::string endpoint;
-};
-
 struct ZoneInventoryOptions {
   // The other live gateways of the zone, in any order; asked at each question.
   std::function<std::vector<ZonePeer>()> peers;
--- /dev/null
+++ b/src/posthatch/control/inventory/zone_peer.h
@@ -0,0 +1,13 @@
+#pragma once
+
+#include <string>
+
+namespace posthatch::control {
+
+// Another live gateway of the same zone.
+struct ZonePeer {
+  std::string node_id;
+  std::string endpoint;  // internal, "ip:port"
+};
+
+}  // namespace posthatch::control
--- a/src/posthatch/control/server/fleet_harness-test.h
+++ b/src/posthatch/control/server/fleet_harness-test.h
@@ -4,7 +4,6 @@
 #include <functional>
 #include <map>
 #include <memory>
-#include <optional>
 #include <set>
 #include <string>
 #include <utility>
@@ -15,6 +14,7 @@
 #include "posthatch/control/client/gateway_session.h"
 #include "posthatch/control/server/control_history-test.h"
 #include "posthatch/control/server/controller_service.h"
+#include "posthatch/control/server/static_controller_host-test.h"
 #include "posthatch/simulation/sim_world.h"
 
 // A simulated control plane: controllers, gateways that "decide" and "order" all the time, a
@@ -46,21 +46,6 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
-// A process that knows the controllers' endpoints, and nothing more.
-class HarnessControllerHost : public ControllerHost {
- public:
-  explicit HarnessControllerHost(LeaderLocator::Endpoints controllers)
-      : controllers_(std::move(controllers)) {}
-
-  std::vector<std::string> ControllerEndpoints() const override { return controllers_(); }
-  std::optional<std::string> ControllersView() const override { return std::nullopt; }
-  void AnnotateInventory(Inventory*) override {}
-  void OnLeadershipChange(bool, uint64_t) override {}
-
- private:
-  const LeaderLocator::Endpoints controllers_;
-};
-
 struct ControllerProcess {
   ControllerProcess(runtime::Runtime* runtime, const simulation::SimHost& host,
                     const ControllerServiceOptions& options, LeaderLocator::Endpoints controllers,
@@ -70,7 +55,7 @@
         service(runtime, options, &controller_host, log.log, log.guard, &state),
         port(runtime, host.http_endpoint(), service.client(), service.client()) {}
 
-  HarnessControllerHost controller_host;
+  StaticControllerHost controller_host;
   ControlState state;
   LogParts log;
   ControllerService service;
--- a/src/posthatch/gateway/gateway.cc
+++ b/src/posthatch/gateway/gateway.cc
@@ -25,7 +25,7 @@
       router_(runtime, &options_, &backends_, locator, &links_, &metrics_),
       retry_budget_(runtime->clock),
       admission_(runtime->clock, &options_, &metrics_),
-      inventory_(runtime, WatchOptions(), view),
+      inventory_(runtime, WatchOptions(), this, view),
       deliveries_(control, options_.gateway_id),
       requests_(runtime->timers),
       context_{runtime,        &options_, view,        locator,     &metrics_,
@@ -40,18 +40,17 @@
 
 Gateway::~Gateway() = default;
 
-control::InventoryWatchOptions Gateway::WatchOptions() {
+control::InventoryWatchOptions Gateway::WatchOptions() const {
   control::InventoryWatchOptions options;
   options.endpoint = options_.inventory_endpoint;
   options.reads_per_second = options_.inventory_reads_per_second;
-  options.live_gateways = options_.live_gateways;
-  options.on_change = [this] { UpdateBackends(); };
-  options.on_read = [this](std::string_view outcome) {
-    metrics_.inventory_reads.Increment(std::string(outcome));
-  };
   return options;
 }
 
+void Gateway::OnInventoryRead(control::InventoryReadResult result) {
+  metrics_.inventory_reads.Increment(std::string(control::MetricLabel(result)));
+}
+
 void Gateway::OnStateChanged() {
   const control::FleetState& state = view_->state();
   lookup_.Rebuild(state);
--- a/src/posthatch/gateway/gateway.h
+++ b/src/posthatch/gateway/gateway.h
@@ -1,6 +1,7 @@
 #pragma once
 
 #include <functional>
+#include <vector>
 
 #include "posthatch/gateway/caller_api.h"
 #include "posthatch/gateway/gateway_context.h"
@@ -10,11 +11,11 @@
 
 // The data plane of one gateway: takes callers' requests, admits, routes and relays them. Owned by
 // the process; everything given to the constructor outlives it. Event loop thread only.
-class Gateway {
+class Gateway : private control::InventoryWatchHost {
  public:
   Gateway(runtime::Runtime* runtime, GatewayOptions options, control::FleetView* view,
           control::ControlClient* control, index::PrefixLocator* locator);
-  ~Gateway();
+  ~Gateway() override;
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
@@ -27,7 +28,14 @@
   const GatewayMetrics& metrics() const { return metrics_; }
 
  private:
-  control::InventoryWatchOptions WatchOptions();
+  // control::InventoryWatchHost.
+  uint32_t LiveGateways() override { return options_.live_gateways(); }
+  std::vector<control::ZonePeer> ZonePeers() const override { return {}; }
+  bool NeedsInventory() const override { return true; }
+  void OnLocalSnapshotChange() override { UpdateBackends(); }
+  void OnInventoryRead(control::InventoryReadResult result) override;
+
+  control::InventoryWatchOptions WatchOptions() const;
   void OnStateChanged();
   void UpdateBackends();
 
--- a/src/posthatch/routing/traffic_gateway.cc
+++ b/src/posthatch/routing/traffic_gateway.cc
@@ -39,7 +39,7 @@
       store_health_checker_(runtime, {.format = options_.cache_event_format},
                             StoreHealthCheckerParts()),
       retry_budget_(runtime->clock, MakeRetryBudgetOptions()),
-      inventory_(runtime, MakeInventoryWatchOptions(), view),
+      inventory_(runtime, MakeInventoryWatchOptions(), this, view),
       split_(runtime->random),
       sweep_timer_(runtime->timers),
       refresh_timer_(runtime->timers) {
@@ -68,23 +68,20 @@
   return options;
 }
 
-control::InventoryWatchOptions TrafficGateway::MakeInventoryWatchOptions() {
+control::InventoryWatchOptions TrafficGateway::MakeInventoryWatchOptions() const {
   control::InventoryWatchOptions options;
   options.endpoint = options_.inventory_endpoint;
   options.format = options_.inventory_format;
   options.stale_age = options_.drain_bound - kInventoryReadAllowance;
   options.reads_per_second = options_.inventory_reads_per_second;
-  options.live_gateways = [this] { return live_gateways_.Get(); };
-  options.zone_peers = [this] { return ZonePeers(); };
-  // Without a configuration nothing is served, and the first grant carries the inventory.
-  options.needed = [this] { return configuration_ != nullptr; };
-  options.on_change = [this] { UpdatePool(); };
-  options.on_read = [this](std::string_view outcome) {
-    metrics_.inventory_reads.Increment(std::string(outcome));
-  };
+  options.share_within_zone = true;
   return options;
 }
 
+void TrafficGateway::OnInventoryRead(control::InventoryReadResult result) {
+  metrics_.inventory_reads.Increment(std::string(control::MetricLabel(result)));
+}
+
 std::vector<control::ZonePeer> TrafficGateway::ZonePeers() const {
   std::vector<control::ZonePeer> peers;
   for (const LoadPeer& peer : options_.peers()) {
--- a/src/posthatch/routing/traffic_gateway.h
+++ b/src/posthatch/routing/traffic_gateway.h
@@ -47,7 +47,7 @@
 // Continues with the last configuration when no controller can be reached. (gateway::Gateway is the
 // other data plane, for posthatch's own API.) Owned by the process; everything given to the
 // constructor outlives it. Event loop thread only.
-class TrafficGateway : private TrafficRequestOwner {
+class TrafficGateway : private TrafficRequestOwner, private control::InventoryWatchHost {
  public:
   TrafficGateway(runtime::Runtime* runtime, TrafficGatewayOptions options, control::FleetView* view,
                  index::PrefixLocator* locator, const invalidation::ObjectTrust* trust);
@@ -64,8 +64,14 @@
 
  private:
   LoadReporterOptions MakeLoadReporterOptions() const;
-  control::InventoryWatchOptions MakeInventoryWatchOptions();
-  std::vector<control::ZonePeer> ZonePeers() const;
+  control::InventoryWatchOptions MakeInventoryWatchOptions() const;
+  // control::InventoryWatchHost. Without a configuration nothing is served, and the first grant
+  // carries the inventory.
+  uint32_t LiveGateways() override { return live_gateways_.Get(); }
+  std::vector<control::ZonePeer> ZonePeers() const override;
+  bool NeedsInventory() const override { return configuration_ != nullptr; }
+  void OnLocalSnapshotChange() override { UpdatePool(); }
+  void OnInventoryRead(control::InventoryReadResult result) override;
   StoreHealthChecker::Parts StoreHealthCheckerParts();
   RetryBudgetOptions MakeRetryBudgetOptions();
   void OnStateChanged();
