--- a/src/posthatch/gateway/gateway.h
+++ b/src/posthatch/gateway/gateway.h
@@ -1,7 +1,6 @@
 #pragma once
 
 #include <functional>
-#include <memory>
 #include <vector>
 
 #include "posthatch/gateway/caller_api.h"
--- a/src/posthatch/routing/traffic_gateway.h
+++ b/src/posthatch/routing/traffic_gateway.h
@@ -66,7 +66,7 @@
   LoadReporterOptions MakeLoadReporterOptions() const;
   control::InventoryWatchOptions MakeInventoryWatchOptions() const;
   // control::InventoryWatchHost. Without a configuration nothing is served, and the first grant
-  // brings the inventory along.
+  // carries the inventory.
   uint32_t LiveGateways() override { return live_gateways_.Get(); }
   std::vector<control::ZonePeer> ZonePeers() const override;
   bool NeedsInventory() const override { return configuration_ != nullptr; }
--- a/src/posthatch/server/controller_node.cc
+++ b/src/posthatch/server/controller_node.cc
@@ -83,6 +83,10 @@
   return LiveEndpoints(membership_, membership::MemberRole::kController, settings_.node.seeds);
 }
 
+std::optional<std::string> ControllerNode::ControllersView() const {
+  return server::ControllersView(replica_.Status());
+}
+
 void ControllerNode::AnnotateInventory(control::Inventory* inventory) {
   if (rollouts_ != nullptr) rollouts_->Annotate(inventory);
 }
