--- a/src/posthatch/control/client/fleet_state_replica.h
+++ b/src/posthatch/control/client/fleet_state_replica.h
@@ -1,7 +1,6 @@
 #pragma once
 
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "google/protobuf/repeated_ptr_field.h"
--- a/src/posthatch/control/client/session_lease.h
+++ b/src/posthatch/control/client/session_lease.h
@@ -1,6 +1,5 @@
 #pragma once
 
-#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
--- a/src/posthatch/control/inventory/inventory_watch-test.cc
+++ b/src/posthatch/control/inventory/inventory_watch-test.cc
@@ -86,14 +86,14 @@
                       double calls_per_second)
       : runtime_(runtime), calls_per_second_(calls_per_second) {
     server_ = *runtime->http_servers->Listen(
-        endpoint, {}, [this](const http::Request&, auto writer) { Respond(writer.get()); });
+        endpoint, {}, [this](const http::Request&, auto writer) { Answer(writer.get()); });
   }
   uint64_t calls = 0;
   uint64_t rate_limited = 0;
   std::set<std::string> draining;
 
  private:
-  void Respond(http::ResponseWriter* writer) {
+  void Answer(http::ResponseWriter* writer) {
     ++calls;
     const runtime::MonotonicTime now = runtime_->clock->Now();
     if (now - second_ >= seconds(1)) {
@@ -208,7 +208,7 @@
 class InventoryWatchTest : public testing::TestWithParam<uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, InventoryWatchTest, testing::Range<uint64_t>(1, 6));
 
-TEST_P(InventoryWatchTest, ALargeFleetWithoutControllersReadsTheListOnceAZone) {
+TEST_P(InventoryWatchTest, LargeFleetReadsOncePerZone) {
   FleetWithoutControllers fleet(GetParam(), 300, /*calls_per_second=*/100);
   fleet.world.RunFor(seconds(5));
   EXPECT_LT(fleet.TimeUntilAllSeeDraining("w3"), kDrainBound);
--- a/src/posthatch/control/server/state_views.cc
+++ b/src/posthatch/control/server/state_views.cc
@@ -2,7 +2,6 @@
 
 #include <google/protobuf/util/json_util.h>
 
-#include <array>
 #include <boost/json.hpp>
 #include <map>
 #include <vector>
@@ -143,16 +142,12 @@
   View (*render)(std::string_view query, const ControlState& state);
 };
 
-constexpr std::array<NamedView, 8> kViews = {{
-    {"configuration", ConfigurationView},
-    {"configuration/history", HistoryView},
-    {"configuration/diff", DiffView},
-    {"evacuations", EvacuationsView},
-    {"model-revisions", RevisionsView},
-    {"isolation", IsolationView},
-    {"inventory", InventoryView},
-    {"leases", LeasesView},
-}};
+constexpr NamedView kViews[] = {
+    {"configuration", ConfigurationView}, {"configuration/history", HistoryView},
+    {"configuration/diff", DiffView},     {"evacuations", EvacuationsView},
+    {"model-revisions", RevisionsView},   {"isolation", IsolationView},
+    {"inventory", InventoryView},         {"leases", LeasesView},
+};
 
 }  // namespace
 
--- a/src/posthatch/control/server/worker_lease_planner-test.cc
+++ b/src/posthatch/control/server/worker_lease_planner-test.cc
@@ -23,8 +23,7 @@
       lease->set_holder_incarnation(100);
     }
   }
-  // A renewal of an incarnation of a gateway; `granted` is the last renewal whose grant it
-  // received.
+  // A renewal of one life of a gateway, `granted` being the last renewal whose grant it has.
   void Renew(const std::string& gateway, uint64_t incarnation, uint64_t number, uint64_t granted,
              uint64_t granted_term = kTerm) {
     now_ += milliseconds(10);
@@ -45,9 +44,9 @@
   runtime::MonotonicTime now_{std::chrono::hours(1)};
 };
 
-TEST_F(RestartedGatewayPlanTest, RestartedGatewayRegainsWorkersAfterAckingGrant) {
+TEST_F(RestartedGatewayPlanTest, ARestartedGatewayGetsItsWorkersAgainOnceItHasAnsweredAGrant) {
   Renew("g1", 7, 1, 0, 0);
-  EXPECT_EQ(Plan().grants_size(), 0) << "its first renewal may have been delayed by a partition";
+  EXPECT_EQ(Plan().grants_size(), 0) << "its first renewal may have waited behind a cut";
   Renew("g1", 7, 2, 1);
   const GrantWorkerLeases plan = Plan();
   ASSERT_EQ(plan.grants_size(), 1);
@@ -58,23 +57,23 @@
   EXPECT_EQ(plan.released(0), "w1");
 }
 
-TEST_F(RestartedGatewayPlanTest, RenewingIncarnationKeepsLeases) {
+TEST_F(RestartedGatewayPlanTest, ALifeThatIsHeardOfKeepsItsLeases) {
   Renew("g1", 100, 1, 0, 0);
   Renew("g1", 100, 2, 1);
   EXPECT_EQ(Plan().grants_size(), 0);
 }
 
-TEST_F(RestartedGatewayPlanTest, DelayedRenewalsOfPreviousIncarnationTakeNoLeases) {
+TEST_F(RestartedGatewayPlanTest, AnEarlierLifeWhoseRenewalsComeLateTakesNothingFromTheLaterOne) {
   Renew("g1", 100, 1, 0, 0);
   Renew("g1", 100, 2, 1);
-  // Of the previous incarnation, with no grant of this leader, or one of another term.
+  // Of the life before: it has had no grant of this leader, or of another term.
   Renew("g1", 3, 1, 0, 0);
   Renew("g1", 3, 2, 1, kTerm - 1);
   EXPECT_EQ(Plan().grants_size(), 0);
   EXPECT_NE(sessions_.Find({"g1", 100}), nullptr);
 }
 
-TEST_F(RestartedGatewayPlanTest, PreviousIncarnationSessionsExpire) {
+TEST_F(RestartedGatewayPlanTest, SessionsOfEarlierLivesEndAndAreNotWaitedFor) {
   Renew("g1", 100, 1, 0, 0);
   Renew("g1", 7, 1, 0, 0);
   EXPECT_FALSE(sessions_.AckedByAllSessions(9, now_));
@@ -84,9 +83,9 @@
   EXPECT_NE(sessions_.Find({"g1", 7}), nullptr);
 }
 
-TEST_F(RestartedGatewayPlanTest, IncarnationsOfUnknownOrderAreBothKept) {
+TEST_F(RestartedGatewayPlanTest, ALifeThatWasHeardOfAfterTheOthersFirstGrantIsWaitedFor) {
   Renew("g1", 7, 1, 0, 0);
-  Renew("g1", 100, 1, 0, 0);  // it is unknown which of the two is the later one
+  Renew("g1", 100, 1, 0, 0);  // which of the two is the later one is not known
   Renew("g1", 7, 2, 1);
   EXPECT_NE(sessions_.Find({"g1", 100}), nullptr);
   EXPECT_EQ(Plan().grants_size(), 0);
--- a/src/posthatch/control/state/control_state.h
+++ b/src/posthatch/control/state/control_state.h
@@ -3,7 +3,6 @@
 #include <cstdint>
 #include <functional>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "posthatch/consensus/replicated_log.h"
--- a/src/posthatch/control/state/object_versions.h
+++ b/src/posthatch/control/state/object_versions.h
@@ -3,7 +3,6 @@
 #include <cstdint>
 #include <map>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "google/protobuf/repeated_ptr_field.h"
@@ -12,9 +11,13 @@
 
 namespace posthatch::control {
 
-// Versions of the objects that index entries rest on (names: invalidation.proto). A version never
-// goes back. Part of the replicated state; owned by ControlState.
-class ObjectVersions {
+// Versions (epoch, sequence) of the objects that index entries depend on; their names are in
+// invalidation.proto. A version never decreases. Part of the replicated state; owned by
+// ControlState.
+//
+// Changes are collected while a command is applied and reported to the listeners by
+// NotifyListeners.
+class ObjectVersions : public invalidation::ObjectSource {
  public:
   static constexpr size_t kMaxNameLength = 256;
 
--- a/src/posthatch/emulator/caller_load-test.cc
+++ b/src/posthatch/emulator/caller_load-test.cc
@@ -5,9 +5,9 @@
 
 #include <set>
 
-#include "posthatch/emulator/answer_mixer.h"
+#include "posthatch/emulator/emulator_world.h"
 #include "posthatch/emulator/prompt_pool.h"
-#include "posthatch/emulator/standin_world.h"
+#include "posthatch/emulator/response_mixer.h"
 
 namespace posthatch::emulator {
 namespace {
@@ -37,7 +37,7 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
-class CallerLoadTest : public StandInWorld {
+class CallerLoadTest : public EmulatorWorld {
  protected:
   std::string Stub(const std::string& name, const StubServer::Answer& answer) {
     simulation::SimHost* const host = AddHost(name);
@@ -82,7 +82,7 @@
   WorkerSettings settings;
   settings.max_running = 256;
   settings.max_waiting = 256;
-  WorkerStandIn* worker = BootWorker(settings);
+  WorkerEmulator* worker = BootWorker(settings);
   CallerLoadOptions options;
   options.mix = NilestoneMix();
   std::erase_if(options.mix.operations, [](const OperationTraffic& operation) {
--- a/src/posthatch/emulator/caller_load.h
+++ b/src/posthatch/emulator/caller_load.h
@@ -35,7 +35,7 @@
 
 // Callers: an open loop with Poisson arrivals. Requests that may not be repeated are sent again
 // with the same key after a lost answer, to another gateway. Records CallSent and CallEnded. Event
-// loop thread only; owned by the rehearsal.
+// loop thread only; owned by the fleet test.
 class CallerLoad {
  public:
   // `runtime` and `recorder` outlive the load.
--- a/src/posthatch/emulator/program_options-test.cc
+++ b/src/posthatch/emulator/program_options-test.cc
@@ -30,7 +30,7 @@
   const auto result = Read({"worker", "--id", "w1", "--listen", "127.0.0.1:0", "--history", "h",
                             "--prefill-per-block-us", "1500", "--cache-blocks", "7"});
   ASSERT_TRUE(result.run) << result.message;
-  EXPECT_EQ(result.options.role, StandInRole::kWorker);
+  EXPECT_EQ(result.options.role, EmulatorRole::kWorker);
   EXPECT_EQ(result.options.worker.id, "w1");
   EXPECT_EQ(result.options.history, "h");
   EXPECT_EQ(result.options.worker.timing.prefill_per_block, std::chrono::microseconds(1500));
--- a/src/posthatch/emulator/real_sockets-test.cc
+++ b/src/posthatch/emulator/real_sockets-test.cc
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "posthatch/emulator/caller_load.h"
-#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/emulator/worker_emulator.h"
 #include "posthatch/fleettest/history/recorders.h"
 #include "posthatch/net/asio_runtime.h"
 
@@ -23,7 +23,7 @@
     settings.max_running = 64;
     settings.timing.prefill_per_block = std::chrono::microseconds(100);
     settings.timing.decode_per_token = std::chrono::milliseconds(2);
-    worker = std::make_unique<WorkerStandIn>(asio_runtime->runtime(), settings, recorder.get());
+    worker = std::make_unique<WorkerEmulator>(asio_runtime->runtime(), settings, recorder.get());
     EXPECT_TRUE(worker->Start().ok());
     options.mix = NilestoneMix();
     std::erase_if(options.mix.operations, [](const OperationTraffic& operation) {
@@ -50,7 +50,7 @@
   std::unique_ptr<net::AsioRuntime> asio_runtime;
   std::vector<fleettest::HistoryEvent> events;
   std::unique_ptr<fleettest::MemoryHistoryRecorder> recorder;
-  std::unique_ptr<WorkerStandIn> worker;
+  std::unique_ptr<WorkerEmulator> worker;
   CallerLoadOptions options;
 };
 
--- a/src/posthatch/fleettest/checks/answer_check.cc
+++ b/src/posthatch/fleettest/checks/answer_check.cc
@@ -14,7 +14,7 @@
 CheckResult AnswerCheck::Run(const RecordedHistory& history) const {
   CheckResult result(kId, kTitle);
   for (const CallRecord& call : history.calls()) {
-    if (!call.answered_well()) continue;
+    if (!call.succeeded()) continue;
     const CallEnded& ended = *call.ended;
     const std::string& nonce = call.sent->nonce();
     const bool echoed = !ended.echoed_nonce().empty();
--- a/src/posthatch/fleettest/checks/bounds.h
+++ b/src/posthatch/fleettest/checks/bounds.h
@@ -15,12 +15,12 @@
 }
 
 // The longest time that an operator waits for an answer: how old a read without a time may be.
-inline constexpr int64_t kLongestReadNs = 12 * kSecondNs;
+inline constexpr int64_t kMaxReadNs = 12 * kSecondNs;
 
 // A read shows at least what was acknowledged before this.
-inline int64_t AskedAt(const HistoryEvent& event) {
+inline int64_t ReadStartedAt(const HistoryEvent& event) {
   const int64_t started_ns = event.state_read().started_ns();
-  return started_ns > 0 ? started_ns : event.time_ns() - kLongestReadNs;
+  return started_ns > 0 ? started_ns : event.time_ns() - kMaxReadNs;
 }
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/checks/check.h
+++ b/src/posthatch/fleettest/checks/check.h
@@ -15,14 +15,14 @@
 // check that examined none proves nothing.
 class CheckResult {
  public:
-  static constexpr size_t kMostExamples = 5;
+  static constexpr size_t kMaxExamples = 5;
 
   CheckResult(std::string_view id, std::string_view title) : id_(id), title_(title) {}
 
   void Examine() { ++examined_; }
   void Violate(std::string example) {
     ++violations_;
-    if (examples_.size() < kMostExamples) examples_.push_back(std::move(example));
+    if (examples_.size() < kMaxExamples) examples_.push_back(std::move(example));
   }
 
   const std::string& id() const { return id_; }
--- a/src/posthatch/fleettest/checks/configuration_check.cc
+++ b/src/posthatch/fleettest/checks/configuration_check.cc
@@ -24,7 +24,7 @@
 // (no lease, overload) show nothing.
 KeyAnswer AnswerOf(const RecordedHistory& history, const CallRecord& call) {
   if (call.ended != nullptr && call.ended->status() == kUnauthorized) return KeyAnswer::kRefused;
-  if (call.answered_well()) return KeyAnswer::kAccepted;
+  if (call.succeeded()) return KeyAnswer::kAccepted;
   if (!history.RunsOf(call.sent->nonce()).empty()) return KeyAnswer::kAccepted;
   return KeyAnswer::kNothing;
 }
--- a/src/posthatch/fleettest/checks/durability_check.cc
+++ b/src/posthatch/fleettest/checks/durability_check.cc
@@ -63,7 +63,7 @@
   for (const HistoryEvent& event : history.events()) {
     if (!event.has_state_read()) continue;
     const StateRead& read = event.state_read();
-    const int64_t started_ns = AskedAt(event);
+    const int64_t started_ns = ReadStartedAt(event);
     for (const ChangeRecord& change : history.changes()) {
       if (change.acknowledged_ns() >= started_ns) continue;
       result.Examine();
--- a/src/posthatch/fleettest/checks/recorded_history.h
+++ b/src/posthatch/fleettest/checks/recorded_history.h
@@ -20,10 +20,10 @@
 struct CallRecord {
   const CallSent* sent = nullptr;
   int64_t sent_ns = 0;
-  const CallEnded* ended = nullptr;  // null: nothing was recorded before the rehearsal's end
+  const CallEnded* ended = nullptr;  // null: nothing was recorded before the fleet test's end
   int64_t ended_ns = kNever;
 
-  bool answered_well() const { return ended != nullptr && ended->status() / 100 == 2; }
+  bool succeeded() const { return ended != nullptr && ended->status() / 100 == 2; }
 };
 
 struct RunRecord {
--- a/src/posthatch/fleettest/checks/request_checks-test.cc
+++ b/src/posthatch/fleettest/checks/request_checks-test.cc
@@ -21,7 +21,7 @@
 void ExpectViolations(const HistoryBuilder& history, const Check& check, uint64_t count) {
   const CheckResult result = history.Examine(check);
   EXPECT_EQ(result.violations(), count);
-  EXPECT_EQ(result.examples().size(), std::min<uint64_t>(count, CheckResult::kMostExamples));
+  EXPECT_EQ(result.examples().size(), std::min<uint64_t>(count, CheckResult::kMaxExamples));
 }
 
 TEST(SingleRunCheck, ResendsThatRunOncePass) {
--- a/src/posthatch/fleettest/checks/retry_check.cc
+++ b/src/posthatch/fleettest/checks/retry_check.cc
@@ -19,12 +19,12 @@
 constexpr int64_t kWindowNs = 10 * kSecondNs;
 constexpr double kRetryBudget = 0.2;
 // Fewer first attempts than this in a window are no load: two retries would be over the budget.
-constexpr uint64_t kLeastFirstAttempts = 20;
+constexpr uint64_t kMinFirstAttempts = 20;
 
 constexpr int64_t kSlowStartNs = 10 * kSecondNs;
 // In half of a linear slow start a worker gets a quarter of a warm one's share on the average; the
 // check allows a whole share and the chance of a few runs.
-constexpr uint64_t kColdAllowance = 4;
+constexpr uint64_t kSlowStartAllowance = 4;
 
 struct Attempt {
   int64_t time_ns;
@@ -61,8 +61,8 @@
       --(attempts[oldest].retry ? retries : firsts);
       ++oldest;
     }
-    const bool whole_window = attempt.time_ns - attempts.front().time_ns >= kWindowNs;
-    if (!whole_window || firsts < kLeastFirstAttempts) continue;
+    const bool full_window = attempt.time_ns - attempts.front().time_ns >= kWindowNs;
+    if (!full_window || firsts < kMinFirstAttempts) continue;
     result->Examine();
     if (static_cast<double>(retries) <= kRetryBudget * static_cast<double>(firsts)) continue;
     result->Violate(fmt::format("{} retries for {} first attempts in the 10 s before {:.1f} s",
@@ -119,7 +119,7 @@
   return AnyOverlap(history.CertainPeriods("evacuate", "lift", zone, 0), period);
 }
 
-void CheckColdWorkers(const RecordedHistory& history, CheckResult* result) {
+void CheckSlowStart(const RecordedHistory& history, CheckResult* result) {
   std::map<std::string, WorkerRuns> workers;
   std::set<std::pair<std::string, int64_t>> starts;
   for (const RunRecord& record : history.runs()) {
@@ -133,11 +133,11 @@
   }
   for (const auto& [name, up_since_ns] : starts) {
     const Period period{up_since_ns, up_since_ns + kSlowStartNs / 2};
-    uint64_t cold_runs = 0;
+    uint64_t slow_start_runs = 0;
     uint64_t revision = 0;
     for (const WorkerRuns::Run& run : workers[name].runs) {
       if (run.up_since_ns != up_since_ns || !period.Contains(run.started_ns)) continue;
-      ++cold_runs;
+      ++slow_start_runs;
       revision = run.revision;
     }
     uint64_t warm_runs = 0;
@@ -152,9 +152,9 @@
     if (warm_workers == 0) continue;
     result->Examine();
     const double mean = static_cast<double>(warm_runs) / static_cast<double>(warm_workers);
-    if (static_cast<double>(cold_runs) <= mean + kColdAllowance) continue;
+    if (static_cast<double>(slow_start_runs) <= mean + kSlowStartAllowance) continue;
     result->Violate(fmt::format("cold {} got {} runs in its first 5 s, warm workers {:.1f} each",
-                                name, cold_runs, mean));
+                                name, slow_start_runs, mean));
   }
 }
 
@@ -163,7 +163,7 @@
 CheckResult RetryCheck::Run(const RecordedHistory& history) const {
   CheckResult result(kId, kTitle);
   CheckBudget(history, &result);
-  CheckColdWorkers(history, &result);
+  CheckSlowStart(history, &result);
   return result;
 }
 
--- a/src/posthatch/fleettest/checks/stream_check.cc
+++ b/src/posthatch/fleettest/checks/stream_check.cc
@@ -12,12 +12,12 @@
 constexpr std::string_view kId = "N4";
 constexpr std::string_view kTitle = "a stream is one run's pieces 0, 1, 2, ...";
 
-constexpr size_t kMostPiecesShown = 12;
+constexpr size_t kMaxPiecesShown = 12;
 
 std::optional<std::string> WrongPieces(const CallEnded& ended) {
   for (int position = 0; position < ended.pieces_size(); ++position) {
     if (ended.pieces(position) != static_cast<uint32_t>(position)) {
-      const size_t shown = std::min<size_t>(ended.pieces_size(), kMostPiecesShown);
+      const size_t shown = std::min<size_t>(ended.pieces_size(), kMaxPiecesShown);
       return fmt::format("pieces {} instead of 0, 1, 2, ...",
                          fmt::join(ended.pieces().begin(), ended.pieces().begin() + shown, ", "));
     }
@@ -29,7 +29,8 @@
 }
 
 // A stream that ended as complete although its run did not, or that is shorter than asked for.
-std::optional<std::string> CutButComplete(const RecordedHistory& history, const CallRecord& call) {
+std::optional<std::string> TruncatedButComplete(const RecordedHistory& history,
+                                                const CallRecord& call) {
   const CallEnded& ended = *call.ended;
   if (!ended.complete()) return std::nullopt;
   if (ended.pieces_size() == 0) return "complete without a piece";
@@ -50,10 +51,10 @@
 CheckResult StreamCheck::Run(const RecordedHistory& history) const {
   CheckResult result(kId, kTitle);
   for (const CallRecord& call : history.calls()) {
-    if (!call.sent->stream() || !call.answered_well()) continue;
+    if (!call.sent->stream() || !call.succeeded()) continue;
     result.Examine();
     std::optional<std::string> wrong = WrongPieces(*call.ended);
-    if (!wrong) wrong = CutButComplete(history, call);
+    if (!wrong) wrong = TruncatedButComplete(history, call);
     if (wrong) result.Violate(fmt::format("request {}: {}", call.sent->nonce(), *wrong));
   }
   return result;
--- a/src/posthatch/fleettest/child_process.cc
+++ b/src/posthatch/fleettest/child_process.cc
@@ -16,11 +16,11 @@
 
 namespace {
 
-constexpr size_t kMostChildren = 1024;
+constexpr size_t kMaxChildren = 1024;
 constexpr int kLogMode = 0644;
 
 // Process ids of running children; 0 marks a free place. Lock-free, for the signal handler.
-std::array<std::atomic<pid_t>, kMostChildren> running_children;
+std::array<std::atomic<pid_t>, kMaxChildren> running_children;
 
 bool Remember(pid_t pid) {
   for (std::atomic<pid_t>& place : running_children) {
@@ -79,7 +79,7 @@
 bool ChildProcess::running() {
   if (ended_) return false;
   int wait_status = 0;
-  if (waitpid(pid_, &wait_status, WNOHANG) == pid_) TakeEnd(wait_status);
+  if (waitpid(pid_, &wait_status, WNOHANG) == pid_) RecordExit(wait_status);
   return !ended_;
 }
 
@@ -95,10 +95,10 @@
   int wait_status = 0;
   while (waitpid(pid_, &wait_status, 0) < 0 && errno == EINTR) {
   }
-  TakeEnd(wait_status);
+  RecordExit(wait_status);
 }
 
-void ChildProcess::TakeEnd(int wait_status) {
+void ChildProcess::RecordExit(int wait_status) {
   ended_ = true;
   Forget(pid_);
   end_ = WIFSIGNALED(wait_status) ? fmt::format("signal {}", WTERMSIG(wait_status))
--- a/src/posthatch/fleettest/child_process.h
+++ b/src/posthatch/fleettest/child_process.h
@@ -34,7 +34,7 @@
 
  private:
   explicit ChildProcess(pid_t pid) : pid_(pid) {}
-  void TakeEnd(int wait_status);
+  void RecordExit(int wait_status);
 
   const pid_t pid_;
   bool ended_ = false;
--- a/src/posthatch/fleettest/command_line.cc
+++ b/src/posthatch/fleettest/command_line.cc
@@ -9,10 +9,10 @@
 
 #include "posthatch/fleettest/checks/check.h"
 #include "posthatch/fleettest/interruption.h"
-#include "posthatch/fleettest/names.h"
 #include "posthatch/fleettest/real_run.h"
 #include "posthatch/fleettest/report.h"
 #include "posthatch/fleettest/scenario_loader.h"
+#include "posthatch/fleettest/scenario_names.h"
 #include "posthatch/fleettest/seed_runner.h"
 
 namespace posthatch::fleettest {
@@ -21,8 +21,8 @@
 
 namespace fs = std::filesystem;
 
-constexpr uint32_t kMostThreads = 4;
-constexpr uint64_t kMostSeeds = 100000;
+constexpr uint32_t kMaxThreads = 4;
+constexpr uint64_t kMaxSeeds = 100000;
 // Start, end of load and final reads of a real run, on top of its duration.
 constexpr uint32_t kRunOverheadSeconds = 300;
 
@@ -37,7 +37,7 @@
   std::string seeds = "1-20";
   uint64_t seed = 0;
   double duration_s = 0;
-  uint32_t threads = kMostThreads;
+  uint32_t threads = kMaxThreads;
   bool verify_determinism = false;
   bool keep = false;
   bool no_baseline = false;
@@ -91,7 +91,7 @@
   options.keep_run_folder = arguments.keep;
   options.on_progress = [](const std::string& line) { std::cerr << line << std::endl; };
   options.interrupted = Interrupted;
-  const absl::StatusOr<RehearsalReport> report = RunRealScenario(scenario, options);
+  const absl::StatusOr<ScenarioReport> report = RunRealScenario(scenario, options);
   if (!report.ok()) return ReportErrors({report.status().ToString()});
   std::cout << SummaryTable(*report);
   return WriteReport(arguments, ReportJson(*report), Passed(*report));
@@ -106,7 +106,7 @@
   const bool whole = found == 2 || (found == 1 && text.find('-') == std::string::npos);
   options->first_seed = first;
   options->last_seed = last;
-  return whole && first <= last && last - first < kMostSeeds;
+  return whole && first <= last && last - first < kMaxSeeds;
 }
 
 int Simulate(const Arguments& arguments, const Scenario& scenario,
@@ -114,18 +114,18 @@
   SeedRunOptions options;
   if (!ParseSeeds(arguments.seeds, &options)) {
     return ReportErrors({fmt::format("--seeds {}: must be A-B or A (allowed: at most {} seeds)",
-                                     arguments.seeds, kMostSeeds)});
+                                     arguments.seeds, kMaxSeeds)});
   }
   options.history_folder = arguments.history_folder;
   options.threads = arguments.threads;
   options.verify_determinism = arguments.verify_determinism;
-  options.on_report = [](const RehearsalReport& report) {
+  options.on_report = [](const ScenarioReport& report) {
     std::cout << SeedLine(report) << std::flush;
   };
-  const std::vector<RehearsalReport> reports = SimulateSeeds(scenario, options, factory);
+  const std::vector<ScenarioReport> reports = SimulateSeeds(scenario, options, factory);
   const bool passed = std::all_of(reports.begin(), reports.end(), Passed);
   const auto failed = std::find_if(reports.begin(), reports.end(),
-                                   [](const RehearsalReport& report) { return !Passed(report); });
+                                   [](const ScenarioReport& report) { return !Passed(report); });
   // One whole table: of the first failure, or else of the last seed.
   std::cout << SummaryTable(failed == reports.end() ? reports.back() : *failed);
   std::cout << fmt::format("{} of {} seeds passed\n",
@@ -160,8 +160,7 @@
 }  // namespace
 
 int RunCommandLine(int argc, const char* const* argv, server::ProcessFactory* factory) {
-  CLI::App app("Rehearses a posthatch fleet: load, faults, checks N1 to N11",
-               "posthatch-fleettest");
+  CLI::App app("Tests a posthatch fleet: load, faults, checks N1 to N11", "posthatch-fleettest");
   app.require_subcommand(1);
   Arguments arguments;
   const fs::path program = fs::read_symlink("/proc/self/exe");
@@ -185,7 +184,7 @@
   simulate->add_option("--history-folder", arguments.history_folder,
                        "Existing folder that gets each seed's history as JSON lines");
   simulate->add_option("--threads", arguments.threads, "Seeds at once")
-      ->check(CLI::Range(1u, kMostThreads));
+      ->check(CLI::Range(1u, kMaxThreads));
   simulate->add_flag("--verify-determinism", arguments.verify_determinism,
                      "Run each seed twice and compare the trace hashes");
   try {
--- a/src/posthatch/fleettest/fault_injector-test.cc
+++ b/src/posthatch/fleettest/fault_injector-test.cc
@@ -57,7 +57,7 @@
     return Note("jump " + name);
   }
   absl::Status SetLink(const std::string& from, const std::string& to, LinkState state) override {
-    cut_[from + ">" + to] = state.cut;
+    cut_[from + ">" + to] = state.partitioned;
     return absl::OkStatus();
   }
   absl::StatusOr<ProcessInfo> Replace(const std::string& name) override {
@@ -70,8 +70,8 @@
 
   std::vector<std::string> CutLinks() const {
     std::vector<std::string> links;
-    for (const auto& [link, cut] : cut_) {
-      if (cut) links.push_back(link);
+    for (const auto& [link, partitioned] : cut_) {
+      if (partitioned) links.push_back(link);
     }
     return links;
   }
@@ -157,10 +157,10 @@
 }
 
 TEST_F(FaultInjectorTest, OverlappingCutsHealOnlyWhenBothHaveEnded) {
-  Fault one_way = MakeFault(FaultKind::kCut, "gateway-1", 1, 2);
+  Fault one_way = MakeFault(FaultKind::kPartition, "gateway-1", 1, 2);
   one_way.one_way = true;
   one_way.peer.role = Role::kController;
-  injector_.Start({one_way, MakeFault(FaultKind::kCut, "gateway-1", 2, 4)});
+  injector_.Start({one_way, MakeFault(FaultKind::kPartition, "gateway-1", 2, 4)});
   fleet_.RunFor(seconds(1) + std::chrono::milliseconds(500));
   EXPECT_THAT(fleet_.CutLinks(), ElementsAre("gateway-1>controller-1"));
   fleet_.RunFor(seconds(3));
@@ -172,7 +172,7 @@
 
 TEST_F(FaultInjectorTest, EndAllThawsHealsAndRestarts) {
   injector_.Start({MakeFault(FaultKind::kFreeze, "gateway-1", 1, 500),
-                   MakeFault(FaultKind::kCut, "gateway-2", 1, 500),
+                   MakeFault(FaultKind::kPartition, "gateway-2", 1, 500),
                    MakeFault(FaultKind::kKill, "controller-1", 1, 500)});
   fleet_.RunFor(seconds(2));
   injector_.EndAll();
@@ -196,7 +196,7 @@
 
 TEST(TargetResolver, DrawsTheSameChaosFromTheSameSeed) {
   Chaos chaos;
-  chaos.kinds = {FaultKind::kKill, FaultKind::kCut, FaultKind::kEvents};
+  chaos.kinds = {FaultKind::kKill, FaultKind::kPartition, FaultKind::kEvents};
   chaos.until = std::chrono::minutes(2);
   runtime::Random one(7);
   runtime::Random same(7);
--- a/src/posthatch/fleettest/fault_injector.cc
+++ b/src/posthatch/fleettest/fault_injector.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <boost/json.hpp>
 
-#include "posthatch/fleettest/names.h"
+#include "posthatch/fleettest/scenario_names.h"
 #include "posthatch/fleettest/target_resolver.h"
 #include "posthatch/util/string_view.h"
 
@@ -18,7 +18,7 @@
 constexpr runtime::Duration kDiskRepairTime = std::chrono::seconds(15);
 
 // Faults during which no other fault may stop or start the process.
-bool TakesProcess(FaultKind kind) {
+bool DisruptsProcess(FaultKind kind) {
   switch (kind) {
     case FaultKind::kKill:
     case FaultKind::kStop:
@@ -33,7 +33,7 @@
   }
 }
 
-std::string BehaviourOf(const Fault& fault, double probability) {
+std::string BehaviourJson(const Fault& fault, double probability) {
   boost::json::object behaviour;
   const double milliseconds = runtime::ToMilliseconds(fault.amount);
   if (fault.kind == FaultKind::kEvents && fault.mode == "late") {
@@ -50,7 +50,7 @@
   return boost::json::serialize(behaviour);
 }
 
-std::string TextOf(const absl::Status& status) {
+std::string StatusMessage(const absl::Status& status) {
   return std::string(util::ToStd(status.message()));
 }
 
@@ -92,19 +92,19 @@
 }
 
 void FaultInjector::BeginAt(const Fault& fault, const ProcessInfo& process, bool chaos) {
-  const std::string skip = ReasonToSkip(fault, process, chaos);
+  const std::string skip = SkipReason(fault, process, chaos);
   if (!skip.empty()) return AddOutcome(fault, process.name, "skipped: " + skip);
   auto active = std::make_shared<ActiveFault>();
   active->fault = fault;
   active->process = process;
   const absl::Status status = Apply(fault, process, active.get());
   if (absl::IsUnimplemented(status)) {
-    return AddOutcome(fault, process.name, "not applicable: " + TextOf(status));
+    return AddOutcome(fault, process.name, "not applicable: " + StatusMessage(status));
   }
-  if (!status.ok()) return AddOutcome(fault, process.name, "failed: " + TextOf(status));
+  if (!status.ok()) return AddOutcome(fault, process.name, "failed: " + StatusMessage(status));
   AddOutcome(fault, process.name, "injected");
   RecordFault(*active, false);
-  if (TakesProcess(fault.kind)) busy_.insert(process.name);
+  if (DisruptsProcess(fault.kind)) busy_.insert(process.name);
   if (fault.kind == FaultKind::kDiskLoss) {
     disk_was_lost_ = true;
     last_disk_loss_ = environment_.fleet->runtime()->clock->Now() + fault.duration;
@@ -114,9 +114,9 @@
   timers_.back()->Start(fault.duration, [this, active] { End(active); });
 }
 
-std::string FaultInjector::ReasonToSkip(const Fault& fault, const ProcessInfo& process,
-                                        bool chaos) const {
-  if (TakesProcess(fault.kind) && busy_.count(process.name) > 0) {
+std::string FaultInjector::SkipReason(const Fault& fault, const ProcessInfo& process,
+                                      bool chaos) const {
+  if (DisruptsProcess(fault.kind) && busy_.count(process.name) > 0) {
     return "another fault holds the process";
   }
   if (chaos && fault.kind == FaultKind::kDiskLoss && disk_was_lost_ &&
@@ -147,15 +147,15 @@
       return fleet->SetDiskDelay(process.name, fault.amount);
     case FaultKind::kClockJump:
       return fleet->JumpClock(process.name, fault.amount);
-    case FaultKind::kCut:
+    case FaultKind::kPartition:
     case FaultKind::kSlowLink:
       return ApplyLinks(fault, process, active);
     case FaultKind::kEvents:
-    case FaultKind::kAnswers:
-      SetBehaviour(process, BehaviourOf(fault, fault.probability));
+    case FaultKind::kResponses:
+      SetBehaviour(process, BehaviourJson(fault, fault.probability));
       return absl::OkStatus();
     case FaultKind::kLostAck:
-      environment_.operators_client->SetLoss(process.http_endpoint, fault.probability);
+      environment_.operators_client->SetDropProbability(process.http_endpoint, fault.probability);
       return absl::OkStatus();
     case FaultKind::kReplace:
       return ApplyReplace(process);
@@ -182,24 +182,25 @@
     if (!fault.one_way) active->links.emplace_back(peer.name, process.name);
   }
   for (const auto& [from, to] : active->links) {
-    absl::Status status = ChangeLink(from, to, fault.kind == FaultKind::kCut, fault.amount, +1);
+    absl::Status status =
+        ChangeLink(from, to, fault.kind == FaultKind::kPartition, fault.amount, +1);
     if (!status.ok()) return status;
   }
   return absl::OkStatus();
 }
 
-absl::Status FaultInjector::ChangeLink(const std::string& from, const std::string& to, bool cut,
-                                       runtime::Duration delay, int change) {
+absl::Status FaultInjector::ChangeLink(const std::string& from, const std::string& to,
+                                       bool partitioned, runtime::Duration delay, int change) {
   LinkCounts& link = links_[{from, to}];
-  if (cut) {
-    link.cuts += change;
+  if (partitioned) {
+    link.partitions += change;
   } else if (change > 0) {
     link.delays.insert(delay);
   } else if (const auto found = link.delays.find(delay); found != link.delays.end()) {
     link.delays.erase(found);
   }
   LinkState state;
-  state.cut = link.cuts > 0;
+  state.partitioned = link.partitions > 0;
   if (!link.delays.empty()) state.extra_delay = *link.delays.rbegin();
   return environment_.fleet->SetLink(from, to, state);
 }
@@ -216,8 +217,8 @@
       [this, name = process.name](const absl::Status& status, const std::string& /*body*/) {
         if (status.ok()) return;
         Fault fault;
-        fault.kind = FaultKind::kAnswers;
-        AddOutcome(fault, name, "failed: " + TextOf(status));
+        fault.kind = FaultKind::kResponses;
+        AddOutcome(fault, name, "failed: " + StatusMessage(status));
       });
 }
 
@@ -240,25 +241,25 @@
     case FaultKind::kSlowDisk:
       status = fleet->SetDiskDelay(name, runtime::Duration{});
       break;
-    case FaultKind::kCut:
+    case FaultKind::kPartition:
     case FaultKind::kSlowLink:
       for (const auto& [from, to] : active->links) {
-        status.Update(
-            ChangeLink(from, to, active->fault.kind == FaultKind::kCut, active->fault.amount, -1));
+        status.Update(ChangeLink(from, to, active->fault.kind == FaultKind::kPartition,
+                                 active->fault.amount, -1));
       }
       break;
     case FaultKind::kEvents:
-    case FaultKind::kAnswers:
-      SetBehaviour(active->process, BehaviourOf(active->fault, 0));
+    case FaultKind::kResponses:
+      SetBehaviour(active->process, BehaviourJson(active->fault, 0));
       break;
     case FaultKind::kLostAck:
-      environment_.operators_client->SetLoss(active->process.http_endpoint, 0);
+      environment_.operators_client->SetDropProbability(active->process.http_endpoint, 0);
       break;
     case FaultKind::kClockJump:
     case FaultKind::kReplace:
       break;
   }
-  if (!status.ok()) AddOutcome(active->fault, name, "failed to end: " + TextOf(status));
+  if (!status.ok()) AddOutcome(active->fault, name, "failed to end: " + StatusMessage(status));
   Finish(active);
 }
 
@@ -272,7 +273,7 @@
     return Finish(active);
   }
   if (!absl::IsUnavailable(status)) {
-    AddOutcome(active->fault, name, "failed to restart: " + TextOf(status));
+    AddOutcome(active->fault, name, "failed to restart: " + StatusMessage(status));
     return Finish(active);
   }
   // It still drains.
@@ -282,7 +283,7 @@
 
 void FaultInjector::Finish(const std::shared_ptr<ActiveFault>& active) {
   RecordFault(*active, true);
-  if (TakesProcess(active->fault.kind)) busy_.erase(active->process.name);
+  if (DisruptsProcess(active->fault.kind)) busy_.erase(active->process.name);
   active_.erase(std::remove(active_.begin(), active_.end(), active), active_.end());
 }
 
--- a/src/posthatch/fleettest/fault_injector.h
+++ b/src/posthatch/fleettest/fault_injector.h
@@ -8,10 +8,10 @@
 #include <utility>
 #include <vector>
 
-#include "posthatch/fleettest/answer_losing_client.h"
 #include "posthatch/fleettest/fleet.h"
+#include "posthatch/fleettest/process_control_client.h"
+#include "posthatch/fleettest/response_dropping_client.h"
 #include "posthatch/fleettest/scenario.h"
-#include "posthatch/fleettest/stand_in_control.h"
 
 namespace posthatch::fleettest {
 
@@ -23,13 +23,13 @@
   std::string result;  // "injected", "not applicable: ...", "skipped: ...", "failed: ..."
 };
 
-// Carries out a scenario's timeline of faults. Event loop thread only; owned by the rehearsal.
+// Carries out a scenario's timeline of faults. Event loop thread only; owned by the fleet test.
 class FaultInjector {
  public:
   struct Environment {
     Fleet* fleet = nullptr;
-    StandInControl* control = nullptr;
-    AnswerLosingClient* operators_client = nullptr;
+    ProcessControlClient* control = nullptr;
+    ResponseDroppingClient* operators_client = nullptr;
     // Name of the leading controller as far as known.
     std::function<std::string()> leader;
     // A process was replaced or moved: callers, operators and the inventory must learn it.
@@ -63,15 +63,15 @@
   void RestartUntilItRuns(const std::shared_ptr<ActiveFault>& active);
   void Finish(const std::shared_ptr<ActiveFault>& active);
   // Adds to (or takes away from) what lies on a link.
-  absl::Status ChangeLink(const std::string& from, const std::string& to, bool cut,
+  absl::Status ChangeLink(const std::string& from, const std::string& to, bool partitioned,
                           runtime::Duration delay, int change);
-  std::string ReasonToSkip(const Fault& fault, const ProcessInfo& process, bool chaos) const;
+  std::string SkipReason(const Fault& fault, const ProcessInfo& process, bool chaos) const;
   void SetBehaviour(const ProcessInfo& process, const std::string& json);
   void RecordFault(const ActiveFault& active, bool ended);
   void AddOutcome(const Fault& fault, const std::string& target, const std::string& result);
 
   struct LinkCounts {
-    int cuts = 0;
+    int partitions = 0;
     std::multiset<runtime::Duration> delays;
   };
 
--- a/src/posthatch/fleettest/fleet.h
+++ b/src/posthatch/fleettest/fleet.h
@@ -12,7 +12,7 @@
 
 namespace posthatch::fleettest {
 
-// One process of the fleet under rehearsal.
+// One process of the fleet under fleet test.
 struct ProcessInfo {
   std::string name;  // node id or back end id; also the fault target in histories
   Role role = Role::kAny;
@@ -23,7 +23,7 @@
 
 // What happens to everything sent from one process to another.
 struct LinkState {
-  bool cut = false;
+  bool partitioned = false;
   runtime::Duration extra_delay{};
 };
 
@@ -46,7 +46,7 @@
   virtual std::vector<ProcessInfo> processes() const = 0;
   // Whether this kind of fleet can bring the fault about at all; asked before anything is done.
   virtual bool Supports(FaultKind /*kind*/) const { return true; }
-  // Empty, or why the rehearsal can't go on (a process ended by itself).
+  // Empty, or why the fleet test can't go on (a process ended by itself).
   virtual std::string Failure() { return ""; }
 
   virtual absl::Status Kill(const std::string& name) = 0;
--- a/src/posthatch/fleettest/fleet_plan.cc
+++ b/src/posthatch/fleettest/fleet_plan.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <set>
 
-#include "posthatch/fleettest/names.h"
+#include "posthatch/fleettest/scenario_names.h"
 
 namespace posthatch::fleettest {
 
--- a/src/posthatch/fleettest/fleet_plan.h
+++ b/src/posthatch/fleettest/fleet_plan.h
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/emulator/inventory_standin.h"
+#include "posthatch/emulator/inventory_emulator.h"
 #include "posthatch/emulator/traffic_mix.h"
 #include "posthatch/fleettest/fleet.h"
 #include "posthatch/fleettest/scenario.h"
@@ -23,7 +23,7 @@
 };
 
 // Settings take up to three seed addresses.
-inline constexpr size_t kMostSeeds = 3;
+inline constexpr size_t kMaxSeedAddresses = 3;
 
 // Every process of the fleet, in the order of starting: inventory, back ends, controllers,
 // gateways.
--- a/src/posthatch/fleettest/free_port.cc
+++ b/src/posthatch/fleettest/free_port.cc
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-absl::StatusOr<uint16_t> FreePort(const std::string& address) {
+absl::StatusOr<uint16_t> FindFreePort(const std::string& address) {
   sockaddr_in wanted{};
   wanted.sin_family = AF_INET;
   if (inet_pton(AF_INET, address.c_str(), &wanted.sin_addr) != 1) {
--- a/src/posthatch/fleettest/history/recorders.cc
+++ b/src/posthatch/fleettest/history/recorders.cc
@@ -18,7 +18,7 @@
 
 // Cuts off a last line without its end: the killed process that left it had not gone on to what
 // the event records, and a line after it would make it look malformed.
-absl::Status CutUnfinishedLine(const std::string& path) {
+absl::Status TruncatePartialLine(const std::string& path) {
   std::error_code error;
   const uintmax_t size = std::filesystem::file_size(path, error);
   if (error) return absl::OkStatus();  // no file yet
@@ -38,7 +38,7 @@
 
 absl::StatusOr<std::unique_ptr<JsonlHistoryRecorder>> JsonlHistoryRecorder::Open(
     const runtime::Clock* clock, std::string recorder_name, const std::string& path) {
-  if (absl::Status cut = CutUnfinishedLine(path); !cut.ok()) return cut;
+  if (absl::Status cut = TruncatePartialLine(path); !cut.ok()) return cut;
   std::FILE* file = std::fopen(path.c_str(), "ae");
   if (file == nullptr) {
     return absl::UnavailableError(
--- a/src/posthatch/fleettest/history/recorders.h
+++ b/src/posthatch/fleettest/history/recorders.h
@@ -29,7 +29,7 @@
   JsonlHistoryRecorder& operator=(const JsonlHistoryRecorder&) = delete;
 
   void Record(HistoryEvent event) override;
-  // Events that could not be written (disk full); a rehearsal with such a loss proves nothing.
+  // Events that could not be written (disk full); a fleet test with such a loss proves nothing.
   uint64_t lost_events() const { return lost_events_; }
 
  private:
--- a/src/posthatch/fleettest/interruption.h
+++ b/src/posthatch/fleettest/interruption.h
@@ -2,8 +2,8 @@
 
 #include <cstdint>
 
-// How a rehearsal ends before its time: SIGINT or SIGTERM once (it ends its work and its children),
-// twice (children are killed at once), or the hard time limit.
+// How a fleet test ends before its time: SIGINT or SIGTERM once (it ends its work and its
+// children), twice (children are killed at once), or the hard time limit.
 namespace posthatch::fleettest {
 
 // Installs the handlers. After `hard_limit_s` seconds every child is killed and this process ends
--- a/src/posthatch/fleettest/inventory_publisher.cc
+++ b/src/posthatch/fleettest/inventory_publisher.cc
@@ -49,7 +49,7 @@
 }
 
 void InventoryPublisher::SetDraining(const std::string& backend, bool draining,
-                                     StandInControl::Done done) {
+                                     ProcessControlClient::Done done) {
   if (draining) {
     draining_.insert(backend);
   } else {
--- a/src/posthatch/fleettest/inventory_publisher.h
+++ b/src/posthatch/fleettest/inventory_publisher.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "posthatch/fleettest/fleet.h"
-#include "posthatch/fleettest/stand_in_control.h"
+#include "posthatch/fleettest/process_control_client.h"
 
 namespace posthatch::fleettest {
 
@@ -13,16 +13,16 @@
 // it starts with comes from its settings. Event loop thread only.
 class InventoryPublisher {
  public:
-  InventoryPublisher(StandInControl* control, const Scenario* scenario)
+  InventoryPublisher(ProcessControlClient* control, const Scenario* scenario)
       : control_(control), scenario_(scenario) {}
 
   // Sends the list if it differs from the last one.
   void Publish(const std::vector<ProcessInfo>& processes);
   // Marks a back end as draining or not; later lists keep the mark.
-  void SetDraining(const std::string& backend, bool draining, StandInControl::Done done);
+  void SetDraining(const std::string& backend, bool draining, ProcessControlClient::Done done);
 
  private:
-  StandInControl* const control_;
+  ProcessControlClient* const control_;
   const Scenario* const scenario_;
   std::set<std::string> draining_;
   std::string inventory_endpoint_;
--- a/src/posthatch/fleettest/leader_watch.cc
+++ b/src/posthatch/fleettest/leader_watch.cc
@@ -9,7 +9,7 @@
 
 namespace json = boost::json;
 
-constexpr runtime::Duration kAskInterval = std::chrono::seconds(1);
+constexpr runtime::Duration kPollInterval = std::chrono::seconds(1);
 
 std::string TextField(const json::object& object, const char* key) {
   const json::value* value = object.if_contains(key);
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::string LeaderIn(const std::string& controllers_json) {
+std::string ParseLeader(const std::string& controllers_json) {
   boost::system::error_code error;
   const json::value document = json::parse(controllers_json, error);
   if (error || !document.is_object()) return "";
@@ -37,12 +37,12 @@
   return "";
 }
 
-LeaderWatch::LeaderWatch(StandInControl* control, runtime::Runtime* runtime, Fleet* fleet)
+LeaderWatch::LeaderWatch(ProcessControlClient* control, runtime::Runtime* runtime, Fleet* fleet)
     : control_(control), runtime_(runtime), fleet_(fleet), timer_(runtime->timers) {
-  Ask();
+  Poll();
 }
 
-void LeaderWatch::Ask() {
+void LeaderWatch::Poll() {
   std::vector<std::string> controllers;
   for (const ProcessInfo& process : fleet_->processes()) {
     if (process.role == Role::kController) controllers.push_back(process.http_endpoint);
@@ -51,11 +51,11 @@
     const std::string& endpoint = controllers[runtime_->random->Uniform(controllers.size())];
     control_->Get(endpoint, "/admin/v1/controllers",
                   [this](const absl::Status& status, const std::string& body) {
-                    std::string leader = status.ok() ? LeaderIn(body) : "";
+                    std::string leader = status.ok() ? ParseLeader(body) : "";
                     if (!leader.empty()) leader_ = std::move(leader);
                   });
   }
-  timer_.Start(kAskInterval, [this] { Ask(); });
+  timer_.Start(kPollInterval, [this] { Poll(); });
 }
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/leader_watch.h
+++ b/src/posthatch/fleettest/leader_watch.h
@@ -3,7 +3,7 @@
 #include <string>
 
 #include "posthatch/fleettest/fleet.h"
-#include "posthatch/fleettest/stand_in_control.h"
+#include "posthatch/fleettest/process_control_client.h"
 
 namespace posthatch::fleettest {
 
@@ -11,7 +11,7 @@
 // a fault begins another one may lead. Event loop thread only.
 class LeaderWatch {
  public:
-  LeaderWatch(StandInControl* control, runtime::Runtime* runtime, Fleet* fleet);
+  LeaderWatch(ProcessControlClient* control, runtime::Runtime* runtime, Fleet* fleet);
   LeaderWatch(const LeaderWatch&) = delete;
   LeaderWatch& operator=(const LeaderWatch&) = delete;
 
@@ -19,9 +19,9 @@
   const std::string& leader() const { return leader_; }
 
  private:
-  void Ask();
+  void Poll();
 
-  StandInControl* const control_;
+  ProcessControlClient* const control_;
   runtime::Runtime* const runtime_;
   Fleet* const fleet_;
   std::string leader_;
@@ -29,6 +29,6 @@
 };
 
 // The leader's node id in the body of GET /admin/v1/controllers; empty if it names none.
-std::string LeaderIn(const std::string& controllers_json);
+std::string ParseLeader(const std::string& controllers_json);
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/node_plan.h
+++ b/src/posthatch/fleettest/node_plan.h
@@ -3,9 +3,9 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/emulator/inventory_standin.h"
-#include "posthatch/emulator/service_standin.h"
-#include "posthatch/emulator/store_standin.h"
+#include "posthatch/emulator/inventory_emulator.h"
+#include "posthatch/emulator/service_emulator.h"
+#include "posthatch/emulator/store_emulator.h"
 #include "posthatch/emulator/worker_settings.h"
 #include "posthatch/fleettest/fleet_plan.h"
 #include "posthatch/server/settings/node_settings.h"
--- a/src/posthatch/fleettest/operation_runner.cc
+++ b/src/posthatch/fleettest/operation_runner.cc
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "posthatch/emulator/traffic_mix.h"
-#include "posthatch/fleettest/names.h"
+#include "posthatch/fleettest/scenario_names.h"
 #include "posthatch/fleettest/target_resolver.h"
 #include "posthatch/util/string_view.h"
 
@@ -64,12 +64,12 @@
     for (uint32_t turn = 0; turn < operation.repeat; ++turn) {
       timers_.push_back(std::make_unique<runtime::Timer>(runtime->timers));
       timers_.back()->Start(operation.at + operation.every * turn,
-                            [this, operation] { Carry(operation); });
+                            [this, operation] { Execute(operation); });
     }
   }
 }
 
-void OperationRunner::Carry(const Operation& operation) {
+void OperationRunner::Execute(const Operation& operation) {
   switch (operation.kind) {
     case OperationKind::kConfigurationChange:
       return ChangeConfiguration();
@@ -166,8 +166,8 @@
   environment_.first_operator->PatchConfiguration(patch, 0, detail, Report(operation, detail));
 }
 
-emulator::OperatorStandIn::ChangeDone OperationRunner::Report(const Operation& operation,
-                                                              const std::string& target) {
+emulator::OperatorEmulator::ChangeDone OperationRunner::Report(const Operation& operation,
+                                                               const std::string& target) {
   return [this, kind = operation.kind, target](const emulator::ChangeOutcome& outcome) {
     if (outcome.acknowledged) {
       AddOutcome(kind, target, fmt::format("acknowledged as {}", outcome.version));
--- a/src/posthatch/fleettest/operation_runner.h
+++ b/src/posthatch/fleettest/operation_runner.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "posthatch/control/configuration.pb.h"
-#include "posthatch/emulator/operator_standin.h"
+#include "posthatch/emulator/operator_emulator.h"
 #include "posthatch/emulator/traffic_mix.h"
 #include "posthatch/fleettest/fault_injector.h"
 #include "posthatch/fleettest/fleet.h"
@@ -15,17 +15,17 @@
 namespace posthatch::fleettest {
 
 // Carries out a scenario's timeline of operators' and the platform's doings. Event loop thread
-// only; owned by the rehearsal.
+// only; owned by the fleet test.
 class OperationRunner {
  public:
   struct Environment {
     Fleet* fleet = nullptr;
-    StandInControl* control = nullptr;
+    ProcessControlClient* control = nullptr;
     InventoryPublisher* inventory = nullptr;
-    emulator::OperatorStandIn* first_operator = nullptr;
-    emulator::OperatorStandIn* second_operator = nullptr;  // the rival in racing changes
+    emulator::OperatorEmulator* first_operator = nullptr;
+    emulator::OperatorEmulator* second_operator = nullptr;  // the rival in racing changes
     // Rotates the probe tenant's key from its Start on.
-    emulator::OperatorStandIn* rotating_operator = nullptr;
+    emulator::OperatorEmulator* rotating_operator = nullptr;
     // As applied at the start: tenants are changed from it.
     control::Configuration configuration;
     std::string first_model;
@@ -42,15 +42,15 @@
   const std::vector<FaultOutcome>& outcomes() const { return outcomes_; }
 
  private:
-  void Carry(const Operation& operation);
+  void Execute(const Operation& operation);
   void ChangeConfiguration();
   void RaceForVersion();
   void SendRace(uint64_t version);
   void SetDrainMark(const Operation& operation);
   void ReviseModel(const std::string& model);
   void ChangeIsolation(const Operation& operation);
-  emulator::OperatorStandIn::ChangeDone Report(const Operation& operation,
-                                               const std::string& target);
+  emulator::OperatorEmulator::ChangeDone Report(const Operation& operation,
+                                                const std::string& target);
   void AddOutcome(OperationKind kind, const std::string& target, const std::string& result);
 
   Environment environment_;
--- a/src/posthatch/fleettest/stand_in_control.cc
+++ b/src/posthatch/fleettest/process_control_client.cc
@@ -1,4 +1,4 @@
-#include "posthatch/fleettest/stand_in_control.h"
+#include "posthatch/fleettest/process_control_client.h"
 
 #include <fmt/format.h>
 
@@ -14,15 +14,15 @@
 
 }  // namespace
 
-struct StandInControl::PendingCall {
+struct ProcessControlClient::PendingCall {
   std::unique_ptr<http::Call> call;
   Done done;
   int status = 0;
   std::string body;
 };
 
-void StandInControl::Put(const std::string& endpoint, const std::string& path,
-                         const std::string& json, Done done) {
+void ProcessControlClient::Put(const std::string& endpoint, const std::string& path,
+                               const std::string& json, Done done) {
   http::Request request;
   request.method = "PUT";
   request.target = path;
@@ -31,14 +31,14 @@
   Send(endpoint, std::move(request), std::move(done));
 }
 
-void StandInControl::Get(const std::string& endpoint, const std::string& path, Done done) {
+void ProcessControlClient::Get(const std::string& endpoint, const std::string& path, Done done) {
   http::Request request;
   request.method = "GET";
   request.target = path;
   Send(endpoint, std::move(request), std::move(done));
 }
 
-void StandInControl::Send(const std::string& endpoint, http::Request request, Done done) {
+void ProcessControlClient::Send(const std::string& endpoint, http::Request request, Done done) {
   const uint64_t id = ++last_id_;
   auto pending = std::make_shared<PendingCall>();
   pending->done = std::move(done);
@@ -60,7 +60,7 @@
   pending->call = runtime_->http_client->Start(endpoint, std::move(request), options, observer);
 }
 
-void StandInControl::Finish(uint64_t id, const absl::Status& status) {
+void ProcessControlClient::Finish(uint64_t id, const absl::Status& status) {
   const auto found = pending_.find(id);
   if (found == pending_.end()) return;
   const std::shared_ptr<PendingCall> pending = found->second;
--- a/src/posthatch/fleettest/stand_in_control.h
+++ b/src/posthatch/fleettest/process_control_client.h
@@ -10,15 +10,15 @@
 
 namespace posthatch::fleettest {
 
-// Sends the rehearsal's own requests (PUT /debug/..., GET /readyz) to processes of the fleet, real
+// Sends the fleet test's own requests (PUT /debug/..., GET /readyz) to processes of the fleet, real
 // or simulated alike. Event loop thread only.
-class StandInControl {
+class ProcessControlClient {
  public:
   using Done = std::function<void(absl::Status, const std::string& body)>;
 
-  explicit StandInControl(runtime::Runtime* runtime) : runtime_(runtime) {}
-  StandInControl(const StandInControl&) = delete;
-  StandInControl& operator=(const StandInControl&) = delete;
+  explicit ProcessControlClient(runtime::Runtime* runtime) : runtime_(runtime) {}
+  ProcessControlClient(const ProcessControlClient&) = delete;
+  ProcessControlClient& operator=(const ProcessControlClient&) = delete;
 
   void Put(const std::string& endpoint, const std::string& path, const std::string& json,
            Done done);
--- a/src/posthatch/fleettest/process_settings.h
+++ b/src/posthatch/fleettest/process_settings.h
@@ -3,13 +3,13 @@
 #include <string>
 
 #include "absl/status/status.h"
-#include "posthatch/emulator/inventory_standin.h"
-#include "posthatch/emulator/service_standin.h"
-#include "posthatch/emulator/store_standin.h"
+#include "posthatch/emulator/inventory_emulator.h"
+#include "posthatch/emulator/service_emulator.h"
+#include "posthatch/emulator/store_emulator.h"
 #include "posthatch/emulator/worker_settings.h"
 #include "posthatch/server/settings/node_settings.h"
 
-// Settings files of the processes that a real rehearsal starts.
+// Settings files of the processes that a real fleet test starts.
 namespace posthatch::fleettest {
 
 std::string GatewayToml(const server::GatewaySettings& settings);
--- a/src/posthatch/fleettest/readiness_watch.cc
+++ b/src/posthatch/fleettest/readiness_watch.cc
@@ -7,20 +7,20 @@
 
 namespace {
 
-constexpr runtime::Duration kAskInterval = std::chrono::milliseconds(250);
+constexpr runtime::Duration kPollInterval = std::chrono::milliseconds(250);
 
 }  // namespace
 
-ReadinessWatch::ReadinessWatch(StandInControl* control, runtime::Runtime* runtime)
+ReadinessWatch::ReadinessWatch(ProcessControlClient* control, runtime::Runtime* runtime)
     : control_(control), timer_(runtime->timers) {}
 
 void ReadinessWatch::Start(const std::vector<ProcessInfo>& processes) {
   processes_ = processes;
   for (const ProcessInfo& process : processes) state_->waiting.insert(process.name);
-  Ask();
+  Poll();
 }
 
-void ReadinessWatch::Ask() {
+void ReadinessWatch::Poll() {
   for (const ProcessInfo& process : processes_) {
     if (state_->waiting.count(process.name) == 0) continue;
     control_->Get(process.http_endpoint, "/readyz",
@@ -29,7 +29,7 @@
                     if (status.ok()) state->waiting.erase(name);
                   });
   }
-  timer_.Start(kAskInterval, [this] { Ask(); });
+  timer_.Start(kPollInterval, [this] { Poll(); });
 }
 
 std::string ReadinessWatch::NotReady() const {
--- a/src/posthatch/fleettest/readiness_watch.h
+++ b/src/posthatch/fleettest/readiness_watch.h
@@ -6,14 +6,14 @@
 #include <vector>
 
 #include "posthatch/fleettest/fleet.h"
-#include "posthatch/fleettest/stand_in_control.h"
+#include "posthatch/fleettest/process_control_client.h"
 
 namespace posthatch::fleettest {
 
 // Asks every process for /readyz until each has answered 200 once. Event loop thread only.
 class ReadinessWatch {
  public:
-  ReadinessWatch(StandInControl* control, runtime::Runtime* runtime);
+  ReadinessWatch(ProcessControlClient* control, runtime::Runtime* runtime);
   ReadinessWatch(const ReadinessWatch&) = delete;
   ReadinessWatch& operator=(const ReadinessWatch&) = delete;
 
@@ -27,9 +27,9 @@
   struct State {
     std::set<std::string> waiting;
   };
-  void Ask();
+  void Poll();
 
-  StandInControl* const control_;
+  ProcessControlClient* const control_;
   std::shared_ptr<State> state_ = std::make_shared<State>();
   std::vector<ProcessInfo> processes_;
   runtime::Timer timer_;
--- a/src/posthatch/fleettest/real_fleet.cc
+++ b/src/posthatch/fleettest/real_fleet.cc
@@ -9,8 +9,8 @@
 #include <utility>
 
 #include "posthatch/fleettest/free_port.h"
-#include "posthatch/fleettest/names.h"
 #include "posthatch/fleettest/process_settings.h"
+#include "posthatch/fleettest/scenario_names.h"
 
 namespace posthatch::fleettest {
 
@@ -21,7 +21,7 @@
 
 constexpr uint32_t kNetwork = 127;
 constexpr runtime::Duration kFaultRetry = std::chrono::milliseconds(300);
-constexpr int kMostFaultTries = 20;
+constexpr int kMaxFaultAttempts = 20;
 constexpr size_t kOutputTail = 600;
 
 bool IsNode(Role role) { return role == Role::kGateway || role == Role::kController; }
@@ -62,7 +62,7 @@
   random_ = std::make_unique<runtime::Random>(options_.seed);
   runtime_.random = random_.get();
   recorder_ = std::make_unique<MemoryHistoryRecorder>(runtime_.clock, "callers", &events_);
-  control_ = std::make_unique<StandInControl>(&runtime_);
+  control_ = std::make_unique<ProcessControlClient>(&runtime_);
   for (const PlannedProcess& plan : PlanFleet(scenario_)) {
     absl::Status added = AddMember(plan);
     if (!added.ok()) return added;
@@ -81,7 +81,7 @@
   std::error_code error;
   fs::create_directories(member->data_folder(), error);
   if (error) return absl::InternalError(member->folder + ": " + error.message());
-  absl::Status placed = PlaceMember(member.get(), 0);
+  absl::Status placed = AssignAddress(member.get(), 0);
   if (!placed.ok()) return placed;
   newest_number_[plan.role] = std::max(newest_number_[plan.role], plan.number);
   histories_.push_back(member->history_file());
@@ -89,14 +89,14 @@
   return absl::OkStatus();
 }
 
-absl::Status RealFleet::PlaceMember(Member* member, uint32_t move) {
+absl::Status RealFleet::AssignAddress(Member* member, uint32_t move) {
   member->moves = move;
   const std::string address = AddressOf(kNetwork, member->plan, move);
-  const auto http_port = FreePort(address);
+  const auto http_port = FindFreePort(address);
   if (!http_port.ok()) return http_port.status();
   member->http_endpoint = fmt::format("{}:{}", address, *http_port);
   if (!IsNode(member->plan.role)) return absl::OkStatus();
-  const auto internal_port = FreePort(address);
+  const auto internal_port = FindFreePort(address);
   if (!internal_port.ok()) return internal_port.status();
   member->internal_endpoint = fmt::format("{}:{}", address, *internal_port);
   return absl::OkStatus();
@@ -152,7 +152,7 @@
     if (member->plan.role == Role::kStore && addresses.store.empty()) {
       addresses.store = member->http_endpoint;
     }
-    if (member->plan.role == Role::kController && addresses.seeds.size() < kMostSeeds) {
+    if (member->plan.role == Role::kController && addresses.seeds.size() < kMaxSeedAddresses) {
       addresses.seeds.push_back(member->internal_endpoint);
     }
   }
@@ -168,7 +168,7 @@
   return backends;
 }
 
-ProcessInfo RealFleet::InfoOf(const Member& member) const {
+ProcessInfo RealFleet::MakeProcessInfo(const Member& member) const {
   return {member.plan.name, member.plan.role, member.plan.zone, LabelsOf(member.plan),
           member.http_endpoint};
 }
@@ -176,7 +176,7 @@
 std::vector<ProcessInfo> RealFleet::processes() const {
   std::vector<ProcessInfo> infos;
   infos.reserve(members_.size());
-  for (const std::unique_ptr<Member>& member : members_) infos.push_back(InfoOf(*member));
+  for (const std::unique_ptr<Member>& member : members_) infos.push_back(MakeProcessInfo(*member));
   return infos;
 }
 
@@ -219,7 +219,7 @@
   if (member == nullptr) return absl::NotFoundError("no process " + name);
   if (member->child->running()) return absl::UnavailableError("it is still running");
   absl::Status launched = Launch(member);
-  if (launched.ok()) SendFaults(name, kMostFaultTries);
+  if (launched.ok()) SendFaults(name, kMaxFaultAttempts);
   return launched;
 }
 
@@ -258,7 +258,7 @@
   if (member == nullptr) return absl::NotFoundError("no process " + name);
   if (!IsNode(member->plan.role)) return absl::UnimplementedError("back ends have no disk");
   member->disk_delay = per_sync;
-  SendFaults(name, kMostFaultTries);
+  SendFaults(name, kMaxFaultAttempts);
   return absl::OkStatus();
 }
 
@@ -267,7 +267,7 @@
   const Member* receiver = Find(to);
   if (sender == nullptr || receiver == nullptr) return absl::OkStatus();  // replaced meanwhile
   links_[{from, to}] = state;
-  for (const Member* member : {sender, receiver}) SendFaults(member->plan.name, kMostFaultTries);
+  for (const Member* member : {sender, receiver}) SendFaults(member->plan.name, kMaxFaultAttempts);
   return absl::OkStatus();
 }
 
@@ -281,7 +281,7 @@
     const Member* peer = Find(outgoing ? link.second : link.first);
     if (peer == nullptr) continue;
     const std::string address = IpOf(peer->http_endpoint);
-    if (state.cut) (outgoing ? drop_to : drop_from).push_back(json::string(address));
+    if (state.partitioned) (outgoing ? drop_to : drop_from).push_back(json::string(address));
     if (outgoing && state.extra_delay > runtime::Duration{}) {
       delay_to.push_back(
           json::object{{"endpoint", address},
@@ -295,16 +295,17 @@
       {"disk_sync_delay_ms", static_cast<int64_t>(runtime::ToMilliseconds(member.disk_delay))}});
 }
 
-void RealFleet::SendFaults(const std::string& name, int tries) {
+void RealFleet::SendFaults(const std::string& name, int attempts_left) {
   const Member* member = Find(name);
-  if (member == nullptr || tries == 0) return;
-  control_->Put(member->http_endpoint, "/debug/faults", FaultsJson(*member),
-                [this, name, tries](const absl::Status& status, const std::string& /*body*/) {
-                  if (status.ok()) return;
-                  timers_.push_back(std::make_unique<runtime::Timer>(runtime_.timers));
-                  timers_.back()->Start(kFaultRetry,
-                                        [this, name, tries] { SendFaults(name, tries - 1); });
-                });
+  if (member == nullptr || attempts_left == 0) return;
+  control_->Put(
+      member->http_endpoint, "/debug/faults", FaultsJson(*member),
+      [this, name, attempts_left](const absl::Status& status, const std::string& /*body*/) {
+        if (status.ok()) return;
+        timers_.push_back(std::make_unique<runtime::Timer>(runtime_.timers));
+        timers_.back()->Start(kFaultRetry,
+                              [this, name, attempts_left] { SendFaults(name, attempts_left - 1); });
+      });
 }
 
 absl::StatusOr<ProcessInfo> RealFleet::Replace(const std::string& name) {
@@ -322,18 +323,18 @@
   absl::Status status = AddMember(plan);
   if (status.ok()) status = Launch(members_.back().get());
   if (!status.ok()) return status;
-  return InfoOf(*members_.back());
+  return MakeProcessInfo(*members_.back());
 }
 
 absl::StatusOr<ProcessInfo> RealFleet::Move(const std::string& name) {
   Member* member = Find(name);
   if (member == nullptr) return absl::NotFoundError("no process " + name);
   if (member->child->running()) return absl::UnavailableError("it is still running");
-  absl::Status status = PlaceMember(member, member->moves + 1);
+  absl::Status status = AssignAddress(member, member->moves + 1);
   if (status.ok()) status = Launch(member);
   if (!status.ok()) return status;
-  SendFaults(name, kMostFaultTries);
-  return InfoOf(*member);
+  SendFaults(name, kMaxFaultAttempts);
+  return MakeProcessInfo(*member);
 }
 
 absl::StatusOr<std::vector<HistoryEvent>> RealFleet::TakeHistory() {
--- a/src/posthatch/fleettest/real_fleet.h
+++ b/src/posthatch/fleettest/real_fleet.h
@@ -11,7 +11,7 @@
 #include "posthatch/fleettest/fleet_plan.h"
 #include "posthatch/fleettest/history/recorders.h"
 #include "posthatch/fleettest/node_plan.h"
-#include "posthatch/fleettest/stand_in_control.h"
+#include "posthatch/fleettest/process_control_client.h"
 #include "posthatch/net/asio_runtime.h"
 
 namespace posthatch::fleettest {
@@ -61,15 +61,15 @@
   struct Member;
 
   absl::Status AddMember(const PlannedProcess& plan);
-  absl::Status PlaceMember(Member* member, uint32_t move);
+  absl::Status AssignAddress(Member* member, uint32_t move);
   absl::Status Launch(Member* member);
   std::string SettingsOf(const Member& member) const;
   std::vector<emulator::InventoryBackend> Backends() const;
   FleetAddresses Addresses() const;
   Member* Find(const std::string& name) const;
-  ProcessInfo InfoOf(const Member& member) const;
+  ProcessInfo MakeProcessInfo(const Member& member) const;
   // Sends a posthatch process the faults that hold for it now, until it has taken them.
-  void SendFaults(const std::string& name, int tries);
+  void SendFaults(const std::string& name, int attempts_left);
   std::string FaultsJson(const Member& member) const;
 
   const Scenario& scenario_;
@@ -79,7 +79,7 @@
   std::unique_ptr<runtime::Random> random_;
   std::vector<HistoryEvent> events_;
   std::unique_ptr<MemoryHistoryRecorder> recorder_;
-  std::unique_ptr<StandInControl> control_;
+  std::unique_ptr<ProcessControlClient> control_;
   std::vector<std::unique_ptr<Member>> members_;
   std::vector<std::string> histories_;  // files, also of processes that were replaced
   std::map<Role, uint32_t> newest_number_;
--- a/src/posthatch/fleettest/real_run.cc
+++ b/src/posthatch/fleettest/real_run.cc
@@ -6,7 +6,7 @@
 #include <filesystem>
 
 #include "posthatch/fleettest/real_fleet.h"
-#include "posthatch/fleettest/rehearsal.h"
+#include "posthatch/fleettest/scenario_run.h"
 
 namespace posthatch::fleettest {
 
@@ -29,7 +29,7 @@
 
 // One fleet from start to end; its history goes into `report`.
 void RunFleet(const Scenario& scenario, const RealRunOptions& options,
-              const std::string& run_folder, bool round_robin, RehearsalReport* report) {
+              const std::string& run_folder, bool round_robin, ScenarioReport* report) {
   RealFleetOptions fleet_options;
   fleet_options.posthatchd = options.posthatchd;
   fleet_options.posthatch_emulator = options.posthatch_emulator;
@@ -37,16 +37,16 @@
   fleet_options.seed = scenario.seed;
   fleet_options.round_robin = round_robin;
   RealFleet fleet(&scenario, fleet_options);
-  RehearsalOptions rehearsal_options;
-  rehearsal_options.on_progress = options.on_progress;
-  rehearsal_options.interrupted = options.interrupted;
-  Rehearsal(&scenario, &fleet, rehearsal_options).Run(report);
+  ScenarioRunOptions run_options;
+  run_options.on_progress = options.on_progress;
+  run_options.interrupted = options.interrupted;
+  ScenarioRun(&scenario, &fleet, run_options).Run(report);
 }
 
 }  // namespace
 
-absl::StatusOr<RehearsalReport> RunRealScenario(const Scenario& scenario,
-                                                const RealRunOptions& options) {
+absl::StatusOr<ScenarioReport> RunRealScenario(const Scenario& scenario,
+                                               const RealRunOptions& options) {
   for (const std::string& program : {options.posthatchd, options.posthatch_emulator}) {
     if (!fs::exists(program)) return absl::NotFoundError(program + ": no such program");
   }
@@ -55,13 +55,13 @@
   std::error_code error;
   fs::create_directory(*folder + "/fleet", error);
   fs::create_directory(*folder + "/baseline", error);
-  RehearsalReport report;
+  ScenarioReport report;
   report.mode = "run";
   report.seed = scenario.seed;
   RunFleet(scenario, options, *folder + "/fleet", /*round_robin=*/false, &report);
   if (scenario.round_robin_baseline && report.failure.empty()) {
     if (options.on_progress) options.on_progress("the same traffic with round-robin routing:");
-    RehearsalReport baseline;
+    ScenarioReport baseline;
     RunFleet(scenario, options, *folder + "/baseline", /*round_robin=*/true, &baseline);
     if (baseline.failure.empty()) {
       report.round_robin_hit_ratio = baseline.statistics.prefix_hit_ratio;
--- a/src/posthatch/fleettest/real_run.h
+++ b/src/posthatch/fleettest/real_run.h
@@ -22,7 +22,7 @@
 
 // The scenario with real processes, and after it the baseline if the scenario asks for one. Errors:
 // the run folder can't be made, or a program is missing; everything else is in the report.
-absl::StatusOr<RehearsalReport> RunRealScenario(const Scenario& scenario,
-                                                const RealRunOptions& options);
+absl::StatusOr<ScenarioReport> RunRealScenario(const Scenario& scenario,
+                                               const RealRunOptions& options);
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/report-test.cc
+++ b/src/posthatch/fleettest/report-test.cc
@@ -20,7 +20,7 @@
 }
 
 TEST(Report, PassesOnlyIfEveryCheckExaminedSomethingAndFoundNothing) {
-  RehearsalReport report;
+  ScenarioReport report;
   EXPECT_FALSE(Passed(report)) << "no checks at all";
   report.checks.push_back(ResultOf("N1", 3, 0));
   EXPECT_TRUE(Passed(report));
@@ -34,14 +34,14 @@
 }
 
 TEST(Report, AnExcuseDoesNotHideViolations) {
-  RehearsalReport report;
+  ScenarioReport report;
   report.not_examined.push_back({"N1", "none expected"});
   report.checks.push_back(ResultOf("N1", 1, 1));
   EXPECT_FALSE(Passed(report));
 }
 
 TEST(Report, FailuresAndNondeterminismFailTheRun) {
-  RehearsalReport report;
+  ScenarioReport report;
   report.checks.push_back(ResultOf("N1", 1, 0));
   report.deterministic = false;
   EXPECT_FALSE(Passed(report));
@@ -51,7 +51,7 @@
 }
 
 TEST(Report, JsonHasTheDocumentedKeys) {
-  RehearsalReport report;
+  ScenarioReport report;
   report.scenario = "example";
   report.mode = "simulate";
   report.seed = 4;
--- a/src/posthatch/fleettest/report.cc
+++ b/src/posthatch/fleettest/report.cc
@@ -13,14 +13,14 @@
 
 namespace json = boost::json;
 
-const NotExamined* ExcusedIn(const RehearsalReport& report, const std::string& id) {
+const NotExamined* ExcusedIn(const ScenarioReport& report, const std::string& id) {
   for (const NotExamined& excused : report.not_examined) {
     if (excused.check == id) return &excused;
   }
   return nullptr;
 }
 
-bool CheckPassed(const RehearsalReport& report, const CheckResult& check) {
+bool CheckPassed(const ScenarioReport& report, const CheckResult& check) {
   if (check.violations() > 0) return false;
   return check.examined() > 0 || ExcusedIn(report, check.id()) != nullptr;
 }
@@ -38,7 +38,7 @@
   return object;
 }
 
-json::array InvariantsJson(const RehearsalReport& report) {
+json::array InvariantsJson(const ScenarioReport& report) {
   json::array invariants;
   for (const CheckResult& check : report.checks) {
     json::object entry = {{"id", check.id()},
@@ -78,7 +78,7 @@
   return entries;
 }
 
-json::object ReportObject(const RehearsalReport& report) {
+json::object ReportObject(const ScenarioReport& report) {
   const Statistics& statistics = report.statistics;
   const RequestCounts& requests = statistics.requests;
   json::object object = {
@@ -118,7 +118,7 @@
   return object;
 }
 
-std::string CheckLine(const RehearsalReport& report, const CheckResult& check) {
+std::string CheckLine(const ScenarioReport& report, const CheckResult& check) {
   const NotExamined* excused = ExcusedIn(report, check.id());
   const char* verdict = "ok";
   if (check.violations() > 0) {
@@ -155,14 +155,14 @@
 
 }  // namespace
 
-bool Passed(const RehearsalReport& report) {
+bool Passed(const ScenarioReport& report) {
   if (!report.failure.empty() || report.checks.empty() || !report.deterministic) return false;
   return std::all_of(report.checks.begin(), report.checks.end(),
                      [&](const CheckResult& check) { return CheckPassed(report, check); });
 }
 
 void ExamineHistory(const Scenario& scenario, const RecordedHistory& history,
-                    RehearsalReport* report) {
+                    ScenarioReport* report) {
   report->not_examined = scenario.not_examined;
   report->statistics = ComputeStatistics(history);
   for (const std::unique_ptr<Check>& check : AllChecks()) {
@@ -170,14 +170,14 @@
   }
 }
 
-std::string ReportJson(const RehearsalReport& report) {
+std::string ReportJson(const ScenarioReport& report) {
   return json::serialize(ReportObject(report)) + "\n";
 }
 
-std::string SeedsJson(const std::vector<RehearsalReport>& reports) {
+std::string SeedsJson(const std::vector<ScenarioReport>& reports) {
   json::object object;
   json::array seeds;
-  for (const RehearsalReport& report : reports) {
+  for (const ScenarioReport& report : reports) {
     object["scenario"] = report.scenario;
     seeds.push_back(ReportObject(report));
   }
@@ -186,7 +186,7 @@
   return json::serialize(object) + "\n";
 }
 
-std::string SummaryTable(const RehearsalReport& report) {
+std::string SummaryTable(const ScenarioReport& report) {
   const Statistics& statistics = report.statistics;
   const RequestCounts& requests = statistics.requests;
   std::string table = fmt::format("\n{} ({}, seed {}, {:.0f} s)\n", report.scenario, report.mode,
@@ -219,7 +219,7 @@
   return table + (Passed(report) ? "PASSED\n" : "FAILED\n");
 }
 
-std::string SeedLine(const RehearsalReport& report) {
+std::string SeedLine(const ScenarioReport& report) {
   std::string findings;
   for (const CheckResult& check : report.checks) {
     if (CheckPassed(report, check)) continue;
--- a/src/posthatch/fleettest/report.h
+++ b/src/posthatch/fleettest/report.h
@@ -14,7 +14,7 @@
 namespace posthatch::fleettest {
 
 // All that one run of a scenario found.
-struct RehearsalReport {
+struct ScenarioReport {
   std::string scenario;
   std::string mode;  // "run" or "simulate"
   uint64_t seed = 0;
@@ -32,18 +32,18 @@
 };
 
 // Whether every check that applies examined something and found nothing, and the run was whole.
-bool Passed(const RehearsalReport& report);
+bool Passed(const ScenarioReport& report);
 // Runs all checks and statistics over the history.
 void ExamineHistory(const Scenario& scenario, const RecordedHistory& history,
-                    RehearsalReport* report);
+                    ScenarioReport* report);
 
 // JSON of one run, and of many seeds of one scenario (docs/FLEETTEST.md lists the keys).
-std::string ReportJson(const RehearsalReport& report);
-std::string SeedsJson(const std::vector<RehearsalReport>& reports);
+std::string ReportJson(const ScenarioReport& report);
+std::string SeedsJson(const std::vector<ScenarioReport>& reports);
 // Table for people.
-std::string SummaryTable(const RehearsalReport& report);
+std::string SummaryTable(const ScenarioReport& report);
 // One line for one seed of many.
-std::string SeedLine(const RehearsalReport& report);
+std::string SeedLine(const ScenarioReport& report);
 absl::Status WriteFile(const std::string& path, const std::string& text);
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/answer_losing_client.cc
+++ b/src/posthatch/fleettest/response_dropping_client.cc
@@ -1,10 +1,10 @@
-#include "posthatch/fleettest/answer_losing_client.h"
+#include "posthatch/fleettest/response_dropping_client.h"
 
 #include <utility>
 
 namespace posthatch::fleettest {
 
-void AnswerLosingClient::SetLoss(const std::string& endpoint, double probability) {
+void ResponseDroppingClient::SetDropProbability(const std::string& endpoint, double probability) {
   if (probability > 0) {
     loss_by_endpoint_[endpoint] = probability;
   } else {
@@ -12,15 +12,15 @@
   }
 }
 
-std::unique_ptr<http::Call> AnswerLosingClient::Start(const std::string& endpoint,
-                                                      http::Request request,
-                                                      http::CallOptions options,
-                                                      http::CallObserver observer) {
+std::unique_ptr<http::Call> ResponseDroppingClient::Start(const std::string& endpoint,
+                                                          http::Request request,
+                                                          http::CallOptions options,
+                                                          http::CallObserver observer) {
   const auto loss = loss_by_endpoint_.find(endpoint);
   if (loss == loss_by_endpoint_.end() || !random_->Chance(loss->second)) {
     return client_->Start(endpoint, std::move(request), options, std::move(observer));
   }
-  ++lost_answers_;
+  ++dropped_responses_;
   http::CallObserver losing;
   losing.on_error = observer.on_error;
   losing.on_end = [on_error = observer.on_error] {
--- a/src/posthatch/fleettest/scenario.h
+++ b/src/posthatch/fleettest/scenario.h
@@ -7,7 +7,7 @@
 
 #include "posthatch/runtime/clock.h"
 
-// What a rehearsal does, as read from a scenario file. docs/FLEETTEST.md is the file's grammar.
+// What a fleet test does, as read from a scenario file. docs/FLEETTEST.md is the file's grammar.
 namespace posthatch::fleettest {
 
 enum class FaultKind {
@@ -18,10 +18,10 @@
   kPowerLoss,  // dies and loses every write that was not synced, and starts again
   kSlowDisk,   // each sync takes longer
   kClockJump,  // the wall clock jumps
-  kCut,        // messages and connections are lost, one way or both
+  kPartition,  // messages and connections are lost, one way or both
   kSlowLink,   // everything takes longer on the way
   kEvents,     // a worker's cache events are late, lost, reordered or doubled
-  kAnswers,    // a back end answers late, twice or crossed
+  kResponses,  // a back end answers late, twice or crossed
   kLostAck,    // answers to operators are lost
   kReplace,    // dies for good; a new process with another id takes its place
   kMoveSeed,   // stops, and starts again at another address
--- a/src/posthatch/fleettest/scenario_loader-test.cc
+++ b/src/posthatch/fleettest/scenario_loader-test.cc
@@ -51,10 +51,10 @@
   EXPECT_EQ(scenario.fleet.controllers, 5u);
   EXPECT_EQ(scenario.traffic.requests_per_second, 12.5);
   ASSERT_EQ(scenario.faults.size(), 2u);
-  EXPECT_EQ(scenario.faults[0].kind, FaultKind::kAnswers);
+  EXPECT_EQ(scenario.faults[0].kind, FaultKind::kResponses);
   EXPECT_EQ(scenario.faults[0].at, std::chrono::milliseconds(5500));
   EXPECT_EQ(scenario.faults[0].target.count, 2u);
-  EXPECT_EQ(scenario.faults[1].kind, FaultKind::kCut);
+  EXPECT_EQ(scenario.faults[1].kind, FaultKind::kPartition);
   EXPECT_TRUE(scenario.faults[1].one_way);
   EXPECT_EQ(scenario.faults[1].peer.role, Role::kController);
   ASSERT_EQ(scenario.operations.size(), 1u);
--- a/src/posthatch/fleettest/scenario_loader.cc
+++ b/src/posthatch/fleettest/scenario_loader.cc
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr double kLongestScenarioSeconds = 24 * 3600;
-constexpr uint32_t kMostProcesses = 10000;
+constexpr uint32_t kMaxProcesses = 10000;
 constexpr double kLongestDelayMs = 600 * 1000;
 
 void ReadSizes(TableReader reader, FleetSizes* fleet) {
   reader.Read("controllers", 1, 7, &fleet->controllers);
-  reader.Read("gateways", 1, kMostProcesses, &fleet->gateways);
-  reader.Read("workers", 1, kMostProcesses, &fleet->workers);
+  reader.Read("gateways", 1, kMaxProcesses, &fleet->gateways);
+  reader.Read("workers", 1, kMaxProcesses, &fleet->workers);
   reader.Read("stores", 0, 100, &fleet->stores);
   reader.Read("services", 0, 100, &fleet->services);
   reader.Read("zones", 1, 100, &fleet->zones);
@@ -81,7 +81,7 @@
   reader.Read("name", &target.name);
   reader.Read("zone", &target.zone);
   reader.Read("label", &target.label);
-  reader.Read("count", 1, kMostProcesses, &target.count);
+  reader.Read("count", 1, kMaxProcesses, &target.count);
   if (!target.label.empty() && target.label.find('=') == std::string::npos) {
     reader.Fail("label", "must be \"key=value\"");
   }
@@ -103,7 +103,7 @@
 
 std::vector<std::string> ModesOf(FaultKind kind) {
   if (kind == FaultKind::kEvents) return {"late", "lost", "reordered", "doubled"};
-  if (kind == FaultKind::kAnswers) return {"late", "twice", "crossed"};
+  if (kind == FaultKind::kResponses) return {"late", "twice", "crossed"};
   return {};
 }
 
@@ -119,7 +119,7 @@
       reader->ReadSeconds("jump_s", -1e7, 1e7, &fault->amount);
       break;
     case FaultKind::kEvents:
-    case FaultKind::kAnswers:
+    case FaultKind::kResponses:
       reader->Require("mode");
       reader->ReadChoice("mode", ModesOf(fault->kind), &fault->mode);
       reader->Read("probability", 0, 1, &fault->probability);
@@ -129,7 +129,7 @@
     case FaultKind::kLostAck:
       reader->Read("probability", 0, 1, &fault->probability);
       break;
-    case FaultKind::kCut:
+    case FaultKind::kPartition:
       reader->Read("one_way", &fault->one_way);
       break;
     default:
@@ -147,7 +147,7 @@
   if (const toml::table* target = reader.SubTable("target")) {
     fault.target = ReadTarget(reader.Inner(target, path + ".target"));
   }
-  const bool has_peer = fault.kind == FaultKind::kCut || fault.kind == FaultKind::kSlowLink;
+  const bool has_peer = fault.kind == FaultKind::kPartition || fault.kind == FaultKind::kSlowLink;
   if (has_peer) {
     if (const toml::table* peer = reader.SubTable("peer")) {
       fault.peer = ReadTarget(reader.Inner(peer, path + ".peer"));
--- a/src/posthatch/fleettest/rehearsal.cc
+++ b/src/posthatch/fleettest/scenario_run.cc
@@ -1,4 +1,4 @@
-#include "posthatch/fleettest/rehearsal.h"
+#include "posthatch/fleettest/scenario_run.h"
 
 #include <fmt/format.h>
 
@@ -7,26 +7,26 @@
 
 #include "posthatch/emulator/caller_load.h"
 #include "posthatch/emulator/key_probe.h"
-#include "posthatch/emulator/operator_standin.h"
-#include "posthatch/fleettest/answer_losing_client.h"
+#include "posthatch/emulator/operator_emulator.h"
 #include "posthatch/fleettest/fault_injector.h"
 #include "posthatch/fleettest/fleet_plan.h"
 #include "posthatch/fleettest/inventory_publisher.h"
 #include "posthatch/fleettest/leader_watch.h"
 #include "posthatch/fleettest/operation_runner.h"
 #include "posthatch/fleettest/readiness_watch.h"
+#include "posthatch/fleettest/response_dropping_client.h"
 #include "posthatch/fleettest/target_resolver.h"
 
 namespace posthatch::fleettest {
 
 namespace {
 
-constexpr runtime::Duration kStep = std::chrono::milliseconds(100);
+constexpr runtime::Duration kRunStep = std::chrono::milliseconds(100);
 constexpr runtime::Duration kProgressInterval = std::chrono::seconds(1);
 constexpr runtime::Duration kReadyLimit = std::chrono::seconds(60);
 constexpr runtime::Duration kConfigurationLimit = std::chrono::seconds(30);
 constexpr runtime::Duration kLoadEndLimit = std::chrono::seconds(60);
-constexpr runtime::Duration kProbeEnd = std::chrono::seconds(6);  // over the probes' timeout
+constexpr runtime::Duration kProbeDrainTime = std::chrono::seconds(6);  // over the probes' timeout
 constexpr runtime::Duration kFinalReadLimit = std::chrono::seconds(20);
 constexpr runtime::Duration kReadInterval = std::chrono::seconds(2);
 constexpr runtime::Duration kRotationInterval = std::chrono::seconds(3);
@@ -55,12 +55,12 @@
 
 }  // namespace
 
-class Rehearsal::Impl {
+class ScenarioRun::Impl {
  public:
-  Impl(const Scenario* scenario, Fleet* fleet, RehearsalOptions options)
+  Impl(const Scenario* scenario, Fleet* fleet, ScenarioRunOptions options)
       : scenario_(*scenario), fleet_(fleet), options_(std::move(options)) {}
 
-  void Run(RehearsalReport* report);
+  void Run(ScenarioReport* report);
 
  private:
   std::string Prepare();
@@ -69,8 +69,8 @@
   std::string DriveLoad();
   std::string EndLoad();
   void ReadFinalState();
-  void MakeActors();
-  void ProcessesChanged();
+  void CreateLoadAndOperators();
+  void OnProcessesChanged();
   // Runs the fleet until `condition` holds; false after `limit` or an interruption.
   bool RunUntil(const std::function<bool()>& condition, runtime::Duration limit);
   bool Interrupted() const { return options_.interrupted && options_.interrupted(); }
@@ -78,24 +78,24 @@
 
   const Scenario& scenario_;
   Fleet* const fleet_;
-  const RehearsalOptions options_;
+  const ScenarioRunOptions options_;
   emulator::TrafficMix mix_;
   control::Configuration configuration_;
-  std::unique_ptr<AnswerLosingClient> operators_client_;
+  std::unique_ptr<ResponseDroppingClient> operators_client_;
   runtime::Runtime operators_runtime_;
-  std::unique_ptr<StandInControl> control_;
+  std::unique_ptr<ProcessControlClient> control_;
   std::unique_ptr<InventoryPublisher> inventory_;
   std::unique_ptr<LeaderWatch> leader_watch_;
-  std::unique_ptr<emulator::OperatorStandIn> first_operator_;
-  std::unique_ptr<emulator::OperatorStandIn> second_operator_;
-  std::unique_ptr<emulator::OperatorStandIn> rotating_operator_;
+  std::unique_ptr<emulator::OperatorEmulator> first_operator_;
+  std::unique_ptr<emulator::OperatorEmulator> second_operator_;
+  std::unique_ptr<emulator::OperatorEmulator> rotating_operator_;
   std::unique_ptr<emulator::CallerLoad> load_;
   std::unique_ptr<emulator::KeyProbe> probe_;
   std::unique_ptr<FaultInjector> faults_;
   std::unique_ptr<OperationRunner> operations_;
 };
 
-void Rehearsal::Impl::Run(RehearsalReport* report) {
+void ScenarioRun::Impl::Run(ScenarioReport* report) {
   report->scenario = scenario_.name;
   report->duration_s = std::chrono::duration<double>(scenario_.duration).count();
   report->failure = Prepare();
@@ -119,12 +119,12 @@
   ExamineHistory(scenario_, history, report);
 }
 
-std::string Rehearsal::Impl::Prepare() {
+std::string ScenarioRun::Impl::Prepare() {
   mix_ = PlanTraffic(scenario_);
   configuration_ = emulator::ConfigurationFor(mix_, scenario_.worker.block_tokens);
   const absl::Status started = fleet_->Start();
   if (!started.ok()) return "the fleet did not start: " + started.ToString();
-  MakeActors();
+  CreateLoadAndOperators();
   inventory_->Publish(fleet_->processes());
   // Gateways are ready only once there is a configuration.
   std::string failure = WaitUntilReady([](Role role) { return role != Role::kGateway; });
@@ -133,7 +133,7 @@
   return failure;
 }
 
-std::string Rehearsal::Impl::WaitUntilReady(const std::function<bool(Role)>& of_role) {
+std::string ScenarioRun::Impl::WaitUntilReady(const std::function<bool(Role)>& of_role) {
   std::vector<ProcessInfo> waited_for;
   for (const ProcessInfo& process : fleet_->processes()) {
     if (of_role(process.role)) waited_for.push_back(process);
@@ -145,17 +145,18 @@
   return failure.empty() ? "not ready in time: " + readiness.NotReady() : failure;
 }
 
-void Rehearsal::Impl::MakeActors() {
+void ScenarioRun::Impl::CreateLoadAndOperators() {
   runtime::Runtime* runtime = fleet_->runtime();
-  control_ = std::make_unique<StandInControl>(runtime);
+  control_ = std::make_unique<ProcessControlClient>(runtime);
   inventory_ = std::make_unique<InventoryPublisher>(control_.get(), &scenario_);
   leader_watch_ = std::make_unique<LeaderWatch>(control_.get(), runtime, fleet_);
-  operators_client_ = std::make_unique<AnswerLosingClient>(runtime->http_client, runtime->random);
+  operators_client_ =
+      std::make_unique<ResponseDroppingClient>(runtime->http_client, runtime->random);
   operators_runtime_ = *runtime;
   operators_runtime_.http_client = operators_client_.get();
   const auto make_operator = [&](const std::string& name, runtime::Duration rotation,
                                  runtime::Duration reads) {
-    return std::make_unique<emulator::OperatorStandIn>(
+    return std::make_unique<emulator::OperatorEmulator>(
         &operators_runtime_, OperatorNamed(name, rotation, reads), fleet_->recorder());
   };
   first_operator_ = make_operator("operator-1", {}, kReadInterval);
@@ -171,14 +172,14 @@
   probe_ = std::make_unique<emulator::KeyProbe>(runtime, probe, fleet_->recorder());
   faults_ = std::make_unique<FaultInjector>(FaultInjector::Environment{
       fleet_, control_.get(), operators_client_.get(), [this] { return leader_watch_->leader(); },
-      [this] { ProcessesChanged(); }});
+      [this] { OnProcessesChanged(); }});
   operations_ = std::make_unique<OperationRunner>(OperationRunner::Environment{
       fleet_, control_.get(), inventory_.get(), first_operator_.get(), second_operator_.get(),
       rotating_operator_.get(), configuration_, scenario_.models.front()});
-  ProcessesChanged();
+  OnProcessesChanged();
 }
 
-void Rehearsal::Impl::ProcessesChanged() {
+void ScenarioRun::Impl::OnProcessesChanged() {
   const std::vector<ProcessInfo> processes = fleet_->processes();
   const std::vector<std::string> gateways = LiveEndpoints(processes, {Role::kGateway});
   const std::vector<std::string> nodes =
@@ -191,7 +192,7 @@
   inventory_->Publish(processes);
 }
 
-std::string Rehearsal::Impl::ApplyConfiguration() {
+std::string ScenarioRun::Impl::ApplyConfiguration() {
   bool done = false;
   emulator::ChangeOutcome outcome;
   first_operator_->PatchConfiguration(InitialPatch(configuration_), 0, InitialDetail(mix_),
@@ -206,7 +207,7 @@
   return "";
 }
 
-std::string Rehearsal::Impl::DriveLoad() {
+std::string ScenarioRun::Impl::DriveLoad() {
   first_operator_->Start();
   load_->Start();
   probe_->Start();
@@ -224,7 +225,7 @@
   return "";
 }
 
-void Rehearsal::Impl::Progress(runtime::Duration elapsed) {
+void ScenarioRun::Impl::Progress(runtime::Duration elapsed) {
   if (!options_.on_progress) return;
   const emulator::CallerLoadCounts counts = load_->counts();
   options_.on_progress(fmt::format(
@@ -233,7 +234,7 @@
       counts.unknown, counts.in_flight, faults_->outcomes().size()));
 }
 
-std::string Rehearsal::Impl::EndLoad() {
+std::string ScenarioRun::Impl::EndLoad() {
   operations_->Stop();
   faults_->EndAll();
   probe_->SetGateways({});
@@ -247,7 +248,7 @@
   const bool ended_in_time = RunUntil([&] { return open == 0; }, kLoadEndLimit);
   // Probes under way end by themselves: stopping leaves calls in no determined order, which would
   // give one seed several traces.
-  fleet_->RunFor(kProbeEnd);
+  fleet_->RunFor(kProbeDrainTime);
   probe_->Stop();
   if (ended_in_time) return "";
   // Late callbacks must not find `open` gone.
@@ -259,8 +260,8 @@
 }
 
 // Each node's view after everything: whatever was acknowledged has to be there.
-void Rehearsal::Impl::ReadFinalState() {
-  auto reader = std::make_unique<emulator::OperatorStandIn>(
+void ScenarioRun::Impl::ReadFinalState() {
+  auto reader = std::make_unique<emulator::OperatorEmulator>(
       fleet_->runtime(), OperatorNamed("final-reader", {}, {}), fleet_->recorder());
   size_t open = 0;
   for (const std::string& node :
@@ -271,20 +272,20 @@
   RunUntil([&] { return open == 0; }, kFinalReadLimit);
 }
 
-bool Rehearsal::Impl::RunUntil(const std::function<bool()>& condition, runtime::Duration limit) {
-  for (runtime::Duration waited{}; waited < limit; waited += kStep) {
+bool ScenarioRun::Impl::RunUntil(const std::function<bool()>& condition, runtime::Duration limit) {
+  for (runtime::Duration waited{}; waited < limit; waited += kRunStep) {
     if (condition()) return true;
     if (Interrupted() || !fleet_->Failure().empty()) return false;
-    fleet_->RunFor(kStep);
+    fleet_->RunFor(kRunStep);
   }
   return condition();
 }
 
-Rehearsal::Rehearsal(const Scenario* scenario, Fleet* fleet, RehearsalOptions options)
+ScenarioRun::ScenarioRun(const Scenario* scenario, Fleet* fleet, ScenarioRunOptions options)
     : impl_(std::make_unique<Impl>(scenario, fleet, std::move(options))) {}
 
-Rehearsal::~Rehearsal() = default;
+ScenarioRun::~ScenarioRun() = default;
 
-void Rehearsal::Run(RehearsalReport* report) { impl_->Run(report); }
+void ScenarioRun::Run(ScenarioReport* report) { impl_->Run(report); }
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/rehearsal.h
+++ b/src/posthatch/fleettest/scenario_run.h
@@ -11,28 +11,28 @@
 
 namespace posthatch::fleettest {
 
-struct RehearsalOptions {
+struct ScenarioRunOptions {
   // Where the events go that the run recorded, for looking into it; null: nowhere.
   std::vector<HistoryEvent>* keep_history = nullptr;
   // Gets a short line about every second of the load.
   std::function<void(const std::string&)> on_progress;
-  // Looked at about every second: true ends the rehearsal early, as failed.
+  // Looked at about every second: true ends the fleet test early, as failed.
   std::function<bool()> interrupted;
 };
 
 // Takes a fleet through a scenario: starts it, waits until it serves, applies the configuration,
 // drives load and timeline, reads the state back, and gives the history. The same for real and
 // simulated fleets.
-class Rehearsal {
+class ScenarioRun {
  public:
-  // All outlive the rehearsal. The fleet is new.
-  Rehearsal(const Scenario* scenario, Fleet* fleet, RehearsalOptions options);
-  ~Rehearsal();
-  Rehearsal(const Rehearsal&) = delete;
-  Rehearsal& operator=(const Rehearsal&) = delete;
+  // All outlive the fleet test. The fleet is new.
+  ScenarioRun(const Scenario* scenario, Fleet* fleet, ScenarioRunOptions options);
+  ~ScenarioRun();
+  ScenarioRun(const ScenarioRun&) = delete;
+  ScenarioRun& operator=(const ScenarioRun&) = delete;
 
   // Carries it all out and examines the history. `report` gets the failure if it can't.
-  void Run(RehearsalReport* report);
+  void Run(ScenarioReport* report);
 
  private:
   class Impl;
--- a/src/posthatch/fleettest/seed_runner.cc
+++ b/src/posthatch/fleettest/seed_runner.cc
@@ -9,7 +9,7 @@
 #include <thread>
 #include <utility>
 
-#include "posthatch/fleettest/rehearsal.h"
+#include "posthatch/fleettest/scenario_run.h"
 #include "posthatch/fleettest/simulated_fleet.h"
 
 namespace posthatch::fleettest {
@@ -28,27 +28,27 @@
 }
 
 double BaselineHitRatio(const Scenario& scenario, uint64_t seed, server::ProcessFactory* factory,
-                        const RehearsalOptions& options) {
-  RehearsalReport report;
+                        const ScenarioRunOptions& options) {
+  ScenarioReport report;
   SimulatedFleet fleet(&scenario, seed, factory, /*round_robin=*/true);
-  Rehearsal(&scenario, &fleet, options).Run(&report);
+  ScenarioRun(&scenario, &fleet, options).Run(&report);
   return report.statistics.prefix_hit_ratio;
 }
 
 }  // namespace
 
-RehearsalReport SimulateSeed(const Scenario& scenario, uint64_t seed,
-                             server::ProcessFactory* factory, const SeedRunOptions& seed_options) {
-  RehearsalReport report;
+ScenarioReport SimulateSeed(const Scenario& scenario, uint64_t seed,
+                            server::ProcessFactory* factory, const SeedRunOptions& seed_options) {
+  ScenarioReport report;
   report.mode = "simulate";
   report.seed = seed;
-  RehearsalOptions options;
+  ScenarioRunOptions options;
   options.interrupted = seed_options.interrupted;
   std::vector<HistoryEvent> events;
   if (!seed_options.history_folder.empty()) options.keep_history = &events;
   {
     SimulatedFleet fleet(&scenario, seed, factory, /*round_robin=*/false);
-    Rehearsal(&scenario, &fleet, options).Run(&report);
+    ScenarioRun(&scenario, &fleet, options).Run(&report);
   }
   if (options.keep_history != nullptr) {
     const std::string file = fmt::format("{}/seed-{}.jsonl", seed_options.history_folder, seed);
@@ -62,9 +62,9 @@
   return report;
 }
 
-std::vector<RehearsalReport> SimulateSeeds(const Scenario& scenario, const SeedRunOptions& options,
-                                           server::ProcessFactory* factory) {
-  std::vector<RehearsalReport> reports(options.last_seed - options.first_seed + 1);
+std::vector<ScenarioReport> SimulateSeeds(const Scenario& scenario, const SeedRunOptions& options,
+                                          server::ProcessFactory* factory) {
+  std::vector<ScenarioReport> reports(options.last_seed - options.first_seed + 1);
   std::atomic<uint64_t> next{0};
   std::mutex reporting;
   const auto work = [&] {
@@ -72,9 +72,9 @@
       const uint64_t index = next.fetch_add(1);
       if (index >= reports.size()) return;
       const uint64_t seed = options.first_seed + index;
-      RehearsalReport report = SimulateSeed(scenario, seed, factory, options);
+      ScenarioReport report = SimulateSeed(scenario, seed, factory, options);
       if (options.verify_determinism) {
-        const RehearsalReport again = SimulateSeed(scenario, seed, factory, options);
+        const ScenarioReport again = SimulateSeed(scenario, seed, factory, options);
         report.deterministic = again.trace_hash == report.trace_hash;
       }
       const std::lock_guard<std::mutex> lock(reporting);
--- a/src/posthatch/fleettest/seed_runner.h
+++ b/src/posthatch/fleettest/seed_runner.h
@@ -16,7 +16,7 @@
   uint32_t threads = 4;             // seeds at once, each in a world of its own
   bool verify_determinism = false;  // each seed twice: the trace hashes must agree
   // Called as each seed ends, one at a time, from any thread.
-  std::function<void(const RehearsalReport&)> on_report;
+  std::function<void(const ScenarioReport&)> on_report;
   // Folder for the histories, one file a seed; empty: they aren't kept.
   std::string history_folder;
   // Looked at before and during each seed.
@@ -24,11 +24,11 @@
 };
 
 // One seed of a scenario in the simulator.
-RehearsalReport SimulateSeed(const Scenario& scenario, uint64_t seed,
-                             server::ProcessFactory* factory, const SeedRunOptions& options);
+ScenarioReport SimulateSeed(const Scenario& scenario, uint64_t seed,
+                            server::ProcessFactory* factory, const SeedRunOptions& options);
 
 // All seeds, by rising seed in the result. `factory` is used by several threads at once.
-std::vector<RehearsalReport> SimulateSeeds(const Scenario& scenario, const SeedRunOptions& options,
-                                           server::ProcessFactory* factory);
+std::vector<ScenarioReport> SimulateSeeds(const Scenario& scenario, const SeedRunOptions& options,
+                                          server::ProcessFactory* factory);
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/simulated_fleet.cc
+++ b/src/posthatch/fleettest/simulated_fleet.cc
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "posthatch/emulator/worker_standin.h"
-#include "posthatch/fleettest/names.h"
+#include "posthatch/emulator/worker_emulator.h"
+#include "posthatch/fleettest/scenario_names.h"
 #include "posthatch/server/common_http.h"
 
 namespace posthatch::fleettest {
@@ -129,13 +129,13 @@
                                                   const std::string& endpoint) {
   switch (process.role) {
     case Role::kWorker:
-      return BootStandIn<emulator::WorkerStandIn>(
+      return BootStandIn<emulator::WorkerEmulator>(
           process, runtime, PlanWorker(scenario_, process, Addresses(), endpoint));
     case Role::kStore:
-      return BootStandIn<emulator::StoreStandIn>(process, runtime, PlanStore(process, endpoint));
+      return BootStandIn<emulator::StoreEmulator>(process, runtime, PlanStore(process, endpoint));
     case Role::kService:
-      return BootStandIn<emulator::ServiceStandIn>(process, runtime,
-                                                   PlanService(process, endpoint));
+      return BootStandIn<emulator::ServiceEmulator>(process, runtime,
+                                                    PlanService(process, endpoint));
     default:
       break;
   }
@@ -144,7 +144,7 @@
     if (!IsBackend(backend.role)) continue;
     backends.push_back(InventoryEntry(backend, world_.FindHost(backend.name)->http_endpoint()));
   }
-  return BootStandIn<emulator::InventoryStandIn>(
+  return BootStandIn<emulator::InventoryEmulator>(
       process, runtime, PlanInventory(scenario_, endpoint, std::move(backends)));
 }
 
@@ -181,14 +181,14 @@
     if (process.role == Role::kStore && addresses.store.empty()) {
       addresses.store = host->http_endpoint();
     }
-    if (process.role == Role::kController && addresses.seeds.size() < kMostSeeds) {
+    if (process.role == Role::kController && addresses.seeds.size() < kMaxSeedAddresses) {
       addresses.seeds.push_back(host->internal_endpoint());
     }
   }
   return addresses;
 }
 
-ProcessInfo SimulatedFleet::InfoOf(const PlannedProcess& process) const {
+ProcessInfo SimulatedFleet::MakeProcessInfo(const PlannedProcess& process) const {
   return {process.name, process.role, process.zone, LabelsOf(process),
           world_.FindHost(process.name)->http_endpoint()};
 }
@@ -196,14 +196,14 @@
 std::vector<ProcessInfo> SimulatedFleet::processes() const {
   std::vector<ProcessInfo> infos;
   infos.reserve(processes_.size());
-  for (const PlannedProcess& process : processes_) infos.push_back(InfoOf(process));
+  for (const PlannedProcess& process : processes_) infos.push_back(MakeProcessInfo(process));
   return infos;
 }
 
 // ---------------------------------------------------------------- faults
 
-absl::StatusOr<simulation::SimHost*> SimulatedFleet::HostOf(const std::string& name,
-                                                            bool running) const {
+absl::StatusOr<simulation::SimHost*> SimulatedFleet::FindHostInState(const std::string& name,
+                                                                     bool running) const {
   simulation::SimHost* host = world_.FindHost(name);
   if (host == nullptr) return absl::NotFoundError("no process " + name);
   if (host->running() != running) {
@@ -213,14 +213,14 @@
 }
 
 absl::Status SimulatedFleet::Kill(const std::string& name) {
-  const auto host = HostOf(name, true);
+  const auto host = FindHostInState(name, true);
   if (!host.ok()) return host.status();
   (*host)->Crash();
   return absl::OkStatus();
 }
 
 absl::Status SimulatedFleet::Stop(const std::string& name) {
-  const auto host = HostOf(name, true);
+  const auto host = FindHostInState(name, true);
   if (!host.ok()) return host.status();
   const std::shared_ptr<Node> node = nodes_[name].lock();
   if (node == nullptr) {
@@ -244,28 +244,28 @@
 }
 
 absl::Status SimulatedFleet::Freeze(const std::string& name) {
-  const auto host = HostOf(name, true);
+  const auto host = FindHostInState(name, true);
   if (!host.ok()) return host.status();
   (*host)->Freeze();
   return absl::OkStatus();
 }
 
 absl::Status SimulatedFleet::Thaw(const std::string& name) {
-  const auto host = HostOf(name, true);
+  const auto host = FindHostInState(name, true);
   if (!host.ok()) return host.status();
   (*host)->Thaw();
   return absl::OkStatus();
 }
 
 absl::Status SimulatedFleet::PowerOff(const std::string& name) {
-  const auto host = HostOf(name, true);
+  const auto host = FindHostInState(name, true);
   if (!host.ok()) return host.status();
   (*host)->PowerLoss();
   return absl::OkStatus();
 }
 
 absl::Status SimulatedFleet::ClearDisk(const std::string& name) {
-  const auto host = HostOf(name, false);
+  const auto host = FindHostInState(name, false);
   if (!host.ok()) return host.status();
   (*host)->LoseDisk();
   return absl::OkStatus();
@@ -279,7 +279,7 @@
 }
 
 absl::Status SimulatedFleet::JumpClock(const std::string& name, runtime::Duration delta) {
-  const auto host = HostOf(name, true);
+  const auto host = FindHostInState(name, true);
   if (!host.ok()) return host.status();
   (*host)->JumpWallClock(delta);
   return absl::OkStatus();
@@ -287,7 +287,7 @@
 
 absl::Status SimulatedFleet::SetLink(const std::string& from, const std::string& to,
                                      LinkState state) {
-  if (state.cut) {
+  if (state.partitioned) {
     world_.Partition(from, to);
   } else {
     world_.Heal(from, to);
@@ -309,7 +309,7 @@
   process.service = found->service;
   *found = process;
   AddProcess(process)->Start();
-  return InfoOf(process);
+  return MakeProcessInfo(process);
 }
 
 absl::StatusOr<ProcessInfo> SimulatedFleet::Move(const std::string& /*name*/) {
--- a/src/posthatch/fleettest/simulated_fleet.h
+++ b/src/posthatch/fleettest/simulated_fleet.h
@@ -64,9 +64,9 @@
   std::shared_ptr<void> BootNode(const PlannedProcess& process, simulation::SimHost* host,
                                  runtime::Runtime* runtime);
   // The host of `name`, which must be in the wanted state.
-  absl::StatusOr<simulation::SimHost*> HostOf(const std::string& name, bool running) const;
+  absl::StatusOr<simulation::SimHost*> FindHostInState(const std::string& name, bool running) const;
   FleetAddresses Addresses() const;
-  ProcessInfo InfoOf(const PlannedProcess& process) const;
+  ProcessInfo MakeProcessInfo(const PlannedProcess& process) const;
   template <typename StandIn, typename Settings>
   std::shared_ptr<void> BootStandIn(const PlannedProcess& process, runtime::Runtime* runtime,
                                     const Settings& settings);
--- a/src/posthatch/fleettest/simulated_rehearsal-test.cc
+++ b/src/posthatch/fleettest/simulated_run-test.cc
@@ -20,20 +20,20 @@
   return loaded.scenario;
 }
 
-RehearsalReport Simulate(const Scenario& scenario, uint64_t seed) {
+ScenarioReport Simulate(const Scenario& scenario, uint64_t seed) {
   SimulatedNodeFactory factory;
   return SimulateSeed(scenario, seed, &factory, {});
 }
 
-uint64_t ExaminedBy(const RehearsalReport& report, const std::string& id) {
+uint64_t ExaminedBy(const ScenarioReport& report, const std::string& id) {
   for (const CheckResult& check : report.checks) {
     if (check.id() == id) return check.examined();
   }
   return 0;
 }
 
-TEST(SimulatedRehearsal, ACalmFleetServesAndViolatesNothing) {
-  const RehearsalReport report =
+TEST(SimulatedRunTest, ACalmFleetServesAndViolatesNothing) {
+  const ScenarioReport report =
       Simulate(ShortScenario("[[operation]]\nat_s = 1\nkind = \"key_rotation\"\n"), 1);
   EXPECT_EQ(report.failure, "");
   EXPECT_GT(report.statistics.requests.completed, 60u);
@@ -46,20 +46,20 @@
   }
 }
 
-TEST(SimulatedRehearsal, EqualSeedsGiveEqualTraces) {
+TEST(SimulatedRunTest, EqualSeedsGiveEqualTraces) {
   const Scenario scenario = ShortScenario(
       "[chaos]\nkinds = [\"kill\", \"freeze\", \"cut\", \"power_loss\", \"answers\"]\nfrom_s = "
       "2\nevery_s = 2\n");
-  const RehearsalReport first = Simulate(scenario, 5);
-  const RehearsalReport second = Simulate(scenario, 5);
+  const ScenarioReport first = Simulate(scenario, 5);
+  const ScenarioReport second = Simulate(scenario, 5);
   EXPECT_NE(first.trace_hash, 0u);
   EXPECT_EQ(first.trace_hash, second.trace_hash);
   EXPECT_EQ(first.statistics.requests.completed, second.statistics.requests.completed);
   EXPECT_NE(first.trace_hash, Simulate(scenario, 6).trace_hash);
 }
 
-TEST(SimulatedRehearsal, EveryFaultOfTheTimelineIsAccountedFor) {
-  const RehearsalReport report = Simulate(ShortScenario(R"(
+TEST(SimulatedRunTest, EveryFaultOfTheTimelineIsAccountedFor) {
+  const ScenarioReport report = Simulate(ShortScenario(R"(
 [[fault]]
 at_s = 2
 kind = "kill"
@@ -74,7 +74,7 @@
 kind = "replace"
 target = { name = "worker-1" }
 )"),
-                                          1);
+                                         1);
   ASSERT_EQ(report.failure, "");
   ASSERT_EQ(report.faults.size(), 3u);
   EXPECT_EQ(report.faults[0].result, "injected");
@@ -82,7 +82,7 @@
   EXPECT_EQ(report.faults[1].result.rfind("not applicable", 0), 0u) << report.faults[1].result;
 }
 
-TEST(SimulatedRehearsal, SeedsRunSideBySideAndInOrder) {
+TEST(SimulatedRunTest, SeedsRunSideBySideAndInOrder) {
   SimulatedNodeFactory factory;
   SeedRunOptions options;
   options.first_seed = 3;
@@ -90,7 +90,7 @@
   options.threads = 2;
   Scenario scenario = ShortScenario("");
   scenario.duration = std::chrono::seconds(2);
-  const std::vector<RehearsalReport> reports = SimulateSeeds(scenario, options, &factory);
+  const std::vector<ScenarioReport> reports = SimulateSeeds(scenario, options, &factory);
   ASSERT_EQ(reports.size(), 4u);
   std::set<uint64_t> hashes;
   for (size_t index = 0; index < reports.size(); ++index) {
--- a/src/posthatch/fleettest/statistics.cc
+++ b/src/posthatch/fleettest/statistics.cc
@@ -16,7 +16,7 @@
 
 double Milliseconds(int64_t nanoseconds) { return static_cast<double>(nanoseconds) / 1e6; }
 
-bool Completed(const CallRecord& call) { return call.answered_well() && call.ended->complete(); }
+bool Completed(const CallRecord& call) { return call.succeeded() && call.ended->complete(); }
 
 void CountRequest(const CallRecord& call, RequestCounts* counts) {
   ++counts->sent;
@@ -86,7 +86,7 @@
         const bool after = call.sent->key_id() == key && call.sent_ns >= change.acknowledged_ns();
         if (!after || call.ended == nullptr) continue;
         probed = probed || call.ended->status() == kUnauthorized;
-        if (call.answered_well()) last_ns = std::max(last_ns, call.sent_ns);
+        if (call.succeeded()) last_ns = std::max(last_ns, call.sent_ns);
       }
       if (probed) delays.push_back(Milliseconds(last_ns - change.acknowledged_ns()));
     }
--- a/src/posthatch/fleettest/table_reader.h
+++ b/src/posthatch/fleettest/table_reader.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "posthatch/fleettest/names.h"
+#include "posthatch/fleettest/scenario_names.h"
 #include "posthatch/runtime/clock.h"
 
 namespace posthatch::fleettest {
--- a/src/posthatch/fleettest/target_resolver.cc
+++ b/src/posthatch/fleettest/target_resolver.cc
@@ -19,7 +19,7 @@
 
 bool Matches(const Target& target, const ProcessInfo& process) {
   if (target.role != Role::kAny && target.role != process.role) return false;
-  // The inventory is the rehearsal's own means: only named outright.
+  // The inventory is the fleet test's own means: only named outright.
   if (target.role == Role::kAny && target.name != process.name &&
       process.role == Role::kInventory) {
     return false;
@@ -43,7 +43,7 @@
       return {Role::kController};
     case FaultKind::kEvents:
       return {Role::kWorker};
-    case FaultKind::kAnswers:
+    case FaultKind::kResponses:
       return {Role::kWorker, Role::kService};
     case FaultKind::kLostAck:
     case FaultKind::kStop:
@@ -58,7 +58,7 @@
   if (kind == FaultKind::kEvents) {
     return PickOne<std::string>({"late", "lost", "reordered", "doubled"}, random);
   }
-  if (kind == FaultKind::kAnswers) {
+  if (kind == FaultKind::kResponses) {
     return PickOne<std::string>({"late", "twice", "crossed"}, random);
   }
   return "";
@@ -121,7 +121,7 @@
     fault.at = at;
     fault.duration = random->Between(chaos.shortest, chaos.longest);
     fault.target = ChaosTarget(fault.kind, random);
-    fault.one_way = fault.kind == FaultKind::kCut && random->Chance(kChaosProbability);
+    fault.one_way = fault.kind == FaultKind::kPartition && random->Chance(kChaosProbability);
     fault.mode = ModeFor(fault.kind, random);
     fault.amount = AmountFor(fault.kind, random);
     fault.probability = kChaosProbability;
--- a/src/posthatch/gateway/gateway_world-test.cc
+++ b/src/posthatch/gateway/gateway_world-test.cc
@@ -4,8 +4,8 @@
 #include <set>
 
 #include "posthatch/emulator/caller_load.h"
-#include "posthatch/emulator/service_standin.h"
-#include "posthatch/emulator/standin_world.h"
+#include "posthatch/emulator/emulator_world.h"
+#include "posthatch/emulator/service_emulator.h"
 #include "posthatch/gateway/gateway_fakes-test.h"
 
 // Two gateways before stand-ins that do everything wrong, under the load of a deployment, in the
@@ -62,10 +62,10 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
-class GatewayWorldTest : public emulator::StandInWorld,
+class GatewayWorldTest : public emulator::EmulatorWorld,
                          public testing::WithParamInterface<uint64_t> {
  protected:
-  GatewayWorldTest() : StandInWorld(GetParam()) {
+  GatewayWorldTest() : EmulatorWorld(GetParam()) {
     mix_ = emulator::NilestoneMix();
     mix_.requests_per_second = 100;
     state_.set_configuration_version(1);
@@ -98,7 +98,7 @@
     for (int number = 1; number <= 2; ++number) {
       emulator::ServiceSettings settings;
       settings.id = absl::StrCat("service-", number);
-      Boot<emulator::ServiceStandIn>(settings.id, settings, &hosts_.emplace_back())
+      Boot<emulator::ServiceEmulator>(settings.id, settings, &hosts_.emplace_back())
           ->SetBehaviour(service);
       List(settings.id, control::BACKEND_KIND_SERVICE);
     }
