--- a/src/posthatch/index/dispatch_recorder.cc
+++ b/src/posthatch/index/dispatch_recorder.cc
@@ -6,29 +6,30 @@
 
 namespace posthatch::index {
 
-DispatchRecorder::DispatchRecorder(runtime::Runtime* runtime, Options options, Parts parts)
+DispatchRecorder::DispatchRecorder(runtime::Runtime* runtime, Options options,
+                                   Dependencies dependencies)
     : runtime_(runtime),
       options_(options),
-      parts_(std::move(parts)),
+      dependencies_(std::move(dependencies)),
       report_timer_(runtime->timers) {}
 
 std::vector<PrefixHolder> DispatchRecorder::Locate(const BlockSeed& seed,
                                                    const std::vector<BlockHash>& chain) {
-  return parts_.locator->Locate(seed, chain);
+  return dependencies_.locator->Locate(seed, chain);
 }
 
 void DispatchRecorder::RecordDispatch(const BlockSeed& seed, const std::vector<BlockHash>& chain,
                                       const std::string& worker_id, uint64_t worker_epoch) {
-  parts_.locator->RecordDispatch(seed, chain, worker_id, worker_epoch);
+  dependencies_.locator->RecordDispatch(seed, chain, worker_id, worker_epoch);
   if (chain.empty()) return;
-  parts_.attributions->RecordBlocks(seed, chain);
+  dependencies_.attributions->RecordBlocks(seed, chain);
   if (!options_.events_carry_salts) Report(seed, chain, worker_id);
   if (options_.workers_save_to_store) AddToStores(seed, chain);
 }
 
 void DispatchRecorder::Report(const BlockSeed& seed, const std::vector<BlockHash>& chain,
                               const std::string& worker_id) {
-  for (const control::WorkerLease& lease : parts_.fleet->state().leases()) {
+  for (const control::WorkerLease& lease : dependencies_.fleet->state().leases()) {
     if (lease.worker_id() != worker_id) continue;
     if (lease.holder() == runtime_->transport->node_id()) return;
     Extent extent = MakeExtent(worker_id, invalidation::ObjectVersion(), seed);
@@ -40,12 +41,12 @@
 }
 
 void DispatchRecorder::AddToStores(const BlockSeed& seed, const std::vector<BlockHash>& chain) {
-  for (const control::Backend& backend : parts_.fleet->state().inventory().backends()) {
+  for (const control::Backend& backend : dependencies_.fleet->state().inventory().backends()) {
     if (backend.kind() != control::BACKEND_KIND_STORE) continue;
     invalidation::ObjectVersion version;
     const std::string object = HolderObject(HolderKind::kStore, backend.id());
-    if (!parts_.trust->CurrentVersion(object, &version)) continue;
-    parts_.locator->Add(HolderKind::kStore, backend.id(), version, seed, chain);
+    if (!dependencies_.trust->CurrentVersion(object, &version)) continue;
+    dependencies_.locator->Add(HolderKind::kStore, backend.id(), version, seed, chain);
   }
 }
 
@@ -62,7 +63,7 @@
     const auto known = endpoint_by_gateway_.find(gateway);
     const std::vector<std::string> endpoints = known != endpoint_by_gateway_.end()
                                                    ? std::vector<std::string>{known->second}
-                                                   : parts_.gateways();
+                                                   : dependencies_.gateways();
     for (const std::string& endpoint : endpoints) {
       runtime_->transport->Send(endpoint, runtime::SERVICE_INDEX, payload,
                                 runtime::Delivery::kStream);
@@ -75,7 +76,7 @@
   for (const Extent& extent : report.made()) {
     std::vector<BlockHash> blocks;
     if (UnpackBlocks(extent.block_hashes(), &blocks)) {
-      parts_.attributions->RecordBlocks(SeedOf(extent), blocks);
+      dependencies_.attributions->RecordBlocks(SeedOf(extent), blocks);
     }
   }
 }
--- a/src/posthatch/index/dispatch_recorder.h
+++ b/src/posthatch/index/dispatch_recorder.h
@@ -27,7 +27,7 @@
     // Workers' events carry cache salts: their readers need no reports of dispatches.
     bool events_carry_salts = false;
   };
-  struct Parts {
+  struct Dependencies {
     const control::FleetView* fleet = nullptr;
     const invalidation::ObjectTrust* trust = nullptr;
     AttributionTable* attributions = nullptr;
@@ -35,7 +35,7 @@
     std::function<std::vector<std::string>()> gateways;  // internal endpoints of the others
   };
 
-  DispatchRecorder(runtime::Runtime* runtime, Options options, Parts parts);
+  DispatchRecorder(runtime::Runtime* runtime, Options options, Dependencies dependencies);
 
   std::vector<PrefixHolder> Locate(const BlockSeed& seed,
                                    const std::vector<BlockHash>& chain) override;
@@ -56,7 +56,7 @@
 
   runtime::Runtime* const runtime_;
   const Options options_;
-  const Parts parts_;
+  const Dependencies dependencies_;
   absl::flat_hash_map<std::string, std::string> endpoint_by_gateway_;
   // Reports of the running period, by the node id of the lease holder.
   absl::btree_map<std::string, DispatchReport> pending_reports_;
--- a/src/posthatch/index/worker_event_reader-test.cc
+++ b/src/posthatch/index/worker_event_reader-test.cc
@@ -128,8 +128,8 @@
     options.format = &format_;
     reader_with_lists_ = std::make_unique<WorkerEventReader>(
         &fakes_.runtime, options,
-        WorkerEventReader::Parts{&fleet_, &trust_, &reporter_, &publisher_, &attributions_,
-                                 &locator_});
+        WorkerEventReader::Dependencies{&fleet_, &trust_, &reporter_, &publisher_, &attributions_,
+                                        &locator_});
     reader_with_lists_->FollowFleet(fleet_.fleet);
     Answer(0, "");
     Answer(2, Stored(1, R"("a","b")") + "," + Stored(2, R"("c")"));
--- a/src/posthatch/index/worker_event_reader.cc
+++ b/src/posthatch/index/worker_event_reader.cc
@@ -18,12 +18,15 @@
 }  // namespace
 
 WorkerEventReader::WorkerEventReader(runtime::Runtime* runtime, WorkerEventFeed::Options options,
-                                     Parts parts)
-    : runtime_(runtime), options_(options), parts_(parts), retry_timer_(runtime->timers) {}
+                                     Dependencies dependencies)
+    : runtime_(runtime),
+      options_(options),
+      dependencies_(dependencies),
+      retry_timer_(runtime->timers) {}
 
 bool WorkerEventReader::MayRead(const std::string& worker) const {
-  if (!parts_.fleet->LeaseValid()) return false;
-  const control::WorkerLease* lease = control::FindLease(parts_.fleet->state(), worker);
+  if (!dependencies_.fleet->LeaseValid()) return false;
+  const control::WorkerLease* lease = control::FindLease(dependencies_.fleet->state(), worker);
   return lease != nullptr && lease->holder() == runtime_->transport->node_id() &&
          lease->holder_incarnation() == runtime_->transport->incarnation() &&
          lease->fencing_token() == feeds_.at(worker).fencing_token;
@@ -48,7 +51,7 @@
     const auto lease = leased.find(it->first);
     if (lease == leased.end() || lease->second != it->second.fencing_token ||
         endpoints[it->first] != it->second.feed->endpoint()) {
-      parts_.publisher->End(it->first);
+      dependencies_.publisher->End(it->first);
       it = feeds_.erase(it);
     } else {
       ++it;
@@ -64,8 +67,8 @@
   WorkerEventFeedOwner* owner = this;
   Feed& feed = feeds_[worker];
   feed.fencing_token = fencing_token;
-  feed.feed =
-      std::make_unique<WorkerEventFeed>(runtime_, options_, worker, endpoint, parts_.trust, owner);
+  feed.feed = std::make_unique<WorkerEventFeed>(runtime_, options_, worker, endpoint,
+                                                dependencies_.trust, owner);
   feed.feed->Start();
 }
 
@@ -73,19 +76,21 @@
   ++stats_.epochs;
   const std::string object = HolderObject(HolderKind::kWorker, worker);
   invalidation::ObjectVersion version;
-  const bool known = parts_.trust->CurrentVersion(object, &version) && version.epoch() == epoch;
+  const bool known =
+      dependencies_.trust->CurrentVersion(object, &version) && version.epoch() == epoch;
   if (!known) {
-    parts_.locator->DropHolder(HolderKind::kWorker, worker);
-    parts_.reporter->Report(object, epoch, /*lost=*/false, "new epoch");
+    dependencies_.locator->DropHolder(HolderKind::kWorker, worker);
+    dependencies_.reporter->Report(object, epoch, /*lost=*/false, "new epoch");
   }
-  parts_.publisher->Begin(worker, epoch, feeds_.at(worker).fencing_token);
+  dependencies_.publisher->Begin(worker, epoch, feeds_.at(worker).fencing_token);
 }
 
 void WorkerEventReader::OnLost(const std::string& worker, uint64_t epoch,
                                const std::string& reason) {
   ++stats_.losses;
-  parts_.locator->DropHolder(HolderKind::kWorker, worker);
-  parts_.reporter->Report(HolderObject(HolderKind::kWorker, worker), epoch, /*lost=*/true, reason);
+  dependencies_.locator->DropHolder(HolderKind::kWorker, worker);
+  dependencies_.reporter->Report(HolderObject(HolderKind::kWorker, worker), epoch, /*lost=*/true,
+                                 reason);
   runtime_->trace->Event(runtime::Severity::kInfo, "KvEventsLost",
                          {{"worker", worker}, {"epoch", epoch}, {"reason", reason}});
 }
@@ -94,8 +99,8 @@
                                 const invalidation::ObjectVersion& version, KvEvent event) {
   if (event.type == KvEvent::Type::kRemoved) {
     stats_.removed_blocks += event.blocks.size();
-    parts_.locator->Remove(HolderKind::kWorker, worker, event.blocks);
-    parts_.publisher->Removed(worker, event.blocks);
+    dependencies_.locator->Remove(HolderKind::kWorker, worker, event.blocks);
+    dependencies_.publisher->Removed(worker, event.blocks);
     DropUnattributed(worker, event.blocks);
     return;
   }
@@ -126,14 +131,14 @@
 
 std::vector<BlockHash> WorkerEventReader::Attribute(const KvEvent& event, BlockSeed* seed) const {
   if (!event.attempt.empty()) {
-    const BlockSeed* of_attempt = parts_.attributions->FindAttempt(event.attempt);
+    const BlockSeed* of_attempt = dependencies_.attributions->FindAttempt(event.attempt);
     if (of_attempt != nullptr) {
       *seed = *of_attempt;
       return event.blocks;
     }
   }
   const BlockSeed* of_salt =
-      event.salt.empty() ? nullptr : parts_.attributions->FindSalt(event.salt);
+      event.salt.empty() ? nullptr : dependencies_.attributions->FindSalt(event.salt);
   if (of_salt != nullptr) {
     *seed = *of_salt;
     return event.blocks;
@@ -141,7 +146,7 @@
   std::vector<BlockHash> attributed;
   const BlockSeed* first = nullptr;
   for (const BlockHash block : event.blocks) {
-    const BlockSeed* of_block = parts_.attributions->FindBlock(block);
+    const BlockSeed* of_block = dependencies_.attributions->FindBlock(block);
     if (of_block == nullptr) continue;
     if (first == nullptr) first = of_block;
     if (of_block == first) attributed.push_back(block);
@@ -157,13 +162,13 @@
   BlockSeed seed;
   const std::vector<BlockHash> blocks = Attribute(event, &seed);
   if (blocks.empty()) return false;
-  if (!parts_.locator->Add(HolderKind::kWorker, worker, version, seed, blocks)) {
+  if (!dependencies_.locator->Add(HolderKind::kWorker, worker, version, seed, blocks)) {
     return true;  // of a superseded version: useless
   }
   Extent extent = MakeExtent(worker, version, seed);
   extent.set_block_hashes(PackBlocks(blocks));
   extent.set_first_block(event.first);
-  parts_.publisher->Stored(worker, extent);
+  dependencies_.publisher->Stored(worker, extent);
   return true;
 }
 
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -32,7 +32,7 @@
 // IndexNode; event loop thread only.
 class WorkerEventReader : private WorkerEventFeedOwner {
  public:
-  struct Parts {
+  struct Dependencies {
     control::FleetView* fleet = nullptr;
     const invalidation::ObjectTrust* trust = nullptr;
     ObservationReporter* reporter = nullptr;
@@ -41,7 +41,8 @@
     TrustedPrefixLocator* locator = nullptr;
   };
 
-  WorkerEventReader(runtime::Runtime* runtime, WorkerEventFeed::Options options, Parts parts);
+  WorkerEventReader(runtime::Runtime* runtime, WorkerEventFeed::Options options,
+                    Dependencies dependencies);
   WorkerEventReader(const WorkerEventReader&) = delete;
   WorkerEventReader& operator=(const WorkerEventReader&) = delete;
 
@@ -82,7 +83,7 @@
 
   runtime::Runtime* const runtime_;
   const WorkerEventFeed::Options options_;
-  const Parts parts_;
+  const Dependencies dependencies_;
   absl::btree_map<std::string, Feed> feeds_;
   std::deque<Unattributed> unattributed_;
   runtime::Timer retry_timer_;
--- a/src/posthatch/rollout/rollout_coordinator-test.cc
+++ b/src/posthatch/rollout/rollout_coordinator-test.cc
@@ -56,12 +56,12 @@
     controller_->SetBoot([this](runtime::Runtime* runtime) {
       RolloutOptions options;
       options.issuer = "controller";
-      RolloutCoordinator::Parts parts;
-      parts.format = &format_;
-      parts.fleet = [this]() -> const control::FleetState& { return fleet_; };
-      parts.may_command = [this] { return may_order_; };
-      parts.publish = [this] { Publish(); };
-      coordinator_ = std::make_shared<RolloutCoordinator>(runtime, options, parts);
+      RolloutCoordinator::Dependencies dependencies;
+      dependencies.format = &format_;
+      dependencies.fleet = [this]() -> const control::FleetState& { return fleet_; };
+      dependencies.may_command = [this] { return may_order_; };
+      dependencies.publish = [this] { Publish(); };
+      coordinator_ = std::make_shared<RolloutCoordinator>(runtime, options, dependencies);
       return coordinator_;
     });
     controller_->Start();
--- a/src/posthatch/rollout/rollout_coordinator.cc
+++ b/src/posthatch/rollout/rollout_coordinator.cc
@@ -16,10 +16,10 @@
 }  // namespace
 
 RolloutCoordinator::RolloutCoordinator(runtime::Runtime* runtime, RolloutOptions options,
-                                       Parts parts)
+                                       Dependencies dependencies)
     : runtime_(runtime),
       options_(std::move(options)),
-      parts_(std::move(parts)),
+      dependencies_(std::move(dependencies)),
       tick_timer_(runtime->timers) {}
 
 void RolloutCoordinator::OnLeadership(bool is_leader, uint64_t term) {
@@ -37,7 +37,7 @@
 
 void RolloutCoordinator::Annotate(control::Inventory* inventory) const {
   std::map<std::string, const control::Backend*> published;
-  for (const control::Backend& backend : parts_.fleet().inventory().backends()) {
+  for (const control::Backend& backend : dependencies_.fleet().inventory().backends()) {
     published[backend.id()] = &backend;
   }
   // Commands of the previous leader may still run: its marks stay until this one may send commands
@@ -68,7 +68,7 @@
 }
 
 const control::Backend* RolloutCoordinator::FindPublished(const std::string& worker_id) const {
-  for (const control::Backend& backend : parts_.fleet().inventory().backends()) {
+  for (const control::Backend& backend : dependencies_.fleet().inventory().backends()) {
     if (backend.id() == worker_id) return &backend;
   }
   return nullptr;
@@ -83,7 +83,7 @@
 void RolloutCoordinator::Tick() {
   tick_timer_.Start(active_.empty() ? kIdleTickInterval : options_.tick_interval,
                     [this] { Tick(); });
-  if (!leading_ || !parts_.may_command()) return;
+  if (!leading_ || !dependencies_.may_command()) return;
   std::vector<std::string> ids;
   for (const auto& [worker_id, progress] : active_) ids.push_back(worker_id);
   for (const std::string& worker_id : ids) Advance(worker_id, &active_.at(worker_id));
@@ -103,10 +103,10 @@
 
 RolloutCoordinator::Survey RolloutCoordinator::SurveyFleet() {
   Survey survey;
-  for (const control::ModelRevision& revision : parts_.fleet().revisions()) {
+  for (const control::ModelRevision& revision : dependencies_.fleet().revisions()) {
     survey.models[revision.model()].target_revision = revision.revision();
   }
-  for (const control::Backend& backend : parts_.fleet().inventory().backends()) {
+  for (const control::Backend& backend : dependencies_.fleet().inventory().backends()) {
     if (backend.kind() != control::BACKEND_KIND_WORKER || backend.draining()) continue;
     ModelSurvey& model = survey.models[backend.model()];
     ++model.workers;
@@ -140,7 +140,7 @@
     progress.stage_started_at = runtime_->clock->Now();
     started = true;
   }
-  if (started) parts_.publish();
+  if (started) dependencies_.publish();
 }
 
 void RolloutCoordinator::Advance(const std::string& worker_id, Progress* progress) {
@@ -212,11 +212,11 @@
                           {"model", progress->model},
                           {"revision", progress->target},
                           {"fencing_token", term_}});
-  StartCall(worker_id, progress, parts_.format->MakeLoadWeightsRequest(command),
+  StartCall(worker_id, progress, dependencies_.format->MakeLoadWeightsRequest(command),
             [this, worker_id](const http::Response* response) {
               OnCommandResult(worker_id, response == nullptr
                                              ? WorkerCommandResult::kUnknown
-                                             : parts_.format->ParseCommandResult(*response));
+                                             : dependencies_.format->ParseCommandResult(*response));
             });
 }
 
@@ -244,11 +244,11 @@
 
 void RolloutCoordinator::RequestStatus(const std::string& worker_id, Progress* progress) {
   progress->next_poll_at = runtime_->clock->Now() + options_.poll_interval;
-  StartCall(worker_id, progress, parts_.format->MakeStatusRequest(worker_id),
+  StartCall(worker_id, progress, dependencies_.format->MakeStatusRequest(worker_id),
             [this, worker_id, model = progress->model](const http::Response* response) {
               if (response == nullptr || response->status != kStatusOk) return;
               const absl::StatusOr<WorkerStatus> status =
-                  parts_.format->ParseStatus(response->body, model);
+                  dependencies_.format->ParseStatus(response->body, model);
               if (status.ok()) OnStatus(worker_id, *status);
             });
 }
@@ -264,7 +264,7 @@
 
 void RolloutCoordinator::FinishWorker(const std::string& worker_id) {
   active_.erase(worker_id);
-  parts_.publish();
+  dependencies_.publish();
 }
 
 }  // namespace posthatch::rollout
--- a/src/posthatch/rollout/rollout_coordinator.h
+++ b/src/posthatch/rollout/rollout_coordinator.h
@@ -43,7 +43,7 @@
 // Owned by the controller process; event loop thread only.
 class RolloutCoordinator {
  public:
-  struct Parts {
+  struct Dependencies {
     const WorkerCommandFormat* format = nullptr;
     // The control state's fleet, as of the last applied command.
     std::function<const control::FleetState&()> fleet;
@@ -53,7 +53,7 @@
     std::function<void()> publish;
   };
 
-  RolloutCoordinator(runtime::Runtime* runtime, RolloutOptions options, Parts parts);
+  RolloutCoordinator(runtime::Runtime* runtime, RolloutOptions options, Dependencies dependencies);
 
   // This controller has become the leader of `term`, or is leader no more. Resets everything.
   void OnLeadership(bool is_leader, uint64_t term);
@@ -117,7 +117,7 @@
 
   runtime::Runtime* const runtime_;
   const RolloutOptions options_;
-  const Parts parts_;
+  const Dependencies dependencies_;
   bool leading_ = false;
   uint64_t term_ = 0;
   runtime::MonotonicTime handover_until_;
--- a/src/posthatch/routing/store_health_checker-test.cc
+++ b/src/posthatch/routing/store_health_checker-test.cc
@@ -13,12 +13,12 @@
 class StoreHealthCheckerTest : public TrafficTest {
  protected:
   StoreHealthCheckerTest() {
-    StoreHealthChecker::Parts parts;
-    parts.stores = [] { return std::vector<std::string>{"store:1"}; };
-    parts.is_responsible = [this] { return responsible_; };
-    parts.report = [this](const std::string&, bool alive) { reports_.push_back(alive); };
+    StoreHealthChecker::Dependencies dependencies;
+    dependencies.stores = [] { return std::vector<std::string>{"store:1"}; };
+    dependencies.is_responsible = [this] { return responsible_; };
+    dependencies.report = [this](const std::string&, bool alive) { reports_.push_back(alive); };
     checker_ = std::make_unique<StoreHealthChecker>(&runtime_, StoreHealthCheckerOptions(),
-                                                    std::move(parts));
+                                                    std::move(dependencies));
     checker_->Start();
   }
 
--- a/src/posthatch/routing/store_health_checker.cc
+++ b/src/posthatch/routing/store_health_checker.cc
@@ -14,12 +14,15 @@
 }  // namespace
 
 StoreHealthChecker::StoreHealthChecker(runtime::Runtime* runtime, StoreHealthCheckerOptions options,
-                                       Parts parts)
-    : runtime_(runtime), options_(options), parts_(std::move(parts)), timer_(runtime->timers) {}
+                                       Dependencies dependencies)
+    : runtime_(runtime),
+      options_(options),
+      dependencies_(std::move(dependencies)),
+      timer_(runtime->timers) {}
 
 void StoreHealthChecker::Tick() {
-  const std::vector<std::string> stores = parts_.stores();
-  const bool checks = !stores.empty() && parts_.is_responsible();
+  const std::vector<std::string> stores = dependencies_.stores();
+  const bool checks = !stores.empty() && dependencies_.is_responsible();
   timer_.Start(checks ? options_.poll_interval : kIdleInterval, [this] { Tick(); });
   std::erase_if(polls_, [&](const auto& entry) {
     return !checks || std::find(stores.begin(), stores.end(), entry.first) == stores.end();
@@ -60,12 +63,12 @@
       poll.after = batch->next;
     }
   }
-  parts_.report(endpoint, true);
+  dependencies_.report(endpoint, true);
 }
 
 void StoreHealthChecker::OnFailure(const std::string& endpoint) {
   polls_.at(endpoint).in_flight = false;
-  parts_.report(endpoint, false);
+  dependencies_.report(endpoint, false);
 }
 
 }  // namespace posthatch::routing
--- a/src/posthatch/routing/store_health_checker.h
+++ b/src/posthatch/routing/store_health_checker.h
@@ -25,13 +25,14 @@
 // TrafficGateway; event loop thread only.
 class StoreHealthChecker {
  public:
-  struct Parts {
+  struct Dependencies {
     std::function<std::vector<std::string>()> stores;  // endpoints
     std::function<bool()> is_responsible;              // whether this gateway checks now
     std::function<void(const std::string& endpoint, bool alive)> report;
   };
 
-  StoreHealthChecker(runtime::Runtime* runtime, StoreHealthCheckerOptions options, Parts parts);
+  StoreHealthChecker(runtime::Runtime* runtime, StoreHealthCheckerOptions options,
+                     Dependencies dependencies);
 
   void Start() { Tick(); }
 
@@ -53,7 +54,7 @@
 
   runtime::Runtime* const runtime_;
   const StoreHealthCheckerOptions options_;
-  const Parts parts_;
+  const Dependencies dependencies_;
   std::map<std::string, Poll> polls_;  // by endpoint
   runtime::Timer timer_;
 };
--- a/src/posthatch/routing/traffic_gateway.cc
+++ b/src/posthatch/routing/traffic_gateway.cc
@@ -37,7 +37,7 @@
       stores_(runtime),
       in_flight_prefills_(runtime->clock, InFlightPrefills::Options()),
       store_health_checker_(runtime, {.format = options_.cache_event_format},
-                            StoreHealthCheckerParts()),
+                            MakeStoreHealthCheckerDependencies()),
       retry_budget_(runtime->clock, MakeRetryBudgetOptions()),
       inventory_(runtime, MakeInventoryWatchOptions(), view),
       split_(runtime->random),
@@ -93,14 +93,14 @@
   return peers;
 }
 
-StoreHealthChecker::Parts TrafficGateway::StoreHealthCheckerParts() {
-  StoreHealthChecker::Parts parts;
-  parts.stores = [this] { return stores_.Endpoints(); };
-  parts.is_responsible = [this] { return load_reporter_.IsAggregator(); };
-  parts.report = [this](const std::string& endpoint, bool alive) {
+StoreHealthChecker::Dependencies TrafficGateway::MakeStoreHealthCheckerDependencies() {
+  StoreHealthChecker::Dependencies dependencies;
+  dependencies.stores = [this] { return stores_.Endpoints(); };
+  dependencies.is_responsible = [this] { return load_reporter_.IsAggregator(); };
+  dependencies.report = [this](const std::string& endpoint, bool alive) {
     load_reporter_.RecordStoreHealth(endpoint, alive);
   };
-  return parts;
+  return dependencies;
 }
 
 RetryBudgetOptions TrafficGateway::MakeRetryBudgetOptions() {
--- a/src/posthatch/routing/traffic_gateway.h
+++ b/src/posthatch/routing/traffic_gateway.h
@@ -66,7 +66,7 @@
   LoadReporterOptions MakeLoadReporterOptions() const;
   control::InventoryWatchOptions MakeInventoryWatchOptions();
   std::vector<control::ZonePeer> ZonePeers() const;
-  StoreHealthChecker::Parts StoreHealthCheckerParts();
+  StoreHealthChecker::Dependencies MakeStoreHealthCheckerDependencies();
   RetryBudgetOptions MakeRetryBudgetOptions();
   void OnStateChanged();
   // Whether a section has changed since `indices_`.
--- a/src/posthatch/server/controller_node.cc
+++ b/src/posthatch/server/controller_node.cc
@@ -45,8 +45,8 @@
   operator_api_ = std::make_unique<control::OperatorApi>(runtime, control::OperatorApiOptions{},
                                                          formats_->operators, service_.client(),
                                                          service_.client());
-  rollouts_ =
-      std::make_unique<rollout::RolloutCoordinator>(runtime, RolloutSettings(), RolloutParts());
+  rollouts_ = std::make_unique<rollout::RolloutCoordinator>(runtime, RolloutSettings(),
+                                                            MakeRolloutDependencies());
 }
 
 rollout::RolloutOptions ControllerNode::RolloutSettings() const {
@@ -56,13 +56,13 @@
   return options;
 }
 
-rollout::RolloutCoordinator::Parts ControllerNode::RolloutParts() {
-  rollout::RolloutCoordinator::Parts parts;
-  parts.format = formats_->orders;
-  parts.fleet = [this]() -> const control::FleetState& { return state_.fleet(); };
-  parts.may_command = [this] { return service_.leading() && replica_.HasQuorumNow(); };
-  parts.publish = [this] { service_.RefreshInventory(); };
-  return parts;
+rollout::RolloutCoordinator::Dependencies ControllerNode::MakeRolloutDependencies() {
+  rollout::RolloutCoordinator::Dependencies dependencies;
+  dependencies.format = formats_->orders;
+  dependencies.fleet = [this]() -> const control::FleetState& { return state_.fleet(); };
+  dependencies.may_command = [this] { return service_.leading() && replica_.HasQuorumNow(); };
+  dependencies.publish = [this] { service_.RefreshInventory(); };
+  return dependencies;
 }
 
 void ControllerNode::OnSeedsChanged(const std::vector<std::string>& seeds) {
--- a/src/posthatch/server/controller_node.h
+++ b/src/posthatch/server/controller_node.h
@@ -45,7 +45,7 @@
   invalidation::ServingState Serving() const;
   control::ControllerServiceOptions ServiceOptions();
   rollout::RolloutOptions RolloutSettings() const;
-  rollout::RolloutCoordinator::Parts RolloutParts();
+  rollout::RolloutCoordinator::Dependencies MakeRolloutDependencies();
   void LeaveFleet(std::function<void()> done);
 
   runtime::Runtime* const runtime_;
