--- a/src/posthatch/index/index_node.cc
+++ b/src/posthatch/index/index_node.cc
@@ -69,7 +69,7 @@
                                                                &subscriptions_);
   }
   locator_.SetEpochObserver([this](HolderKind kind, const std::string& holder, uint64_t epoch) {
-    reporter_.Report(HolderObject(kind, holder), epoch, /*lost=*/false, "answered");
+    reporter_.ReportEpoch(HolderObject(kind, holder), epoch, "answered");
   });
   runtime_->transport->SetReceiver(
       runtime::SERVICE_INDEX, [this](const runtime::Envelope& envelope) { Receive(envelope); });
--- a/src/posthatch/index/observation_reporter.cc
+++ b/src/posthatch/index/observation_reporter.cc
@@ -18,22 +18,20 @@
 
 ObservationReporter::~ObservationReporter() = default;
 
-void ObservationReporter::Report(const std::string& object, uint64_t epoch, bool lost,
-                                 const std::string& reason) {
+void ObservationReporter::Report(const std::string& object, Observation observation) {
   std::unique_ptr<State>& state = objects_[object];
   if (state == nullptr) {
     state = std::make_unique<State>(runtime_->timers);
-    state->sent = {epoch, lost, reason};
+    state->sent = std::move(observation);
     Send(object);
     return;
   }
-  Observation& next = state->next;
-  if (!state->has_next || epoch > next.epoch) {
-    next = {epoch, lost, reason};
-  } else if (epoch == next.epoch) {
-    next.lost = next.lost || lost;
+  std::optional<Observation>& next = state->next;
+  if (!next.has_value() || observation.epoch > next->epoch) {
+    next = std::move(observation);
+  } else if (observation.epoch == next->epoch) {
+    next->lost = next->lost || observation.lost;
   }
-  state->has_next = true;
 }
 
 void ObservationReporter::Send(const std::string& object) {
@@ -69,12 +67,11 @@
   }
   ++accepted_;
   state->request_id.clear();
-  if (!state->has_next) {
+  if (!state->next.has_value()) {
     objects_.erase(found);
     return;
   }
-  state->has_next = false;
-  state->sent = std::exchange(state->next, Observation());
+  state->sent = *std::exchange(state->next, std::nullopt);
   Send(object);
 }
 
--- a/src/posthatch/index/observation_reporter.h
+++ b/src/posthatch/index/observation_reporter.h
@@ -1,6 +1,8 @@
 #pragma once
 
 #include <cstdint>
+#include <memory>
+#include <optional>
 #include <string>
 
 #include "absl/container/btree_map.h"
@@ -19,8 +21,14 @@
   ObservationReporter(const ObservationReporter&) = delete;
   ObservationReporter& operator=(const ObservationReporter&) = delete;
 
-  // `epoch`: the holder's, as observed; `lost`: entries made within it may be wrong.
-  void Report(const std::string& object, uint64_t epoch, bool lost, const std::string& reason);
+  // A holder has the epoch. `reason` is for people.
+  void ReportEpoch(const std::string& object, uint64_t epoch, const std::string& reason) {
+    Report(object, {epoch, /*lost=*/false, reason});
+  }
+  // Entries made within the holder's epoch may be wrong.
+  void ReportLoss(const std::string& object, uint64_t epoch, const std::string& reason) {
+    Report(object, {epoch, /*lost=*/true, reason});
+  }
 
   uint64_t accepted() const { return accepted_; }
   size_t pending() const { return objects_.size(); }
@@ -34,12 +42,12 @@
   struct State {
     explicit State(runtime::TimerService* timers) : retry_timer(timers) {}
     Observation sent;
-    std::string request_id;  // of `sent`
-    bool has_next = false;
-    Observation next;
+    std::string request_id;           // of `sent`
+    std::optional<Observation> next;  // merged from what was observed since
     runtime::Timer retry_timer;
   };
 
+  void Report(const std::string& object, Observation observation);
   void Send(const std::string& object);
   void OnProposalResult(const std::string& object, const std::string& request_id, bool accepted);
 
--- a/src/posthatch/index/store_poller.cc
+++ b/src/posthatch/index/store_poller.cc
@@ -88,7 +88,7 @@
   const std::string object = HolderObject(HolderKind::kStore, store);
   invalidation::ObjectVersion version;
   if (trust_->CurrentVersion(object, &version) && version.epoch() >= epoch) return;
-  reporter_->Report(object, epoch, /*lost=*/false, "store epoch");
+  reporter_->ReportEpoch(object, epoch, "store epoch");
 }
 
 }  // namespace posthatch::index
--- a/src/posthatch/index/worker_event_feed.cc
+++ b/src/posthatch/index/worker_event_feed.cc
@@ -21,6 +21,18 @@
 
 }  // namespace
 
+const char* LossReason(EventLoss loss) {
+  switch (loss) {
+    case EventLoss::kLostMark:
+      return "lost mark";
+    case EventLoss::kGap:
+      return "gap";
+    case EventLoss::kUnresponsive:
+      return "silent";
+  }
+  return "unknown";
+}
+
 WorkerEventFeed::WorkerEventFeed(runtime::Runtime* runtime, Options options, std::string worker_id,
                                  std::string endpoint, const invalidation::ObjectTrust* trust,
                                  WorkerEventFeedOwner* owner)
@@ -45,7 +57,7 @@
     poll_timer_.Start(options_.retry_delay, [this] { Poll(); });
     return;
   }
-  if (!unreported_loss_.empty()) ReportLoss(std::string(unreported_loss_));
+  if (unreported_loss_.has_value()) ReportLoss(*unreported_loss_);
   version_at_request_.Clear();
   const bool version_known =
       trust_->CurrentVersion(HolderObject(HolderKind::kWorker, worker_id_), &version_at_request_);
@@ -150,7 +162,7 @@
     // Everything up to here is accounted for by this one loss.
     last_seq_read_ = std::max(last_seq_read_, seq);
     missing_.RemoveUpTo(seq);
-    ReportLoss("lost mark");
+    ReportLoss(EventLoss::kLostMark);
     return;
   }
   if (seq > last_seq_read_) {
@@ -166,12 +178,12 @@
 }
 
 void WorkerEventFeed::RecordMissing(uint64_t first, uint64_t last) {
-  if (!missing_.Add(first, last, runtime_->clock->Now())) ReportLoss("gap");
+  if (!missing_.Add(first, last, runtime_->clock->Now())) ReportLoss(EventLoss::kGap);
 }
 
 void WorkerEventFeed::CheckMissing() {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  if (missing_.Expire(now)) ReportLoss("gap");
+  if (missing_.Expire(now)) ReportLoss(EventLoss::kGap);
   const std::optional<runtime::MonotonicTime> next = missing_.next_expiry();
   if (next.has_value()) missing_timer_.Start(*next - now, [this] { CheckMissing(); });
 }
@@ -180,19 +192,19 @@
   if (timeout_reported_ || epoch_ == 0) return;
   if (runtime_->clock->Now() - last_response_at_ <= options_.response_timeout) return;
   timeout_reported_ = true;
-  ReportLoss("silent");
+  ReportLoss(EventLoss::kUnresponsive);
 }
 
-void WorkerEventFeed::ReportLoss(const std::string& reason) {
+void WorkerEventFeed::ReportLoss(EventLoss loss) {
   // Only the lease holder may report it: after a freeze of this process another gateway may read
   // the worker. If the lease returns to this feed, the loss is reported then.
   if (owner_->MayRead(worker_id_)) {
-    unreported_loss_.clear();
+    unreported_loss_.reset();
     relist_needed_ = options_.format->ListRequest().has_value();
     sequence_at_loss_ = version_at_request_.sequence();
-    owner_->OnLost(worker_id_, epoch_, reason);
+    owner_->OnLost(worker_id_, epoch_, loss);
   } else {
-    unreported_loss_ = reason;
+    unreported_loss_ = loss;
   }
 }
 
--- a/src/posthatch/index/worker_event_feed.h
+++ b/src/posthatch/index/worker_event_feed.h
@@ -2,6 +2,7 @@
 
 #include <cstdint>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -13,6 +14,15 @@
 
 namespace posthatch::index {
 
+// How events of a worker were lost.
+enum class EventLoss {
+  kLostMark,      // the worker says so
+  kGap,           // sequence numbers are missing
+  kUnresponsive,  // the worker has not responded for too long
+};
+// As observations and the log name it.
+const char* LossReason(EventLoss loss);
+
 // The owner of feeds: what a feed asks it and reports to it. Event loop thread only.
 class WorkerEventFeedOwner {
  public:
@@ -23,7 +33,7 @@
   // The worker's cache has begun a new epoch (also the first one seen).
   virtual void OnEpoch(const std::string& worker_id, uint64_t epoch) = 0;
   // Events of `epoch` are lost, or the worker can't be read.
-  virtual void OnLost(const std::string& worker_id, uint64_t epoch, const std::string& reason) = 0;
+  virtual void OnLost(const std::string& worker_id, uint64_t epoch, EventLoss loss) = 0;
   // `version` is the newest version of the worker's object known when the poll was sent.
   virtual void OnEvent(const std::string& worker_id, const invalidation::ObjectVersion& version,
                        KvEvent event) = 0;
@@ -78,7 +88,7 @@
   // Reports a loss if too many numbers never arrived, and waits for the next one to expire.
   void CheckMissing();
   void CheckTimeout();
-  void ReportLoss(const std::string& reason);
+  void ReportLoss(EventLoss loss);
 
   runtime::Runtime* const runtime_;
   const Options options_;
@@ -101,8 +111,8 @@
   bool relist_needed_ = false;
   uint64_t sequence_at_loss_ = 0;
   runtime::MonotonicTime last_listed_at_;
-  bool list_in_flight_ = false;  // the running call requests a list
-  std::string unreported_loss_;  // its reason; detected while the lease was not held
+  bool list_in_flight_ = false;               // the running call requests a list
+  std::optional<EventLoss> unreported_loss_;  // detected while the lease was not held
   runtime::Timer poll_timer_;
   runtime::Timer missing_timer_;
 };
--- a/src/posthatch/index/worker_event_reader.cc
+++ b/src/posthatch/index/worker_event_reader.cc
@@ -80,17 +80,16 @@
       dependencies_.trust->CurrentVersion(object, &version) && version.epoch() == epoch;
   if (!known) {
     dependencies_.locator->DropHolder(HolderKind::kWorker, worker);
-    dependencies_.reporter->Report(object, epoch, /*lost=*/false, "new epoch");
+    dependencies_.reporter->ReportEpoch(object, epoch, "new epoch");
   }
   dependencies_.publisher->Begin(worker, epoch, feeds_.at(worker).fencing_token);
 }
 
-void WorkerEventReader::OnLost(const std::string& worker, uint64_t epoch,
-                               const std::string& reason) {
+void WorkerEventReader::OnLost(const std::string& worker, uint64_t epoch, EventLoss loss) {
   ++stats_.losses;
+  const char* reason = LossReason(loss);
   dependencies_.locator->DropHolder(HolderKind::kWorker, worker);
-  dependencies_.reporter->Report(HolderObject(HolderKind::kWorker, worker), epoch, /*lost=*/true,
-                                 reason);
+  dependencies_.reporter->ReportLoss(HolderObject(HolderKind::kWorker, worker), epoch, reason);
   runtime_->trace->Event(runtime::Severity::kInfo, "KvEventsLost",
                          {{"worker", worker}, {"epoch", epoch}, {"reason", reason}});
 }
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -70,7 +70,7 @@
   // Whether this gateway still holds the lease that the worker's feed was started under.
   bool MayRead(const std::string& worker) const override;
   void OnEpoch(const std::string& worker, uint64_t epoch) override;
-  void OnLost(const std::string& worker, uint64_t epoch, const std::string& reason) override;
+  void OnLost(const std::string& worker, uint64_t epoch, EventLoss loss) override;
   void OnEvent(const std::string& worker, const invalidation::ObjectVersion& version,
                KvEvent event) override;
   // What `worker` has evicted must not be added when its attribution comes.
