--- a/src/posthatch/index/fake_parts-test.h
+++ b/src/posthatch/index/fake_parts-test.h
@@ -10,7 +10,7 @@
 #include "posthatch/invalidation/fake_runtime-test.h"
 #include "posthatch/invalidation/object_trust.h"
 
-// For tests: stand-ins for what the index rests on.
+// Fakes of what the index depends on.
 namespace posthatch::index {
 
 class FakeTrust : public invalidation::ObjectTrust {
@@ -23,12 +23,12 @@
   bool CurrentVersion(const std::string& object,
                       invalidation::ObjectVersion* version) const override {
     const auto found = versions.find(object);
-    if (silent || found == versions.end()) return false;
+    if (timed_out || found == versions.end()) return false;
     *version = found->second;
     return true;
   }
   std::map<std::string, invalidation::ObjectVersion> versions;
-  bool silent = false;
+  bool timed_out = false;
 };
 
 class FakeFleet : public control::FleetView {
@@ -70,7 +70,7 @@
   std::vector<ProposeDone> dones;
 };
 
-// Keeps the calls; the test answers them.
+// Records the calls; the test responds to them.
 class FakeHttpClient : public http::HttpClient {
  public:
   struct Started {
@@ -84,8 +84,8 @@
     return nullptr;
   }
   bool HasPooledConnection(const std::string&, double) const override { return false; }
-  // Answers the newest call.
-  void Answer(const std::string& body) {
+  // Responds to the newest call.
+  void Respond(const std::string& body) {
     const http::CallObserver observer = calls.back().observer;
     observer.on_head({});
     observer.on_chunk(body);
--- a/src/posthatch/index/index_fleet-test.cc
+++ b/src/posthatch/index/index_fleet-test.cc
@@ -1,6 +1,6 @@
-// Gateways with whole IndexNodes, a controller and workers in the simulator, under faults, and
-// checks from outside: what Locate names must rest on versions not superseded for longer than X,
-// and once things have settled, every named block must really be kept by its holder.
+// Gateways with complete IndexNodes, a controller and workers in the simulator, under faults, and
+// checks from outside: what Locate returns must depend on versions not superseded for longer than
+// X, and after the faults have ended, every returned block must really be cached by its holder.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -86,13 +86,13 @@
   SimControlState* const state_;
 };
 
-// A worker's cache and its event log, with the defects of real ones.
+// A worker's cache and its event log, with faults.
 struct SimWorker {
   uint64_t epoch = 1;
   uint64_t last_seq = 0;
-  std::vector<BlockHash> kept;  // next to be given up first
+  std::vector<BlockHash> kept;  // next to be evicted first
   std::vector<std::pair<uint64_t, std::string>> events;
-  double defects = 0;
+  double fault_probability = 0;
   std::unique_ptr<http::HttpServer> server;
 
   bool Keeps(BlockHash block) const {
@@ -106,18 +106,18 @@
       absl::StrAppend(&list, list.empty() ? "" : ",", "\"", absl::Hex(block), "\"");
     }
     const uint64_t seq = ++last_seq;
-    if (random->Chance(defects)) return;  // never comes
+    if (random->Chance(fault_probability)) return;  // lost
     const std::string event = absl::StrCat(R"({"seq":)", seq, R"(,"type":")", type,
                                            R"(","first":0,"blocks":[)", list, "]}");
-    events.emplace_back(seq, random->Chance(defects)
+    events.emplace_back(seq, random->Chance(fault_probability)
                                  ? absl::StrCat(R"({"seq":)", seq, R"(,"type":"lost"})")
                                  : event);
-    if (random->Chance(defects)) events.push_back(events.back());
-    if (events.size() > 1 && random->Chance(defects)) {
+    if (random->Chance(fault_probability)) events.push_back(events.back());
+    if (events.size() > 1 && random->Chance(fault_probability)) {
       std::swap(events.back(), events[events.size() - 2]);
     }
   }
-  // Gives up the chain used longest ago from its end, as real workers do.
+  // Evicts the least recently used chain from its end, as real workers do.
   void Run(runtime::Random* random, const std::vector<BlockHash>& chain) {
     std::vector<BlockHash> used;
     std::vector<BlockHash> stored;
@@ -134,14 +134,14 @@
     }
     Event(random, "removed", removed);
   }
-  void ReturnCold() {
+  void Restart() {
     ++epoch;
     last_seq = 0;
     kept.clear();
     events.clear();
   }
-  std::string Body(uint64_t asked_epoch, uint64_t after) const {
-    if (asked_epoch != epoch) after = 0;
+  std::string Body(uint64_t requested_epoch, uint64_t after) const {
+    if (requested_epoch != epoch) after = 0;
     std::string list;
     for (const auto& [seq, event] : events) {
       if (seq > after) absl::StrAppend(&list, list.empty() ? "" : ",", event);
@@ -232,7 +232,7 @@
     });
     host->Start();
   }
-  // With even seeds updates between the two zones go by way of relays; with every third one the
+  // With even seeds updates between the two zones go through relays; with every third one the
   // gateways register once for all channels.
   static std::string ZoneOf(int gateway) { return gateway == 0 ? "a" : "b"; }
   static IndexOptions OptionsOf(int gateway) {
@@ -326,7 +326,7 @@
     const int gateway = *frozen_.begin();
     world_.FindHost(absl::StrCat("g", gateway))->Thaw();
     frozen_.clear();
-    Check(/*settled=*/false);  // what it believes at the moment of waking
+    Check(/*settled=*/false);  // what it trusts at the moment of waking
     Renew();
   }
   uint64_t CountHolders() {
@@ -355,7 +355,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, IndexFleetTest, testing::Range<uint64_t>(1, 9));
 
-TEST_P(IndexFleetTest, EveryGatewayLearnsWhatIsKept) {
+TEST_P(IndexFleetTest, AllGatewaysLearnCachedBlocks) {
   RunFor(seconds(3));
   for (int i = 0; i < 100; ++i) {
     Dispatch();
@@ -366,14 +366,14 @@
   EXPECT_GT(settled_examined_, 10u);
 }
 
-TEST_P(IndexFleetTest, FaultyEventsColdReturnsAndFrozenGatewaysLeaveNoWrongEntry) {
+TEST_P(IndexFleetTest, FaultsLeaveNoWrongEntry) {
   RunFor(seconds(3));
   runtime::Random* random = world_.random();
   for (int round = 0; round < 12; ++round) {
-    for (auto& [number, worker] : workers_) worker.defects = round % 2 == 0 ? 0.1 : 0.0;
+    for (auto& [number, worker] : workers_) worker.fault_probability = round % 2 == 0 ? 0.1 : 0.0;
     for (int step = 0; step < 30; ++step) {
       Dispatch();
-      if (random->Chance(0.03)) workers_[static_cast<int>(random->Uniform(kWorkers))].ReturnCold();
+      if (random->Chance(0.03)) workers_[static_cast<int>(random->Uniform(kWorkers))].Restart();
       if (random->Chance(0.05) && frozen_.empty()) {
         frozen_.insert(static_cast<int>(random->Uniform(kGateways)));
         world_.FindHost(absl::StrCat("g", *frozen_.begin()))->Freeze();
@@ -384,7 +384,7 @@
     if (!frozen_.empty()) ThawAfter(seconds(25));
     for (auto& [number, worker] : workers_) {
       // A last event shows what was missing before it.
-      worker.defects = 0;
+      worker.fault_probability = 0;
       worker.Event(random, "removed", {0});
     }
     RunFor(kSettle);
@@ -394,7 +394,7 @@
   EXPECT_GT(settled_examined_, 50u);
 }
 
-TEST_P(IndexFleetTest, SupersededSeedsAndSilentChannelsEndTrust) {
+TEST_P(IndexFleetTest, SupersededSeedsAndChannelTimeoutsEndTrust) {
   RunFor(seconds(2));
   for (int i = 0; i < 30; ++i) {
     Dispatch();
--- a/src/posthatch/index/prefix_index-test.cc
+++ b/src/posthatch/index/prefix_index-test.cc
@@ -29,7 +29,7 @@
   return found;
 }
 
-TEST(PrefixIndexTest, FindsTheLongestPrefixOfEachHolder) {
+TEST(PrefixIndexTest, FindsLongestPrefixOfEachHolder) {
   PrefixIndex index(kNoBudget);
   runtime::Random random(1);
   const auto chain = RandomChain(&random, 40);
@@ -50,7 +50,7 @@
   EXPECT_TRUE(index.LongestPrefixes(RandomChain(&random, 3), Any).empty());
 }
 
-TEST(PrefixIndexTest, RemovalInTheMiddleEndsThePrefixThere) {
+TEST(PrefixIndexTest, RemovalWithinChainEndsPrefix) {
   PrefixIndex index(kNoBudget);
   runtime::Random random(2);
   const auto chain = RandomChain(&random, 32);
@@ -63,15 +63,15 @@
   }
 }
 
-// Random work against a plain map, over many sizes of the table.
-TEST(PrefixIndexTest, AgreesWithAPlainMap) {
+// Random operations against a reference map, over many sizes of the table.
+TEST(PrefixIndexTest, MatchesReferenceMap) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     runtime::Random random(seed);
     PrefixIndex index(kNoBudget);
     std::vector<std::vector<BlockHash>> chains;
     chains.reserve(200);
     for (int i = 0; i < 200; ++i) chains.push_back(RandomChain(&random, 1 + random.Uniform(60)));
-    // Kept length of each chain by live generation; always a prefix, as workers keep them.
+    // Cached length of each chain by live generation; always a prefix, as in workers.
     std::map<GenerationId, std::map<size_t, uint32_t>> kept;
     for (int step = 0; step < 4000; ++step) {
       const size_t number = random.Uniform(chains.size());
@@ -111,7 +111,7 @@
   }
 }
 
-TEST(PrefixIndexTest, StaysWithinItsBudgetAndKeepsWhatIsUsed) {
+TEST(PrefixIndexTest, StaysWithinBudgetAndRetainsRecentlyUsed) {
   constexpr uint64_t kBudget = 1024UL * 1024;
   PrefixIndex index(kBudget);
   runtime::Random random(7);
@@ -138,7 +138,7 @@
   }
 }
 
-TEST(PrefixIndexTest, DroppedBlocksAreSweptAndTheirIdsUsedAgain) {
+TEST(PrefixIndexTest, DroppedBlocksAreSweptAndIdsReused) {
   PrefixIndex index(kNoBudget);
   runtime::Random random(5);
   const GenerationId dropped = index.OpenGeneration();
@@ -153,7 +153,7 @@
   EXPECT_EQ(index.OpenGeneration(), dropped);
 }
 
-TEST(PrefixIndexTest, KeepsABoundedNumberOfHoldersOfOneBlock) {
+TEST(PrefixIndexTest, HoldersPerBlockAreBounded) {
   PrefixIndex index(kNoBudget);
   std::vector<BlockHash> block = {42};
   for (int i = 0; i < 1000; ++i) index.Insert(index.OpenGeneration(), block);
--- a/src/posthatch/index/replication/index_relay-test.cc
+++ b/src/posthatch/index/replication/index_relay-test.cc
@@ -1,5 +1,5 @@
-// Index updates in a large fleet: gateways of several zones in the simulator, each with the part
-// that brings updates to all others.
+// Index updates in a large fleet: gateways of several zones in the simulator, each with the
+// fan-out that sends updates to all others.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -45,7 +45,7 @@
   }
 
   IndexUpdateFanout fanout;
-  std::map<std::string, std::vector<uint64_t>> numbers;  // as they came, by holder
+  std::map<std::string, std::vector<uint64_t>> numbers;  // in order of arrival, by holder
   std::map<std::string, std::set<uint64_t>> incarnations;
   int passed_on = 0;
 };
@@ -104,7 +104,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, IndexRelayTest, testing::Range<uint64_t>(1, 6));
 
-TEST_P(IndexRelayTest, EveryGatewayGetsEachUpdateOnceAndInOrder) {
+TEST_P(IndexRelayTest, DeliversEachUpdateOnceInOrder) {
   constexpr int kZones = 6;
   AddZones(kZones, 50);
   for (uint64_t number = 1; number <= 5; ++number) {
@@ -126,7 +126,7 @@
   EXPECT_EQ(Gateway(0UL)->fanout.recipients(), static_cast<size_t>(kZones));
 }
 
-TEST_P(IndexRelayTest, ARelayThatIsGoneIsReplacedOnceMembershipDropsIt) {
+TEST_P(IndexRelayTest, FailedRelayIsReplaced) {
   AddZones(3, 20);
   Send(0, "w", 1);
   world_.RunFor(seconds(1));
@@ -143,7 +143,7 @@
   world_.RunFor(seconds(1));
   for (SimHost* host : hosts_) {
     if (host == relay || host == hosts_[0]) continue;
-    // The second one is missing, which the receivers see by its number.
+    // The second one is missing, which the receivers detect by its number.
     const bool had_relay = host->zone() == "z2";
     const std::vector<uint64_t> expected =
         had_relay ? std::vector<uint64_t>({1, 3}) : std::vector<uint64_t>({1, 2, 3});
@@ -151,7 +151,7 @@
   }
 }
 
-TEST_P(IndexRelayTest, SmallZonesAreToldDirectly) {
+TEST_P(IndexRelayTest, SmallZonesGetUpdatesDirectly) {
   AddZones(4, 5);
   Send(0, "w", 1);
   world_.RunFor(seconds(1));
@@ -161,7 +161,7 @@
   }
 }
 
-TEST_P(IndexRelayTest, AQuarterOfAZonesGatewaysRelaysEachForSomeHolders) {
+TEST_P(IndexRelayTest, QuarterOfZoneRelays) {
   AddZones(2, 20);
   for (int holder = 0; holder < 100; ++holder) Send(0, absl::StrCat("w", holder), 1);
   world_.RunFor(seconds(1));
--- a/src/posthatch/index/replication/index_update-test.cc
+++ b/src/posthatch/index/replication/index_update-test.cc
@@ -70,7 +70,7 @@
   EXPECT_EQ(locator_.Locate(seed_, {1, 2, 3}).at(0).blocks, 2u);
 }
 
-TEST_F(IndexUpdateTest, BlockThatIsStoredAgainAfterItsRemovalStays) {
+TEST_F(IndexUpdateTest, BlockStoredAfterRemovalStays) {
   Store({1, 2});
   publisher_.Removed("w", {1, 2});
   Store({1});
@@ -78,7 +78,7 @@
   EXPECT_EQ(blocks(), 1u);
 }
 
-TEST_F(IndexUpdateTest, BlockThatIsRemovedRightAfterItWasStoredIsGone) {
+TEST_F(IndexUpdateTest, BlockRemovedAfterStoreIsGone) {
   Extent extent = MakeExtent("w", MakeVersion(100, 0), seed_);
   extent.set_block_hashes(PackBlocks({1, 2}));
   publisher_.Stored("w", extent);
@@ -89,8 +89,8 @@
   EXPECT_EQ(blocks(), 1u);
 }
 
-// After a loss the worker's list may come before the channel tells the new version here.
-TEST_F(IndexUpdateTest, WhatComesBeforeItsHoldersVersionIsKnownWaitsForIt) {
+// After a loss the worker's list may arrive before the channel announces the new version here.
+TEST_F(IndexUpdateTest, ExtentAheadOfVersionIsDeferred) {
   Store({1, 2, 3}, /*sequence=*/1);
   for (const IndexUpdate& update : TakeSent()) Receive(update);
   EXPECT_EQ(blocks(), 0u);
@@ -106,7 +106,7 @@
   EXPECT_EQ(blocks(), 2u);
 }
 
-TEST_F(IndexUpdateTest, WhatRestsOnAnOlderVersionNeverWaits) {
+TEST_F(IndexUpdateTest, ExtentOfOlderVersionIsNotDeferred) {
   trust_.versions["worker/w"] = MakeVersion(100, 2);
   Store({1}, /*sequence=*/1);
   for (const IndexUpdate& update : TakeSent()) Receive(update);
@@ -114,7 +114,7 @@
   EXPECT_EQ(receiver_.stats().extents_untrusted, 1u);
 }
 
-TEST_F(IndexUpdateTest, WaitingEndsWithTheNextVersionOrAMissingUpdate) {
+TEST_F(IndexUpdateTest, DeferralEndsWithNextVersionOrGap) {
   Store({1}, /*sequence=*/1);
   for (const IndexUpdate& update : TakeSent()) Receive(update);
   trust_.versions["worker/w"] = MakeVersion(100, 2);  // lost again meanwhile
@@ -132,13 +132,13 @@
 }
 
 // One message to each gateway for each removal was most of what a gateway of 77 spent.
-TEST_F(IndexUpdateTest, RemovalsTravelTogether) {
+TEST_F(IndexUpdateTest, RemovalsAreBatched) {
   for (BlockHash block = 1; block <= 30; ++block) publisher_.Removed("w", {block});
   fakes_.timers.Advance(milliseconds(60));
   EXPECT_EQ(TakeSent().size(), 1u);
 }
 
-TEST_F(IndexUpdateTest, MissingUpdateDropsWhatIsKnownOfTheHolder) {
+TEST_F(IndexUpdateTest, GapDropsHolder) {
   locator_.RecordDispatch(seed_, {7, 8}, "w", 100);  // its own dispatch may be removed as well
   Store({1});
   Store({2});
@@ -149,11 +149,11 @@
   Receive(updates[2]);
   EXPECT_EQ(receiver_.stats().gaps, 1u);
   EXPECT_EQ(blocks(), 1u) << "only what came after the gap";
-  Receive(updates[1]);  // late
+  Receive(updates[1]);  // out of order
   EXPECT_EQ(blocks(), 1u);
 }
 
-TEST_F(IndexUpdateTest, DoubledUpdateIsAppliedOnce) {
+TEST_F(IndexUpdateTest, DuplicateIsAppliedOnce) {
   Store({1});
   const auto stored = TakeSent();
   Remove({1});
@@ -165,13 +165,13 @@
   EXPECT_EQ(receiver_.stats().duplicates, 1u);
 }
 
-TEST_F(IndexUpdateTest, FormerLeaseHolderIsFenced) {
+TEST_F(IndexUpdateTest, PreviousLeaseHolderIsFenced) {
   Store({1});
   const auto former = TakeSent();
   fleet_.fleet.mutable_leases(0)->set_fencing_token(40);  // known from the control state
   Receive(former[0]);
   EXPECT_EQ(blocks(), 0u);
-  publisher_.Begin("w", 100, 50);  // known from the new holder only
+  publisher_.Begin("w", 100, 50);  // known from the new lease holder only
   Store({2});
   Receive(TakeSent()[0], 2);
   IndexUpdate late = former[0];
@@ -181,7 +181,7 @@
   EXPECT_EQ(receiver_.stats().fenced, 2u);
 }
 
-TEST_F(IndexUpdateTest, ExtentsOfAnOlderVersionAreNotTrusted) {
+TEST_F(IndexUpdateTest, ExtentsOfOlderVersionAreNotTrusted) {
   Store({1}, 0);
   const auto update = TakeSent();
   trust_.versions["worker/w"] = MakeVersion(100, 1);  // a loss became known meanwhile
@@ -190,7 +190,7 @@
   EXPECT_EQ(receiver_.stats().extents_untrusted, 1u);
 }
 
-TEST_F(IndexUpdateTest, BeyondItsRateItLeavesOutStoresAndSkipsANumberForRemovals) {
+TEST_F(IndexUpdateTest, RateLimitDropsStoresAndSkipsNumberForRemovals) {
   Store(std::vector<BlockHash>(200, 5));
   Store(std::vector<BlockHash>(200, 6));
   EXPECT_EQ(TakeSent().size(), 1u);
@@ -206,7 +206,7 @@
   EXPECT_EQ(next[0].update(), 3u) << "2 is missing: the receivers see a gap";
 }
 
-TEST_F(IndexUpdateTest, MalformedUpdatesAreAGap) {
+TEST_F(IndexUpdateTest, MalformedUpdateIsGap) {
   Store({1});
   Store({2});
   auto updates = TakeSent();
--- a/src/posthatch/index/trusted_prefix_locator-test.cc
+++ b/src/posthatch/index/trusted_prefix_locator-test.cc
@@ -29,7 +29,7 @@
   const std::vector<BlockHash> chain_ = {11, 12, 13};
 };
 
-TEST_F(TrustedPrefixLocatorTest, FindsWhatWasDispatched) {
+TEST_F(TrustedPrefixLocatorTest, FindsDispatchedChain) {
   const auto holders = locator_.Locate(shared_, {11, 12, 99});
   ASSERT_EQ(holders.size(), 1u);
   EXPECT_EQ(holders[0].backend_id, "w");
@@ -37,10 +37,10 @@
   EXPECT_EQ(holders[0].blocks, 2u);
 }
 
-TEST_F(TrustedPrefixLocatorTest, EntriesAreKeptButNotTrustedWhileTheChannelIsSilent) {
-  trust_.silent = true;
+TEST_F(TrustedPrefixLocatorTest, ChannelTimeoutSuspendsTrust) {
+  trust_.timed_out = true;
   EXPECT_EQ(Found(shared_), 0u);
-  trust_.silent = false;
+  trust_.timed_out = false;
   EXPECT_EQ(Found(shared_), 1u);
 }
 
@@ -51,7 +51,7 @@
   EXPECT_EQ(locator_.index_stats().blocks, 0u);
 }
 
-TEST_F(TrustedPrefixLocatorTest, ColdReturnUntrusts) {
+TEST_F(TrustedPrefixLocatorTest, NewEpochUntrusts) {
   trust_.versions["worker/w"] = MakeVersion(101, 0);
   EXPECT_EQ(Found(shared_), 0u);
 }
@@ -68,7 +68,8 @@
   EXPECT_EQ(Found(shared_), 0u);
 }
 
-// Where dispatches name revision and salt, workers that a roll-out has not reached keep their use.
+// Where dispatches carry revision and salt, entries of workers that a rollout has not reached stay
+// useful.
 class RetainedRevisionsTest : public TrustedPrefixLocatorTest {
  protected:
   RetainedRevisionsTest() { locator_.RecordDispatch(shared_, chain_, "w", 100); }
@@ -82,7 +83,7 @@
       {.budget_bytes = 1 << 20, .has_session_lease = {}, .retained_revisions = 2}, &trust_};
 };
 
-TEST_F(RetainedRevisionsTest, OlderEntriesStayTrustedAndNameTheirRevision) {
+TEST_F(RetainedRevisionsTest, OlderRevisionsStayTrusted) {
   NewRevision(4);
   ASSERT_EQ(Found(shared_), 1u);
   EXPECT_EQ(locator_.Locate(shared_, chain_)[0].model_revision, 3u);
@@ -91,7 +92,7 @@
   EXPECT_EQ(locator_.Locate(shared_, {21, 22}).size(), 1u);
 }
 
-TEST_F(RetainedRevisionsTest, EntriesBeyondTheNumberKeptAreDropped) {
+TEST_F(RetainedRevisionsTest, RevisionsBeyondRetentionAreDropped) {
   NewRevision(4);
   locator_.RecordDispatch({"m", 4, "", 8}, chain_, "w", 100);
   NewRevision(7);
@@ -101,53 +102,53 @@
   EXPECT_EQ(Found(shared_), 0u);
 }
 
-TEST_F(RetainedRevisionsTest, OlderEntriesRestOnTheModelsChannelToo) {
+TEST_F(RetainedRevisionsTest, OlderRevisionsDependOnModelChannel) {
   NewRevision(4);
-  trust_.silent = true;
+  trust_.timed_out = true;
   EXPECT_EQ(Found(shared_), 0u);
-  trust_.silent = false;
+  trust_.timed_out = false;
   EXPECT_EQ(Found(shared_), 1u);
 }
 
-TEST_F(RetainedRevisionsTest, ARevisionThatIsNotAnnouncedIsNeverTrusted) {
+TEST_F(RetainedRevisionsTest, UnannouncedRevisionIsNotTrusted) {
   EXPECT_EQ(Found({"m", 5, "", 8}), 0u);
   locator_.RecordDispatch({"m", 5, "", 8}, chain_, "w", 100);
   EXPECT_EQ(Found({"m", 5, "", 8}), 0u);
 }
 
-// The hash alone keeps seeds apart already; this is the fence behind it.
-TEST_F(TrustedPrefixLocatorTest, AnotherSeedNeverMatchesEvenWithEqualHashes) {
+// The hash alone separates seeds already; this is the second defence.
+TEST_F(TrustedPrefixLocatorTest, OtherSeedNeverMatches) {
   EXPECT_EQ(Found({"m", 3, "t", 9}), 0u);
   EXPECT_EQ(Found({"m", 3, "", 7}), 0u);
   EXPECT_EQ(Found({"m", 2, "", 8}), 0u);
 }
 
-TEST_F(TrustedPrefixLocatorTest, WithoutALeaseNothingIsFound) {
+TEST_F(TrustedPrefixLocatorTest, FindsNothingWithoutLease) {
   may_decide_ = false;
   EXPECT_EQ(Found(shared_), 0u);
 }
 
-TEST_F(TrustedPrefixLocatorTest, RecordsOnlyWithTheVersionsOfTheDispatch) {
+TEST_F(TrustedPrefixLocatorTest, RecordsOnlyAtVersionOfDispatch) {
   const std::vector<BlockHash> other = {21, 22};
   std::map<std::string, uint64_t> reported;
   locator_.SetEpochObserver([&reported](HolderKind, const std::string& holder, uint64_t epoch) {
     reported[holder] = epoch;
   });
-  locator_.RecordDispatch(shared_, other, "w", 99);  // late, of an earlier life
+  locator_.RecordDispatch(shared_, other, "w", 99);  // delayed, of a previous incarnation
   EXPECT_TRUE(reported.empty());
   locator_.RecordDispatch(shared_, other, "w", 101);  // newer than what is known
   EXPECT_EQ(reported["w"], 101u);
   locator_.RecordDispatch({"m", 2, "", 8}, other, "w", 100);
   locator_.RecordDispatch({"m", 3, "t", 8}, other, "w", 100);
   locator_.RecordDispatch(shared_, other, "unknown", 100);
-  trust_.silent = true;
+  trust_.timed_out = true;
   locator_.RecordDispatch(shared_, other, "w", 100);
-  trust_.silent = false;
+  trust_.timed_out = false;
   EXPECT_EQ(locator_.index_stats().blocks, 3u);
   EXPECT_EQ(locator_.stats().dispatches_not_recorded, 6u);
 }
 
-TEST_F(TrustedPrefixLocatorTest, RemovalAndDropOfOneHolder) {
+TEST_F(TrustedPrefixLocatorTest, RemovesAndDropsOneHolder) {
   trust_.versions["worker/v"] = MakeVersion(7, 0);
   locator_.RecordDispatch(shared_, chain_, "v", 7);
   locator_.Remove(HolderKind::kWorker, "w", {{12, 13}});
--- a/src/posthatch/index/worker_event_reader-test.cc
+++ b/src/posthatch/index/worker_event_reader-test.cc
@@ -19,7 +19,7 @@
 constexpr char kWorker[] = "worker/w";
 constexpr uint64_t kToken = 31;
 
-// The native events, and a list of what is kept: "next block block ...".
+// The native events, and a list of cached blocks: "next block block ...".
 class ListingFormat : public KvEventFormat {
  public:
   http::Request PollRequest(uint64_t epoch, uint64_t after, runtime::Duration wait) const override {
@@ -59,11 +59,11 @@
     fleet_.AddLease("w", "self", 7, kToken);
     attributions_.RecordBlocks(seed_, {{0xa, 0xb, 0xc}});
     reader_.FollowFleet(fleet_.fleet);
-    Answer(0, "");  // the epoch is known from now on
+    Respond(0, "");  // makes the epoch known
   }
-  // Answers the running poll and lets the next one start.
-  void Answer(uint64_t next, const std::string& events, uint64_t epoch = 100) {
-    fakes_.http.Answer(
+  // Responds to the running poll and lets the next one start.
+  void Respond(uint64_t next, const std::string& events, uint64_t epoch = 100) {
+    fakes_.http.Respond(
         absl::StrCat(R"({"epoch":)", epoch, R"(,"next":)", next, R"(,"events":[)", events, "]}"));
     fakes_.timers.Advance(milliseconds(1));
   }
@@ -78,7 +78,7 @@
     const auto holders = locator_.Locate(seed_, {0xa, 0xb, 0xc});
     return holders.empty() ? 0 : holders[0].blocks;
   }
-  // Losses that were reported since the last call.
+  // Losses reported since the last call.
   int TakeLosses() {
     int losses = 0;
     for (const control::Command& command : control_.commands) {
@@ -105,8 +105,8 @@
       &fakes_.runtime, {}, {&fleet_, &trust_, &reporter_, &publisher_, &attributions_, &locator_}};
 };
 
-TEST_F(WorkerEventReaderTest, AddsAndPublishesWhatADispatchAttributes) {
-  Answer(2, Stored(1, R"("a","b")") + "," + Stored(2, R"("c")"));
+TEST_F(WorkerEventReaderTest, AddsAndPublishesAttributedBlocks) {
+  Respond(2, Stored(1, R"("a","b")") + "," + Stored(2, R"("c")"));
   EXPECT_EQ(Located(), 3u);
   EXPECT_NE(fakes_.http.calls.back().target.find("after=2"), std::string::npos);
   fakes_.timers.Advance(milliseconds(60));
@@ -116,7 +116,7 @@
   EXPECT_EQ(message.update().fencing_token(), kToken);
   EXPECT_EQ(message.update().update(), 1u);
   EXPECT_EQ(message.update().stored_size(), 2);
-  Answer(3, Removed(3, R"("b","c")"));
+  Respond(3, Removed(3, R"("b","c")"));
   EXPECT_EQ(Located(), 1u);
   EXPECT_EQ(TakeLosses(), 0);
 }
@@ -131,60 +131,60 @@
         WorkerEventReader::Dependencies{&fleet_, &trust_, &reporter_, &publisher_, &attributions_,
                                         &locator_});
     reader_with_lists_->FollowFleet(fleet_.fleet);
-    Answer(0, "");
-    Answer(2, Stored(1, R"("a","b")") + "," + Stored(2, R"("c")"));
+    Respond(0, "");
+    Respond(2, Stored(1, R"("a","b")") + "," + Stored(2, R"("c")"));
   }
-  void Lose() { Answer(9, R"({"seq":9,"type":"lost"})"); }
+  void Lose() { Respond(9, R"({"seq":9,"type":"lost"})"); }
   bool AsksForAList() const { return fakes_.http.calls.back().target == "/list"; }
 
   const ListingFormat format_;
   std::unique_ptr<WorkerEventReader> reader_with_lists_;
 };
 
-TEST_F(WorkerRelistTest, WhatIsStillKeptIsTrustedAgainAfterALoss) {
+TEST_F(WorkerRelistTest, ListRestoresTrustAfterLoss) {
   EXPECT_EQ(Located(), 3u);
   Lose();
   EXPECT_EQ(TakeLosses(), 1);
   EXPECT_EQ(Located(), 0u);
   EXPECT_FALSE(AsksForAList()) << "the loss is not in force yet: what is read now won't be trusted";
   trust_.versions[kWorker] = MakeVersion(100, 1);
-  Answer(9, "");
+  Respond(9, "");
   ASSERT_TRUE(AsksForAList());
-  fakes_.http.Answer("9 a b");
+  fakes_.http.Respond("9 a b");
   fakes_.timers.Advance(milliseconds(1));
   EXPECT_EQ(Located(), 2u);
   EXPECT_NE(fakes_.http.calls.back().target.find("after=9"), std::string::npos);
 }
 
-TEST_F(WorkerRelistTest, MalformedListIsNotUsedAndEventsGoOn) {
+TEST_F(WorkerRelistTest, MalformedListIsIgnored) {
   Lose();
   trust_.versions[kWorker] = MakeVersion(100, 1);
-  Answer(9, "");
+  Respond(9, "");
   ASSERT_TRUE(AsksForAList());
-  fakes_.http.Answer("");
+  fakes_.http.Respond("");
   fakes_.timers.Advance(milliseconds(1));
   EXPECT_EQ(Located(), 0u);
   EXPECT_FALSE(AsksForAList());
-  Answer(10, Stored(10, R"("a")"));
+  Respond(10, Stored(10, R"("a")"));
   EXPECT_EQ(Located(), 1u);
 }
 
-TEST_F(WorkerRelistTest, ListsAreAskedForAtIntervals) {
+TEST_F(WorkerRelistTest, ListsAreRateLimited) {
   Lose();
   trust_.versions[kWorker] = MakeVersion(100, 1);
-  Answer(9, "");
-  fakes_.http.Answer("9 a");
+  Respond(9, "");
+  fakes_.http.Respond("9 a");
   fakes_.timers.Advance(milliseconds(1));
-  Answer(19, R"({"seq":19,"type":"lost"})");
+  Respond(19, R"({"seq":19,"type":"lost"})");
   trust_.versions[kWorker] = MakeVersion(100, 2);
-  Answer(19, "");
+  Respond(19, "");
   EXPECT_FALSE(AsksForAList());
   fakes_.timers.Advance(seconds(2));
-  Answer(19, "");
+  Respond(19, "");
   EXPECT_TRUE(AsksForAList());
 }
 
-TEST_F(WorkerEventReaderTest, EventThatNamesItsSaltNeedsNoDispatch) {
+TEST_F(WorkerEventReaderTest, SaltAttributesWithoutDispatch) {
   KvEvent event;
   event.salt = CacheSalt({"m", 2, "", 1});
   EXPECT_EQ(attributions_.FindSalt(event.salt), nullptr);
@@ -195,77 +195,77 @@
 
 TEST_F(WorkerEventReaderTest, UnattributedBlocksAreNeverAdded) {
   attributions_.RecordAttempt("n1", seed_);
-  Answer(2, Stored(1, R"("a","dead")") + "," + Stored(2, R"("beef")"));
+  Respond(2, Stored(1, R"("a","dead")") + "," + Stored(2, R"("beef")"));
   EXPECT_EQ(locator_.index_stats().blocks, 1u);
-  Answer(3, R"({"seq":3,"type":"stored","first":0,"blocks":["d"],"attempt":"n1"})");
+  Respond(3, R"({"seq":3,"type":"stored","first":0,"blocks":["d"],"attempt":"n1"})");
   EXPECT_EQ(locator_.index_stats().blocks, 2u);
   fakes_.timers.Advance(seconds(4));
   EXPECT_EQ(reader_.stats().unattributed_blocks, 1u);
 }
 
-TEST_F(WorkerEventReaderTest, EventsWaitForTheDispatchReportUnlessRemovedMeanwhile) {
-  Answer(2, Stored(1, R"("e")") + "," + Stored(2, R"("f")"));
-  Answer(3, Removed(3, R"("f")"));
+TEST_F(WorkerEventReaderTest, EventsWaitForDispatchReportUnlessRemoved) {
+  Respond(2, Stored(1, R"("e")") + "," + Stored(2, R"("f")"));
+  Respond(3, Removed(3, R"("f")"));
   attributions_.RecordBlocks(seed_, {{0xe, 0xf}});
   fakes_.timers.Advance(milliseconds(150));
   EXPECT_EQ(locator_.Locate(seed_, {0xe}).size(), 1u);
   EXPECT_EQ(locator_.Locate(seed_, {0xf}).size(), 0u);
 }
 
-TEST_F(WorkerEventReaderTest, MissingNumberIsALossAfterTheReorderWindow) {
-  Answer(3, Stored(1, R"("a")") + "," + Stored(3, R"("b")"));
+TEST_F(WorkerEventReaderTest, MissingNumberIsLossAfterReorderWindow) {
+  Respond(3, Stored(1, R"("a")") + "," + Stored(3, R"("b")"));
   EXPECT_EQ(TakeLosses(), 0);
   fakes_.timers.Advance(milliseconds(600));
   EXPECT_EQ(TakeLosses(), 1);
   EXPECT_EQ(Located(), 0u);
 }
 
-TEST_F(WorkerEventReaderTest, EventsThatNeverCameAreMissingUpToNext) {
-  Answer(4, Stored(1, R"("a")"));
+TEST_F(WorkerEventReaderTest, EventsUpToNextCountAsMissing) {
+  Respond(4, Stored(1, R"("a")"));
   fakes_.timers.Advance(milliseconds(600));
   EXPECT_EQ(TakeLosses(), 1);
 }
 
-TEST_F(WorkerEventReaderTest, ReorderedAndDoubledEventsAreNoLoss) {
-  Answer(3, Stored(1, R"("a")") + "," + Removed(3, R"("c")") + "," + Stored(3, R"("c")"));
-  Answer(4, Stored(4, R"("b")") + "," + Removed(2, R"("a")") + "," + Stored(1, R"("a")"));
+TEST_F(WorkerEventReaderTest, ReorderedAndDuplicateEventsAreNoLoss) {
+  Respond(3, Stored(1, R"("a")") + "," + Removed(3, R"("c")") + "," + Stored(3, R"("c")"));
+  Respond(4, Stored(4, R"("b")") + "," + Removed(2, R"("a")") + "," + Stored(1, R"("a")"));
   fakes_.timers.Advance(milliseconds(600));
   EXPECT_EQ(TakeLosses(), 0);
   EXPECT_EQ(Located(), 0u) << "the late removal holds, the doubled store does not";
 }
 
-TEST_F(WorkerEventReaderTest, LateStoredEventsAddNothing) {
-  Answer(2, Removed(2, R"("a")"));
-  Answer(3, Stored(3, R"("b")") + "," + Stored(1, R"("a")"));
+TEST_F(WorkerEventReaderTest, DelayedStoredEventsAddNothing) {
+  Respond(2, Removed(2, R"("a")"));
+  Respond(3, Stored(3, R"("b")") + "," + Stored(1, R"("a")"));
   EXPECT_EQ(Located(), 0u);
 }
 
-TEST_F(WorkerEventReaderTest, LostMarkIsALoss) {
-  Answer(1, Stored(1, R"("a")"));
+TEST_F(WorkerEventReaderTest, LostMarkIsLoss) {
+  Respond(1, Stored(1, R"("a")"));
   EXPECT_EQ(Located(), 1u);
-  Answer(9, R"({"seq":9,"type":"lost"})");
+  Respond(9, R"({"seq":9,"type":"lost"})");
   EXPECT_EQ(TakeLosses(), 1);
   EXPECT_EQ(Located(), 0u);
   fakes_.timers.Advance(milliseconds(600));
   EXPECT_EQ(TakeLosses(), 0) << "said once";
 }
 
-TEST_F(WorkerEventReaderTest, ColdReturnIsReportedAndItsOldEntriesDropped) {
-  Answer(1, Stored(1, R"("a")"));
+TEST_F(WorkerEventReaderTest, NewEpochIsReportedAndDropsEntries) {
+  Respond(1, Stored(1, R"("a")"));
   TakeLosses();
-  Answer(1, Stored(1, R"("b")"), /*epoch=*/200);
+  Respond(1, Stored(1, R"("b")"), /*epoch=*/200);
   ASSERT_EQ(control_.commands.size(), 1u);
   EXPECT_EQ(control_.commands[0].observe_object().epoch(), 200u);
   EXPECT_EQ(Located(), 0u);
   trust_.versions[kWorker] = MakeVersion(200, 0);
   fakes_.timers.Advance(milliseconds(1));
-  Answer(1, "", 200);
-  Answer(2, Stored(2, R"("a")"), 200);
+  Respond(1, "", 200);
+  Respond(2, Stored(2, R"("a")"), 200);
   EXPECT_EQ(Located(), 1u);
 }
 
-TEST_F(WorkerEventReaderTest, SilentWorkerLosesItsTrustOnce) {
-  Answer(1, Stored(1, R"("a")"));
+TEST_F(WorkerEventReaderTest, UnresponsiveWorkerLosesTrustOnce) {
+  Respond(1, Stored(1, R"("a")"));
   for (int i = 0; i < 40; ++i) {
     fakes_.http.Fail();
     fakes_.timers.Advance(milliseconds(260));
@@ -273,26 +273,26 @@
   EXPECT_EQ(TakeLosses(), 1);
 }
 
-TEST_F(WorkerEventReaderTest, AnswersAfterTheLeaseIsGoneAreNotUsed) {
+TEST_F(WorkerEventReaderTest, ResponsesAfterLeaseLossAreIgnored) {
   fleet_.lease_valid = false;
-  Answer(1, Stored(1, R"("a")"));
+  Respond(1, Stored(1, R"("a")"));
   EXPECT_EQ(locator_.index_stats().blocks, 0u);
   EXPECT_EQ(reader_.stats().stored_blocks, 0u);
 }
 
-TEST_F(WorkerEventReaderTest, LossFoundWithoutTheLeaseIsSaidWhenItIsBack) {
-  Answer(2, Stored(2, R"("a")"));
+TEST_F(WorkerEventReaderTest, LossWithoutLeaseIsReportedOnReturn) {
+  Respond(2, Stored(2, R"("a")"));
   fleet_.lease_valid = false;
   fakes_.timers.Advance(milliseconds(600));
   EXPECT_EQ(TakeLosses(), 0);
   fleet_.lease_valid = true;
-  Answer(2, "");
+  Respond(2, "");
   fakes_.timers.Advance(seconds(1));
   EXPECT_EQ(TakeLosses(), 1);
 }
 
-TEST_F(WorkerEventReaderTest, AnotherTokenStartsAnew) {
-  Answer(5, R"({"seq":5,"type":"lost"})");
+TEST_F(WorkerEventReaderTest, NewTokenRestartsFeed) {
+  Respond(5, R"({"seq":5,"type":"lost"})");
   fleet_.fleet.mutable_leases(0)->set_fencing_token(kToken + 1);
   reader_.FollowFleet(fleet_.fleet);
   EXPECT_NE(fakes_.http.calls.back().target.find("epoch=0&after=0"), std::string::npos);
@@ -301,11 +301,11 @@
   EXPECT_EQ(reader_.feed_count(), 0u);
 }
 
-TEST_F(WorkerEventReaderTest, ObservationsAreSentAgainUnderTheSameId) {
-  Answer(9, R"({"seq":9,"type":"lost"})");
+TEST_F(WorkerEventReaderTest, ObservationsAreRetriedUnderSameId) {
+  Respond(9, R"({"seq":9,"type":"lost"})");
   ASSERT_EQ(control_.commands.size(), 1u);
   control_.dones[0](absl::DeadlineExceededError("test"));
-  Answer(12, R"({"seq":12,"type":"lost"})");
+  Respond(12, R"({"seq":12,"type":"lost"})");
   fakes_.timers.Advance(milliseconds(400));
   ASSERT_EQ(control_.commands.size(), 2u);
   EXPECT_EQ(control_.commands[0].request_id(), control_.commands[1].request_id());
@@ -314,7 +314,7 @@
   EXPECT_NE(control_.commands[2].request_id(), control_.commands[1].request_id());
 }
 
-TEST(KvEventsTest, MalformedBodiesAreRefused) {
+TEST(KvEventsTest, RejectsMalformedBodies) {
   for (
       const char* body :
       {"", "[]", "{", R"({"epoch":1})", R"({"epoch":1,"next":2,"events":[1]})",
--- a/src/posthatch/rollout/revision_enforcer-test.cc
+++ b/src/posthatch/rollout/revision_enforcer-test.cc
@@ -42,8 +42,8 @@
   std::string body;
 };
 
-// One gateway host with the enforcer, one worker host that records orders and answers
-// `next_status`.
+// One gateway host with the enforcer, one worker host that records commands and responds
+// with `next_status`.
 class RevisionEnforcerTest : public ::testing::Test {
  protected:
   RevisionEnforcerTest() : world_(1) {
@@ -94,7 +94,7 @@
   uint64_t token_ = 41;
 };
 
-TEST_F(RevisionEnforcerTest, NewRevisionIsOrderedAtOnceWithTheFencingToken) {
+TEST_F(RevisionEnforcerTest, CommandsNewRevisionWithFencingToken) {
   fleet_.SetRevision(3);
   world_.RunFor(milliseconds(300));
   ASSERT_EQ(orders_.size(), 1u);
@@ -105,7 +105,7 @@
   ASSERT_EQ(orders_.size(), 2u) << "a newer revision must not wait for the next check";
 }
 
-TEST_F(RevisionEnforcerTest, WithoutTheWorkersLeaseNothingIsOrdered) {
+TEST_F(RevisionEnforcerTest, CommandsNothingWithoutLease) {
   holds_worker_lease_ = false;
   fleet_.SetRevision(3);
   world_.RunFor(seconds(10));
@@ -115,7 +115,7 @@
   EXPECT_FALSE(orders_.empty());
 }
 
-TEST_F(RevisionEnforcerTest, LoadingWorkerIsAskedAgainUntilItServes) {
+TEST_F(RevisionEnforcerTest, RetriesUntilServed) {
   next_status_ = 202;
   fleet_.SetRevision(3);
   world_.RunFor(seconds(3));
@@ -128,7 +128,7 @@
   EXPECT_LE(orders_.size() - before, 6u);
 }
 
-TEST_F(RevisionEnforcerTest, DeadWorkerIsOrderedOnceItIsBack) {
+TEST_F(RevisionEnforcerTest, CommandsReturnedWorker) {
   worker_->Crash();
   fleet_.SetRevision(3);
   world_.RunFor(seconds(5));
@@ -138,11 +138,11 @@
   EXPECT_FALSE(orders_.empty());
 }
 
-TEST_F(RevisionEnforcerTest, FrozenGatewayOrdersNothingWithoutAskingForTheLeaseAgain) {
+TEST_F(RevisionEnforcerTest, ChecksLeaseAfterFreeze) {
   fleet_.SetRevision(3);
   world_.RunFor(seconds(1));
   gateway_->Freeze();
-  holds_worker_lease_ = false;  // the session ran out meanwhile
+  holds_worker_lease_ = false;  // the session has expired meanwhile
   const size_t before = orders_.size();
   world_.RunFor(seconds(25));
   gateway_->Thaw();
--- a/src/posthatch/rollout/rollout_coordinator-test.cc
+++ b/src/posthatch/rollout/rollout_coordinator-test.cc
@@ -117,7 +117,7 @@
         [&](const control::Backend& backend) { return backend.id() == id && backend.loading(); });
   }
 
-  // What the control state does with a reading; the platform's list lags and tells old revisions.
+  // Replicates an inventory as the control state does; the platform's lags and has old revisions.
   void Publish() {
     if (!publishing_) return;
     control::Inventory reading = fleet_.inventory();
@@ -147,7 +147,7 @@
   bool publishing_ = true;
 };
 
-TEST_F(RolloutCoordinatorTest, BringsAllWorkersOverAFewAtATimeWithOneOrderEach) {
+TEST_F(RolloutCoordinatorTest, RollsOutInBatchesWithOneCommandEach) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
   Name(2);
@@ -158,7 +158,7 @@
   for (const std::string& token : tokens_) EXPECT_EQ(token, "7");
 }
 
-TEST_F(RolloutCoordinatorTest, OneWorkerGoesFirstAndTheOthersWaitUntilItServes) {
+TEST_F(RolloutCoordinatorTest, CanaryGoesFirst) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
   Name(2);
@@ -166,7 +166,7 @@
   EXPECT_EQ(orders_.size(), 1U);
 }
 
-TEST_F(RolloutCoordinatorTest, NewLeaderLeavesAloneWhatTheFormerOneMayHaveOrdered) {
+TEST_F(RolloutCoordinatorTest, NewLeaderSkipsRecentlyCommandedWorkers) {
   for (control::Backend& backend : *fleet_.mutable_inventory()->mutable_backends()) {
     backend.set_recently_ordered(true);
   }
@@ -179,7 +179,7 @@
   EXPECT_FALSE(orders_.empty());
 }
 
-TEST_F(RolloutCoordinatorTest, NewLeaderGoesOnAtOnceWithWorkersThatNobodyHasOrdered) {
+TEST_F(RolloutCoordinatorTest, NewLeaderContinuesWithOtherWorkers) {
   control::Backend* ordered = fleet_.mutable_inventory()->mutable_backends(0);
   ordered->set_recently_ordered(true);
   ordered->set_model_revision(2);
@@ -191,7 +191,7 @@
   EXPECT_EQ(std::count(orders_.begin(), orders_.end(), "w0"), 0);
 }
 
-TEST_F(RolloutCoordinatorTest, NoWorkerIsOrderedBeforeItsMarkIsReplicated) {
+TEST_F(RolloutCoordinatorTest, CommandsOnlyAfterMarkIsReplicated) {
   publishing_ = false;
   coordinator_->OnLeadership(true, 7);
   Name(2);
@@ -203,7 +203,7 @@
   EXPECT_EQ(orders_.size(), 1U);
 }
 
-TEST_F(RolloutCoordinatorTest, WithoutAMajorityNothingIsOrdered) {
+TEST_F(RolloutCoordinatorTest, CommandsNothingWithoutQuorum) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
   may_order_ = false;
@@ -212,7 +212,7 @@
   EXPECT_TRUE(orders_.empty());
 }
 
-TEST_F(RolloutCoordinatorTest, SecondRevisionNamedDuringTheFirstIsReachedToo) {
+TEST_F(RolloutCoordinatorTest, ReachesRevisionNamedDuringRollout) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
   Name(2);
@@ -222,7 +222,7 @@
   EXPECT_TRUE(AllServe(3));
 }
 
-TEST_F(RolloutCoordinatorTest, FencedLeaderDoesNotFloodTheWorker) {
+TEST_F(RolloutCoordinatorTest, FencedLeaderBacksOff) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
   order_status_ = 412;
@@ -231,7 +231,7 @@
   EXPECT_LE(orders_.size(), 8U);
 }
 
-TEST_F(RolloutCoordinatorTest, MarksOfTheFormerLeaderStandDuringTheHandover) {
+TEST_F(RolloutCoordinatorTest, KeepsMarksDuringHandover) {
   fleet_.mutable_inventory()->mutable_backends(2)->set_loading(true);
   fleet_.mutable_inventory()->mutable_backends(2)->set_recently_ordered(true);
   coordinator_->OnLeadership(true, 8);
--- a/src/posthatch/routing/in_flight_prefills-test.cc
+++ b/src/posthatch/routing/in_flight_prefills-test.cc
@@ -24,7 +24,7 @@
 
 using Names = std::vector<std::string>;
 
-TEST_F(InFlightPrefillsTest, NewestFirstAndReadyOnceRead) {
+TEST_F(InFlightPrefillsTest, NewestFirstAndReadyOncePrefilled) {
   Start("w1");
   clock_.now += milliseconds(200);
   Start("w2");
@@ -33,13 +33,13 @@
   EXPECT_EQ(Places(), (Names{"w2", "w1 ready"}));
 }
 
-TEST_F(InFlightPrefillsTest, AnotherRevisionOrPromptIsApart) {
+TEST_F(InFlightPrefillsTest, RevisionsAndPromptsAreSeparate) {
   Start("w1");
   EXPECT_EQ(Places(7, 2), Names());
   EXPECT_EQ(Places(8, 1), Names());
 }
 
-TEST_F(InFlightPrefillsTest, AFurtherPromptAtTheSameWorkerDoesNotPutOffItsReadiness) {
+TEST_F(InFlightPrefillsTest, RepeatedStartKeepsReadyTime) {
   Start("w1");
   clock_.now += milliseconds(290);
   Start("w1");
@@ -47,7 +47,7 @@
   EXPECT_EQ(Places(), (Names{"w1 ready"}));
 }
 
-TEST_F(InFlightPrefillsTest, ForgottenAfterItsTime) {
+TEST_F(InFlightPrefillsTest, EntriesExpire) {
   Start("w1");
   clock_.now += seconds(6);
   EXPECT_EQ(Places(), Names());
@@ -55,12 +55,12 @@
   EXPECT_EQ(prompts_.size(), 1U);
 }
 
-TEST_F(InFlightPrefillsTest, NumberIsBounded) {
+TEST_F(InFlightPrefillsTest, TableIsBounded) {
   for (uint64_t affinity = 0; affinity < 20; ++affinity) Start("w1", affinity);
   EXPECT_EQ(prompts_.size(), 6U);
 }
 
-TEST_F(InFlightPrefillsTest, FewPlacesAreKeptForOnePrompt) {
+TEST_F(InFlightPrefillsTest, LocationsPerPrefixAreBounded) {
   for (const char* worker : {"w1", "w2", "w3", "w4", "w5"}) Start(worker);
   EXPECT_EQ(Places(), (Names{"w5", "w4", "w3", "w2"}));
 }
--- a/src/posthatch/routing/load_reporter-test.cc
+++ b/src/posthatch/routing/load_reporter-test.cc
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A fleet of gateways in three zones, each with its exchange, in simulated time.
+// A fleet of gateways in three zones, each with its reporter, in simulated time.
 class LoadReporterTest : public testing::Test {
  protected:
   void StartFleet(int gateways) {
@@ -37,7 +37,7 @@
     }
   }
 
-  // As membership tells it: who runs.
+  // The running gateways, as membership would list them.
   std::vector<LoadPeer> PeersOf(const simulation::SimHost* self) const {
     std::vector<LoadPeer> peers;
     for (const simulation::SimHost* host : hosts_) {
@@ -47,26 +47,26 @@
     return peers;
   }
 
-  uint32_t OthersAt(size_t gateway) const {
+  uint32_t RemoteLoadAt(size_t gateway) const {
     return reporters_[gateway].lock()->RemoteLoad("w").in_flight;
   }
 
   void ExpectEachSees(uint32_t total, uint32_t own) {
     for (size_t i = 0; i < reporters_.size(); ++i) {
       if (!hosts_[i]->running()) continue;
-      EXPECT_EQ(OthersAt(i), total - own) << hosts_[i]->name();
+      EXPECT_EQ(RemoteLoadAt(i), total - own) << hosts_[i]->name();
     }
   }
 
   void ExpectOthersSee(uint32_t load, size_t except) {
     for (size_t i = 0; i < reporters_.size(); ++i) {
       if (i == except) continue;
-      EXPECT_EQ(OthersAt(i), load) << hosts_[i]->name();
+      EXPECT_EQ(RemoteLoadAt(i), load) << hosts_[i]->name();
     }
   }
 
-  // How many gateways heard of a prompt that `sender` announced, within `time`.
-  size_t HeardOfAPrompt(size_t sender, std::chrono::milliseconds time) {
+  // How many gateways receive a prefill start that `sender` announces, within `time`.
+  size_t GatewaysReachedByPrefill(size_t sender, std::chrono::milliseconds time) {
     std::vector<int> received(reporters_.size(), 0);
     for (size_t i = 0; i < reporters_.size(); ++i) {
       reporters_[i].lock()->SetPrefillObserver([&received, i](const PrefillStart& start) {
@@ -80,7 +80,7 @@
     reporters_[sender].lock()->AnnouncePrefill({7, 3, "w", milliseconds(250)});
     world_.RunFor(time);
     for (const auto& reporter : reporters_) reporter.lock()->SetPrefillObserver({});
-    world_.RunFor(seconds(1));  // what is passed on later than `time`
+    world_.RunFor(seconds(1));  // what is forwarded later than `time`
     EXPECT_EQ(std::count_if(received.begin(), received.end(), [](int times) { return times > 1; }),
               0);
     return static_cast<size_t>(std::count(received.begin(), received.end(), 1));
@@ -91,7 +91,7 @@
   std::vector<std::weak_ptr<LoadReporter>> reporters_;
 };
 
-TEST_F(LoadReporterTest, InASmallFleetEachKnowsOfWaitingPromptsWithinTensOfMilliseconds) {
+TEST_F(LoadReporterTest, SmallFleetReportsPendingTokensWithin50Ms) {
   StartFleet(8);
   world_.RunFor(seconds(1));
   for (const auto& reporter : reporters_) reporter.lock()->SetLocalLoad("w", {2, 5000});
@@ -102,7 +102,7 @@
   ExpectEachSees(0, 0);
 }
 
-TEST_F(LoadReporterTest, WhatHoldsNobodyUpIsToldLater) {
+TEST_F(LoadReporterTest, SmallChangesAreReportedLater) {
   StartFleet(8);
   world_.RunFor(milliseconds(1500));
   for (const auto& reporter : reporters_) reporter.lock()->SetLocalLoad("w", {2, 100});
@@ -112,12 +112,12 @@
   ExpectEachSees(16, 2);
 }
 
-TEST_F(LoadReporterTest, InALargeFleetTheZoneKnowsAtOnceAndTheOthersByWayOfTheCollectors) {
+TEST_F(LoadReporterTest, LargeFleetReportsAcrossZonesByAggregators) {
   StartFleet(40);
   world_.RunFor(seconds(3));
   reporters_[3].lock()->SetLocalLoad("w", {2, 5000});  // zone a
   world_.RunFor(milliseconds(50));
-  EXPECT_EQ(OthersAt(6), 2U);
+  EXPECT_EQ(RemoteLoadAt(6), 2U);
   EXPECT_FALSE(reporters_[6].lock()->IsAggregator());
   world_.RunFor(milliseconds(400));
   ExpectOthersSee(2, 3);
@@ -126,18 +126,18 @@
   ExpectOthersSee(0, 3);
 }
 
-TEST_F(LoadReporterTest, AZoneOfFiftyGatewaysKnowsOfWaitingPromptsWithinTensOfMilliseconds) {
+TEST_F(LoadReporterTest, ZoneOf50ReportsDirectlyWithin50Ms) {
   StartFleet(150);
   world_.RunFor(seconds(3));
   reporters_[3].lock()->SetLocalLoad("w", {2, 5000});  // zone a
   world_.RunFor(milliseconds(50));
   for (size_t i = 0; i < reporters_.size(); i += 3) {
     if (i == 3) continue;
-    EXPECT_EQ(OthersAt(i), 2U) << hosts_[i]->name();
+    EXPECT_EQ(RemoteLoadAt(i), 2U) << hosts_[i]->name();
   }
 }
 
-TEST_F(LoadReporterTest, ABusyGatewayOfALargeZoneKeepsToItsDatagrams) {
+TEST_F(LoadReporterTest, DatagramRateIsBounded) {
   StartFleet(150);
   world_.RunFor(seconds(3));
   uint64_t datagrams = 0;
@@ -149,16 +149,16 @@
     reporters_[0].lock()->SetLocalLoad("w", {i, uint64_t{5000} * i});
     world_.RunFor(milliseconds(2));
   }
-  // 49 peers at 1,000 datagrams a second: told every 49 ms, over two seconds.
+  // 49 peers at 1,000 datagrams a second: reported every 49 ms, over two seconds.
   EXPECT_GE(datagrams, 30U);
   EXPECT_LE(datagrams, 45U);
 }
 
-TEST_F(LoadReporterTest, ACollectorOfALargeFleetKeepsToItsShareOfTheLink) {
+TEST_F(LoadReporterTest, AggregatorBandwidthIsBounded) {
   StartFleet(240);
   world_.RunFor(seconds(3));
   uint64_t bytes = 0;
-  // A member of zone a, whose collector is g100.
+  // A member of zone a, whose aggregator is g100.
   hosts_[3]->runtime()->transport->SetReceiver(runtime::SERVICE_TRAFFIC,
                                                [&bytes](const runtime::Envelope& envelope) {
                                                  if (envelope.from_node() == "g100")
@@ -177,7 +177,7 @@
   EXPECT_GE(bytes, 4U * 250'000 / 79 / 4);
 }
 
-TEST_F(LoadReporterTest, InALargeZoneTheSumsComeByWayOfItsCollector) {
+TEST_F(LoadReporterTest, LargeZoneReportsSumsByAggregator) {
   StartFleet(240);
   world_.RunFor(seconds(3));
   for (const auto& reporter : reporters_) reporter.lock()->SetLocalLoad("w", {2, 5000});
@@ -188,7 +188,7 @@
   ExpectEachSees(0, 0);
 }
 
-TEST_F(LoadReporterTest, CollectorsFindingsOfAStoreReachEveryGatewayAndEndWithIt) {
+TEST_F(LoadReporterTest, StoreHealthReachesAllAndExpires) {
   StartFleet(40);
   std::vector<int> alive(40, -1);
   for (size_t i = 0; i < reporters_.size(); ++i) {
@@ -202,33 +202,33 @@
   world_.RunFor(milliseconds(300));
   EXPECT_EQ(alive, std::vector<int>(40, 1));
   std::fill(alive.begin(), alive.end(), -1);
-  world_.RunFor(seconds(4));  // nobody watches it any more
+  world_.RunFor(seconds(4));  // no gateway checks it any more
   std::fill(alive.begin(), alive.end(), -1);
   world_.RunFor(seconds(3));
   EXPECT_EQ(alive, std::vector<int>(40, -1));
 }
 
-TEST_F(LoadReporterTest, APromptThatIsBeingReadIsAnnouncedToAllInASmallFleet) {
+TEST_F(LoadReporterTest, SmallFleetAnnouncesPrefillsToAll) {
   StartFleet(8);
   world_.RunFor(seconds(3));
-  EXPECT_EQ(HeardOfAPrompt(2, milliseconds(50)), 7U);
+  EXPECT_EQ(GatewaysReachedByPrefill(2, milliseconds(50)), 7U);
 }
 
-TEST_F(LoadReporterTest, InALargeFleetTheCollectorsPassAnnouncementsOn) {
+TEST_F(LoadReporterTest, AggregatorsForwardAnnouncements) {
   StartFleet(40);
   world_.RunFor(seconds(3));
-  EXPECT_EQ(HeardOfAPrompt(3, milliseconds(40)), 13U);  // its own zone
-  EXPECT_EQ(HeardOfAPrompt(3, milliseconds(400)), 39U);
-  EXPECT_EQ(HeardOfAPrompt(0, milliseconds(400)), 39U);  // a collector
+  EXPECT_EQ(GatewaysReachedByPrefill(3, milliseconds(40)), 13U);  // its own zone
+  EXPECT_EQ(GatewaysReachedByPrefill(3, milliseconds(400)), 39U);
+  EXPECT_EQ(GatewaysReachedByPrefill(0, milliseconds(400)), 39U);  // an aggregator
 }
 
-TEST_F(LoadReporterTest, InALargeZoneAnnouncementsComeByWayOfItsCollector) {
+TEST_F(LoadReporterTest, LargeZoneAnnouncesByAggregator) {
   StartFleet(240);
   world_.RunFor(seconds(3));
-  EXPECT_GE(HeardOfAPrompt(3, milliseconds(600)), 239U);
+  EXPECT_GE(GatewaysReachedByPrefill(3, milliseconds(600)), 239U);
 }
 
-TEST_F(LoadReporterTest, AFloodOfAnnouncementsIsBounded) {
+TEST_F(LoadReporterTest, AnnouncementsAreBounded) {
   StartFleet(3);
   world_.RunFor(seconds(3));
   size_t received = 0;
@@ -239,17 +239,17 @@
   EXPECT_EQ(received, LoadReporterOptions().max_prefill_starts);
 }
 
-TEST_F(LoadReporterTest, KilledCollectorIsReplacedAndTheDeadAreForgotten) {
+TEST_F(LoadReporterTest, CrashedAggregatorIsReplacedAndItsLoadExpires) {
   StartFleet(30);
   world_.RunFor(seconds(3));
   for (const auto& reporter : reporters_) reporter.lock()->SetLocalLoad("w", {1, 10});
   world_.RunFor(seconds(1));
-  hosts_[0]->Crash();  // lowest name of its zone
+  hosts_[0]->Crash();  // lowest id of its zone: the aggregator
   world_.RunFor(seconds(6));
   ExpectEachSees(29, 1);
 }
 
-TEST_F(LoadReporterTest, LostDatagramsAreMadeGoodByTheNextRefresh) {
+TEST_F(LoadReporterTest, RefreshRepairsLostDatagrams) {
   simulation::NetworkBehaviour network;
   network.loss = 0.3;
   world_.SetNetwork(network);
--- a/src/posthatch/routing/placer-test.cc
+++ b/src/posthatch/routing/placer-test.cc
@@ -8,7 +8,8 @@
 namespace posthatch::routing {
 namespace {
 
-// Workers w1 and w2 in this gateway's zone, w3 in another one, all warm and of one revision.
+// Workers w1 and w2 in this gateway's zone, w3 in another one, none in slow start, all of one
+// revision.
 class PlacerTest : public TrafficTest {
  protected:
   PlacerTest() {
@@ -32,7 +33,7 @@
   void RunStreams(const std::string& id, int count) {
     for (int i = 0; i < count; ++i) pool_.OnDispatched(Find(id).get(), 0);
   }
-  void Keeps(const std::string& id, uint32_t segments, uint64_t revision = 1) {
+  void AddHolder(const std::string& id, uint32_t segments, uint64_t revision = 1) {
     index::PrefixHolder holder;
     holder.backend_id = id;
     holder.blocks = segments;
@@ -54,30 +55,30 @@
   Placement placement_;
 };
 
-TEST_F(PlacerTest, LongPromptIsReadWhereNoStreamsAreHeldUp) {
+TEST_F(PlacerTest, LongPromptAvoidsRunningStreams) {
   SetPrompt(20000, 1000);
   RunStreams("w1", 6);
   RunStreams("w2", 6);
   for (int i = 0; i < 10; ++i) EXPECT_EQ(Choose(), "w3");
 }
 
-TEST_F(PlacerTest, ShortPromptsAreGatheredWhereStreamsRun) {
+TEST_F(PlacerTest, ShortPromptsJoinRunningStreams) {
   SetPrompt(200, 300);
   RunStreams("w2", 6);
   for (int i = 0; i < 10; ++i) EXPECT_EQ(Choose(), "w2");
 }
 
-TEST_F(PlacerTest, WorkersThatAConnectionIsKeptToArePreferred) {
+TEST_F(PlacerTest, PrefersPooledConnections) {
   SetPrompt(200, 300);
   client_.kept_endpoints.insert(Find("w2")->backend.endpoint());
-  int at_kept = 0;
-  for (int i = 0; i < 20; ++i) at_kept += Choose() == "w2" ? 1 : 0;
-  EXPECT_EQ(at_kept, 20);
-  pool_.OnDispatched(Find("w2").get(), 3000);  // some 100 ms of reading
+  int at_pooled = 0;
+  for (int i = 0; i < 20; ++i) at_pooled += Choose() == "w2" ? 1 : 0;
+  EXPECT_EQ(at_pooled, 20);
+  pool_.OnDispatched(Find("w2").get(), 3000);  // some 100 ms of prefill
   for (int i = 0; i < 20; ++i) EXPECT_NE(Choose(), "w2");
 }
 
-TEST_F(PlacerTest, CallsThatAreNoPromptsReuseConnectionsUntilAWorkerIsBusier) {
+TEST_F(PlacerTest, OtherCallsPreferPooledConnectionsUntilLoaded) {
   query_.prompt = nullptr;
   client_.kept_endpoints.insert(Find("w2")->backend.endpoint());
   for (int i = 0; i < 20; ++i) EXPECT_EQ(Choose(), "w2");
@@ -85,8 +86,8 @@
   for (int i = 0; i < 20; ++i) EXPECT_EQ(Choose(), "w1");
 }
 
-// A fleet of more than 16 gateways: loads in other zones are known late.
-TEST_F(PlacerTest, InALargeFleetWorkersThatMayBeFreeAreSoughtInTheOwnZone) {
+// A fleet of more than 16 gateways: load reports of other zones are delayed.
+TEST_F(PlacerTest, LargeFleetDrawsRandomCandidatesInZone) {
   LoadReporter loads(&runtime_, {.zone = "a"}, [] {
     return std::vector<LoadPeer>(20, {"gateway-2", "b", "other:1"});
   });
@@ -105,16 +106,16 @@
   EXPECT_EQ(chosen["w1"] + chosen["w2"], 50);
 }
 
-TEST_F(PlacerTest, PromptWaitingToBeReadTurnsOthersAway) {
+TEST_F(PlacerTest, AvoidsWorkersWithPendingPrefills) {
   SetPrompt(200, 300);
   RunStreams("w2", 6);
   pool_.OnDispatched(Find("w2").get(), 30000);
   for (int i = 0; i < 10; ++i) EXPECT_NE(Choose(), "w2");
 }
 
-TEST_F(PlacerTest, HolderOfThePrefixIsPreferredAndNothingIsSaved) {
+TEST_F(PlacerTest, PrefersPrefixHolderWithoutSaving) {
   SetPrompt(20000, 500);
-  Keeps("w2", 1);
+  AddHolder("w2", 1);
   query_.store = &store_;
   EXPECT_EQ(Choose(), "w2");
   EXPECT_EQ(placement_.uncached_tokens, 500U);
@@ -122,11 +123,12 @@
   EXPECT_EQ(placement_.save_endpoint, "");
 }
 
-// During a roll-out: what w2 made under revision 1 is of use to it and to others that serve 1 only.
-TEST_F(PlacerTest, EntriesOfAnotherRevisionAreOfNoUse) {
+// During a rollout: what w2 cached under revision 1 is useful to workers that serve revision 1
+// only.
+TEST_F(PlacerTest, IgnoresEntriesOfOtherRevisions) {
   SetPrompt(20000, 500);
   Find("w2")->revision = 2;
-  Keeps("w2", 1, 1);
+  AddHolder("w2", 1, 1);
   for (int i = 0; i < 10; ++i) {
     Choose();
     EXPECT_EQ(placement_.uncached_tokens, 20500U);
@@ -135,15 +137,15 @@
   }
 }
 
-TEST_F(PlacerTest, HolderOfTheOlderRevisionIsPreferredWhileItServesThat) {
+TEST_F(PlacerTest, PrefersHolderOfOlderRevisionWhileServed) {
   SetPrompt(20000, 500);
   Find("w1")->revision = 2;
-  Keeps("w2", 1, 1);
+  AddHolder("w2", 1, 1);
   EXPECT_EQ(Choose(), "w2");
   EXPECT_EQ(placement_.uncached_tokens, 500U);
 }
 
-TEST_F(PlacerTest, PromptGoesWhereItsSharedSegmentsAreBeingRead) {
+TEST_F(PlacerTest, PrefersWorkerThatPrefillsSharedSegments) {
   SetPrompt(20000, 500);
   for (const char* worker : {"w1", "w2", "w3"}) {
     InFlightPrefills in_flight_prefills(&clock_, InFlightPrefills::Options());
@@ -154,7 +156,7 @@
   }
 }
 
-TEST_F(PlacerTest, SegmentsAreTakenFromTheirReaderOnlyOnceTheyAreRead) {
+TEST_F(PlacerTest, FetchesFromPrefillOnlyOnceFinished) {
   SetPrompt(20000, 500);
   InFlightPrefills in_flight_prefills(&clock_, InFlightPrefills::Options());
   in_flight_prefills.Add({prompt_.affinity, 1, "w2", milliseconds(400)});
@@ -168,7 +170,7 @@
   EXPECT_EQ(placement_.fetch_endpoint, "w2:80");
 }
 
-TEST_F(PlacerTest, ReaderOfAnotherRevisionIsOfNoUse) {
+TEST_F(PlacerTest, IgnoresPrefillsOfOtherRevisions) {
   SetPrompt(20000, 500);
   InFlightPrefills in_flight_prefills(&clock_, InFlightPrefills::Options());
   in_flight_prefills.Add({prompt_.affinity, 2, "w2", milliseconds(0)});
@@ -177,16 +179,16 @@
   EXPECT_EQ(placement_.uncached_tokens, 20500U);
 }
 
-TEST_F(PlacerTest, PrefixIsFetchedFromABusyHolder) {
+TEST_F(PlacerTest, FetchesFromLoadedHolder) {
   SetPrompt(20000, 500);
-  Keeps("w2", 1);
+  AddHolder("w2", 1);
   pool_.OnDispatched(Find("w2").get(), 100000);
   EXPECT_NE(Choose(), "w2");
   EXPECT_EQ(placement_.fetch_endpoint, "w2:80");
   EXPECT_EQ(placement_.fetch_tokens, 20000U);
 }
 
-TEST_F(PlacerTest, PrefixThatNobodyIsKnownToKeepIsAskedOfTheStoreAndSavedThere) {
+TEST_F(PlacerTest, UnknownPrefixUsesStore) {
   SetPrompt(20000, 500);
   query_.store = &store_;
   Choose();
@@ -194,7 +196,7 @@
   EXPECT_EQ(placement_.save_endpoint, "store:1");
 }
 
-TEST_F(PlacerTest, ShortPrefixIsNotWorthSaving) {
+TEST_F(PlacerTest, ShortPrefixIsNotSaved) {
   SetPrompt(300, 20000);
   query_.store = &store_;
   Choose();
--- a/src/posthatch/routing/prefill_rate-test.cc
+++ b/src/posthatch/routing/prefill_rate-test.cc
@@ -7,11 +7,11 @@
 
 using std::chrono::milliseconds;
 
-TEST(PrefillRateTest, IsTheMedianWhateverSinglePromptsTook) {
+TEST(PrefillRateTest, ApproachesMedian) {
   PrefillRate rate;
   for (int i = 0; i < 200; ++i) {
     rate.Record(10000, milliseconds(200));                   // 50 tokens a millisecond
-    if (i % 4 == 0) rate.Record(10000, milliseconds(20));    // was kept though nobody knew
+    if (i % 4 == 0) rate.Record(10000, milliseconds(20));    // cached, without the index knowing
     if (i % 4 == 1) rate.Record(10000, milliseconds(2000));  // waited
   }
   EXPECT_NEAR(rate.tokens_per_ms(), 50, 4);
--- a/src/posthatch/routing/prefix_stores-test.cc
+++ b/src/posthatch/routing/prefix_stores-test.cc
@@ -19,7 +19,7 @@
   PrefixStores stores_{&runtime_};
 };
 
-TEST_F(PrefixStoresTest, StoreIsUsedOnlyWhileItIsHeardOf) {
+TEST_F(PrefixStoresTest, UsedOnlyWhileReportedHealthy) {
   EXPECT_FALSE(IsUsable());
   stores_.RecordHealth("store:1", true);
   EXPECT_TRUE(IsUsable());
@@ -27,7 +27,7 @@
   EXPECT_FALSE(IsUsable());
 }
 
-TEST_F(PrefixStoresTest, OneWatcherThatCannotReachItIsEnough) {
+TEST_F(PrefixStoresTest, OneUnhealthyReportSuffices) {
   stores_.RecordHealth("store:1", true);
   stores_.RecordHealth("store:1", false);
   stores_.RecordHealth("store:1", true);
@@ -37,7 +37,7 @@
   EXPECT_TRUE(IsUsable());
 }
 
-TEST_F(PrefixStoresTest, LateFetchesPauseItAndANewConfigurationKeepsThat) {
+TEST_F(PrefixStoresTest, DelayedFetchesBackOffAcrossConfigurations) {
   stores_.RecordHealth("store:1", true);
   stores_.RecordFetch("store:1", true);
   EXPECT_TRUE(IsUsable());
@@ -51,7 +51,7 @@
   EXPECT_TRUE(IsUsable());
 }
 
-TEST_F(PrefixStoresTest, StoreThatLeavesTheConfigurationIsForgotten) {
+TEST_F(PrefixStoresTest, RemovedStoreIsDropped) {
   stores_.RecordHealth("store:1", true);
   view_.fleet.mutable_traffic()->mutable_services()->RemoveLast();
   stores_.Rebuild(view_.fleet.traffic());
--- a/src/posthatch/routing/retry_budget-test.cc
+++ b/src/posthatch/routing/retry_budget-test.cc
@@ -7,7 +7,7 @@
 namespace posthatch::routing {
 namespace {
 
-TEST(RetryBudgetTest, AllGatewaysTogetherStayWithinRatioAndSlack) {
+TEST(RetryBudgetTest, FleetStaysWithinRatioAndSlack) {
   gateway::FakeClock clock;
   constexpr uint32_t kGateways = 8;
   RetryBudgetOptions options;
@@ -28,7 +28,7 @@
   EXPECT_LE(static_cast<double>(retries), 0.2 * static_cast<double>(requests) + 56);
 }
 
-TEST(RetryBudgetTest, RetriesOfTheWindowBeforeAreForgotten) {
+TEST(RetryBudgetTest, OlderRetriesExpire) {
   gateway::FakeClock clock;
   RetryBudgetOptions options;
   options.slack = 10;
--- a/src/posthatch/routing/route_table-test.cc
+++ b/src/posthatch/routing/route_table-test.cc
@@ -16,7 +16,7 @@
   return route;
 }
 
-TEST(RouteTableTest, LongestPrefixOfTheHostWins) {
+TEST(RouteTableTest, LongestPrefixOfHostWins) {
   control::TrafficConfiguration configuration;
   AddRoute(&configuration, "a.example", "/");
   AddRoute(&configuration, "a.example", "/x/");
--- a/src/posthatch/routing/sse_framer-test.cc
+++ b/src/posthatch/routing/sse_framer-test.cc
@@ -7,7 +7,7 @@
 namespace posthatch::routing {
 namespace {
 
-TEST(SseFramerTest, AnyCutOfTheBytesGivesTheSameEvents) {
+TEST(SseFramerTest, FramesAreIndependentOfChunks) {
   const std::string stream =
       "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n: note\n\nid: 3\ndata: c\n\n";
   for (size_t cut = 0; cut <= stream.size(); ++cut) {
@@ -20,13 +20,13 @@
   }
 }
 
-TEST(SseFramerTest, EventsThatTheCallerHasAreLeftOutAfterAResume) {
+TEST(SseFramerTest, SkipsEventsBeforeResumePoint) {
   SseFramer framer;
   framer.SetLastEventId("7");
   EXPECT_EQ(framer.Feed("id: 6\n\nid: 7\n\nid: 8\n\n"), "id: 8\n\n");
 }
 
-TEST(SseFramerTest, BrokenEventIsForgottenWhenAnotherWorkerGoesOn) {
+TEST(SseFramerTest, DiscardsPartialEventOnResume) {
   SseFramer framer;
   EXPECT_EQ(framer.Feed("id: 1\n\nid: 2\nda"), "id: 1\n\n");
   EXPECT_FALSE(framer.at_event_boundary());
--- a/src/posthatch/routing/store_health_checker-test.cc
+++ b/src/posthatch/routing/store_health_checker-test.cc
@@ -27,7 +27,7 @@
   std::unique_ptr<StoreHealthChecker> checker_;
 };
 
-TEST_F(StoreHealthCheckerTest, AnswersAndFailuresAreReportedAndThePollsGoOn) {
+TEST_F(StoreHealthCheckerTest, ReportsResponsesAndFailures) {
   ASSERT_EQ(client_.calls.size(), 1U);
   EXPECT_EQ(Last().endpoint, "store:1");
   Last().observer.on_head({});
@@ -42,7 +42,7 @@
   EXPECT_EQ(client_.calls.size(), 3U);
 }
 
-TEST_F(StoreHealthCheckerTest, GatewayThatIsNoCollectorAnyMoreStops) {
+TEST_F(StoreHealthCheckerTest, StopsWhenNotAggregator) {
   responsible_ = false;
   timers_.Advance(seconds(3));
   EXPECT_EQ(client_.calls.size(), 1U);
--- a/src/posthatch/routing/traffic_fixture-test.h
+++ b/src/posthatch/routing/traffic_fixture-test.h
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Plain header fields in place of a platform's.
+// A call format of plain header fields.
 class TestCallFormat : public CallFormat {
  public:
   absl::StatusOr<InboundCall> ReadCall(const http::Request& request) const override {
@@ -95,7 +95,7 @@
   }
 };
 
-class SilentTrace : public runtime::TraceSink {
+class NullTraceSink : public runtime::TraceSink {
  public:
   void Event(runtime::Severity, std::string_view,
              std::initializer_list<runtime::TraceField>) override {}
@@ -208,7 +208,7 @@
   }
 
   gateway::FakeCall& Last() { return *client_.calls.back(); }
-  // Head of an answer to the last call, by its own id unless another one is given.
+  // Head of a response to the last call, by its own id unless another one is given.
   void Head(int status, const std::string& id = "", bool refused = false) {
     http::Response head;
     head.status = status;
@@ -217,7 +217,7 @@
     const auto call = client_.calls.back();
     if (!call->cancelled) call->observer.on_head(head);
   }
-  void Whole(int status, const std::string& body) {
+  void Respond(int status, const std::string& body) {
     const auto call = client_.calls.back();
     Head(status);
     call->Piece(body);
@@ -229,7 +229,7 @@
   runtime::Random random_{7};
   gateway::FakeHttpClient client_;
   FakeTransport transport_;
-  SilentTrace trace_;
+  NullTraceSink trace_;
   prometheus::Registry registry_;
   runtime::Runtime runtime_;
   gateway::FakeFleetView view_;
--- a/src/posthatch/routing/traffic_gateway-test.cc
+++ b/src/posthatch/routing/traffic_gateway-test.cc
@@ -7,7 +7,7 @@
 
 class TrafficGatewayTest : public TrafficTest {};
 
-TEST_F(TrafficGatewayTest, WithoutAConfigurationItIsNotReadyAndPromisesToServeLater) {
+TEST_F(TrafficGatewayTest, UnavailableWithoutConfiguration) {
   view_.fleet.clear_traffic();
   view_.fleet.set_traffic_index(0);
   Start();
@@ -17,7 +17,7 @@
   EXPECT_TRUE(writer->whole.headers.Has("Retry"));
 }
 
-TEST_F(TrafficGatewayTest, ReadsNoInventoryItselfBeforeItHasAConfiguration) {
+TEST_F(TrafficGatewayTest, ReadsNoInventoryWithoutConfiguration) {
   options_.inventory_endpoint = "inventory:1";
   options_.inventory_format = control::NativeInventoryFormat();
   const control::FleetState fleet = view_.fleet;
@@ -33,7 +33,7 @@
   EXPECT_EQ(Last().endpoint, "inventory:1");
 }
 
-TEST_F(TrafficGatewayTest, UnknownRouteKeyAndMalformedCallAreToldApart) {
+TEST_F(TrafficGatewayTest, DistinguishesUnknownRouteKeyAndMalformedCall) {
   Start();
   EXPECT_EQ(Send("nowhere")->whole.status, 404);
   EXPECT_EQ(Send("once", "no-such-key")->whole.status, 401);
@@ -48,7 +48,7 @@
   EXPECT_TRUE(client_.calls.empty());
 }
 
-TEST_F(TrafficGatewayTest, PublicRouteTakesCallsWithoutAKey) {
+TEST_F(TrafficGatewayTest, PublicRouteNeedsNoKey) {
   view_.fleet.mutable_traffic()->mutable_routes(0)->set_public_access(true);
   Start();
   Send("once", "");
@@ -56,7 +56,7 @@
   EXPECT_EQ(Last().Field("Tenant"), "");
 }
 
-TEST_F(TrafficGatewayTest, ServesOnWithItsLastConfigurationWhenTheLeaseHasRunOut) {
+TEST_F(TrafficGatewayTest, ServesLastConfigurationAfterLeaseExpiry) {
   Start();
   view_.expiry = clock_.now - seconds(10);
   EXPECT_TRUE(gateway_->Ready());
@@ -64,7 +64,7 @@
   EXPECT_EQ(client_.calls.size(), 1U);
 }
 
-TEST_F(TrafficGatewayTest, RevokedKeyIsRefusedAsSoonAsTheChangeIsInForce) {
+TEST_F(TrafficGatewayTest, RevokedKeyIsRejectedOnceApplied) {
   Start();
   view_.fleet.mutable_traffic()->mutable_tenants(0)->clear_keys();
   view_.fleet.set_traffic_index(2);
@@ -72,7 +72,7 @@
   EXPECT_EQ(Send("once")->whole.status, 401);
 }
 
-TEST_F(TrafficGatewayTest, DrainingWorkerGetsNothingMoreEvenIfAnOlderListComesLate) {
+TEST_F(TrafficGatewayTest, DrainingSurvivesOlderInventory) {
   Start();
   control::Backend* s1 = view_.fleet.mutable_inventory()->mutable_backends(3);
   ASSERT_EQ(s1->id(), "s1");
@@ -86,7 +86,7 @@
   }
 }
 
-TEST_F(TrafficGatewayTest, EvacuatedZoneGetsNothingUntilItIsLifted) {
+TEST_F(TrafficGatewayTest, EvacuatedZoneGetsNothing) {
   Start();
   control::Evacuation* evacuation = view_.fleet.add_evacuations();
   evacuation->set_name("a");
@@ -102,7 +102,7 @@
   EXPECT_EQ(Send("once")->whole.status, 503);
 }
 
-TEST_F(TrafficGatewayTest, WorkerThatAppearsWhileServingStartsSlowly) {
+TEST_F(TrafficGatewayTest, NewWorkerIsInSlowStart) {
   view_.fleet.mutable_inventory()->mutable_backends()->DeleteSubrange(0, 3);
   Start();
   AddWorker("w9", "llm", "a");
@@ -115,7 +115,7 @@
   EXPECT_EQ(client_.calls.size(), 2U);
 }
 
-TEST_F(TrafficGatewayTest, OnlyAFewGatewaysOfALargeFleetSendToAColdWorker) {
+TEST_F(TrafficGatewayTest, SlowStartIsLimitedAcrossGateways) {
   const size_t fleet = 80;
   size_t allowed = 0;
   gateways_.clear();
@@ -127,7 +127,7 @@
   EXPECT_EQ(allowed, 5U);
 }
 
-TEST_F(TrafficGatewayTest, AfterTheDeadlineOfARevisionNothingStartsOnAnOlderOne) {
+TEST_F(TrafficGatewayTest, OlderRevisionGetsNothingAfterDeadline) {
   options_.revision_deadline = seconds(10);
   Start();
   view_.fleet.mutable_revisions(0)->set_revision(2);
@@ -138,7 +138,7 @@
   EXPECT_EQ(Send("stream")->whole.status, 503);
 }
 
-TEST_F(TrafficGatewayTest, LoadOfOtherGatewaysTurnsCallsAway) {
+TEST_F(TrafficGatewayTest, AvoidsWorkersLoadedByOtherGateways) {
   Start();
   Send("stream");
   const std::string preferred = Last().Field("Instance");
@@ -159,9 +159,9 @@
   EXPECT_FALSE(Last().Field("Source").empty()) << "what the preferred one keeps may be fetched";
 }
 
-TEST_F(TrafficGatewayTest, SlowMovesOfKeptSegmentsAreNotAskedForAgainForAWhile) {
+TEST_F(TrafficGatewayTest, SlowTransfersBackOff) {
   Start();
-  // Load on every worker but one makes calls spill, with the preferred one as the source.
+  // Load on every worker but one moves calls there, with the preferred worker as fetch source.
   Send("stream");
   const std::string preferred = Last().Field("Instance");
   TrafficMessage message;
--- a/src/posthatch/routing/traffic_request-test.cc
+++ b/src/posthatch/routing/traffic_request-test.cc
@@ -14,42 +14,42 @@
   TrafficRequestTest() { Start(); }
 };
 
-TEST_F(TrafficRequestTest, MethodTargetAndBodyGoOnAndTheAnswerComesBackWhole) {
+TEST_F(TrafficRequestTest, ForwardsRequestAndRelaysResponse) {
   const auto writer = Send("once");
   EXPECT_EQ(Last().request.method, "POST");
   EXPECT_EQ(Last().request.target, "/once/x");
   EXPECT_EQ(Last().request.body, "body");
   EXPECT_EQ(Last().Field("Tenant"), "one");
-  Whole(200, "answer");
+  Respond(200, "answer");
   EXPECT_EQ(writer->whole.status, 200);
   EXPECT_EQ(writer->whole.body, "answer");
 }
 
-TEST_F(TrafficRequestTest, UnrepeatableCallThatMayHaveRunIsNotSentAgainNorPromised) {
+TEST_F(TrafficRequestTest, NonIdempotentIsNotRetriedIfPossiblyExecuted) {
   const auto writer = Send("once");
   Last().Error(CallProgress::kSent);
   EXPECT_EQ(client_.calls.size(), 1U);
   EXPECT_EQ(writer->whole.status, 502);
 }
 
-TEST_F(TrafficRequestTest, UnrepeatableCallThatProvablyDidNotRunIsSentElsewhere) {
+TEST_F(TrafficRequestTest, NonIdempotentIsRetriedIfNotExecuted) {
   const auto writer = Send("once");
   const std::string first = Last().endpoint;
   Head(503, "", /*refused=*/true);
   ASSERT_EQ(client_.calls.size(), 2U);
   EXPECT_NE(Last().endpoint, first);
-  Whole(200, "answer");
+  Respond(200, "answer");
   EXPECT_EQ(writer->whole.status, 200);
 }
 
-TEST_F(TrafficRequestTest, OnlyRefusalsEndAsAPromiseWithATimeToComeBack) {
+TEST_F(TrafficRequestTest, OnlyRejectionsEndAsUnavailableWithRetryAfter) {
   const auto writer = Send("once");
   for (int i = 0; i < 10 && writer->responses == 0; ++i) Head(503, "", /*refused=*/true);
   EXPECT_EQ(writer->whole.status, 503);
   EXPECT_TRUE(writer->whole.headers.Has("Retry"));
 }
 
-TEST_F(TrafficRequestTest, RefusalAfterARunThatGotNoAnswerIsNoPromise) {
+TEST_F(TrafficRequestTest, RejectionAfterPossibleExecutionIsNotUnavailable) {
   const auto writer = Send("often");
   Last().Error(CallProgress::kSent);
   ASSERT_EQ(client_.calls.size(), 2U);
@@ -57,7 +57,7 @@
   EXPECT_EQ(writer->whole.status, 502);
 }
 
-TEST_F(TrafficRequestTest, AnAnswerToAnotherCallIsNeverPassedOn) {
+TEST_F(TrafficRequestTest, MismatchedResponseIsNeverRelayed) {
   const auto writer = Send("once");
   const auto call = client_.calls.back();
   Head(200, "someone-else");
@@ -68,13 +68,13 @@
   EXPECT_TRUE(call->cancelled);
 }
 
-TEST_F(TrafficRequestTest, WorkersOwnPromiseAfterARunIsTurnedIntoAFailure) {
+TEST_F(TrafficRequestTest, UnavailableAfterExecutionBecomesFailure) {
   const auto writer = Send("once");
-  Whole(503, "I did run it");
+  Respond(503, "I did run it");
   EXPECT_EQ(writer->whole.status, 502);
 }
 
-TEST_F(TrafficRequestTest, NoMoreRunsThanTheRouteAllows) {
+TEST_F(TrafficRequestTest, ExecutionsAreBoundedByRoute) {
   const auto writer = Send("often");
   Last().Error(CallProgress::kSent);
   Last().Error(CallProgress::kSent);
@@ -82,21 +82,21 @@
   EXPECT_EQ(writer->whole.status, 502);
 }
 
-TEST_F(TrafficRequestTest, UnreachableWorkerCostsNoRunAndIsAvoidedAfterwards) {
+TEST_F(TrafficRequestTest, UnreachableWorkerIsEjectedAndCostsNoExecution) {
   const auto writer = Send("once");
   const std::string dead = Last().endpoint;
   Last().Error(CallProgress::kNotSent);
   ASSERT_EQ(client_.calls.size(), 2U);
-  Whole(200, "answer");
+  Respond(200, "answer");
   EXPECT_EQ(writer->whole.status, 200);
   for (int i = 0; i < 10; ++i) {
     Send("once");
     EXPECT_NE(Last().endpoint, dead);
-    Whole(200, "answer");
+    Respond(200, "answer");
   }
 }
 
-TEST_F(TrafficRequestTest, CallerThatLeavesEndsTheWorkersCall) {
+TEST_F(TrafficRequestTest, DisconnectCancelsWorkerCall) {
   const auto writer = Send("once");
   const auto call = client_.calls.back();
   writer->on_gone();
@@ -105,7 +105,7 @@
   EXPECT_EQ(writer->responses, 0);
 }
 
-TEST_F(TrafficRequestTest, NothingIsDispatchedForACallerThatHasLeft) {
+TEST_F(TrafficRequestTest, DisconnectedCallerGetsNoDispatch) {
   for (const char* route : {"often", "resume"}) {
     const auto writer = Send(route);
     const auto call = client_.calls.back();
@@ -118,7 +118,7 @@
   }
 }
 
-TEST_F(TrafficRequestTest, AStreamWhoseCallerHasLeftIsNotTakenUpElsewhere) {
+TEST_F(TrafficRequestTest, DisconnectedStreamIsNotResumed) {
   const auto writer = Send("resume");
   Head(200);
   const auto call = client_.calls.back();
@@ -130,13 +130,13 @@
   EXPECT_EQ(client_.calls.size(), before);
 }
 
-TEST_F(TrafficRequestTest, DeadlineAnswersAtOnceAndPromisesNothing) {
+TEST_F(TrafficRequestTest, DeadlineRepliesTimeoutAtOnce) {
   const auto writer = Send("once");
   timers_.Advance(seconds(5));
   EXPECT_EQ(writer->whole.status, 504);
 }
 
-TEST_F(TrafficRequestTest, EventsArePassedOnWholeAndAtOnce) {
+TEST_F(TrafficRequestTest, RelaysCompleteEventsAtOnce) {
   const auto writer = Send("stream");
   Head(200);
   EXPECT_TRUE(writer->started);
@@ -148,7 +148,7 @@
   EXPECT_TRUE(writer->finished);
 }
 
-TEST_F(TrafficRequestTest, StreamThatEndsInsideAnEventIsCutNotFinished) {
+TEST_F(TrafficRequestTest, StreamEndingWithinEventIsAborted) {
   const auto writer = Send("stream");
   Head(200);
   Last().Piece("id: 1\ndata: a\n\nid: 2\nda");
@@ -158,7 +158,7 @@
   EXPECT_EQ(client_.calls.size(), 1U) << "the route's streams can't be resumed";
 }
 
-TEST_F(TrafficRequestTest, ResumableStreamGoesOnElsewhereWithoutGapOrDouble) {
+TEST_F(TrafficRequestTest, ResumesStreamWithoutGapOrDuplicate) {
   const auto writer = Send("resume");
   const std::string first = Last().endpoint;
   Head(200);
@@ -174,7 +174,7 @@
   EXPECT_EQ(writer->written, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
 }
 
-TEST_F(TrafficRequestTest, KeepsPromptsOfOneSubjectTogether) {
+TEST_F(TrafficRequestTest, PlacesSharedPromptsTogether) {
   std::set<std::string> endpoints;
   for (int i = 0; i < 6; ++i) {
     Send("stream");
@@ -187,7 +187,7 @@
   EXPECT_EQ(endpoints.size(), 1U);
 }
 
-TEST_F(TrafficRequestTest, SaltFollowsTheRevisionThatIsExpected) {
+TEST_F(TrafficRequestTest, SaltMatchesExpectedRevision) {
   Send("stream");
   EXPECT_EQ(Last().Field("Revision"), "1");
   const std::string salt = Last().Field("Salt");
@@ -201,7 +201,7 @@
   EXPECT_NE(Last().Field("Salt"), salt);
 }
 
-TEST_F(TrafficRequestTest, RevisionLearntFromARefusalIsUsedForTheNextTry) {
+TEST_F(TrafficRequestTest, RetryUsesRevisionFromRejection) {
   Send("stream");
   http::Response head;
   head.status = 421;
--- a/src/posthatch/routing/weighted_split-test.cc
+++ b/src/posthatch/routing/weighted_split-test.cc
@@ -19,7 +19,7 @@
   return route;
 }
 
-TEST(WeightedSplitTest, SharesOfOneGatewayAreExactToARequestOrTwo) {
+TEST(WeightedSplitTest, OneGatewayIsExactToTwoRequests) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     runtime::Random random(seed);
     WeightedSplit split(&random);
@@ -30,7 +30,7 @@
   }
 }
 
-TEST(WeightedSplitTest, SharesOfManyGatewaysWithFewRequestsEach) {
+TEST(WeightedSplitTest, ManyGatewaysWithFewRequestsEach) {
   for (uint64_t seed = 1; seed <= 50; ++seed) {
     std::map<std::string, int> taken;
     for (uint64_t gateway = 0; gateway < 60; ++gateway) {
@@ -43,7 +43,7 @@
   }
 }
 
-TEST(WeightedSplitTest, TargetsWithoutWeightGetNothing) {
+TEST(WeightedSplitTest, ZeroWeightGetsNothing) {
   runtime::Random random(3);
   WeightedSplit split(&random);
   const control::TrafficRoute route = Route("r", {0, 5, 0});
@@ -52,7 +52,7 @@
   EXPECT_EQ(split.Next(Route("one", {0})), nullptr);
 }
 
-TEST(WeightedSplitTest, RoutesDoNotDisturbEachOther) {
+TEST(WeightedSplitTest, RoutesAreIndependent) {
   runtime::Random random(5);
   WeightedSplit split(&random);
   const control::TrafficRoute one = Route("one", {50, 50});
