--- a/src/posthatch/emulator/answer_mixer.h
+++ b/src/posthatch/emulator/answer_mixer.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::emulator {
 
-// All that an answer is made of: two answers differ by it alone.
+// What a response is made from: two responses differ by it alone.
 struct AnswerIdentity {
   std::string run;
   std::string request_id;  // the caller's nonce, echoed in the body
@@ -25,9 +25,9 @@
   double crossed_body = 0;
 };
 
-// Chooses which answer a request gets: its own, or by chance one that belongs to another request
-// (crossed), or an earlier one once more (twice: what a doubled answer on a kept connection does to
-// the request that comes next on it).
+// Chooses which response a request gets: its own, or by chance another request's (crossed), or an
+// earlier one once more (twice: what a duplicate response on a pooled connection does to the next
+// request on it). Not thread-safe.
 class AnswerMixer {
  public:
   explicit AnswerMixer(runtime::Random* random) : random_(random) {}
@@ -42,9 +42,9 @@
   std::deque<AnswerIdentity> again_;
 };
 
-// Text of one piece of an answer: it names run and number, so that a caller can check each byte.
+// Text of one chunk of a response: it names run and number, so that a caller can check each byte.
 std::string PieceText(const std::string& run, uint32_t piece);
-// Text of a whole answer of `pieces` pieces.
+// Text of a complete response of `pieces` chunks.
 std::string AnswerText(const std::string& run, uint32_t pieces);
 // XXH3-64 of `text`, hexadecimal (docs/BACKENDS.md).
 std::string Checksum(const std::string& text);
--- a/src/posthatch/emulator/answer_reader.h
+++ b/src/posthatch/emulator/answer_reader.h
@@ -8,10 +8,10 @@
 
 namespace posthatch::emulator {
 
-// What a caller makes of an answer's body, byte by byte. Strict: anything that docs/API.md and
+// What a caller finds in a response's body, byte by byte. Strict: anything that docs/API.md and
 // docs/BACKENDS.md don't allow is named in `fault` (the first one).
 struct AnswerFindings {
-  std::vector<uint32_t> pieces;         // numbers as they came
+  std::vector<uint32_t> pieces;         // numbers in order of arrival
   std::vector<std::string> piece_runs;  // distinct runs
   std::string run;
   std::string echoed_nonce;  // the first that differs from the request's, else the request's
@@ -22,14 +22,14 @@
   std::string fault;
 };
 
-// Reads a stream of server-sent events as it arrives.
+// Reads a stream of server-sent events as it arrives. Not thread-safe.
 class StreamReader {
  public:
   StreamReader(std::string nonce, uint32_t expected_pieces);
 
-  // Takes the next bytes; returns how many pieces became complete.
+  // Takes the next bytes; returns how many chunks became complete.
   uint32_t Take(std::string_view bytes);
-  // The body has ended (properly or not): nothing may be left over, and it must be whole.
+  // The body has ended (properly or not): it must be complete, and nothing may be left over.
   void End();
   const AnswerFindings& findings() const { return findings_; }
 
@@ -46,7 +46,7 @@
   AnswerFindings findings_;
 };
 
-// Reads a whole answer of a worker (`expected_pieces` > 0) or a service, or a refusal.
+// Reads a complete response of a worker (`expected_pieces` > 0) or a service, or a rejection.
 AnswerFindings ReadWholeAnswer(int status, std::string_view body, const std::string& nonce,
                                uint32_t expected_pieces);
 
--- a/src/posthatch/emulator/block_cache.h
+++ b/src/posthatch/emulator/block_cache.h
@@ -10,24 +10,24 @@
 
 namespace posthatch::emulator {
 
-// Who made a block, and under which weights: recorded so that checks can tell a reuse that crosses
-// a tenant isolation or a model revision.
+// Who made a block, and under which weights: recorded so that checks detect a reuse across tenant
+// isolation or model revisions.
 struct BlockMaker {
   std::string tenant;
   uint64_t model_revision = 0;
   bool operator==(const BlockMaker&) const = default;
 };
 
-// Kept KV blocks by their chained hash, least recently used out first. It knows nothing of tenants
-// and revisions beyond what it is told: only hashes decide a hit.
+// A cache of KV blocks by their chained hash, with LRU eviction. Tenants and revisions are recorded
+// only: hashes alone decide a hit. Not thread-safe.
 class BlockCache {
  public:
   explicit BlockCache(uint64_t capacity_blocks) : capacity_(capacity_blocks) {}
 
-  // Makers of the leading blocks of `chain` that are kept, from `first` on; those blocks count as
+  // Makers of the leading blocks of `chain` that are cached, from `first` on. Those blocks count as
   // used, earlier ones of the chain as used later, so that a chain loses its tail first.
   std::vector<BlockMaker> Lookup(const std::vector<index::BlockHash>& chain, size_t first = 0);
-  // Keeps a block; one already kept keeps its maker. Returns the hashes that had to go.
+  // Caches a block; one already cached keeps its maker. Returns the hashes that were evicted.
   std::vector<index::BlockHash> Insert(index::BlockHash hash, const BlockMaker& maker);
   bool Contains(index::BlockHash hash) const { return blocks_.contains(hash); }
   void Clear();
--- a/src/posthatch/emulator/inventory_standin.h
+++ b/src/posthatch/emulator/inventory_standin.h
@@ -12,7 +12,7 @@
 
 namespace posthatch::emulator {
 
-// One line of the platform's list.
+// One entry of the platform's inventory.
 struct InventoryBackend {
   std::string id;
   std::string kind;  // "worker", "store" or "service"
@@ -27,10 +27,10 @@
 struct InventorySettings {
   std::string listen = "127.0.0.1:0";  // "ip:port"; port 0: chosen by the system
   std::vector<InventoryBackend> backends;
-  // A change can be read between half of this and all of it later. Changed by
+  // A change becomes visible after between half of this and all of it. Changed by
   // PUT /debug/behaviour {"lateness_ms", "reads_per_second"}.
   runtime::Duration lateness = std::chrono::seconds(1);
-  // Reads by all callers together; beyond: 429 with Retry-After-Ms.
+  // Rate limit of reads by all callers together; beyond it: 429 with Retry-After-Ms.
   double reads_per_second = 10;
 };
 
--- a/src/posthatch/emulator/json_client.h
+++ b/src/posthatch/emulator/json_client.h
@@ -13,11 +13,11 @@
 
 namespace posthatch::emulator {
 
-// Sends requests whose answers are small and wanted whole. Owns its running calls: destroyed, it
+// Sends requests with small responses, which it collects. Owns its running calls: destroyed, it
 // cancels them and runs no more callbacks. Event loop thread only.
 class JsonClient {
  public:
-  // The whole answer, or the error of the call (http::CallError::status).
+  // The complete response, or the error of the call (http::CallError::status).
   using Done = std::function<void(absl::StatusOr<http::Response>)>;
 
   explicit JsonClient(runtime::Runtime* runtime) : runtime_(runtime) {}
@@ -38,7 +38,7 @@
 // A request with a JSON body.
 http::Request JsonRequest(std::string_view method, std::string_view target, std::string body);
 
-// Releases `object` from a fresh call of the event loop: a call's own callback must not destroy it.
+// Destroys `object` in a later turn of the event loop: a call's own callback must not destroy it.
 template <typename Object>
 void ReleaseLater(runtime::Runtime* runtime, std::unique_ptr<Object> object) {
   if (object == nullptr) return;
--- a/src/posthatch/emulator/key_probe.h
+++ b/src/posthatch/emulator/key_probe.h
@@ -12,19 +12,19 @@
 namespace posthatch::emulator {
 
 struct KeyProbeOptions {
-  std::vector<std::string> gateways;  // HTTP endpoints; each is asked in every round
+  std::vector<std::string> gateways;  // HTTP endpoints; each is probed in every interval
   std::string name = "probe";
   std::string tenant = "key-probe";
-  std::string model = "race-7b";  // asked for one token
+  std::string model = "race-7b";  // one token is requested
   runtime::Duration interval = std::chrono::milliseconds(500);
   runtime::Duration head_timeout = std::chrono::seconds(5);
   // Newest generation that an operator has sent (OperatorStandIn::newest_generation).
   std::function<uint64_t()> newest_generation;
 };
 
-// Callers that ask every gateway with the newest key of the probe tenant and with the one before
-// it: status 401 tells which configuration a gateway decides by. Records CallSent (with `probe` and
-// the key's id) and CallEnded. Event loop thread only.
+// Callers that probe every gateway with the newest key of the probe tenant and with the one before
+// it: status 401 shows which configuration a gateway has applied. Records CallSent (with `probe`
+// and the key's id) and CallEnded. Event loop thread only.
 class KeyProbe {
  public:
   KeyProbe(runtime::Runtime* runtime, KeyProbeOptions options,
@@ -34,7 +34,7 @@
   KeyProbe& operator=(const KeyProbe&) = delete;
 
   void Start();
-  // No new rounds; calls in flight are recorded as left.
+  // No new probes; calls in flight are recorded as left by the caller.
   void Stop();
   void SetGateways(std::vector<std::string> gateways);
 
--- a/src/posthatch/emulator/kv_event_log.h
+++ b/src/posthatch/emulator/kv_event_log.h
@@ -15,9 +15,9 @@
 
 namespace posthatch::emulator {
 
-// A worker's KV events in order of `seq`, with the defects of WorkerBehaviour, and the long polls
-// that wait for them (GET /kv_events). `next` of an answer is the `seq` read up to; it is sent as
-// `after` of the next poll. Event loop thread only.
+// A worker's KV events in order of `seq`, with the faults of WorkerBehaviour, and the long polls
+// that wait for them (GET /kv_events). `next` of a response is the last `seq` it covers; it is sent
+// as `after` of the next poll. Event loop thread only.
 class KvEventLog {
  public:
   KvEventLog(runtime::Runtime* runtime, uint64_t kept_events);
@@ -25,12 +25,12 @@
   void Stored(const std::vector<index::BlockHash>& blocks, uint32_t first,
               const std::string& attempt, const WorkerBehaviour& behaviour);
   void Removed(const std::vector<index::BlockHash>& blocks, const WorkerBehaviour& behaviour);
-  // A new epoch: all events are forgotten and `seq` starts again; waiting polls are answered.
+  // A new epoch: drops all events, restarts `seq`, and responds to pending polls.
   void StartEpoch(uint64_t epoch);
   void Poll(const RoutedRequest& request, const std::shared_ptr<http::ResponseWriter>& writer);
 
  private:
-  // All that shows up at one `seq`: usually one event, none if it got lost.
+  // What becomes visible at one `seq`: usually one event, none if it was lost.
   struct Slot {
     uint64_t seq = 0;
     runtime::MonotonicTime visible_at;
--- a/src/posthatch/emulator/operator_standin.h
+++ b/src/posthatch/emulator/operator_standin.h
@@ -22,9 +22,10 @@
   // Every so often the probe tenant's key is changed by a configuration patch; zero: never.
   runtime::Duration rotation_interval = std::chrono::seconds(3);
   std::string probe_tenant = "key-probe";
-  // Rotations that a second operator races for the same version, at another node.
+  // Fraction of rotations that a second operator races for the same version, at another node.
   double racing_share = 0.25;
-  // Answered changes sent once more with their request id, as if the answer had been lost.
+  // Fraction of acknowledged changes sent once more with their request id, as if the response had
+  // been lost.
   double repeated_share = 0.25;
   runtime::Duration read_interval = std::chrono::seconds(5);  // of StateRead; zero: never
 };
@@ -32,20 +33,20 @@
 // How a change ended for the operator.
 struct ChangeOutcome {
   bool acknowledged = false;
-  bool refused = false;  // neither: no answer after all sends
-  std::string code;      // of the refusal
+  bool refused = false;  // neither: no response after all sends
+  std::string code;      // of the rejection
   uint64_t version = 0;  // configuration version or model revision
 };
 
 // Operators: send changes to any node, again with the same request id to another one after a lost
-// answer, race for versions, read the state back, and rotate a probe tenant's key so that the
-// configuration in force can be seen from outside. Records ChangeSent (each send), ChangeAnswered
-// (each answer) and StateRead. Event loop thread only.
+// response, race for versions, read the state back, and rotate a probe tenant's key so that the
+// applied configuration can be observed from outside. Records ChangeSent (each send),
+// ChangeAnswered (each answer) and StateRead. Event loop thread only.
 class OperatorStandIn {
  public:
   using ChangeDone = std::function<void(const ChangeOutcome&)>;
 
-  // `runtime` and `recorder` outlive the stand-in.
+  // `runtime` and `recorder` outlive it.
   OperatorStandIn(runtime::Runtime* runtime, OperatorOptions options,
                   fleettest::HistoryRecorder* recorder);
   ~OperatorStandIn();
@@ -54,10 +55,10 @@
 
   // Begins key rotations and reads.
   void Start();
-  // No new changes; `done` runs when those under way have ended.
+  // No new changes; `done` runs when those in flight have ended.
   void Stop(std::function<void()> done);
 
-  // Whole configuration; `expected_version` 0: whatever is newest.
+  // Replaces the complete configuration; `expected_version` 0: whatever is newest.
   void SetConfiguration(const control::Configuration& configuration, uint64_t expected_version,
                         ChangeDone done);
   void PatchConfiguration(const control::ConfigurationPatch& patch, uint64_t expected_version,
@@ -66,7 +67,7 @@
   void Evacuate(const std::string& name, const std::string& zone, bool lifted, ChangeDone done);
   void SetModelRevision(const std::string& model, const std::string& weights, ChangeDone done);
   // Reads configuration history, evacuations and revisions of one node; `done` says whether all
-  // answered.
+  // were read.
   void ReadState(const std::string& node, std::function<void(bool)> done);
 
   void SetNodes(std::vector<std::string> nodes);
--- a/src/posthatch/emulator/program_options.h
+++ b/src/posthatch/emulator/program_options.h
@@ -13,7 +13,7 @@
 
 enum class StandInRole { kWorker, kStore, kService, kInventory };
 
-// What `posthatch-emulator` was asked to be.
+// The command line of `posthatch-emulator`.
 struct ProgramOptions {
   StandInRole role = StandInRole::kWorker;
   std::string history;   // file that events are appended to
--- a/src/posthatch/emulator/prompt_pool.h
+++ b/src/posthatch/emulator/prompt_pool.h
@@ -11,7 +11,7 @@
 namespace posthatch::emulator {
 
 // The long prefixes of one tenant's requests. Half of them begin with texts that all tenants of the
-// load share, so that reuse across tenants would be possible wherever nothing prevents it.
+// load share, so that reuse across tenants occurs wherever nothing prevents it. Not thread-safe.
 class PromptPool {
  public:
   explicit PromptPool(const TenantTraffic& tenant);
--- a/src/posthatch/emulator/recorded_call.h
+++ b/src/posthatch/emulator/recorded_call.h
@@ -20,15 +20,15 @@
   std::string target;
   std::string body;
   http::CallOptions options;
-  // The caller gives up this long after sending; zero: it stays.
+  // The caller disconnects this long after sending; zero: never.
   runtime::Duration leave_after = runtime::Duration::zero();
-  // Pause after each piece, as a slow reader makes; zero: none.
+  // Pause after each chunk, as a slow reader makes; zero: none.
   runtime::Duration reading_pause = runtime::Duration::zero();
 };
 
-// Sends one call, reads its answer strictly, records CallSent and CallEnded. Owned by its load;
+// Sends one call, reads its response strictly, records CallSent and CallEnded. Owned by its load;
 // `done` runs once, from the event loop, after CallEnded was recorded; the owner may release the
-// call then with ReleaseLater.
+// call then with ReleaseLater. Event loop thread only.
 class RecordedCall {
  public:
   using Done = std::function<void(const fleettest::CallEnded&)>;
@@ -37,7 +37,7 @@
                Done done);
 
   void Start();
-  // The caller gives up: the connection is closed, CallEnded says `caller_left`.
+  // The caller disconnects: closes the connection; CallEnded says `caller_left`.
   void Leave();
 
  private:
--- a/src/posthatch/emulator/service_standin.h
+++ b/src/posthatch/emulator/service_standin.h
@@ -16,28 +16,29 @@
   std::string service = "lobby";
   std::string listen = "127.0.0.1:0";  // "ip:port"; port 0: chosen by the system
   runtime::Duration execution = std::chrono::milliseconds(15);
-  uint32_t max_running = 256;  // beyond: 429 overloaded, proved not executed
+  uint32_t max_running = 256;  // beyond: 429 overloaded, not executed
 };
 
-// What the service does wrong, changed by PUT /debug/behaviour (fields of the same names). Shares
-// are chances from 0 to 1 for each operation.
+// Faults of the service, changed by PUT /debug/behaviour (fields of the same names). Shares are
+// probabilities for each operation.
 struct ServiceBehaviour {
   uint32_t answers_late_ms = 0;  // after the execution
   double answers_late_share = 0;
-  // The operation begins this late, also when the caller has gone by then.
+  // The operation starts this late, even if the caller has disconnected by then.
   uint32_t start_late_ms = 0;
   double start_late_share = 0;
   double answers_lost_share = 0;     // connection broken after the execution
   double requests_lost_share = 0;    // connection broken before any execution
-  double answers_twice_share = 0;    // the answer comes again, in place of the next request's own
-  double answers_crossed_share = 0;  // head and body of another request's answer
+  double answers_twice_share = 0;    // the response comes again, in place of the next request's
+  double answers_crossed_share = 0;  // head and body of another request's response
   double answers_crossed_body_share = 0;  // only the body; the head echoes this attempt
   double answers_cut_share = 0;           // broken after half of the body
   double slow_factor = 1;                 // of `execution`
 };
 
 // Stand-in for an application service (docs/BACKENDS.md): records each start (RunStarted) and
-// removes no doubles. An execution goes on when its caller leaves. Event loop thread only.
+// removes no duplicates. An execution continues when its caller disconnects. Event loop thread
+// only.
 class ServiceStandIn {
  public:
   ServiceStandIn(runtime::Runtime* runtime, ServiceSettings settings,
--- a/src/posthatch/emulator/traffic_mix.h
+++ b/src/posthatch/emulator/traffic_mix.h
@@ -45,14 +45,14 @@
   double requests_per_second = 50;
   std::vector<TenantTraffic> tenants;
   std::vector<OperationTraffic> operations;
-  double kept_connection_share = 0.7;  // others ask for a fresh connection
-  double leaving_share = 0.01;         // callers that give up in the middle
+  double kept_connection_share = 0.7;  // others use a new connection
+  double leaving_share = 0.01;         // callers that disconnect within the response
   double slow_reader_share = 0.02;     // streams read with pauses
-  // Keyed operations also sent to a second gateway at once, as an impatient client would.
+  // Keyed operations that are also sent to a second gateway at once.
   double racing_share = 0.02;
-  // Answered keyed operations sent once more, as if the answer had been lost on the way.
+  // Keyed operations that are sent once more after their response, as if it had been lost.
   double repeated_share = 0.02;
-  uint32_t max_sends = 4;  // of one logical request, with resends after lost answers
+  uint32_t max_sends = 4;  // of one logical request, with resends after lost responses
 };
 
 // Nilestone: verdicts over long race histories, rival suggestions, chat moderation, and lobby
--- a/src/posthatch/emulator/worker_run.h
+++ b/src/posthatch/emulator/worker_run.h
@@ -12,9 +12,9 @@
 
 namespace posthatch::emulator {
 
-// One run at a worker stand-in, from its place among the running to its end: looks up kept blocks,
-// fetches what a peer or the store is said to have, prefills the rest, decodes and answers. Owned
-// by WorkerStandIn; destroyed, it does nothing more. Event loop thread only.
+// One run at an emulated worker, from its start to its end: looks up cached blocks, fetches what a
+// peer or the store is said to have, prefills the rest, decodes and responds. Owned by
+// WorkerStandIn; destroyed, it does nothing more. Event loop thread only.
 class WorkerRun {
  public:
   // `ended` runs once, as the last thing; the owner may destroy the run later, not within it.
--- a/src/posthatch/emulator/worker_state.h
+++ b/src/posthatch/emulator/worker_state.h
@@ -13,7 +13,7 @@
 
 namespace posthatch::emulator {
 
-// What the runs of one worker stand-in share. Owned by WorkerStandIn, outlives its runs.
+// What the runs of one emulated worker share. Owned by WorkerStandIn, outlives its runs.
 struct WorkerState {
   WorkerState(runtime::Runtime* owner_runtime, WorkerSettings worker_settings,
               fleettest::HistoryRecorder* history_recorder)
@@ -25,7 +25,7 @@
         mixer(owner_runtime->random),
         client(owner_runtime) {}
 
-  // A time of the timing model, as slow as the worker is made.
+  // A time of the timing model, multiplied by the worker's slow factor.
   runtime::Duration Slowed(runtime::Duration duration) const {
     return runtime::Duration(
         static_cast<int64_t>(static_cast<double>(duration.count()) * behaviour.slow_factor));
