--- a/src/posthatch/emulator/caller_load.cc
+++ b/src/posthatch/emulator/caller_load.cc
@@ -22,7 +22,7 @@
 constexpr runtime::Duration kLatestLeave = std::chrono::milliseconds(300);
 constexpr runtime::Duration kReadingPause = std::chrono::milliseconds(150);
 constexpr runtime::Duration kLatestRepeat = std::chrono::seconds(2);
-// Retry-After is followed up to this.
+// Upper bound on an obeyed Retry-After.
 constexpr uint32_t kLongestRetryAfterS = 5;
 
 // One logical request: all its sends carry the same nonce and key.
@@ -46,7 +46,7 @@
   return json::serialize(body);
 }
 
-// Whether the caller must take the answer as lost: the operation may or may not have run.
+// Whether the caller must take the response as lost: the operation may or may not have run.
 bool AnswerLost(const fleettest::CallEnded& ended) {
   if (ended.status() == 0 || !ended.complete()) return true;
   return ended.status() != 200 && ended.executed() != "no";
@@ -139,7 +139,7 @@
   return counts;
 }
 
-// Arrivals keep to their own schedule, whatever the answers do.
+// An open loop: arrivals don't wait for responses.
 void CallerLoad::Impl::ScheduleArrival() {
   const double rate = options_.mix.requests_per_second;
   if (rate <= 0 || stopping_) return;
@@ -213,7 +213,7 @@
   plan->sent.set_operation(absl::StrCat(operation.service, "/", operation.operation));
 }
 
-// Kept or fresh connection, slow reading, leaving early.
+// Pooled or new connection, slow reading, early disconnect.
 void CallerLoad::Impl::PlanManners(CallPlan* plan) {
   runtime::Random* random = runtime_->random;
   plan->options.fresh_connection = !random->Chance(options_.mix.kept_connection_share);
--- a/src/posthatch/emulator/emulator-bench.cc
+++ b/src/posthatch/emulator/emulator-bench.cc
@@ -1,4 +1,4 @@
-// Costs that bound how much load one rehearsal process can make or take.
+// Costs that bound the load one process can generate or serve.
 #include <benchmark/benchmark.h>
 
 #include <cstdio>
@@ -19,7 +19,7 @@
 namespace posthatch::emulator {
 namespace {
 
-// Look-up of a chain that is kept, by number of blocks.
+// Look-up of a cached chain, by number of blocks.
 void BM_CacheLookup(benchmark::State& state) {
   const auto blocks = static_cast<size_t>(state.range(0));
   const auto chain = index::HashBlocks("salt", FillerText("prompt", blocks * 64), 64);
@@ -30,7 +30,7 @@
 }
 BENCHMARK(BM_CacheLookup)->Arg(16)->Arg(64)->Arg(256)->Arg(1024);
 
-// Strict reading of a stream, by number of pieces.
+// Strict reading of a stream, by number of chunks.
 void BM_StreamReader(benchmark::State& state) {
   const auto pieces = static_cast<uint32_t>(state.range(0));
   std::string stream;
--- a/src/posthatch/emulator/inventory_standin.cc
+++ b/src/posthatch/emulator/inventory_standin.cc
@@ -120,7 +120,7 @@
   return server_.Listen(settings_.listen);
 }
 
-// A token bucket that holds at most one second's worth.
+// Rate limited by a token bucket of one second's tokens.
 void InventoryStandIn::Impl::Read(const WriterPointer& writer) {
   PublishDue();
   const runtime::MonotonicTime now = runtime_->clock->Now();
--- a/src/posthatch/emulator/main.cc
+++ b/src/posthatch/emulator/main.cc
@@ -1,4 +1,4 @@
-// posthatch-emulator: one stand-in as a process, for rehearsals.
+// posthatch-emulator: one emulated back end as a process, for fleet tests.
 #include <iostream>
 #include <memory>
 
@@ -19,7 +19,7 @@
   return kExitStartFailed;
 }
 
-// Serves until SIGTERM or SIGINT. Runs in progress are cut then, as by any worker that is stopped.
+// Serves until SIGTERM or SIGINT. Running requests are aborted then, as by any stopped worker.
 template <typename StandIn, typename Settings>
 int Serve(net::AsioRuntime* asio_runtime, const std::string& id, const Settings& settings,
           const std::string& history) {
--- a/src/posthatch/emulator/operator_standin-test.cc
+++ b/src/posthatch/emulator/operator_standin-test.cc
@@ -16,7 +16,7 @@
 namespace json = boost::json;
 using fleettest::HistoryEvent;
 
-// The configuration side of a fleet, as little as an operator needs: one state behind all nodes.
+// A minimal fleet as operators see it: one configuration state behind all nodes.
 struct FakeFleet {
   uint64_t version = 1;
   std::map<std::string, uint64_t> answered;  // request id to version
--- a/src/posthatch/emulator/operator_standin.cc
+++ b/src/posthatch/emulator/operator_standin.cc
@@ -30,7 +30,7 @@
   return text;
 }
 
-// One change, with all its sends under one request id.
+// One change; all its sends carry one request id.
 struct Change {
   std::string request_id;
   std::string kind;
@@ -238,8 +238,8 @@
                     [this] { reader_.Read(RandomNode(""), [this](bool) { ScheduleRead(); }); });
 }
 
-// The next generation follows only once the one before is acknowledged, so that the newest two are
-// the only ones that can be in force.
+// The next generation follows only once the previous one is acknowledged, so that only the newest
+// two can be applied anywhere.
 void OperatorStandIn::Impl::Rotate() {
   http::Request request = JsonRequest("GET", "/admin/v1/configuration", "");
   if (!options.admin_token.empty()) {
--- a/src/posthatch/emulator/real_sockets-test.cc
+++ b/src/posthatch/emulator/real_sockets-test.cc
@@ -1,4 +1,4 @@
-// Stand-ins and callers over real sockets: the same classes as in the simulator.
+// Emulators and callers over real sockets: the same classes as in the simulator.
 #include <gtest/gtest.h>
 
 #include <memory>
--- a/src/posthatch/emulator/service_standin.cc
+++ b/src/posthatch/emulator/service_standin.cc
@@ -40,7 +40,7 @@
   return *fields;
 }
 
-// One operation on its way through the service.
+// One operation in progress.
 struct Operation {
   AnswerIdentity identity;
   std::string tenant;
@@ -70,7 +70,7 @@
   using OperationPointer = std::shared_ptr<Operation>;
 
   void Take(const RoutedRequest& routed, const WriterPointer& writer);
-  // Runs `step` after `delay`, unless the stand-in is gone by then.
+  // Runs `step` after `delay`, unless this object is destroyed by then.
   void After(runtime::Duration delay, std::function<void()> step);
   void Execute(const OperationPointer& operation);
   void RecordStart(const Operation& operation);
--- a/src/posthatch/emulator/worker_run.cc
+++ b/src/posthatch/emulator/worker_run.cc
@@ -147,7 +147,7 @@
                              {"blocks", std::move(hashes)},
                              {"first", reused_blocks()},
                              {"made_by", MakersToJson(makers)}};
-  // Whether the store took them is nobody's concern: it may forget everything at any time.
+  // The result is ignored: the store may evict anything at any time.
   state_->client.Send(state_->settings.store_endpoint,
                       JsonRequest("POST", "/kv/put", json::serialize(body)), {},
                       [](const absl::StatusOr<http::Response>&) {});
--- a/src/posthatch/emulator/worker_standin-test.cc
+++ b/src/posthatch/emulator/worker_standin-test.cc
@@ -170,7 +170,7 @@
   epochs.push_back(NumberField(Get(host->http_endpoint(), "/status"), "epoch"));
   EXPECT_LT(epochs[0], epochs[1]);
   EXPECT_LT(epochs[1], epochs[2]);
-  // A reader of the former epoch is told of the new one at once.
+  // A reader of the previous epoch gets the new one at once.
   const auto answer = Get(host->http_endpoint(), "/kv_events?epoch=" + std::to_string(epochs[1]) +
                                                      "&after=1&wait_ms=1000");
   EXPECT_EQ(NumberField(answer, "epoch"), epochs[2]);
@@ -274,7 +274,7 @@
   worker->SetBehaviour({});
   Ask(worker->endpoint(), Blocks('c', 1));
   EXPECT_EQ(EventsAfter(*worker, 0), "1lost 2stored 1stored 3stored");
-  // Nothing new: the poll waits as long as it was asked to.
+  // Nothing new: the poll waits as long as requested.
   const auto waiting = world.Now();
   EXPECT_EQ(EventsAfter(*worker, 3, 700), "");
   EXPECT_GE(world.Now() - waiting, Milliseconds(700));
--- a/src/posthatch/emulator/worker_standin.cc
+++ b/src/posthatch/emulator/worker_standin.cc
@@ -52,7 +52,7 @@
   return *fields;
 }
 
-// A refusal that proves that nothing ran; like every answer it carries the attempt's nonce.
+// A rejection says that nothing ran; like every response it carries the attempt's nonce.
 void SendRefusal(const RunRequest& request, int status, std::string_view code,
                  std::string_view message, http::ResponseWriter* writer) {
   http::Response response = NotExecuted(status, code, message);
@@ -117,7 +117,7 @@
   uint64_t next_number_ = 1;
   std::deque<Waiting> waiting_;
   absl::btree_map<uint64_t, std::unique_ptr<WorkerRun>> runs_;
-  // Last, so that nothing calls into what is already gone.
+  // Declared last, so that it is destroyed first and calls into nothing that is gone.
   RoutedServer server_;
 };
 
@@ -165,7 +165,7 @@
 
 void WorkerStandIn::Impl::DropBlocks() {
   state.cache.Clear();
-  // Rises over restarts too, as long as the machine itself stays up.
+  // Rises over process restarts too, since the monotonic clock runs on.
   const auto now_us =
       static_cast<uint64_t>(runtime::ToNanoseconds(state.runtime->clock->Now()) / 1000);
   state.epoch = std::max(state.epoch + 1, now_us);
@@ -280,7 +280,7 @@
   writer->SendResponse(JsonResponse(202, taken));
 }
 
-// A token belongs to one holder; an older one, or the same one from another holder, is stale.
+// A token belongs to one lease holder; an older one, or the same one from another holder, is stale.
 bool WorkerStandIn::Impl::MayOrder(const Order& order) {
   const bool stale = order.token < newest_token_ ||
                      (order.token == newest_token_ && order.holder != newest_holder_);
