--- a/src/posthatch/emulator/backend_emulators-test.cc
+++ b/src/posthatch/emulator/backends_standin-test.cc
@@ -2,21 +2,21 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "posthatch/emulator/emulator_world.h"
-#include "posthatch/emulator/inventory_emulator.h"
-#include "posthatch/emulator/service_emulator.h"
+#include "posthatch/emulator/inventory_standin.h"
+#include "posthatch/emulator/service_standin.h"
+#include "posthatch/emulator/standin_world.h"
 
 namespace posthatch::emulator {
 namespace {
 
 using fleettest::HistoryEvent;
 
-class ServiceEmulatorTest : public EmulatorWorld {
+class ServiceStandInTest : public StandInWorld {
  protected:
-  ServiceEmulatorTest() {
+  ServiceStandInTest() {
     ServiceSettings settings;
     settings.id = "service";
-    service = Boot<ServiceEmulator>("service", settings);
+    service = Boot<ServiceStandIn>("service", settings);
   }
   CallPlan Place(const std::string& key) {
     CallPlan plan = Completion(service->endpoint(), "", 0, false);
@@ -26,10 +26,10 @@
     return plan;
   }
 
-  ServiceEmulator* service;
+  ServiceStandIn* service;
 };
 
-TEST_F(ServiceEmulatorTest, EachStartIsRecordedAndDoublesAreNotRemoved) {
+TEST_F(ServiceStandInTest, EachStartIsRecordedAndDoublesAreNotRemoved) {
   for (int i = 0; i < 2; ++i) EXPECT_TRUE(Run({Place("k")})[0].body_intact());
   ASSERT_EQ(Starts().size(), 2u);
   EXPECT_EQ(Starts()[0].operation(), "lobby/place");
@@ -37,7 +37,7 @@
   EXPECT_NE(Starts()[0].run(), Starts()[1].run());
 }
 
-TEST_F(ServiceEmulatorTest, LostAnswersWereExecutedAndLostRequestsWereNot) {
+TEST_F(ServiceStandInTest, LostAnswersWereExecutedAndLostRequestsWereNot) {
   ServiceBehaviour behaviour;
   behaviour.answers_lost_share = 1;
   service->SetBehaviour(behaviour);
@@ -50,7 +50,7 @@
   EXPECT_EQ(Starts().size(), 1u);
 }
 
-TEST_F(ServiceEmulatorTest, LateStartHappensThoughTheCallerHasGone) {
+TEST_F(ServiceStandInTest, LateStartHappensThoughTheCallerHasGone) {
   ServiceBehaviour behaviour;
   behaviour.start_late_ms = 500;
   behaviour.start_late_share = 1;
@@ -64,7 +64,7 @@
   EXPECT_EQ(EventsOf(HistoryEvent::kRunEnded).size(), 1u);
 }
 
-TEST_F(ServiceEmulatorTest, AnswersAreCrossedCutAndRepeated) {
+TEST_F(ServiceStandInTest, AnswersAreCrossedCutAndRepeated) {
   for (const auto share :
        {&ServiceBehaviour::answers_crossed_share, &ServiceBehaviour::answers_crossed_body_share,
         &ServiceBehaviour::answers_twice_share}) {
@@ -82,14 +82,14 @@
   EXPECT_FALSE(Run({Place("cut")})[0].complete());
 }
 
-class InventoryEmulatorTest : public EmulatorWorld {
+class InventoryStandInTest : public StandInWorld {
  protected:
-  InventoryEmulatorTest() {
+  InventoryStandInTest() {
     InventorySettings settings;
     settings.backends = {
         {"w1", "worker", "10.0.0.7:1", "z1", "race-7b", "", {{"rack", "r"}}, false},
         {"w2", "worker", "10.0.0.8:1", "z2", "race-7b", "", {}, false}};
-    inventory = Boot<InventoryEmulator>("inventory", settings);
+    inventory = Boot<InventoryStandIn>("inventory", settings);
   }
   // "id" of each back end, with "!" when draining; "429 <ms>" when capped.
   std::string Read() {
@@ -107,10 +107,10 @@
     return text;
   }
 
-  InventoryEmulator* inventory;
+  InventoryStandIn* inventory;
 };
 
-TEST_F(InventoryEmulatorTest, ChangesCanBeReadLateAndAreRecordedThen) {
+TEST_F(InventoryStandInTest, ChangesCanBeReadLateAndAreRecordedThen) {
   EXPECT_EQ(Read(), "w1w2");
   const auto changed = world.Now();
   SendJson(inventory->endpoint(), "PUT", "/debug/draining", R"({"id":"w2","draining":true})");
@@ -133,7 +133,7 @@
             400);
 }
 
-TEST_F(InventoryEmulatorTest, ReadsBeyondTheRateAreRefusedWithAWait) {
+TEST_F(InventoryStandInTest, ReadsBeyondTheRateAreRefusedWithAWait) {
   SendJson(inventory->endpoint(), "PUT", "/debug/behaviour", R"({"reads_per_second":2})");
   world.RunFor(std::chrono::seconds(5));
   int answered = 0;
--- a/src/posthatch/emulator/caller_load-test.cc
+++ b/src/posthatch/emulator/caller_load-test.cc
@@ -5,16 +5,16 @@
 
 #include <set>
 
-#include "posthatch/emulator/emulator_world.h"
+#include "posthatch/emulator/answer_mixer.h"
 #include "posthatch/emulator/prompt_pool.h"
-#include "posthatch/emulator/response_mixer.h"
+#include "posthatch/emulator/standin_world.h"
 
 namespace posthatch::emulator {
 namespace {
 
 using fleettest::HistoryEvent;
 
-// An HTTP server that answers by a function; null response: the connection is broken.
+// An HTTP server that responds by a function; null response: the connection is broken.
 class StubServer {
  public:
   using Answer = std::function<std::optional<http::Response>(const http::Request&)>;
@@ -37,7 +37,7 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
-class CallerLoadTest : public EmulatorWorld {
+class CallerLoadTest : public StandInWorld {
  protected:
   std::string Stub(const std::string& name, const StubServer::Answer& answer) {
     simulation::SimHost* const host = AddHost(name);
@@ -82,7 +82,7 @@
   WorkerSettings settings;
   settings.max_running = 256;
   settings.max_waiting = 256;
-  WorkerEmulator* worker = BootWorker(settings);
+  WorkerStandIn* worker = BootWorker(settings);
   CallerLoadOptions options;
   options.mix = NilestoneMix();
   std::erase_if(options.mix.operations, [](const OperationTraffic& operation) {
--- a/src/posthatch/emulator/operator_emulator-test.cc
+++ b/src/posthatch/emulator/operator_standin-test.cc
@@ -1,13 +1,13 @@
-#include "posthatch/emulator/operator_emulator.h"
+#include "posthatch/emulator/operator_standin.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <set>
 
-#include "posthatch/emulator/emulator_world.h"
+#include "posthatch/emulator/answer_mixer.h"
 #include "posthatch/emulator/key_probe.h"
-#include "posthatch/emulator/response_mixer.h"
+#include "posthatch/emulator/standin_world.h"
 #include "posthatch/emulator/traffic_mix.h"
 
 namespace posthatch::emulator {
@@ -16,7 +16,7 @@
 namespace json = boost::json;
 using fleettest::HistoryEvent;
 
-// The configuration side of a fleet, as little as an operator needs: one state behind all nodes.
+// A minimal fleet as operators see it: one configuration state behind all nodes.
 struct FakeFleet {
   uint64_t version = 1;
   std::map<std::string, uint64_t> answered;  // request id to version
@@ -70,7 +70,7 @@
   http::Response Complete(const http::Request& request) const {
     const std::string key(request.headers.Get("Authorization").substr(7));
     if (KeySha256(key) != accepted_key_sha256) return NotExecuted(401, "unauthorized", "");
-    const std::string text = ResponseText("r", 1);
+    const std::string text = AnswerText("r", 1);
     return JsonResponse(200, json::object{{"id", "r"},
                                           {"request_id", request.headers.Get("X-Request-Id")},
                                           {"choices", json::array{json::object{{"text", text}}}},
@@ -78,12 +78,12 @@
   }
 };
 
-class OperatorEmulatorTest : public EmulatorWorld {
+class OperatorStandInTest : public StandInWorld {
  protected:
   struct Server {
     std::unique_ptr<http::HttpServer> server;
   };
-  OperatorEmulatorTest() {
+  OperatorStandInTest() {
     for (int i = 0; i < 3; ++i) {
       simulation::SimHost* const host = AddHost("node-" + std::to_string(i));
       host->SetBoot([this, host](runtime::Runtime* runtime) {
@@ -109,11 +109,11 @@
   std::unique_ptr<fleettest::MemoryHistoryRecorder> recorder;
 };
 
-TEST_F(OperatorEmulatorTest, LostAnswerIsAskedForAgainAtAnotherNodeUnderTheSameId) {
+TEST_F(OperatorStandInTest, LostAnswerIsAskedForAgainAtAnotherNodeUnderTheSameId) {
   int losses = 3;
   fleet.loses_answer = [&losses] { return losses-- > 0; };
   options.repeated_share = 0;
-  OperatorEmulator op(client->runtime(), options, recorder.get());
+  OperatorStandIn op(client->runtime(), options, recorder.get());
   ChangeOutcome outcome;
   op.Evacuate("e", "zone-2", false, [&outcome](const ChangeOutcome& end) { outcome = end; });
   world.RunFor(std::chrono::seconds(5));
@@ -130,11 +130,11 @@
   EXPECT_EQ(EventsOf(HistoryEvent::kChangeAnswered).size(), 1u);
 }
 
-TEST_F(OperatorEmulatorTest, RotationsRaceAndProbesSeeWhichKeyIsInForce) {
+TEST_F(OperatorStandInTest, RotationsRaceAndProbesSeeWhichKeyIsInForce) {
   options.racing_share = 0.5;
   options.repeated_share = 0.5;
   options.rotation_interval = std::chrono::seconds(1);
-  OperatorEmulator op(client->runtime(), options, recorder.get());
+  OperatorStandIn op(client->runtime(), options, recorder.get());
   KeyProbeOptions probe_options;
   probe_options.gateways = options.nodes;
   probe_options.newest_generation = [&op] { return op.newest_generation(); };
@@ -173,11 +173,11 @@
   EXPECT_EQ(asked.size(), 3u);
 }
 
-TEST_F(OperatorEmulatorTest, NoNewGenerationBeforeTheLastOneIsAcknowledged) {
+TEST_F(OperatorStandInTest, NoNewGenerationBeforeTheLastOneIsAcknowledged) {
   options.rotation_interval = std::chrono::seconds(1);
   options.racing_share = 0;
   options.max_sends = 2;
-  OperatorEmulator op(client->runtime(), options, recorder.get());
+  OperatorStandIn op(client->runtime(), options, recorder.get());
   op.Start();
   world.RunFor(std::chrono::seconds(5));
   const uint64_t reached = op.newest_generation();
@@ -187,8 +187,8 @@
   EXPECT_LE(op.newest_generation(), reached + 1);
 }
 
-TEST_F(OperatorEmulatorTest, StateIsReadBackFromOneNode) {
-  OperatorEmulator op(client->runtime(), options, recorder.get());
+TEST_F(OperatorStandInTest, StateIsReadBackFromOneNode) {
+  OperatorStandIn op(client->runtime(), options, recorder.get());
   op.SetModelRevision("m", "weights \"2\"", nullptr);
   world.RunFor(std::chrono::seconds(5));
   bool read = false;
--- a/src/posthatch/emulator/worker_emulator-test.cc
+++ b/src/posthatch/emulator/worker_standin-test.cc
@@ -1,10 +1,10 @@
-#include "posthatch/emulator/worker_emulator.h"
+#include "posthatch/emulator/worker_standin.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "posthatch/emulator/emulator_world.h"
-#include "posthatch/emulator/store_emulator.h"
+#include "posthatch/emulator/standin_world.h"
+#include "posthatch/emulator/store_standin.h"
 
 namespace posthatch::emulator {
 namespace {
@@ -16,7 +16,7 @@
 
 std::string Blocks(char letter, size_t count) { return std::string(count * kBlockBytes, letter); }
 
-class WorkerEmulatorTest : public EmulatorWorld {
+class WorkerStandInTest : public StandInWorld {
  protected:
   // A completion with header fields as a gateway sends them.
   http::Response Ask(const std::string& endpoint, const std::string& prompt,
@@ -36,7 +36,7 @@
     return Send(endpoint, request);
   }
   // Numbers ("seq") and types of the events after `after`, as "1stored 2removed".
-  std::string EventsAfter(const WorkerEmulator& worker, uint64_t after, uint64_t wait_ms = 0) {
+  std::string EventsAfter(const WorkerStandIn& worker, uint64_t after, uint64_t wait_ms = 0) {
     const boost::json::object answer =
         Get(worker.endpoint(), "/kv_events?epoch=" + std::to_string(worker.epoch()) + "&after=" +
                                    std::to_string(after) + "&wait_ms=" + std::to_string(wait_ms));
@@ -65,8 +65,8 @@
   }
 };
 
-TEST_F(WorkerEmulatorTest, TimesFollowTheModel) {
-  WorkerEmulator* worker = BootWorker();
+TEST_F(WorkerStandInTest, TimesFollowTheModel) {
+  WorkerStandIn* worker = BootWorker();
   const std::string prompt = Blocks('a', 10) + "rest";  // 10 blocks and a part of one
   Run({Completion(worker->endpoint(), prompt, 4, true)});
   Run({Completion(worker->endpoint(), prompt, 4, false)});
@@ -79,15 +79,15 @@
   EXPECT_THAT(RunMilliseconds(), ElementsAre(88 + 40, 8 + 40, 3 * 48));
 }
 
-TEST_F(WorkerEmulatorTest, OtherRunsSlowDecoding) {
-  WorkerEmulator* worker = BootWorker();
+TEST_F(WorkerStandInTest, OtherRunsSlowDecoding) {
+  WorkerStandIn* worker = BootWorker();
   Run({Completion(worker->endpoint(), "a", 20, true),
        Completion(worker->endpoint(), "b", 20, true)});
   for (const double time : RunMilliseconds()) EXPECT_NEAR(time, 8 + 20 * 10.5, 1.0);
 }
 
-TEST_F(WorkerEmulatorTest, ReuseNamesTheMakerAndSaltsKeepBlocksApart) {
-  WorkerEmulator* worker = BootWorker();
+TEST_F(WorkerStandInTest, ReuseNamesTheMakerAndSaltsKeepBlocksApart) {
+  WorkerStandIn* worker = BootWorker();
   const std::string prompt = Blocks('a', 5);
   const auto ask = [&](const std::string& tenant, const std::string& salt) {
     Ask(worker->endpoint(), prompt,
@@ -111,10 +111,10 @@
   EXPECT_EQ(Starts()[4].reused(0).made_by_tenant(), "third");
 }
 
-TEST_F(WorkerEmulatorTest, LeastRecentlyUsedBlocksGoFirstAndChainsLoseTheirTail) {
+TEST_F(WorkerStandInTest, LeastRecentlyUsedBlocksGoFirstAndChainsLoseTheirTail) {
   WorkerSettings settings;
   settings.cache_blocks = 10;
-  WorkerEmulator* worker = BootWorker(settings);
+  WorkerStandIn* worker = BootWorker(settings);
   Ask(worker->endpoint(), Blocks('a', 6));
   Ask(worker->endpoint(), Blocks('b', 4));
   Ask(worker->endpoint(), Blocks('a', 6));  // used again: now b is the oldest
@@ -127,11 +127,11 @@
   EXPECT_EQ(ReusedBy(Starts()[5]), 2u);  // the first two of b's chain are still there
 }
 
-TEST_F(WorkerEmulatorTest, FullQueueRefusesAndNothingRuns) {
+TEST_F(WorkerStandInTest, FullQueueRefusesAndNothingRuns) {
   WorkerSettings settings;
   settings.max_running = 2;
   settings.max_waiting = 3;
-  WorkerEmulator* worker = BootWorker(settings);
+  WorkerStandIn* worker = BootWorker(settings);
   std::vector<CallPlan> plans;
   plans.reserve(8);
   for (int i = 0; i < 8; ++i) plans.push_back(Completion(worker->endpoint(), "p", 5, false));
@@ -145,8 +145,8 @@
   for (const auto& run : Starts()) EXPECT_LE(run.running(), 2u);
 }
 
-TEST_F(WorkerEmulatorTest, RunEndsWhenItsCallerLeaves) {
-  WorkerEmulator* worker = BootWorker();
+TEST_F(WorkerStandInTest, RunEndsWhenItsCallerLeaves) {
+  WorkerStandIn* worker = BootWorker();
   CallPlan plan = Completion(worker->endpoint(), "p", 100, true);
   plan.leave_after = Milliseconds(200);
   EXPECT_TRUE(Run({plan})[0].caller_left());
@@ -157,9 +157,9 @@
   EXPECT_EQ(ends[0].run_ended().reason(), "caller_gone");
 }
 
-TEST_F(WorkerEmulatorTest, EveryStartAndLossOfTheCacheBeginsAHigherEpoch) {
+TEST_F(WorkerStandInTest, EveryStartAndLossOfTheCacheBeginsAHigherEpoch) {
   simulation::SimHost* host = nullptr;
-  WorkerEmulator* worker = BootWorker({}, &host);
+  WorkerStandIn* worker = BootWorker({}, &host);
   std::vector<uint64_t> epochs = {worker->epoch()};
   SendJson(worker->endpoint(), "PUT", "/debug/behaviour", R"({"cold":true})");
   epochs.push_back(worker->epoch());
@@ -170,7 +170,7 @@
   epochs.push_back(NumberField(Get(host->http_endpoint(), "/status"), "epoch"));
   EXPECT_LT(epochs[0], epochs[1]);
   EXPECT_LT(epochs[1], epochs[2]);
-  // A reader of the former epoch is told of the new one at once.
+  // A reader of the previous epoch gets the new one at once.
   const auto answer = Get(host->http_endpoint(), "/kv_events?epoch=" + std::to_string(epochs[1]) +
                                                      "&after=1&wait_ms=1000");
   EXPECT_EQ(NumberField(answer, "epoch"), epochs[2]);
@@ -179,8 +179,8 @@
   EXPECT_EQ(ReusedBy(Starts().back()), 0u);
 }
 
-TEST_F(WorkerEmulatorTest, OlderAndForeignFencingTokensAreRefused) {
-  WorkerEmulator* worker = BootWorker();
+TEST_F(WorkerStandInTest, OlderAndForeignFencingTokensAreRefused) {
+  WorkerStandIn* worker = BootWorker();
   EXPECT_EQ(Order(worker->endpoint(), 1, 7, "g1").status, 202);
   EXPECT_EQ(Order(worker->endpoint(), 2, 6, "g2").status, 409);
   EXPECT_EQ(Order(worker->endpoint(), 2, 7, "g2").status, 409);
@@ -201,8 +201,8 @@
   EXPECT_EQ(obeyed, "+--++");
 }
 
-TEST_F(WorkerEmulatorTest, LoadingCutsRunsDropsBlocksAndRefusesProvably) {
-  WorkerEmulator* worker = BootWorker();
+TEST_F(WorkerStandInTest, LoadingCutsRunsDropsBlocksAndRefusesProvably) {
+  WorkerStandIn* worker = BootWorker();
   Ask(worker->endpoint(), Blocks('a', 3));
   const uint64_t epoch = worker->epoch();
   JsonClient orderer(client->runtime());
@@ -220,18 +220,18 @@
 
   const http::Response loading = Ask(worker->endpoint(), "p");
   EXPECT_EQ(loading.status, 503);
-  EXPECT_EQ(ReadCompleteResponse(503, loading.body, "", 1).code, "loading");
+  EXPECT_EQ(ReadWholeAnswer(503, loading.body, "", 1).code, "loading");
   world.RunFor(std::chrono::seconds(3));
   EXPECT_EQ(worker->model_revision(), 5u);
   const http::Response wrong = Ask(worker->endpoint(), "p", {{"X-Posthatch-Model-Revision", "4"}});
   EXPECT_EQ(wrong.status, 409);
-  EXPECT_EQ(ReadCompleteResponse(409, wrong.body, "", 1).executed, "no");
+  EXPECT_EQ(ReadWholeAnswer(409, wrong.body, "", 1).executed, "no");
   EXPECT_EQ(Ask(worker->endpoint(), "p", {{"X-Posthatch-Model-Revision", "5"}}).status, 200);
   EXPECT_EQ(Starts().size(), 3u);
   EXPECT_EQ(EventsOf(HistoryEvent::kRevisionServed).back().revision_served().revision(), 5u);
 }
 
-TEST_F(WorkerEmulatorTest, EventsGoWrongAsAsked) {
+TEST_F(WorkerStandInTest, EventsGoWrongAsAsked) {
   struct Case {
     double WorkerBehaviour::*share;
     std::string seen;  // of three "stored" events
@@ -241,7 +241,7 @@
                             Case{&WorkerBehaviour::events_doubled_share,
                                  "1stored 1stored 2stored 2stored 3stored 3stored"},
                             Case{&WorkerBehaviour::events_lost_mark_share, "1lost 2lost 3lost"}}) {
-    WorkerEmulator* worker = BootWorker();
+    WorkerStandIn* worker = BootWorker();
     WorkerBehaviour behaviour;
     behaviour.*wrong.share = 1;
     worker->SetBehaviour(behaviour);
@@ -254,10 +254,10 @@
   }
 }
 
-TEST_F(WorkerEmulatorTest, EventsComeLateReorderedAndBeyondTheKeptOnesWithALostMark) {
+TEST_F(WorkerStandInTest, EventsComeLateReorderedAndBeyondTheKeptOnesWithALostMark) {
   WorkerSettings settings;
   settings.kept_events = 2;
-  WorkerEmulator* worker = BootWorker(settings);
+  WorkerStandIn* worker = BootWorker(settings);
   WorkerBehaviour behaviour;
   behaviour.events_reordered_share = 1;
   worker->SetBehaviour(behaviour);
@@ -274,7 +274,7 @@
   worker->SetBehaviour({});
   Ask(worker->endpoint(), Blocks('c', 1));
   EXPECT_EQ(EventsAfter(*worker, 0), "1lost 2stored 1stored 3stored");
-  // Nothing new: the poll waits as long as it was asked to.
+  // Nothing new: the poll waits as long as requested.
   const auto waiting = world.Now();
   EXPECT_EQ(EventsAfter(*worker, 3, 700), "");
   EXPECT_GE(world.Now() - waiting, Milliseconds(700));
@@ -287,12 +287,12 @@
   std::string whole_fault;
 };
 
-class WrongAnswerTest : public WorkerEmulatorTest,
+class WrongAnswerTest : public WorkerStandInTest,
                         public ::testing::WithParamInterface<WrongAnswer> {};
 
 TEST_P(WrongAnswerTest, CallerSeesIt) {
   for (const bool stream : {true, false}) {
-    WorkerEmulator* worker = BootWorker();
+    WorkerStandIn* worker = BootWorker();
     Run({Completion(worker->endpoint(), "first", 6, stream)});
     WorkerBehaviour behaviour;
     behaviour.*GetParam().share = 1;
@@ -328,8 +328,8 @@
         WrongAnswer{"Skipped", &WorkerBehaviour::skipped_piece_share, "piece", ""}),
     [](const auto& info) { return info.param.name; });
 
-TEST_F(WorkerEmulatorTest, CrossedAnswersEchoTheOtherAttemptUnlessOnlyTheBodyIsCrossed) {
-  WorkerEmulator* worker = BootWorker();
+TEST_F(WorkerStandInTest, CrossedAnswersEchoTheOtherAttemptUnlessOnlyTheBodyIsCrossed) {
+  WorkerStandIn* worker = BootWorker();
   for (const bool whole : {true, false}) {
     worker->SetBehaviour({});
     Ask(worker->endpoint(), "first", {{"X-Posthatch-Attempt", "a1"}, {"X-Request-Id", "q1"}});
@@ -343,8 +343,8 @@
   }
 }
 
-TEST_F(WorkerEmulatorTest, LateAnswersComeLate) {
-  WorkerEmulator* worker = BootWorker();
+TEST_F(WorkerStandInTest, LateAnswersComeLate) {
+  WorkerStandIn* worker = BootWorker();
   SendJson(worker->endpoint(), "PUT", "/debug/behaviour",
            R"({"answers_late_ms":2000,"answers_late_share":1})");
   const auto before = world.Now();
@@ -357,19 +357,19 @@
   EXPECT_EQ(worker->behaviour().answers_late_ms, 2000u);  // all or nothing
 }
 
-TEST_F(WorkerEmulatorTest, MissingBlocksAreFetchedFromPeerOrStore) {
+TEST_F(WorkerStandInTest, MissingBlocksAreFetchedFromPeerOrStore) {
   StoreSettings store_settings;
   store_settings.id = "store";
-  StoreEmulator* store = Boot<StoreEmulator>("store", store_settings);
+  StoreStandIn* store = Boot<StoreStandIn>("store", store_settings);
   WorkerSettings settings;
   settings.id = "maker";
   settings.store_endpoint = store->endpoint();
   settings.timing.kv_bytes_per_block = 1000;
   settings.timing.link_bytes_per_second = 10000;  // 100 ms a block
-  WorkerEmulator* maker = BootWorker(settings);
+  WorkerStandIn* maker = BootWorker(settings);
   settings.id = "fetcher";
   settings.store_endpoint.clear();
-  WorkerEmulator* fetcher = BootWorker(settings);
+  WorkerStandIn* fetcher = BootWorker(settings);
   const std::string prompt = Blocks('a', 4);
   Ask(maker->endpoint(), prompt, {{"X-Posthatch-Tenant", "t1"}, {"X-Posthatch-Cache-Salt", "s"}});
   world.RunFor(Milliseconds(10));
@@ -390,14 +390,14 @@
   EXPECT_EQ(Starts().back().reused(0).made_by_tenant(), "t1");
   EXPECT_EQ(Starts().back().reused(0).blocks(), 3u);
 
-  fetcher->EmulateRestart();
+  fetcher->GoCold();
   fetch(store->endpoint());
   EXPECT_EQ(Starts().back().reused(0).fetched_from(), "store");
-  fetcher->EmulateRestart();
-  store->EmulateRestart();
+  fetcher->GoCold();
+  store->GoCold();
   fetch(store->endpoint());
   EXPECT_EQ(Starts().back().reused_size(), 0);
-  fetcher->EmulateRestart();
+  fetcher->GoCold();
   fetch("10.9.9.9:1");  // nobody there: prefilled instead
   EXPECT_EQ(Starts().back().reused_size(), 0);
   EXPECT_EQ(EventsOf(HistoryEvent::kRunEnded).size(), 5u);
--- a/src/posthatch/routing/store_health_checker-test.cc
+++ b/src/posthatch/routing/store_health_checker-test.cc
@@ -13,12 +13,12 @@
 class StoreHealthCheckerTest : public TrafficTest {
  protected:
   StoreHealthCheckerTest() {
-    StoreHealthChecker::Parts parts;
-    parts.stores = [] { return std::vector<std::string>{"store:1"}; };
-    parts.is_responsible = [this] { return responsible_; };
-    parts.report = [this](const std::string&, bool alive) { reports_.push_back(alive); };
+    StoreHealthChecker::Dependencies dependencies;
+    dependencies.stores = [] { return std::vector<std::string>{"store:1"}; };
+    dependencies.is_responsible = [this] { return responsible_; };
+    dependencies.report = [this](const std::string&, bool alive) { reports_.push_back(alive); };
     checker_ = std::make_unique<StoreHealthChecker>(&runtime_, StoreHealthCheckerOptions(),
-                                                    std::move(parts));
+                                                    std::move(dependencies));
     checker_->Start();
   }
 
@@ -27,7 +27,7 @@
   std::unique_ptr<StoreHealthChecker> checker_;
 };
 
-TEST_F(StoreHealthCheckerTest, AnswersAndFailuresAreReportedAndThePollsGoOn) {
+TEST_F(StoreHealthCheckerTest, ReportsResponsesAndFailures) {
   ASSERT_EQ(client_.calls.size(), 1U);
   EXPECT_EQ(Last().endpoint, "store:1");
   Last().observer.on_head({});
@@ -42,7 +42,7 @@
   EXPECT_EQ(client_.calls.size(), 3U);
 }
 
-TEST_F(StoreHealthCheckerTest, GatewayThatIsNoCollectorAnyMoreStops) {
+TEST_F(StoreHealthCheckerTest, StopsWhenNotAggregator) {
   responsible_ = false;
   timers_.Advance(seconds(3));
   EXPECT_EQ(client_.calls.size(), 1U);
--- a/src/posthatch/routing/traffic_gateway.h
+++ b/src/posthatch/routing/traffic_gateway.h
@@ -72,7 +72,7 @@
   bool NeedsInventory() const override { return configuration_ != nullptr; }
   void OnLocalSnapshotChange() override { UpdatePool(); }
   void OnInventoryRead(control::InventoryReadResult result) override;
-  StoreHealthChecker::Parts StoreHealthCheckerParts();
+  StoreHealthChecker::Dependencies MakeStoreHealthCheckerDependencies();
   RetryBudgetOptions MakeRetryBudgetOptions();
   void OnStateChanged();
   // Whether a section has changed since `indices_`.
--- a/src/posthatch/server/controller_node.h
+++ b/src/posthatch/server/controller_node.h
@@ -58,7 +58,7 @@
 
   control::ControllerServiceOptions ServiceOptions() const;
   rollout::RolloutOptions RolloutSettings() const;
-  rollout::RolloutCoordinator::Parts RolloutParts();
+  rollout::RolloutCoordinator::Dependencies MakeRolloutDependencies();
   void LeaveFleet(std::function<void()> done);
 
   runtime::Runtime* const runtime_;
