--- a/src/posthatch/emulator/backends_standin-test.cc
+++ b/src/posthatch/emulator/backend_emulators-test.cc
@@ -2,21 +2,21 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "posthatch/emulator/inventory_standin.h"
-#include "posthatch/emulator/service_standin.h"
-#include "posthatch/emulator/standin_world.h"
+#include "posthatch/emulator/emulator_world.h"
+#include "posthatch/emulator/inventory_emulator.h"
+#include "posthatch/emulator/service_emulator.h"
 
 namespace posthatch::emulator {
 namespace {
 
 using fleettest::HistoryEvent;
 
-class ServiceStandInTest : public StandInWorld {
+class ServiceEmulatorTest : public EmulatorWorld {
  protected:
-  ServiceStandInTest() {
+  ServiceEmulatorTest() {
     ServiceSettings settings;
     settings.id = "service";
-    service = Boot<ServiceStandIn>("service", settings);
+    service = Boot<ServiceEmulator>("service", settings);
   }
   CallPlan Place(const std::string& key) {
     CallPlan plan = Completion(service->endpoint(), "", 0, false);
@@ -26,10 +26,10 @@
     return plan;
   }
 
-  ServiceStandIn* service;
+  ServiceEmulator* service;
 };
 
-TEST_F(ServiceStandInTest, EachStartIsRecordedAndDoublesAreNotRemoved) {
+TEST_F(ServiceEmulatorTest, RecordsEachStart) {
   for (int i = 0; i < 2; ++i) EXPECT_TRUE(Run({Place("k")})[0].body_intact());
   ASSERT_EQ(Starts().size(), 2u);
   EXPECT_EQ(Starts()[0].operation(), "lobby/place");
@@ -37,7 +37,7 @@
   EXPECT_NE(Starts()[0].run(), Starts()[1].run());
 }
 
-TEST_F(ServiceStandInTest, LostAnswersWereExecutedAndLostRequestsWereNot) {
+TEST_F(ServiceEmulatorTest, LostResponsesWereExecutedLostRequestsWereNot) {
   ServiceBehaviour behaviour;
   behaviour.answers_lost_share = 1;
   service->SetBehaviour(behaviour);
@@ -50,7 +50,7 @@
   EXPECT_EQ(Starts().size(), 1u);
 }
 
-TEST_F(ServiceStandInTest, LateStartHappensThoughTheCallerHasGone) {
+TEST_F(ServiceEmulatorTest, DelayedStartIgnoresDisconnect) {
   ServiceBehaviour behaviour;
   behaviour.start_late_ms = 500;
   behaviour.start_late_share = 1;
@@ -64,7 +64,7 @@
   EXPECT_EQ(EventsOf(HistoryEvent::kRunEnded).size(), 1u);
 }
 
-TEST_F(ServiceStandInTest, AnswersAreCrossedCutAndRepeated) {
+TEST_F(ServiceEmulatorTest, CrossesTruncatesAndRepeatsResponses) {
   for (const auto share :
        {&ServiceBehaviour::answers_crossed_share, &ServiceBehaviour::answers_crossed_body_share,
         &ServiceBehaviour::answers_twice_share}) {
@@ -82,14 +82,14 @@
   EXPECT_FALSE(Run({Place("cut")})[0].complete());
 }
 
-class InventoryStandInTest : public StandInWorld {
+class InventoryEmulatorTest : public EmulatorWorld {
  protected:
-  InventoryStandInTest() {
+  InventoryEmulatorTest() {
     InventorySettings settings;
     settings.backends = {
         {"w1", "worker", "10.0.0.7:1", "z1", "race-7b", "", {{"rack", "r"}}, false},
         {"w2", "worker", "10.0.0.8:1", "z2", "race-7b", "", {}, false}};
-    inventory = Boot<InventoryStandIn>("inventory", settings);
+    inventory = Boot<InventoryEmulator>("inventory", settings);
   }
   // "id" of each back end, with "!" when draining; "429 <ms>" when capped.
   std::string Read() {
@@ -107,10 +107,10 @@
     return text;
   }
 
-  InventoryStandIn* inventory;
+  InventoryEmulator* inventory;
 };
 
-TEST_F(InventoryStandInTest, ChangesCanBeReadLateAndAreRecordedThen) {
+TEST_F(InventoryEmulatorTest, ChangesAppearDelayed) {
   EXPECT_EQ(Read(), "w1w2");
   const auto changed = world.Now();
   SendJson(inventory->endpoint(), "PUT", "/debug/draining", R"({"id":"w2","draining":true})");
@@ -133,7 +133,7 @@
             400);
 }
 
-TEST_F(InventoryStandInTest, ReadsBeyondTheRateAreRefusedWithAWait) {
+TEST_F(InventoryEmulatorTest, ReadsAreRateLimited) {
   SendJson(inventory->endpoint(), "PUT", "/debug/behaviour", R"({"reads_per_second":2})");
   world.RunFor(std::chrono::seconds(5));
   int answered = 0;
--- a/src/posthatch/emulator/caller_load-test.cc
+++ b/src/posthatch/emulator/caller_load-test.cc
@@ -5,9 +5,9 @@
 
 #include <set>
 
-#include "posthatch/emulator/answer_mixer.h"
+#include "posthatch/emulator/emulator_world.h"
 #include "posthatch/emulator/prompt_pool.h"
-#include "posthatch/emulator/standin_world.h"
+#include "posthatch/emulator/response_mixer.h"
 
 namespace posthatch::emulator {
 namespace {
@@ -37,7 +37,7 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
-class CallerLoadTest : public StandInWorld {
+class CallerLoadTest : public EmulatorWorld {
  protected:
   std::string Stub(const std::string& name, const StubServer::Answer& answer) {
     simulation::SimHost* const host = AddHost(name);
@@ -78,11 +78,11 @@
                                                {"checksum", Checksum(result)}});
 }
 
-TEST_F(CallerLoadTest, StreamsAndWholeAnswersOfAWorkerAreIntactAndPrefixesAreReused) {
+TEST_F(CallerLoadTest, ResponsesAreIntactAndPrefixesReused) {
   WorkerSettings settings;
   settings.max_running = 256;
   settings.max_waiting = 256;
-  WorkerStandIn* worker = BootWorker(settings);
+  WorkerEmulator* worker = BootWorker(settings);
   CallerLoadOptions options;
   options.mix = NilestoneMix();
   std::erase_if(options.mix.operations, [](const OperationTraffic& operation) {
@@ -114,7 +114,7 @@
   EXPECT_GT(reused, blocks / 2);
 }
 
-TEST_F(CallerLoadTest, LostAnswersAreResentElsewhereWithTheSameKeyAndNonce) {
+TEST_F(CallerLoadTest, LostResponsesAreResentWithSameKey) {
   const std::string deaf = Stub("deaf", [](const http::Request&) { return std::nullopt; });
   const std::string good = Stub("good", Placed);
   CallerLoadOptions options;
@@ -141,7 +141,7 @@
   EXPECT_GT(resent, sends.size() / 4);
 }
 
-TEST_F(CallerLoadTest, RefusedIsFinalUnknownIsSentAgainUpToTheLimit) {
+TEST_F(CallerLoadTest, RejectedIsFinalUnknownIsResent) {
   std::string executed = "no";
   const std::string refusing = Stub("refusing", [&executed](const http::Request&) {
     http::Response refusal = JsonResponse(
@@ -168,7 +168,7 @@
   EXPECT_GT(world.Now() - before, std::chrono::seconds(10));
 }
 
-TEST_F(CallerLoadTest, RacingAndRepeatedSendsCarryTheSameKey) {
+TEST_F(CallerLoadTest, RacingAndRepeatedSendsShareKey) {
   CallerLoadOptions options;
   options.mix = OnlyKeyed();
   options.mix.racing_share = 0.5;
@@ -183,7 +183,7 @@
   EXPECT_EQ(counts.completed, counts.sent);
 }
 
-TEST_F(CallerLoadTest, EqualSeedsMakeEqualTraffic) {
+TEST_F(CallerLoadTest, EqualSeedsGiveEqualTraffic) {
   const auto trace = [](uint64_t seed) {
     simulation::SimWorld own_world(seed);
     simulation::SimHost* const host = own_world.AddHost("h", "z", "10.0.0.1");
@@ -205,7 +205,7 @@
   EXPECT_NE(trace(7), trace(8));
 }
 
-TEST(PromptPoolTest, HistoriesGrowByTurnsAndHalfOfThemAreCommonToTenants) {
+TEST(PromptPoolTest, HistoriesGrowAndHalfAreShared) {
   runtime::Random random(3);
   TenantTraffic tenant;
   tenant.name = "a";
--- a/src/posthatch/emulator/caller_load.cc
+++ b/src/posthatch/emulator/caller_load.cc
@@ -18,12 +18,12 @@
 
 namespace {
 
-constexpr runtime::Duration kSoonestLeave = std::chrono::milliseconds(2);
-constexpr runtime::Duration kLatestLeave = std::chrono::milliseconds(300);
+constexpr runtime::Duration kMinLeaveDelay = std::chrono::milliseconds(2);
+constexpr runtime::Duration kMaxLeaveDelay = std::chrono::milliseconds(300);
 constexpr runtime::Duration kReadingPause = std::chrono::milliseconds(150);
-constexpr runtime::Duration kLatestRepeat = std::chrono::seconds(2);
+constexpr runtime::Duration kMaxRepeatDelay = std::chrono::seconds(2);
 // Upper bound on an obeyed Retry-After.
-constexpr uint32_t kLongestRetryAfterS = 5;
+constexpr uint32_t kMaxRetryAfterS = 5;
 
 // One logical request: all its sends carry the same nonce and key.
 struct LogicalRequest {
@@ -47,7 +47,7 @@
 }
 
 // Whether the caller must take the response as lost: the operation may or may not have run.
-bool AnswerLost(const fleettest::CallEnded& ended) {
+bool IsResponseLost(const fleettest::CallEnded& ended) {
   if (ended.status() == 0 || !ended.complete()) return true;
   return ended.status() != 200 && ended.executed() != "no";
 }
@@ -69,11 +69,11 @@
   RequestPointer Plan();
   void PlanInference(const OperationTraffic& operation, size_t tenant, CallPlan* plan);
   void PlanService(const OperationTraffic& operation, CallPlan* plan);
-  void PlanManners(CallPlan* plan);
+  void PlanCallerBehaviour(CallPlan* plan);
   std::string OtherGateway(const std::string& last);
   void Send(const RequestPointer& request, const std::string& gateway);
   void SendLater(const RequestPointer& request, runtime::Duration delay, const std::string& last);
-  void TakeEnd(const RequestPointer& request, uint64_t call, const fleettest::CallEnded& ended);
+  void OnCallEnded(const RequestPointer& request, uint64_t call, const fleettest::CallEnded& ended);
   void Count(const fleettest::CallEnded& ended);
   void FinishStop();
 
@@ -90,7 +90,7 @@
   uint64_t next_call_ = 1;
   uint64_t next_request_ = 1;
   uint64_t start_nonce_ = 0;  // keeps nonces of two lives of one load apart
-  uint64_t resends_waiting_ = 0;
+  uint64_t pending_resends_ = 0;
   CallerLoadCounts counts_;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::map<uint64_t, std::unique_ptr<RecordedCall>> calls_;
@@ -129,7 +129,7 @@
 }
 
 void CallerLoad::Impl::FinishStop() {
-  if (!stopping_ || !calls_.empty() || resends_waiting_ > 0 || stopped_ == nullptr) return;
+  if (!stopping_ || !calls_.empty() || pending_resends_ > 0 || stopped_ == nullptr) return;
   runtime_->timers->Schedule(runtime::Duration::zero(), std::exchange(stopped_, nullptr));
 }
 
@@ -188,7 +188,7 @@
   } else {
     PlanInference(operation, tenant_number, &plan);
   }
-  PlanManners(&plan);
+  PlanCallerBehaviour(&plan);
   return request;
 }
 
@@ -214,11 +214,11 @@
 }
 
 // Pooled or new connection, slow reading, early disconnect.
-void CallerLoad::Impl::PlanManners(CallPlan* plan) {
+void CallerLoad::Impl::PlanCallerBehaviour(CallPlan* plan) {
   runtime::Random* random = runtime_->random;
   plan->options.fresh_connection = !random->Chance(options_.mix.kept_connection_share);
   if (random->Chance(options_.mix.leaving_share)) {
-    plan->leave_after = random->Between(kSoonestLeave, kLatestLeave);
+    plan->leave_after = random->Between(kMinLeaveDelay, kMaxLeaveDelay);
   }
   if (plan->sent.stream() && random->Chance(options_.mix.slow_reader_share)) {
     plan->reading_pause = kReadingPause;
@@ -242,9 +242,11 @@
   plan.sent.set_send(++request->sends);
   if (request->sends > 1) plan.leave_after = runtime::Duration::zero();
   ++counts_.sent;
-  auto recorded = std::make_unique<RecordedCall>(
-      runtime_, recorder_, std::move(plan),
-      [this, request, call](const fleettest::CallEnded& ended) { TakeEnd(request, call, ended); });
+  auto recorded =
+      std::make_unique<RecordedCall>(runtime_, recorder_, std::move(plan),
+                                     [this, request, call](const fleettest::CallEnded& ended) {
+                                       OnCallEnded(request, call, ended);
+                                     });
   RecordedCall* started = recorded.get();
   calls_[call] = std::move(recorded);
   started->Start();
@@ -252,30 +254,30 @@
 
 void CallerLoad::Impl::SendLater(const RequestPointer& request, runtime::Duration delay,
                                  const std::string& last) {
-  ++resends_waiting_;
+  ++pending_resends_;
   std::weak_ptr<bool> alive = alive_;
   runtime_->timers->Schedule(delay, [this, alive, request, last] {
     if (alive.expired()) return;
-    --resends_waiting_;
+    --pending_resends_;
     Send(request, OtherGateway(last));
   });
 }
 
-void CallerLoad::Impl::TakeEnd(const RequestPointer& request, uint64_t call,
-                               const fleettest::CallEnded& ended) {
+void CallerLoad::Impl::OnCallEnded(const RequestPointer& request, uint64_t call,
+                                   const fleettest::CallEnded& ended) {
   const auto entry = calls_.find(call);
   ReleaseLater(runtime_, std::move(entry->second));
   calls_.erase(entry);
   Count(ended);
   const bool keyed = !ended.idempotency_key().empty();
   if (keyed && request->sends < options_.mix.max_sends) {
-    if (AnswerLost(ended)) {
+    if (IsResponseLost(ended)) {
       const runtime::Duration asked =
-          std::chrono::seconds(std::min(ended.retry_after_s(), kLongestRetryAfterS));
+          std::chrono::seconds(std::min(ended.retry_after_s(), kMaxRetryAfterS));
       SendLater(request, std::max(asked, options_.resend_delay), ended.gateway());
     } else if (!request->repeated && runtime_->random->Chance(options_.mix.repeated_share)) {
       request->repeated = true;
-      SendLater(request, runtime_->random->Between(options_.resend_delay, kLatestRepeat),
+      SendLater(request, runtime_->random->Between(options_.resend_delay, kMaxRepeatDelay),
                 ended.gateway());
     }
   }
--- a/src/posthatch/emulator/emulator-bench.cc
+++ b/src/posthatch/emulator/emulator-bench.cc
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/emulator/answer_mixer.h"
-#include "posthatch/emulator/answer_reader.h"
 #include "posthatch/emulator/block_cache.h"
 #include "posthatch/emulator/caller_load.h"
 #include "posthatch/emulator/prompt_pool.h"
-#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/emulator/response_mixer.h"
+#include "posthatch/emulator/response_reader.h"
+#include "posthatch/emulator/worker_emulator.h"
 #include "posthatch/fleettest/history/recorders.h"
 #include "posthatch/index/block_hash.h"
 #include "posthatch/simulation/sim_world.h"
@@ -36,11 +36,11 @@
   std::string stream;
   for (uint32_t piece = 0; piece < pieces; ++piece) {
     stream += R"(data: {"id":"r","request_id":"n","piece":)" + std::to_string(piece) +
-              R"(,"choices":[{"index":0,"text":")" + PieceText("r", piece) + "\"}]}\n\n";
+              R"(,"choices":[{"index":0,"text":")" + ChunkText("r", piece) + "\"}]}\n\n";
   }
   for (auto _ : state) {
     StreamReader reader("n", pieces);
-    benchmark::DoNotOptimize(reader.Take(stream));
+    benchmark::DoNotOptimize(reader.Feed(stream));
   }
   state.SetItemsProcessed(state.iterations() * state.range(0));
 }
@@ -78,7 +78,7 @@
       WorkerSettings settings;
       settings.id = host->name();
       settings.listen = host->http_endpoint();
-      auto worker = std::make_shared<WorkerStandIn>(runtime, settings, recorders.back().get());
+      auto worker = std::make_shared<WorkerEmulator>(runtime, settings, recorders.back().get());
       if (!worker->Start().ok()) std::abort();
       return worker;
     });
--- a/src/posthatch/emulator/standin_world.h
+++ b/src/posthatch/emulator/emulator_world.h
@@ -10,7 +10,7 @@
 #include "posthatch/emulator/json_body.h"
 #include "posthatch/emulator/json_client.h"
 #include "posthatch/emulator/recorded_call.h"
-#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/emulator/worker_emulator.h"
 #include "posthatch/fleettest/history/recorders.h"
 #include "posthatch/simulation/sim_world.h"
 
@@ -18,11 +18,11 @@
 // one client host that calls them.
 namespace posthatch::emulator {
 
-class StandInWorld : public ::testing::Test {
+class EmulatorWorld : public ::testing::Test {
  protected:
   using Milliseconds = std::chrono::milliseconds;
 
-  explicit StandInWorld(uint64_t seed = 1) : world(seed) {
+  explicit EmulatorWorld(uint64_t seed = 1) : world(seed) {
     client = AddHost("client");
     client->SetBoot([](runtime::Runtime*) { return std::make_shared<int>(0); });
     client->Start();
@@ -34,18 +34,18 @@
 
   // Starts `StandIn` on a host of its own; `settings.listen` is filled in. The pointer holds until
   // the host stops.
-  template <typename StandIn, typename Settings>
-  StandIn* Boot(const std::string& name, Settings settings, simulation::SimHost** host = nullptr) {
+  template <typename Emulator, typename Settings>
+  Emulator* Boot(const std::string& name, Settings settings, simulation::SimHost** host = nullptr) {
     simulation::SimHost* const own_host = AddHost(name);
     settings.listen = own_host->http_endpoint();
-    auto booted = std::make_shared<StandIn*>(nullptr);
+    auto booted = std::make_shared<Emulator*>(nullptr);
     own_host->SetBoot([this, settings, name, booted](runtime::Runtime* runtime) {
       recorders_.push_back(
           std::make_unique<fleettest::MemoryHistoryRecorder>(runtime->clock, name, &events));
-      auto standin = std::make_shared<StandIn>(runtime, settings, recorders_.back().get());
-      EXPECT_TRUE(standin->Start().ok());
-      *booted = standin.get();
-      return standin;
+      auto instance = std::make_shared<Emulator>(runtime, settings, recorders_.back().get());
+      EXPECT_TRUE(instance->Start().ok());
+      *booted = instance.get();
+      return instance;
     });
     own_host->Start();
     world.RunFor(Milliseconds(1));
@@ -53,9 +53,9 @@
     return *booted;
   }
 
-  WorkerStandIn* BootWorker(WorkerSettings settings = {}, simulation::SimHost** host = nullptr) {
+  WorkerEmulator* BootWorker(WorkerSettings settings = {}, simulation::SimHost** host = nullptr) {
     if (settings.id.empty()) settings.id = "worker-" + std::to_string(hosts_);
-    return Boot<WorkerStandIn>(settings.id, settings, host);
+    return Boot<WorkerEmulator>(settings.id, settings, host);
   }
 
   // Sends a request from the client host and waits for its end.
--- a/src/posthatch/emulator/inventory_standin.cc
+++ b/src/posthatch/emulator/inventory_emulator.cc
@@ -1,4 +1,4 @@
-#include "posthatch/emulator/inventory_standin.h"
+#include "posthatch/emulator/inventory_emulator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-class InventoryStandIn::Impl {
+class InventoryEmulator::Impl {
  public:
   Impl(runtime::Runtime* runtime, InventorySettings settings, fleettest::HistoryRecorder* recorder)
       : runtime_(runtime),
@@ -76,9 +76,9 @@
   };
 
   void Read(const WriterPointer& writer);
-  void TakeBackends(const RoutedRequest& routed, const WriterPointer& writer);
-  void TakeDraining(const RoutedRequest& routed, const WriterPointer& writer);
-  void TakeBehaviour(const RoutedRequest& routed, const WriterPointer& writer);
+  void HandleSetBackends(const RoutedRequest& routed, const WriterPointer& writer);
+  void HandleSetDraining(const RoutedRequest& routed, const WriterPointer& writer);
+  void HandleSetBehaviour(const RoutedRequest& routed, const WriterPointer& writer);
   void QueueNewest();
   void PublishDue();
   void Publish(std::vector<InventoryBackend> backends);
@@ -99,29 +99,29 @@
   RoutedServer server_;
 };
 
-absl::Status InventoryStandIn::Impl::Start() {
+absl::Status InventoryEmulator::Impl::Start() {
   tokens_as_of_ = runtime_->clock->Now();
   read_tokens_ = std::max(1.0, reads_per_second_);
   server_.Route("GET", "/v1/inventory",
                 [this](const RoutedRequest&, const WriterPointer& writer) { Read(writer); });
   server_.Route("PUT", "/debug/backends",
                 [this](const RoutedRequest& routed, const WriterPointer& writer) {
-                  TakeBackends(routed, writer);
+                  HandleSetBackends(routed, writer);
                 });
   server_.Route("PUT", "/debug/draining",
                 [this](const RoutedRequest& routed, const WriterPointer& writer) {
-                  TakeDraining(routed, writer);
+                  HandleSetDraining(routed, writer);
                 });
   server_.Route("PUT", "/debug/behaviour",
                 [this](const RoutedRequest& routed, const WriterPointer& writer) {
-                  TakeBehaviour(routed, writer);
+                  HandleSetBehaviour(routed, writer);
                 });
   Publish(newest_);
   return server_.Listen(settings_.listen);
 }
 
 // Rate limited by a token bucket of one second's tokens.
-void InventoryStandIn::Impl::Read(const WriterPointer& writer) {
+void InventoryEmulator::Impl::Read(const WriterPointer& writer) {
   PublishDue();
   const runtime::MonotonicTime now = runtime_->clock->Now();
   const double seconds = std::chrono::duration<double>(now - tokens_as_of_).count();
@@ -143,8 +143,8 @@
       JsonResponse(200, json::object{{"version", version_}, {"backends", std::move(backends)}}));
 }
 
-void InventoryStandIn::Impl::TakeBackends(const RoutedRequest& routed,
-                                          const WriterPointer& writer) {
+void InventoryEmulator::Impl::HandleSetBackends(const RoutedRequest& routed,
+                                                const WriterPointer& writer) {
   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
   const json::array* list = body.ok() ? ArrayField(*body, "backends") : nullptr;
   if (list == nullptr) {
@@ -159,8 +159,8 @@
   writer->SendResponse(JsonResponse(200, json::object{{"backends", newest_.size()}}));
 }
 
-void InventoryStandIn::Impl::TakeDraining(const RoutedRequest& routed,
-                                          const WriterPointer& writer) {
+void InventoryEmulator::Impl::HandleSetDraining(const RoutedRequest& routed,
+                                                const WriterPointer& writer) {
   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
   const absl::Status set =
       body.ok() ? SetDraining(TextField(*body, "id"), FlagField(*body, "draining")) : body.status();
@@ -171,8 +171,8 @@
   }
 }
 
-void InventoryStandIn::Impl::TakeBehaviour(const RoutedRequest& routed,
-                                           const WriterPointer& writer) {
+void InventoryEmulator::Impl::HandleSetBehaviour(const RoutedRequest& routed,
+                                                 const WriterPointer& writer) {
   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
   if (!body.ok()) {
     writer->SendResponse(NotExecuted(400, "bad_request", util::ToStd(body.status().message())));
@@ -187,12 +187,12 @@
   writer->SendResponse(JsonResponse(200, json::object{{"ok", true}}));
 }
 
-void InventoryStandIn::Impl::SetBackends(std::vector<InventoryBackend> backends) {
+void InventoryEmulator::Impl::SetBackends(std::vector<InventoryBackend> backends) {
   newest_ = std::move(backends);
   QueueNewest();
 }
 
-absl::Status InventoryStandIn::Impl::SetDraining(const std::string& id, bool draining) {
+absl::Status InventoryEmulator::Impl::SetDraining(const std::string& id, bool draining) {
   const auto entry =
       std::find_if(newest_.begin(), newest_.end(),
                    [&id](const InventoryBackend& backend) { return backend.id == id; });
@@ -202,7 +202,7 @@
   return absl::OkStatus();
 }
 
-void InventoryStandIn::Impl::QueueNewest() {
+void InventoryEmulator::Impl::QueueNewest() {
   const runtime::Duration delay = runtime_->random->Between(lateness_ / 2, lateness_);
   runtime::MonotonicTime visible_at = runtime_->clock->Now() + delay;
   if (!pending_.empty()) visible_at = std::max(visible_at, pending_.back().visible_at);
@@ -210,7 +210,7 @@
   PublishDue();
 }
 
-void InventoryStandIn::Impl::PublishDue() {
+void InventoryEmulator::Impl::PublishDue() {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   while (!pending_.empty() && pending_.front().visible_at <= now) {
     Publish(std::move(pending_.front().backends));
@@ -220,7 +220,7 @@
   publish_timer_.Start(pending_.front().visible_at - now, [this] { PublishDue(); });
 }
 
-void InventoryStandIn::Impl::Publish(std::vector<InventoryBackend> backends) {
+void InventoryEmulator::Impl::Publish(std::vector<InventoryBackend> backends) {
   std::map<std::string, bool> before;
   for (const InventoryBackend& backend : visible_) before[backend.id] = backend.draining;
   visible_ = std::move(backends);
@@ -230,27 +230,27 @@
   }
 }
 
-void InventoryStandIn::Impl::RecordDraining(const std::string& id, bool draining) {
+void InventoryEmulator::Impl::RecordDraining(const std::string& id, bool draining) {
   fleettest::HistoryEvent event;
   event.mutable_draining_shown()->set_backend(id);
   event.mutable_draining_shown()->set_draining(draining);
   recorder_->Record(std::move(event));
 }
 
-InventoryStandIn::InventoryStandIn(runtime::Runtime* runtime, InventorySettings settings,
-                                   fleettest::HistoryRecorder* recorder)
+InventoryEmulator::InventoryEmulator(runtime::Runtime* runtime, InventorySettings settings,
+                                     fleettest::HistoryRecorder* recorder)
     : impl_(std::make_unique<Impl>(runtime, std::move(settings), recorder)) {}
 
-InventoryStandIn::~InventoryStandIn() = default;
+InventoryEmulator::~InventoryEmulator() = default;
 
-absl::Status InventoryStandIn::Start() { return impl_->Start(); }
-const std::string& InventoryStandIn::endpoint() const { return impl_->endpoint(); }
-void InventoryStandIn::SetBackends(std::vector<InventoryBackend> backends) {
+absl::Status InventoryEmulator::Start() { return impl_->Start(); }
+const std::string& InventoryEmulator::endpoint() const { return impl_->endpoint(); }
+void InventoryEmulator::SetBackends(std::vector<InventoryBackend> backends) {
   impl_->SetBackends(std::move(backends));
 }
-absl::Status InventoryStandIn::SetDraining(const std::string& id, bool draining) {
+absl::Status InventoryEmulator::SetDraining(const std::string& id, bool draining) {
   return impl_->SetDraining(id, draining);
 }
-void InventoryStandIn::SetLateness(runtime::Duration lateness) { impl_->SetLateness(lateness); }
+void InventoryEmulator::SetLateness(runtime::Duration lateness) { impl_->SetLateness(lateness); }
 
 }  // namespace posthatch::emulator
--- a/src/posthatch/emulator/inventory_standin.h
+++ b/src/posthatch/emulator/inventory_emulator.h
@@ -37,13 +37,13 @@
 // Stand-in for the platform's inventory (docs/BACKENDS.md). PUT /debug/backends
 // {"backends": [...]} replaces the list, PUT /debug/draining {"id", "draining"} sets a mark.
 // Records DrainingShown when a mark can first be read. Event loop thread only.
-class InventoryStandIn {
+class InventoryEmulator {
  public:
-  InventoryStandIn(runtime::Runtime* runtime, InventorySettings settings,
-                   fleettest::HistoryRecorder* recorder);
-  ~InventoryStandIn();
-  InventoryStandIn(const InventoryStandIn&) = delete;
-  InventoryStandIn& operator=(const InventoryStandIn&) = delete;
+  InventoryEmulator(runtime::Runtime* runtime, InventorySettings settings,
+                    fleettest::HistoryRecorder* recorder);
+  ~InventoryEmulator();
+  InventoryEmulator(const InventoryEmulator&) = delete;
+  InventoryEmulator& operator=(const InventoryEmulator&) = delete;
 
   // Listens and serves. Errors: those of HttpServerFactory::Listen.
   absl::Status Start();
--- a/src/posthatch/emulator/key_probe.cc
+++ b/src/posthatch/emulator/key_probe.cc
@@ -7,7 +7,7 @@
 #include "absl/strings/str_cat.h"
 #include "posthatch/emulator/json_body.h"
 #include "posthatch/emulator/json_client.h"
-#include "posthatch/emulator/operator_standin.h"
+#include "posthatch/emulator/operator_emulator.h"
 #include "posthatch/emulator/recorded_call.h"
 
 namespace posthatch::emulator {
@@ -21,45 +21,45 @@
       : options(std::move(probe_options)),
         runtime_(runtime),
         recorder_(recorder),
-        round_timer_(runtime->timers) {}
+        probe_timer_(runtime->timers) {}
 
   void Start() {
     start_nonce_ = runtime_->random->Uniform(UINT64_C(1) << 32);
-    Round();
+    ProbeAll();
   }
   void Stop();
 
   KeyProbeOptions options;
 
  private:
-  void Round();
-  void Ask(const std::string& gateway, uint64_t generation);
+  void ProbeAll();
+  void ProbeGateway(const std::string& gateway, uint64_t generation);
 
   runtime::Runtime* const runtime_;
   fleettest::HistoryRecorder* const recorder_;
   uint64_t start_nonce_ = 0;
   uint64_t next_call_ = 1;
-  runtime::Timer round_timer_;
+  runtime::Timer probe_timer_;
   std::map<uint64_t, std::unique_ptr<RecordedCall>> calls_;
 };
 
 void KeyProbe::Impl::Stop() {
-  round_timer_.Cancel();
+  probe_timer_.Cancel();
   std::vector<RecordedCall*> open;
   for (const auto& [number, call] : calls_) open.push_back(call.get());
   for (RecordedCall* call : open) call->Leave();
 }
 
-void KeyProbe::Impl::Round() {
+void KeyProbe::Impl::ProbeAll() {
   const uint64_t newest = options.newest_generation ? options.newest_generation() : 0;
   for (const std::string& gateway : options.gateways) {
-    if (newest >= 1) Ask(gateway, newest);
-    if (newest >= 2) Ask(gateway, newest - 1);
+    if (newest >= 1) ProbeGateway(gateway, newest);
+    if (newest >= 2) ProbeGateway(gateway, newest - 1);
   }
-  round_timer_.Start(options.interval, [this] { Round(); });
+  probe_timer_.Start(options.interval, [this] { ProbeAll(); });
 }
 
-void KeyProbe::Impl::Ask(const std::string& gateway, uint64_t generation) {
+void KeyProbe::Impl::ProbeGateway(const std::string& gateway, uint64_t generation) {
   const uint64_t number = next_call_++;
   CallPlan plan;
   plan.key = ProbeKey(options.tenant, generation);
--- a/src/posthatch/emulator/key_probe.h
+++ b/src/posthatch/emulator/key_probe.h
@@ -18,7 +18,7 @@
   std::string model = "race-7b";  // one token is requested
   runtime::Duration interval = std::chrono::milliseconds(500);
   runtime::Duration head_timeout = std::chrono::seconds(5);
-  // Newest generation that an operator has sent (OperatorStandIn::newest_generation).
+  // Newest generation that an operator has sent (OperatorEmulator::newest_generation).
   std::function<uint64_t()> newest_generation;
 };
 
--- a/src/posthatch/emulator/kv_event_log.cc
+++ b/src/posthatch/emulator/kv_event_log.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr uint64_t kLongestWaitMs = 30000;
+constexpr uint64_t kMaxWaitMs = 30000;
 
 json::array HexArray(const std::vector<index::BlockHash>& blocks) {
   json::array array;
@@ -51,75 +51,75 @@
   if (random->Chance(behaviour.events_lost_mark_share)) {
     slot.events.push_back({{"seq", last_seq_}, {"type", "lost"}});
   } else if (random->Chance(behaviour.events_reordered_share)) {
-    held_back_.push_back(std::move(event));
+    reordered_events_.push_back(std::move(event));
   } else if (!random->Chance(behaviour.events_lost_share)) {
     if (random->Chance(behaviour.events_doubled_share)) slot.events.push_back(event);
     slot.events.push_back(std::move(event));
   }
   if (!slot.events.empty()) {
-    std::move(held_back_.begin(), held_back_.end(), std::back_inserter(slot.events));
-    held_back_.clear();
+    std::move(reordered_events_.begin(), reordered_events_.end(), std::back_inserter(slot.events));
+    reordered_events_.clear();
   }
   slots_.push_back(std::move(slot));
   while (slots_.size() > kept_events_) slots_.pop_front();
-  AnswerWaiting(/*all=*/false);
-  WakeWhenVisible();
+  RespondToWaiting(/*all=*/false);
+  ScheduleVisible();
 }
 
 void KvEventLog::StartEpoch(uint64_t epoch) {
   epoch_ = epoch;
   last_seq_ = 0;
   slots_.clear();
-  held_back_.clear();
-  AnswerWaiting(/*all=*/true);
+  reordered_events_.clear();
+  RespondToWaiting(/*all=*/true);
 }
 
 void KvEventLog::Poll(const RoutedRequest& request,
                       const std::shared_ptr<http::ResponseWriter>& writer) {
   const bool same_epoch = request.QueryNumber("epoch", 0) == epoch_;
   const uint64_t after = same_epoch ? request.QueryNumber("after", 0) : 0;
-  const uint64_t wait_ms = std::min(request.QueryNumber("wait_ms", 0), kLongestWaitMs);
-  if (!same_epoch || wait_ms == 0 || VisibleUpTo() > after) {
-    Answer(after, writer.get());
+  const uint64_t wait_ms = std::min(request.QueryNumber("wait_ms", 0), kMaxWaitMs);
+  if (!same_epoch || wait_ms == 0 || LastVisibleSeq() > after) {
+    Respond(after, writer.get());
     return;
   }
   waiting_.emplace_front(runtime_->timers, after, writer);
   const auto entry = waiting_.begin();
   entry->timeout.Start(std::chrono::milliseconds(wait_ms), [this, entry] {
-    Answer(entry->after, entry->writer.get());
+    Respond(entry->after, entry->writer.get());
     waiting_.erase(entry);
   });
-  WakeWhenVisible();
+  ScheduleVisible();
 }
 
-uint64_t KvEventLog::VisibleUpTo() const {
+uint64_t KvEventLog::LastVisibleSeq() const {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   const auto hidden = std::partition_point(
       slots_.begin(), slots_.end(), [now](const Slot& slot) { return slot.visible_at <= now; });
   return hidden == slots_.begin() ? 0 : std::prev(hidden)->seq;
 }
 
-void KvEventLog::Answer(uint64_t after, http::ResponseWriter* writer) const {
+void KvEventLog::Respond(uint64_t after, http::ResponseWriter* writer) const {
   json::array events;
-  const uint64_t up_to = VisibleUpTo();
-  const uint64_t first_kept = slots_.empty() ? last_seq_ + 1 : slots_.front().seq;
-  if (after + 1 < first_kept) {
-    events.push_back(json::object{{"seq", first_kept - 1}, {"type", "lost"}});
+  const uint64_t up_to = LastVisibleSeq();
+  const uint64_t first_retained = slots_.empty() ? last_seq_ + 1 : slots_.front().seq;
+  if (after + 1 < first_retained) {
+    events.push_back(json::object{{"seq", first_retained - 1}, {"type", "lost"}});
   }
   // Slots are contiguous in `seq`.
-  for (uint64_t seq = std::max(after + 1, first_kept); seq <= up_to; ++seq) {
-    for (const json::object& event : slots_[seq - first_kept].events) events.push_back(event);
+  for (uint64_t seq = std::max(after + 1, first_retained); seq <= up_to; ++seq) {
+    for (const json::object& event : slots_[seq - first_retained].events) events.push_back(event);
   }
   const json::object body = {
       {"epoch", epoch_}, {"next", std::max(after, up_to)}, {"events", std::move(events)}};
   writer->SendResponse(JsonResponse(200, body));
 }
 
-void KvEventLog::AnswerWaiting(bool all) {
-  const uint64_t up_to = VisibleUpTo();
+void KvEventLog::RespondToWaiting(bool all) {
+  const uint64_t up_to = LastVisibleSeq();
   for (auto entry = waiting_.begin(); entry != waiting_.end();) {
     if (all || up_to > entry->after) {
-      Answer(all ? 0 : entry->after, entry->writer.get());
+      Respond(all ? 0 : entry->after, entry->writer.get());
       entry = waiting_.erase(entry);
     } else {
       ++entry;
@@ -127,15 +127,15 @@
   }
 }
 
-void KvEventLog::WakeWhenVisible() {
+void KvEventLog::ScheduleVisible() {
   if (waiting_.empty()) return;
-  const uint64_t up_to = VisibleUpTo();
+  const uint64_t up_to = LastVisibleSeq();
   const auto next = std::find_if(slots_.begin(), slots_.end(),
                                  [up_to](const Slot& slot) { return slot.seq > up_to; });
   if (next == slots_.end()) return;
   visible_timer_.Start(next->visible_at - runtime_->clock->Now(), [this] {
-    AnswerWaiting(/*all=*/false);
-    WakeWhenVisible();
+    RespondToWaiting(/*all=*/false);
+    ScheduleVisible();
   });
 }
 
--- a/src/posthatch/emulator/kv_event_log.h
+++ b/src/posthatch/emulator/kv_event_log.h
@@ -46,17 +46,17 @@
   };
 
   void Append(boost::json::object event, const WorkerBehaviour& behaviour);
-  uint64_t VisibleUpTo() const;
-  void Answer(uint64_t after, http::ResponseWriter* writer) const;
-  void AnswerWaiting(bool all);
-  void WakeWhenVisible();
+  uint64_t LastVisibleSeq() const;
+  void Respond(uint64_t after, http::ResponseWriter* writer) const;
+  void RespondToWaiting(bool all);
+  void ScheduleVisible();
 
   runtime::Runtime* const runtime_;
   const uint64_t kept_events_;
   uint64_t epoch_ = 0;
   uint64_t last_seq_ = 0;
   std::deque<Slot> slots_;
-  std::vector<boost::json::object> held_back_;  // shown with the next event (reordered)
+  std::vector<boost::json::object> reordered_events_;  // shown with the next event (reordered)
   std::list<Waiting> waiting_;
   runtime::Timer visible_timer_;
 };
--- a/src/posthatch/emulator/kv_transfer.cc
+++ b/src/posthatch/emulator/kv_transfer.cc
@@ -41,22 +41,22 @@
 }
 
 std::vector<BlockMaker> MakersFromJson(const json::array* runs) {
-  constexpr uint64_t kMostBlocks = 1'000'000;
+  constexpr uint64_t kMaxBlocks = 1'000'000;
   std::vector<BlockMaker> makers;
   if (runs == nullptr) return makers;
   for (const json::value& run : *runs) {
     const json::object* fields = run.if_object();
     if (fields == nullptr) break;
     const uint64_t blocks = NumberField(*fields, "blocks");
-    if (blocks > kMostBlocks - makers.size()) break;
+    if (blocks > kMaxBlocks - makers.size()) break;
     makers.insert(makers.end(), blocks,
                   {TextField(*fields, "tenant"), NumberField(*fields, "revision")});
   }
   return makers;
 }
 
-json::object FetchAnswer(const std::string& holder, uint64_t epoch,
-                         const std::vector<BlockMaker>& makers) {
+json::object FetchResponse(const std::string& holder, uint64_t epoch,
+                           const std::vector<BlockMaker>& makers) {
   return {{"holder", holder},
           {"epoch", epoch},
           {"blocks", makers.size()},
--- a/src/posthatch/emulator/kv_transfer.h
+++ b/src/posthatch/emulator/kv_transfer.h
@@ -23,8 +23,8 @@
 std::vector<BlockMaker> MakersFromJson(const boost::json::array* runs);
 
 // Answer to a fetch: {"holder", "epoch", "blocks", "made_by"}.
-boost::json::object FetchAnswer(const std::string& holder, uint64_t epoch,
-                                const std::vector<BlockMaker>& makers);
+boost::json::object FetchResponse(const std::string& holder, uint64_t epoch,
+                                  const std::vector<BlockMaker>& makers);
 
 // How long `blocks` blocks take over a link.
 runtime::Duration TransferTime(uint64_t blocks, uint64_t bytes_per_block,
--- a/src/posthatch/emulator/main.cc
+++ b/src/posthatch/emulator/main.cc
@@ -4,7 +4,7 @@
 
 #include "posthatch/emulator/fault_route.h"
 #include "posthatch/emulator/program_options.h"
-#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/emulator/worker_emulator.h"
 #include "posthatch/fleettest/history/recorders.h"
 #include "posthatch/net/asio_runtime.h"
 
@@ -20,7 +20,7 @@
 }
 
 // Serves until SIGTERM or SIGINT. Running requests are aborted then, as by any stopped worker.
-template <typename StandIn, typename Settings>
+template <typename Emulator, typename Settings>
 int Serve(net::AsioRuntime* asio_runtime, const std::string& id, const Settings& settings,
           const std::string& history) {
   FaultRoute fault_route(asio_runtime);
@@ -28,27 +28,27 @@
   runtime.http_servers = &fault_route;
   const auto recorder = fleettest::JsonlHistoryRecorder::Open(runtime.clock, id, history);
   if (!recorder.ok()) return ReportStartFailure(recorder.status());
-  StandIn standin(&runtime, settings, recorder->get());
-  const absl::Status started = standin.Start();
+  Emulator instance(&runtime, settings, recorder->get());
+  const absl::Status started = instance.Start();
   if (!started.ok()) return ReportStartFailure(started);
-  runtime.trace->Event(runtime::Severity::kInfo, "StandInStarted",
-                       {{"id", id}, {"endpoint", standin.endpoint()}});
+  runtime.trace->Event(runtime::Severity::kInfo, "EmulatorStarted",
+                       {{"id", id}, {"endpoint", instance.endpoint()}});
   asio_runtime->OnTerminationSignal([asio_runtime] { asio_runtime->Stop(); });
   asio_runtime->Run();
-  runtime.trace->Event(runtime::Severity::kInfo, "StandInStopped",
+  runtime.trace->Event(runtime::Severity::kInfo, "EmulatorStopped",
                        {{"id", id}, {"lost_history_events", (*recorder)->lost_events()}});
   return kExitOk;
 }
 
 std::string IdOf(const ProgramOptions& options) {
   switch (options.role) {
-    case StandInRole::kWorker:
+    case EmulatorRole::kWorker:
       return options.worker.id;
-    case StandInRole::kStore:
+    case EmulatorRole::kStore:
       return options.store.id;
-    case StandInRole::kService:
+    case EmulatorRole::kService:
       return options.service.id;
-    case StandInRole::kInventory:
+    case EmulatorRole::kInventory:
       break;
   }
   return "inventory";
@@ -64,14 +64,14 @@
   if (!asio_runtime.ok()) return ReportStartFailure(asio_runtime.status());
   net::AsioRuntime* const running = asio_runtime->get();
   switch (options.role) {
-    case StandInRole::kWorker:
-      return Serve<WorkerStandIn>(running, id, options.worker, options.history);
-    case StandInRole::kStore:
-      return Serve<StoreStandIn>(running, id, options.store, options.history);
-    case StandInRole::kService:
-      return Serve<ServiceStandIn>(running, id, options.service, options.history);
-    case StandInRole::kInventory:
-      return Serve<InventoryStandIn>(running, id, options.inventory, options.history);
+    case EmulatorRole::kWorker:
+      return Serve<WorkerEmulator>(running, id, options.worker, options.history);
+    case EmulatorRole::kStore:
+      return Serve<StoreEmulator>(running, id, options.store, options.history);
+    case EmulatorRole::kService:
+      return Serve<ServiceEmulator>(running, id, options.service, options.history);
+    case EmulatorRole::kInventory:
+      return Serve<InventoryEmulator>(running, id, options.inventory, options.history);
   }
   return kExitStartFailed;
 }
--- a/src/posthatch/emulator/operator_standin-test.cc
+++ b/src/posthatch/emulator/operator_emulator-test.cc
@@ -1,13 +1,13 @@
-#include "posthatch/emulator/operator_standin.h"
+#include "posthatch/emulator/operator_emulator.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <set>
 
-#include "posthatch/emulator/answer_mixer.h"
+#include "posthatch/emulator/emulator_world.h"
 #include "posthatch/emulator/key_probe.h"
-#include "posthatch/emulator/standin_world.h"
+#include "posthatch/emulator/response_mixer.h"
 #include "posthatch/emulator/traffic_mix.h"
 
 namespace posthatch::emulator {
@@ -70,7 +70,7 @@
   http::Response Complete(const http::Request& request) const {
     const std::string key(request.headers.Get("Authorization").substr(7));
     if (KeySha256(key) != accepted_key_sha256) return NotExecuted(401, "unauthorized", "");
-    const std::string text = AnswerText("r", 1);
+    const std::string text = ResponseText("r", 1);
     return JsonResponse(200, json::object{{"id", "r"},
                                           {"request_id", request.headers.Get("X-Request-Id")},
                                           {"choices", json::array{json::object{{"text", text}}}},
@@ -78,12 +78,12 @@
   }
 };
 
-class OperatorStandInTest : public StandInWorld {
+class OperatorEmulatorTest : public EmulatorWorld {
  protected:
   struct Server {
     std::unique_ptr<http::HttpServer> server;
   };
-  OperatorStandInTest() {
+  OperatorEmulatorTest() {
     for (int i = 0; i < 3; ++i) {
       simulation::SimHost* const host = AddHost("node-" + std::to_string(i));
       host->SetBoot([this, host](runtime::Runtime* runtime) {
@@ -109,11 +109,11 @@
   std::unique_ptr<fleettest::MemoryHistoryRecorder> recorder;
 };
 
-TEST_F(OperatorStandInTest, LostAnswerIsAskedForAgainAtAnotherNodeUnderTheSameId) {
+TEST_F(OperatorEmulatorTest, LostResponseIsRetriedUnderSameId) {
   int losses = 3;
   fleet.loses_answer = [&losses] { return losses-- > 0; };
   options.repeated_share = 0;
-  OperatorStandIn op(client->runtime(), options, recorder.get());
+  OperatorEmulator op(client->runtime(), options, recorder.get());
   ChangeOutcome outcome;
   op.Evacuate("e", "zone-2", false, [&outcome](const ChangeOutcome& end) { outcome = end; });
   world.RunFor(std::chrono::seconds(5));
@@ -130,11 +130,11 @@
   EXPECT_EQ(EventsOf(HistoryEvent::kChangeAnswered).size(), 1u);
 }
 
-TEST_F(OperatorStandInTest, RotationsRaceAndProbesSeeWhichKeyIsInForce) {
+TEST_F(OperatorEmulatorTest, RotationsRaceAndProbesSeeAppliedKey) {
   options.racing_share = 0.5;
   options.repeated_share = 0.5;
   options.rotation_interval = std::chrono::seconds(1);
-  OperatorStandIn op(client->runtime(), options, recorder.get());
+  OperatorEmulator op(client->runtime(), options, recorder.get());
   KeyProbeOptions probe_options;
   probe_options.gateways = options.nodes;
   probe_options.newest_generation = [&op] { return op.newest_generation(); };
@@ -173,11 +173,11 @@
   EXPECT_EQ(asked.size(), 3u);
 }
 
-TEST_F(OperatorStandInTest, NoNewGenerationBeforeTheLastOneIsAcknowledged) {
+TEST_F(OperatorEmulatorTest, RotatesOnlyAfterAcknowledgement) {
   options.rotation_interval = std::chrono::seconds(1);
   options.racing_share = 0;
   options.max_sends = 2;
-  OperatorStandIn op(client->runtime(), options, recorder.get());
+  OperatorEmulator op(client->runtime(), options, recorder.get());
   op.Start();
   world.RunFor(std::chrono::seconds(5));
   const uint64_t reached = op.newest_generation();
@@ -187,8 +187,8 @@
   EXPECT_LE(op.newest_generation(), reached + 1);
 }
 
-TEST_F(OperatorStandInTest, StateIsReadBackFromOneNode) {
-  OperatorStandIn op(client->runtime(), options, recorder.get());
+TEST_F(OperatorEmulatorTest, ReadsStateFromOneNode) {
+  OperatorEmulator op(client->runtime(), options, recorder.get());
   op.SetModelRevision("m", "weights \"2\"", nullptr);
   world.RunFor(std::chrono::seconds(5));
   bool read = false;
--- a/src/posthatch/emulator/operator_standin.cc
+++ b/src/posthatch/emulator/operator_emulator.cc
@@ -1,4 +1,4 @@
-#include "posthatch/emulator/operator_standin.h"
+#include "posthatch/emulator/operator_emulator.h"
 
 #include <google/protobuf/util/json_util.h>
 
@@ -40,29 +40,29 @@
   uint64_t expected_version = 0;
   uint32_t sends = 0;
   bool repeating = false;  // it was answered; this send asks once more
-  OperatorStandIn::ChangeDone done;
+  OperatorEmulator::ChangeDone done;
 };
 using ChangePointer = std::shared_ptr<Change>;
 
-ChangeOutcome ReadOutcome(const absl::StatusOr<http::Response>& answer) {
+ChangeOutcome ReadOutcome(const absl::StatusOr<http::Response>& response) {
   ChangeOutcome outcome;
-  if (!answer.ok()) return outcome;
-  const absl::StatusOr<json::object> body = ParseObject(answer->body);
+  if (!response.ok()) return outcome;
+  const absl::StatusOr<json::object> body = ParseObject(response->body);
   if (!body.ok()) return outcome;
   outcome.version = NumberField(*body, "version", NumberField(*body, "revision"));
-  outcome.acknowledged = answer->status == kOk && FlagField(*body, "acknowledged");
+  outcome.acknowledged = response->status == kOk && FlagField(*body, "acknowledged");
   if (outcome.acknowledged) return outcome;
   const json::object* error = ObjectField(*body, "error");
   const json::object& fields = error == nullptr ? *body : *error;
   outcome.code = TextField(fields, "code");
   if (outcome.version == 0) outcome.version = NumberField(fields, "version");
-  outcome.refused = answer->status >= 400 && answer->status < 500;
+  outcome.refused = response->status >= 400 && response->status < 500;
   return outcome;
 }
 
 }  // namespace
 
-class OperatorStandIn::Impl {
+class OperatorEmulator::Impl {
  public:
   Impl(runtime::Runtime* runtime, OperatorOptions operator_options,
        fleettest::HistoryRecorder* recorder)
@@ -72,7 +72,7 @@
         rotation_timer_(runtime->timers),
         read_timer_(runtime->timers),
         client_(runtime),
-        reader_(runtime, recorder, options.admin_token, options.answer_timeout) {}
+        reader_(runtime, recorder, options.admin_token, options.response_timeout) {}
 
   void Start();
   void Stop(std::function<void()> done);
@@ -90,9 +90,9 @@
  private:
   void Send(const ChangePointer& change, const std::string& node);
   void SendLater(const ChangePointer& change, const std::string& last);
-  void TakeAnswer(const ChangePointer& change, const std::string& node,
-                  const absl::StatusOr<http::Response>& answer);
-  void RecordAnswer(const Change& change, const ChangeOutcome& outcome);
+  void OnResponse(const ChangePointer& change, const std::string& node,
+                  const absl::StatusOr<http::Response>& response);
+  void RecordResponse(const Change& change, const ChangeOutcome& outcome);
   void Conclude(const ChangePointer& change, const ChangeOutcome& outcome);
   void ScheduleRotation();
   void ScheduleRead();
@@ -115,12 +115,12 @@
   StateReader reader_;
 };
 
-void OperatorStandIn::Impl::Start() {
+void OperatorEmulator::Impl::Start() {
   ScheduleRotation();
   ScheduleRead();
 }
 
-void OperatorStandIn::Impl::Stop(std::function<void()> done) {
+void OperatorEmulator::Impl::Stop(std::function<void()> done) {
   stopping_ = true;
   stopped_ = std::move(done);
   rotation_timer_.Cancel();
@@ -128,12 +128,12 @@
   FinishStop();
 }
 
-void OperatorStandIn::Impl::FinishStop() {
+void OperatorEmulator::Impl::FinishStop() {
   if (!stopping_ || open_changes_ > 0 || stopped_ == nullptr) return;
   runtime_->timers->Schedule(runtime::Duration::zero(), std::exchange(stopped_, nullptr));
 }
 
-std::string OperatorStandIn::Impl::RandomNode(const std::string& except) {
+std::string OperatorEmulator::Impl::RandomNode(const std::string& except) {
   std::vector<std::string> others;
   for (const std::string& node : options.nodes) {
     if (node != except) others.push_back(node);
@@ -144,9 +144,9 @@
 
 // ---------------------------------------------------------------- changes
 
-void OperatorStandIn::Impl::Submit(std::string kind, std::string path, const std::string& fields,
-                                   std::string detail, uint64_t expected_version,
-                                   const std::string& node, ChangeDone done) {
+void OperatorEmulator::Impl::Submit(std::string kind, std::string path, const std::string& fields,
+                                    std::string detail, uint64_t expected_version,
+                                    const std::string& node, ChangeDone done) {
   if (start_nonce_ == 0) start_nonce_ = 1 + runtime_->random->Uniform(UINT64_C(1) << 32);
   auto change = std::make_shared<Change>();
   change->request_id = absl::StrCat(options.name, "-", start_nonce_, "-", next_change_++);
@@ -160,7 +160,7 @@
   Send(change, node);
 }
 
-void OperatorStandIn::Impl::Send(const ChangePointer& change, const std::string& node) {
+void OperatorEmulator::Impl::Send(const ChangePointer& change, const std::string& node) {
   ++change->sends;
   fleettest::HistoryEvent event;
   fleettest::ChangeSent* sent = event.mutable_change_sent();
@@ -175,31 +175,31 @@
     request.headers.Add("Authorization", "Bearer " + options.admin_token);
   }
   http::CallOptions call_options;
-  call_options.head_timeout = options.answer_timeout;
+  call_options.head_timeout = options.response_timeout;
   client_.Send(node, std::move(request), call_options,
-               [this, change, node](const absl::StatusOr<http::Response>& answer) {
-                 TakeAnswer(change, node, answer);
+               [this, change, node](const absl::StatusOr<http::Response>& response) {
+                 OnResponse(change, node, response);
                });
 }
 
-void OperatorStandIn::Impl::SendLater(const ChangePointer& change, const std::string& last) {
+void OperatorEmulator::Impl::SendLater(const ChangePointer& change, const std::string& last) {
   std::weak_ptr<bool> alive = alive_;
   runtime_->timers->Schedule(options.resend_delay, [this, alive, change, last] {
     if (!alive.expired()) Send(change, RandomNode(last));
   });
 }
 
-void OperatorStandIn::Impl::TakeAnswer(const ChangePointer& change, const std::string& node,
-                                       const absl::StatusOr<http::Response>& answer) {
-  const ChangeOutcome outcome = ReadOutcome(answer);
-  const bool final_answer = outcome.acknowledged || outcome.refused;
-  if (final_answer || (answer.ok() && answer->status == kServiceUnavailable)) {
-    RecordAnswer(*change, outcome);
+void OperatorEmulator::Impl::OnResponse(const ChangePointer& change, const std::string& node,
+                                        const absl::StatusOr<http::Response>& response) {
+  const ChangeOutcome outcome = ReadOutcome(response);
+  const bool is_final = outcome.acknowledged || outcome.refused;
+  if (is_final || (response.ok() && response->status == kServiceUnavailable)) {
+    RecordResponse(*change, outcome);
   }
   const bool may_send = change->sends < options.max_sends;
-  if (!final_answer && may_send) {
+  if (!is_final && may_send) {
     SendLater(change, node);
-  } else if (final_answer && may_send && !change->repeating &&
+  } else if (is_final && may_send && !change->repeating &&
              runtime_->random->Chance(options.repeated_share)) {
     change->repeating = true;
     SendLater(change, node);
@@ -208,7 +208,7 @@
   }
 }
 
-void OperatorStandIn::Impl::RecordAnswer(const Change& change, const ChangeOutcome& outcome) {
+void OperatorEmulator::Impl::RecordResponse(const Change& change, const ChangeOutcome& outcome) {
   fleettest::HistoryEvent event;
   fleettest::ChangeAnswered* answered = event.mutable_change_answered();
   answered->set_request_id(change.request_id);
@@ -219,7 +219,7 @@
   recorder_->Record(std::move(event));
 }
 
-void OperatorStandIn::Impl::Conclude(const ChangePointer& change, const ChangeOutcome& outcome) {
+void OperatorEmulator::Impl::Conclude(const ChangePointer& change, const ChangeOutcome& outcome) {
   --open_changes_;
   if (change->done != nullptr) change->done(outcome);
   FinishStop();
@@ -227,12 +227,12 @@
 
 // ---------------------------------------------------------------- rotations and reads
 
-void OperatorStandIn::Impl::ScheduleRotation() {
+void OperatorEmulator::Impl::ScheduleRotation() {
   if (options.rotation_interval <= runtime::Duration::zero() || stopping_) return;
   rotation_timer_.Start(options.rotation_interval, [this] { Rotate(); });
 }
 
-void OperatorStandIn::Impl::ScheduleRead() {
+void OperatorEmulator::Impl::ScheduleRead() {
   if (options.read_interval <= runtime::Duration::zero() || stopping_) return;
   read_timer_.Start(options.read_interval,
                     [this] { reader_.Read(RandomNode(""), [this](bool) { ScheduleRead(); }); });
@@ -240,25 +240,25 @@
 
 // The next generation follows only once the previous one is acknowledged, so that only the newest
 // two can be applied anywhere.
-void OperatorStandIn::Impl::Rotate() {
+void OperatorEmulator::Impl::Rotate() {
   http::Request request = JsonRequest("GET", "/admin/v1/configuration", "");
   if (!options.admin_token.empty()) {
     request.headers.Add("Authorization", "Bearer " + options.admin_token);
   }
   http::CallOptions call_options;
-  call_options.head_timeout = options.answer_timeout;
+  call_options.head_timeout = options.response_timeout;
   client_.Send(RandomNode(""), std::move(request), call_options,
-               [this](const absl::StatusOr<http::Response>& answer) {
-                 if (!answer.ok() || answer->status != kOk) {
+               [this](const absl::StatusOr<http::Response>& response) {
+                 if (!response.ok() || response->status != kOk) {
                    ScheduleRotation();
                    return;
                  }
-                 const absl::StatusOr<json::object> body = ParseObject(answer->body);
+                 const absl::StatusOr<json::object> body = ParseObject(response->body);
                  SendRotation(body.ok() ? NumberField(*body, "version") : 0);
                });
 }
 
-void OperatorStandIn::Impl::SendRotation(uint64_t version) {
+void OperatorEmulator::Impl::SendRotation(uint64_t version) {
   if (stopping_) return;
   if (generation_acknowledged_) ++newest_generation;
   generation_acknowledged_ = false;
@@ -285,34 +285,34 @@
 
 // ---------------------------------------------------------------- surface
 
-OperatorStandIn::OperatorStandIn(runtime::Runtime* runtime, OperatorOptions options,
-                                 fleettest::HistoryRecorder* recorder)
+OperatorEmulator::OperatorEmulator(runtime::Runtime* runtime, OperatorOptions options,
+                                   fleettest::HistoryRecorder* recorder)
     : impl_(std::make_unique<Impl>(runtime, std::move(options), recorder)) {}
 
-OperatorStandIn::~OperatorStandIn() = default;
+OperatorEmulator::~OperatorEmulator() = default;
 
-void OperatorStandIn::Start() { impl_->Start(); }
-void OperatorStandIn::Stop(std::function<void()> done) { impl_->Stop(std::move(done)); }
+void OperatorEmulator::Start() { impl_->Start(); }
+void OperatorEmulator::Stop(std::function<void()> done) { impl_->Stop(std::move(done)); }
 
-void OperatorStandIn::SetConfiguration(const control::Configuration& configuration,
-                                       uint64_t expected_version, ChangeDone done) {
+void OperatorEmulator::SetConfiguration(const control::Configuration& configuration,
+                                        uint64_t expected_version, ChangeDone done) {
   impl_->Submit("configuration", "/admin/v1/configuration",
                 absl::StrCat("\"expected_version\":", expected_version,
                              ",\"configuration\":", ProtoJson(configuration)),
                 "whole", expected_version, impl_->RandomNode(""), std::move(done));
 }
 
-void OperatorStandIn::PatchConfiguration(const control::ConfigurationPatch& patch,
-                                         uint64_t expected_version, std::string detail,
-                                         ChangeDone done) {
+void OperatorEmulator::PatchConfiguration(const control::ConfigurationPatch& patch,
+                                          uint64_t expected_version, std::string detail,
+                                          ChangeDone done) {
   impl_->Submit(
       "configuration", "/admin/v1/configuration",
       absl::StrCat("\"expected_version\":", expected_version, ",\"patch\":", ProtoJson(patch)),
       std::move(detail), expected_version, impl_->RandomNode(""), std::move(done));
 }
 
-void OperatorStandIn::Evacuate(const std::string& name, const std::string& zone, bool lifted,
-                               ChangeDone done) {
+void OperatorEmulator::Evacuate(const std::string& name, const std::string& zone, bool lifted,
+                                ChangeDone done) {
   control::Selector selector;
   control::Requirement* requirement = selector.add_requirements();
   requirement->set_key("zone");
@@ -325,8 +325,8 @@
                 zone, 0, impl_->RandomNode(""), std::move(done));
 }
 
-void OperatorStandIn::SetModelRevision(const std::string& model, const std::string& weights,
-                                       ChangeDone done) {
+void OperatorEmulator::SetModelRevision(const std::string& model, const std::string& weights,
+                                        ChangeDone done) {
   const json::value model_text(model);
   const json::value weights_text(weights);
   impl_->Submit("model_revision", "/admin/v1/model-revisions",
@@ -335,15 +335,15 @@
                 model, 0, impl_->RandomNode(""), std::move(done));
 }
 
-void OperatorStandIn::ReadState(const std::string& node, std::function<void(bool)> done) {
+void OperatorEmulator::ReadState(const std::string& node, std::function<void(bool)> done) {
   impl_->ReadState(node, std::move(done));
 }
 
-void OperatorStandIn::SetNodes(std::vector<std::string> nodes) {
+void OperatorEmulator::SetNodes(std::vector<std::string> nodes) {
   impl_->options.nodes = std::move(nodes);
 }
 
-uint64_t OperatorStandIn::newest_generation() const { return impl_->newest_generation; }
+uint64_t OperatorEmulator::newest_generation() const { return impl_->newest_generation; }
 
 std::string ProbeKey(const std::string& tenant, uint64_t generation) {
   return absl::StrCat("key-of-", tenant, "-", generation);
--- a/src/posthatch/emulator/operator_standin.h
+++ b/src/posthatch/emulator/operator_emulator.h
@@ -16,7 +16,7 @@
   std::vector<std::string> nodes;  // HTTP endpoints of gateways and controllers
   std::string name = "operator";   // prefix of request ids: unique among operators of one run
   std::string admin_token;         // bearer token; empty: none is sent
-  runtime::Duration answer_timeout = std::chrono::seconds(12);
+  runtime::Duration response_timeout = std::chrono::seconds(12);
   runtime::Duration resend_delay = std::chrono::milliseconds(500);
   uint32_t max_sends = 30;  // of one change
   // Every so often the probe tenant's key is changed by a configuration patch; zero: never.
@@ -42,16 +42,16 @@
 // response, race for versions, read the state back, and rotate a probe tenant's key so that the
 // applied configuration can be observed from outside. Records ChangeSent (each send),
 // ChangeAnswered (each answer) and StateRead. Event loop thread only.
-class OperatorStandIn {
+class OperatorEmulator {
  public:
   using ChangeDone = std::function<void(const ChangeOutcome&)>;
 
   // `runtime` and `recorder` outlive it.
-  OperatorStandIn(runtime::Runtime* runtime, OperatorOptions options,
-                  fleettest::HistoryRecorder* recorder);
-  ~OperatorStandIn();
-  OperatorStandIn(const OperatorStandIn&) = delete;
-  OperatorStandIn& operator=(const OperatorStandIn&) = delete;
+  OperatorEmulator(runtime::Runtime* runtime, OperatorOptions options,
+                   fleettest::HistoryRecorder* recorder);
+  ~OperatorEmulator();
+  OperatorEmulator(const OperatorEmulator&) = delete;
+  OperatorEmulator& operator=(const OperatorEmulator&) = delete;
 
   // Begins key rotations and reads.
   void Start();
--- a/src/posthatch/emulator/program_options-test.cc
+++ b/src/posthatch/emulator/program_options-test.cc
@@ -26,18 +26,18 @@
                             ".toml";
 };
 
-TEST(ProgramOptionsTest, FlagsFillTheSettingsOfTheRole) {
+TEST(ProgramOptionsTest, FlagsFillRoleSettings) {
   const auto result = Read({"worker", "--id", "w1", "--listen", "127.0.0.1:0", "--history", "h",
                             "--prefill-per-block-us", "1500", "--cache-blocks", "7"});
   ASSERT_TRUE(result.run) << result.message;
-  EXPECT_EQ(result.options.role, StandInRole::kWorker);
+  EXPECT_EQ(result.options.role, EmulatorRole::kWorker);
   EXPECT_EQ(result.options.worker.id, "w1");
   EXPECT_EQ(result.options.history, "h");
   EXPECT_EQ(result.options.worker.timing.prefill_per_block, std::chrono::microseconds(1500));
   EXPECT_EQ(result.options.worker.cache_blocks, 7u);
 }
 
-TEST(ProgramOptionsTest, WrongOnesEndWithCodeTwoAndHelpWithZero) {
+TEST(ProgramOptionsTest, ExitCodes) {
   for (const auto& wrong : std::vector<std::vector<const char*>>{
            {}, {"robot"}, {"worker", "--cache-blocks", "many"}, {"store", "--model", "m"}}) {
     const auto result = Read(wrong);
@@ -48,7 +48,7 @@
   EXPECT_EQ(Read({"worker", "--help"}).exit_code, 0);
 }
 
-TEST_F(ConfigFileTest, FileFillsInAndFlagsOverride) {
+TEST_F(ConfigFileTest, FlagsOverrideFile) {
   const char* path = Write("id = \"w1\"\nmax_running = 4\nmodel = \"m\"\ninitial_revision = 3\n");
   const auto result = Read({"worker", "--config", path, "--max-running", "9"});
   ASSERT_TRUE(result.run) << result.message;
@@ -58,7 +58,7 @@
   EXPECT_EQ(result.options.worker.initial_revision, 3u);
 }
 
-TEST_F(ConfigFileTest, BackendsOfTheInventory) {
+TEST_F(ConfigFileTest, ReadsInventoryBackends) {
   const char* path = Write(
       "lateness_ms = 200\nreads_per_second = 2.5\n[[backends]]\nid = \"w1\"\nkind = \"worker\"\n"
       "endpoint = \"127.0.0.1:1\"\nlabels = { rack = \"r1\" }\n");
@@ -70,7 +70,7 @@
   EXPECT_EQ(result.options.inventory.backends[0].labels.at("rack"), "r1");
 }
 
-TEST_F(ConfigFileTest, UnknownKeysAndBrokenFilesAreErrors) {
+TEST_F(ConfigFileTest, RejectsUnknownKeysAndBrokenFiles) {
   EXPECT_EQ(Read({"worker", "--config", Write("typo = 1\n")}).exit_code, 2);
   const auto broken = Read({"worker", "--config", Write("id = \"w\"\nid\n")});
   EXPECT_EQ(broken.exit_code, 2);
--- a/src/posthatch/emulator/program_options.cc
+++ b/src/posthatch/emulator/program_options.cc
@@ -185,13 +185,13 @@
 ProgramOptionsResult ReadProgramOptions(int argc, const char* const* argv) {
   ProgramOptionsResult result;
   ProgramOptions* options = &result.options;
-  CLI::App app("Stand-in for a back end or for the platform, for rehearsals", "posthatch-emulator");
+  CLI::App app("Emulates a back end or the platform, for fleet tests", "posthatch-emulator");
   app.require_subcommand(1);
-  const std::vector<std::pair<StandInRole, CLI::App*>> roles = {
-      {StandInRole::kWorker, app.add_subcommand("worker", "Language-model worker")},
-      {StandInRole::kStore, app.add_subcommand("store", "Store of kept KV blocks")},
-      {StandInRole::kService, app.add_subcommand("service", "Application service")},
-      {StandInRole::kInventory, app.add_subcommand("inventory", "Platform inventory")}};
+  const std::vector<std::pair<EmulatorRole, CLI::App*>> roles = {
+      {EmulatorRole::kWorker, app.add_subcommand("worker", "Language-model worker")},
+      {EmulatorRole::kStore, app.add_subcommand("store", "Store of kept KV blocks")},
+      {EmulatorRole::kService, app.add_subcommand("service", "Application service")},
+      {EmulatorRole::kInventory, app.add_subcommand("inventory", "Platform inventory")}};
   AddWorker(roles[0].second, options);
   AddStore(roles[1].second, options);
   AddService(roles[2].second, options);
--- a/src/posthatch/emulator/program_options.h
+++ b/src/posthatch/emulator/program_options.h
@@ -4,18 +4,18 @@
 #include <vector>
 
 #include "absl/status/statusor.h"
-#include "posthatch/emulator/inventory_standin.h"
-#include "posthatch/emulator/service_standin.h"
-#include "posthatch/emulator/store_standin.h"
+#include "posthatch/emulator/inventory_emulator.h"
+#include "posthatch/emulator/service_emulator.h"
+#include "posthatch/emulator/store_emulator.h"
 #include "posthatch/emulator/worker_settings.h"
 
 namespace posthatch::emulator {
 
-enum class StandInRole { kWorker, kStore, kService, kInventory };
+enum class EmulatorRole { kWorker, kStore, kService, kInventory };
 
 // The command line of `posthatch-emulator`.
 struct ProgramOptions {
-  StandInRole role = StandInRole::kWorker;
+  EmulatorRole role = EmulatorRole::kWorker;
   std::string history;   // file that events are appended to
   std::string log_file;  // empty: stderr
   bool enable_fault_injection = false;
--- a/src/posthatch/emulator/real_sockets-test.cc
+++ b/src/posthatch/emulator/real_sockets-test.cc
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "posthatch/emulator/caller_load.h"
-#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/emulator/worker_emulator.h"
 #include "posthatch/fleettest/history/recorders.h"
 #include "posthatch/net/asio_runtime.h"
 
@@ -23,7 +23,7 @@
     settings.max_running = 64;
     settings.timing.prefill_per_block = std::chrono::microseconds(100);
     settings.timing.decode_per_token = std::chrono::milliseconds(2);
-    worker = std::make_unique<WorkerStandIn>(asio_runtime->runtime(), settings, recorder.get());
+    worker = std::make_unique<WorkerEmulator>(asio_runtime->runtime(), settings, recorder.get());
     EXPECT_TRUE(worker->Start().ok());
     options.mix = NilestoneMix();
     std::erase_if(options.mix.operations, [](const OperationTraffic& operation) {
@@ -50,11 +50,11 @@
   std::unique_ptr<net::AsioRuntime> asio_runtime;
   std::vector<fleettest::HistoryEvent> events;
   std::unique_ptr<fleettest::MemoryHistoryRecorder> recorder;
-  std::unique_ptr<WorkerStandIn> worker;
+  std::unique_ptr<WorkerEmulator> worker;
   CallerLoadOptions options;
 };
 
-TEST_F(RealSocketsTest, AnswersAreWholeForSlowReadersToo) {
+TEST_F(RealSocketsTest, SlowReadersGetCompleteResponses) {
   options.mix.leaving_share = 0;
   options.mix.slow_reader_share = 0.2;
   const auto ends = RunLoad();
@@ -64,7 +64,7 @@
   }
 }
 
-TEST_F(RealSocketsTest, RunsOfCallersThatLeaveAreCancelled) {
+TEST_F(RealSocketsTest, DisconnectCancelsRun) {
   options.mix.leaving_share = 1;
   WorkerBehaviour slow;
   slow.slow_factor = 20;
@@ -82,7 +82,7 @@
   EXPECT_GE(cancelled, started * 9 / 10);
 }
 
-TEST_F(RealSocketsTest, CutAnswersAreSeenAsCut) {
+TEST_F(RealSocketsTest, TruncatedResponsesAreDetected) {
   options.mix.leaving_share = 0;
   WorkerBehaviour cutting;
   cutting.cut_share = 1;
--- a/src/posthatch/emulator/recorded_call.cc
+++ b/src/posthatch/emulator/recorded_call.cc
@@ -31,10 +31,10 @@
   recorder_->Record(std::move(event));
   sent_at_ = runtime_->clock->Now();
   http::CallObserver observer;
-  observer.on_head = [this](const http::Response& head) { TakeHead(head); };
-  observer.on_chunk = [this](const std::string& bytes) { TakeBytes(bytes); };
-  observer.on_end = [this] { EndProperly(); };
-  observer.on_error = [this](const http::CallError& error) { EndBroken(error); };
+  observer.on_head = [this](const http::Response& head) { OnHead(head); };
+  observer.on_chunk = [this](const std::string& bytes) { OnBodyBytes(bytes); };
+  observer.on_end = [this] { OnEnd(); };
+  observer.on_error = [this](const http::CallError& error) { OnError(error); };
   call_ = runtime_->http_client->Start(plan_.sent.gateway(), BuildRequest(), plan_.options,
                                        std::move(observer));
   if (plan_.leave_after > runtime::Duration::zero()) {
@@ -52,7 +52,7 @@
   return request;
 }
 
-void RecordedCall::TakeHead(const http::Response& head) {
+void RecordedCall::OnHead(const http::Response& head) {
   ended_.set_status(static_cast<uint32_t>(head.status));
   ended_.set_attempt(std::string(head.headers.Get("X-Posthatch-Attempt")));
   uint32_t retry_after_s = 0;
@@ -62,16 +62,16 @@
   streamed_ = absl::StartsWith(util::ToAbsl(head.headers.Get("Content-Type")), "text/event-stream");
 }
 
-void RecordedCall::TakeBytes(const std::string& bytes) {
+void RecordedCall::OnBodyBytes(const std::string& bytes) {
   if (!streamed_) {
-    whole_body_ += bytes;
+    complete_body_ += bytes;
     return;
   }
-  NoteTokens(stream_reader_.Take(bytes));
+  RecordTokens(stream_reader_.Feed(bytes));
   if (plan_.reading_pause > runtime::Duration::zero()) StopReading();
 }
 
-void RecordedCall::NoteTokens(uint32_t pieces) {
+void RecordedCall::RecordTokens(uint32_t pieces) {
   if (pieces == 0) return;
   const runtime::MonotonicTime now = runtime_->clock->Now();
   for (uint32_t i = 0; i < pieces; ++i) {
@@ -90,7 +90,7 @@
   reading_timer_.Start(plan_.reading_pause, [this] { call_->ResumeReading(); });
 }
 
-void RecordedCall::EndProperly() {
+void RecordedCall::OnEnd() {
   if (streamed_) {
     stream_reader_.End();
     ended_.set_complete(stream_reader_.findings().done);
@@ -100,7 +100,7 @@
   Finish();
 }
 
-void RecordedCall::EndBroken(const http::CallError& error) {
+void RecordedCall::OnError(const http::CallError& error) {
   if (streamed_) stream_reader_.End();
   if (ended_.status() == 0 && error.progress == http::CallProgress::kNotSent) {
     ended_.set_fault("not sent: " + std::string(util::ToStd(error.status.message())));
@@ -115,7 +115,7 @@
   Finish();
 }
 
-void RecordedCall::TakeFindings(const AnswerFindings& findings) {
+void RecordedCall::CopyFindings(const ResponseFindings& findings) {
   ended_.set_echoed_nonce(findings.echoed_nonce);
   ended_.set_run(findings.run);
   ended_.set_body_intact(findings.intact);
@@ -132,10 +132,10 @@
   leave_timer_.Cancel();
   reading_timer_.Cancel();
   if (streamed_) {
-    TakeFindings(stream_reader_.findings());
+    CopyFindings(stream_reader_.findings());
   } else if (ended_.complete()) {
-    TakeFindings(ReadWholeAnswer(static_cast<int>(ended_.status()), whole_body_, plan_.sent.nonce(),
-                                 plan_.sent.expected_pieces()));
+    CopyFindings(ReadCompleteResponse(static_cast<int>(ended_.status()), complete_body_,
+                                      plan_.sent.nonce(), plan_.sent.expected_pieces()));
   }
   fleettest::HistoryEvent event;
   *event.mutable_call_ended() = ended_;
--- a/src/posthatch/emulator/recorded_call.h
+++ b/src/posthatch/emulator/recorded_call.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/emulator/answer_reader.h"
+#include "posthatch/emulator/response_reader.h"
 #include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/http/http.h"
 #include "posthatch/runtime/runtime.h"
@@ -42,13 +42,13 @@
 
  private:
   http::Request BuildRequest() const;
-  void TakeHead(const http::Response& head);
-  void TakeBytes(const std::string& bytes);
-  void NoteTokens(uint32_t pieces);
+  void OnHead(const http::Response& head);
+  void OnBodyBytes(const std::string& bytes);
+  void RecordTokens(uint32_t pieces);
   void StopReading();
-  void EndProperly();
-  void EndBroken(const http::CallError& error);
-  void TakeFindings(const AnswerFindings& findings);
+  void OnEnd();
+  void OnError(const http::CallError& error);
+  void CopyFindings(const ResponseFindings& findings);
   void Finish();
 
   runtime::Runtime* const runtime_;
@@ -56,7 +56,7 @@
   const CallPlan plan_;
   const Done done_;
   StreamReader stream_reader_;
-  std::string whole_body_;
+  std::string complete_body_;
   bool streamed_ = false;
   fleettest::CallEnded ended_;
   runtime::MonotonicTime sent_at_;
--- a/src/posthatch/emulator/answer_mixer.h
+++ b/src/posthatch/emulator/response_mixer.h
@@ -9,7 +9,7 @@
 namespace posthatch::emulator {
 
 // What a response is made from: two responses differ by it alone.
-struct AnswerIdentity {
+struct ResponseIdentity {
   std::string run;
   std::string request_id;  // the caller's nonce, echoed in the body
   std::string attempt;     // the gateway's nonce, echoed in the head
@@ -19,7 +19,7 @@
   uint32_t cached_tokens = 0;
 };
 
-struct MixedUpShares {
+struct MixUpProbabilities {
   double twice = 0;
   double crossed = 0;
   double crossed_body = 0;
@@ -28,24 +28,24 @@
 // Chooses which response a request gets: its own, or by chance another request's (crossed), or an
 // earlier one once more (twice: what a duplicate response on a pooled connection does to the next
 // request on it). Not thread-safe.
-class AnswerMixer {
+class ResponseMixer {
  public:
-  explicit AnswerMixer(runtime::Random* random) : random_(random) {}
+  explicit ResponseMixer(runtime::Random* random) : random_(random) {}
 
-  AnswerIdentity Choose(const AnswerIdentity& own, const MixedUpShares& shares);
+  ResponseIdentity Choose(const ResponseIdentity& original, const MixUpProbabilities& shares);
 
  private:
-  static constexpr size_t kRemembered = 16;
+  static constexpr size_t kMaxRecent = 16;
 
   runtime::Random* const random_;
-  std::deque<AnswerIdentity> recent_;
-  std::deque<AnswerIdentity> again_;
+  std::deque<ResponseIdentity> recent_;
+  std::deque<ResponseIdentity> repeats_;
 };
 
 // Text of one chunk of a response: it names run and number, so that a caller can check each byte.
-std::string PieceText(const std::string& run, uint32_t piece);
+std::string ChunkText(const std::string& run, uint32_t piece);
 // Text of a complete response of `pieces` chunks.
-std::string AnswerText(const std::string& run, uint32_t pieces);
+std::string ResponseText(const std::string& run, uint32_t pieces);
 // XXH3-64 of `text`, hexadecimal (docs/BACKENDS.md).
 std::string Checksum(const std::string& text);
 
--- a/src/posthatch/emulator/answer_reader-test.cc
+++ b/src/posthatch/emulator/response_reader-test.cc
@@ -1,37 +1,37 @@
-#include "posthatch/emulator/answer_reader.h"
+#include "posthatch/emulator/response_reader.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 
 #include "absl/strings/match.h"
-#include "posthatch/emulator/answer_mixer.h"
 #include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/response_mixer.h"
 
 namespace posthatch::emulator {
 namespace {
 
 std::string Piece(uint32_t number, const std::string& run = "r", const std::string& nonce = "n") {
   return R"(data: {"id":")" + run + R"(","request_id":")" + nonce + R"(","piece":)" +
-         std::to_string(number) + R"(,"choices":[{"index":0,"text":")" + PieceText(run, number) +
+         std::to_string(number) + R"(,"choices":[{"index":0,"text":")" + ChunkText(run, number) +
          "\"}]}\n\n";
 }
 
 constexpr char kEnd[] = "data: [DONE]\n\n";
 
-AnswerFindings Read(const std::string& stream, size_t chunk, uint32_t expected = 3) {
+ResponseFindings Read(const std::string& stream, size_t chunk, uint32_t expected = 3) {
   StreamReader reader("n", expected);
   for (size_t start = 0; start < stream.size(); start += chunk) {
-    reader.Take(std::string_view{stream}.substr(start, chunk));
+    reader.Feed(std::string_view{stream}.substr(start, chunk));
   }
   reader.End();
   return reader.findings();
 }
 
-TEST(StreamReaderTest, WholeStreamIsIntactHoweverItIsCutIntoChunks) {
+TEST(StreamReaderTest, IntactForAnyChunking) {
   const std::string stream = Piece(0) + ": comment\n\n" + Piece(1) + Piece(2) + kEnd;
   for (size_t chunk = 1; chunk <= stream.size(); ++chunk) {
-    const AnswerFindings findings = Read(stream, chunk);
+    const ResponseFindings findings = Read(stream, chunk);
     EXPECT_TRUE(findings.intact) << findings.fault;
     EXPECT_TRUE(findings.done);
     EXPECT_EQ(findings.pieces, (std::vector<uint32_t>{0, 1, 2}));
@@ -48,9 +48,9 @@
 
 class BrokenStreamTest : public ::testing::TestWithParam<BrokenStream> {};
 
-TEST_P(BrokenStreamTest, FaultIsNamedAndTheAnswerIsNotIntact) {
+TEST_P(BrokenStreamTest, NamesFault) {
   for (const size_t chunk : {1u, 7u, 10000u}) {
-    const AnswerFindings findings = Read(GetParam().stream, chunk);
+    const ResponseFindings findings = Read(GetParam().stream, chunk);
     EXPECT_FALSE(findings.intact);
     EXPECT_EQ(findings.fault, GetParam().fault);
   }
@@ -80,8 +80,8 @@
                      "line that is neither data nor event"}),
     [](const auto& info) { return info.param.name; });
 
-TEST(StreamReaderTest, ErrorEventEndsTheStreamWithItsCode) {
-  const AnswerFindings findings =
+TEST(StreamReaderTest, ErrorEventEndsStream) {
+  const ResponseFindings findings =
       Read(Piece(0) +
                "event: error\ndata: {\"error\":{\"code\":\"backend_failed\",\"executed\":"
                "\"unknown\"}}\n\n",
@@ -92,25 +92,25 @@
   EXPECT_FALSE(findings.done);
 }
 
-TEST(WholeAnswerTest, ChecksumNonceAndLengthAreChecked) {
+TEST(WholeAnswerTest, ChecksChecksumNonceAndLength) {
   const auto body = [](const std::string& text, const std::string& checked) {
     return R"({"id":"r","request_id":"n","choices":[{"index":0,"text":")" + text +
            R"("}],"checksum":")" + Checksum(checked) + "\"}";
   };
-  const std::string text = AnswerText("r", 3);
-  EXPECT_TRUE(ReadWholeAnswer(200, body(text, text), "n", 3).intact);
-  EXPECT_FALSE(ReadWholeAnswer(200, body(text + "x", text), "n", 3).intact);
-  EXPECT_FALSE(ReadWholeAnswer(200, body(text, text), "n", 4).intact);
-  EXPECT_EQ(ReadWholeAnswer(200, body(text, text), "m", 3).fault, "another request's id");
-  EXPECT_NE(ReadWholeAnswer(200, body(text, text).substr(0, 30), "n", 3).fault, "");
+  const std::string text = ResponseText("r", 3);
+  EXPECT_TRUE(ReadCompleteResponse(200, body(text, text), "n", 3).intact);
+  EXPECT_FALSE(ReadCompleteResponse(200, body(text + "x", text), "n", 3).intact);
+  EXPECT_FALSE(ReadCompleteResponse(200, body(text, text), "n", 4).intact);
+  EXPECT_EQ(ReadCompleteResponse(200, body(text, text), "m", 3).fault, "another request's id");
+  EXPECT_NE(ReadCompleteResponse(200, body(text, text).substr(0, 30), "n", 3).fault, "");
 }
 
-TEST(WholeAnswerTest, RefusalsCarryCodeAndExecuted) {
+TEST(WholeAnswerTest, RejectionsCarryCodeAndExecuted) {
   const http::Response refusal = NotExecuted(503, "no_lease", "text");
-  const AnswerFindings findings = ReadWholeAnswer(503, refusal.body, "n", 3);
+  const ResponseFindings findings = ReadCompleteResponse(503, refusal.body, "n", 3);
   EXPECT_EQ(findings.code, "no_lease");
   EXPECT_EQ(findings.executed, "no");
-  EXPECT_EQ(ReadWholeAnswer(503, "{}", "n", 3).fault, "refusal without a code");
+  EXPECT_EQ(ReadCompleteResponse(503, "{}", "n", 3).fault, "refusal without a code");
 }
 
 }  // namespace
--- a/src/posthatch/emulator/answer_reader.cc
+++ b/src/posthatch/emulator/response_reader.cc
@@ -1,4 +1,4 @@
-#include "posthatch/emulator/answer_reader.h"
+#include "posthatch/emulator/response_reader.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,8 +7,8 @@
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_split.h"
 #include "absl/strings/strip.h"
-#include "posthatch/emulator/answer_mixer.h"
 #include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/response_mixer.h"
 #include "posthatch/util/string_view.h"
 
 namespace posthatch::emulator {
@@ -20,7 +20,7 @@
 constexpr std::string_view kEventEnd = "\n\n";
 constexpr std::string_view kDone = "[DONE]";
 
-void TakeError(const json::object& body, AnswerFindings* findings) {
+void ParseError(const json::object& body, ResponseFindings* findings) {
   const json::object* error = ObjectField(body, "error");
   if (error == nullptr) return;
   findings->code = TextField(*error, "code");
@@ -39,21 +39,21 @@
 StreamReader::StreamReader(std::string nonce, uint32_t expected_pieces)
     : nonce_(std::move(nonce)), expected_pieces_(expected_pieces) {}
 
-uint32_t StreamReader::Take(std::string_view bytes) {
-  const uint32_t before = complete_pieces_;
+uint32_t StreamReader::Feed(std::string_view bytes) {
+  const uint32_t before = complete_chunks_;
   pending_ += bytes;
   size_t start = 0;
   for (;;) {
     const size_t end = pending_.find(kEventEnd, start);
     if (end == std::string::npos) break;
-    TakeEvent(std::string_view{pending_}.substr(start, end - start));
+    ParseEvent(std::string_view{pending_}.substr(start, end - start));
     start = end + kEventEnd.size();
   }
   pending_.erase(0, start);
-  return complete_pieces_ - before;
+  return complete_chunks_ - before;
 }
 
-void StreamReader::TakeEvent(std::string_view event) {
+void StreamReader::ParseEvent(std::string_view event) {
   std::string type;
   std::string data;
   for (const absl::string_view line : absl::StrSplit(util::ToAbsl(event), '\n')) {
@@ -77,13 +77,13 @@
   if (!body.ok()) {
     Fault("event that is not a JSON object");
   } else if (type == "error") {
-    TakeError(*body, &findings_);
+    ParseError(*body, &findings_);
   } else {
-    TakePiece(*body);
+    ParseChunk(*body);
   }
 }
 
-void StreamReader::TakePiece(const json::object& piece) {
+void StreamReader::ParseChunk(const json::object& piece) {
   const uint64_t number = NumberField(piece, "piece", UINT64_MAX);
   const std::string run = TextField(piece, "id");
   if (number > UINT32_MAX || run.empty()) {
@@ -101,11 +101,11 @@
   const std::string echoed = TextField(piece, "request_id");
   if (findings_.echoed_nonce.empty() || echoed != nonce_) findings_.echoed_nonce = echoed;
   if (echoed != nonce_) Fault("another request's id");
-  if (FirstChoiceText(piece) != PieceText(run, static_cast<uint32_t>(number))) {
+  if (FirstChoiceText(piece) != ChunkText(run, static_cast<uint32_t>(number))) {
     text_intact_ = false;
     Fault("text is not what the run said");
   }
-  ++complete_pieces_;
+  ++complete_chunks_;
 }
 
 void StreamReader::End() {
@@ -121,16 +121,16 @@
   if (findings_.fault.empty()) findings_.fault = std::move(text);
 }
 
-AnswerFindings ReadWholeAnswer(int status, std::string_view body, const std::string& nonce,
-                               uint32_t expected_pieces) {
-  AnswerFindings findings;
+ResponseFindings ReadCompleteResponse(int status, std::string_view body, const std::string& nonce,
+                                      uint32_t expected_pieces) {
+  ResponseFindings findings;
   const absl::StatusOr<json::object> parsed = ParseObject(body);
   if (!parsed.ok()) {
     findings.fault = std::string(util::ToStd(parsed.status().message()));
     return findings;
   }
   if (status != 200) {
-    TakeError(*parsed, &findings);
+    ParseError(*parsed, &findings);
     if (findings.code.empty()) findings.fault = "refusal without a code";
     return findings;
   }
@@ -140,7 +140,7 @@
   const std::string text = worker ? FirstChoiceText(*parsed) : TextField(*parsed, "result");
   if (findings.echoed_nonce != nonce) findings.fault = "another request's id";
   findings.intact = TextField(*parsed, "checksum") == Checksum(text);
-  if (worker && text != AnswerText(findings.run, expected_pieces)) findings.intact = false;
+  if (worker && text != ResponseText(findings.run, expected_pieces)) findings.intact = false;
   if (!findings.intact && findings.fault.empty()) findings.fault = "text is not what the run said";
   return findings;
 }
--- a/src/posthatch/emulator/answer_reader.h
+++ b/src/posthatch/emulator/response_reader.h
@@ -10,7 +10,7 @@
 
 // What a caller finds in a response's body, byte by byte. Strict: anything that docs/API.md and
 // docs/BACKENDS.md don't allow is named in `fault` (the first one).
-struct AnswerFindings {
+struct ResponseFindings {
   std::vector<uint32_t> pieces;         // numbers in order of arrival
   std::vector<std::string> piece_runs;  // distinct runs
   std::string run;
@@ -28,26 +28,26 @@
   StreamReader(std::string nonce, uint32_t expected_pieces);
 
   // Takes the next bytes; returns how many chunks became complete.
-  uint32_t Take(std::string_view bytes);
+  uint32_t Feed(std::string_view bytes);
   // The body has ended (properly or not): it must be complete, and nothing may be left over.
   void End();
-  const AnswerFindings& findings() const { return findings_; }
+  const ResponseFindings& findings() const { return findings_; }
 
  private:
-  void TakeEvent(std::string_view event);
-  void TakePiece(const boost::json::object& piece);
+  void ParseEvent(std::string_view event);
+  void ParseChunk(const boost::json::object& piece);
   void Fault(std::string text);
 
   const std::string nonce_;
   const uint32_t expected_pieces_;
   std::string pending_;
-  uint32_t complete_pieces_ = 0;
+  uint32_t complete_chunks_ = 0;
   bool text_intact_ = true;
-  AnswerFindings findings_;
+  ResponseFindings findings_;
 };
 
 // Reads a complete response of a worker (`expected_pieces` > 0) or a service, or a rejection.
-AnswerFindings ReadWholeAnswer(int status, std::string_view body, const std::string& nonce,
-                               uint32_t expected_pieces);
+ResponseFindings ReadCompleteResponse(int status, std::string_view body, const std::string& nonce,
+                                      uint32_t expected_pieces);
 
 }  // namespace posthatch::emulator
--- a/src/posthatch/emulator/service_standin.cc
+++ b/src/posthatch/emulator/service_emulator.cc
@@ -1,4 +1,4 @@
-#include "posthatch/emulator/service_standin.h"
+#include "posthatch/emulator/service_emulator.h"
 
 #include <boost/json/serialize.hpp>
 #include <utility>
@@ -6,9 +6,9 @@
 
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_cat.h"
-#include "posthatch/emulator/answer_mixer.h"
 #include "posthatch/emulator/field_table.h"
 #include "posthatch/emulator/json_body.h"
+#include "posthatch/emulator/response_mixer.h"
 #include "posthatch/emulator/routed_server.h"
 #include "posthatch/util/string_view.h"
 
@@ -42,7 +42,7 @@
 
 // One operation in progress.
 struct Operation {
-  AnswerIdentity identity;
+  ResponseIdentity identity;
   std::string tenant;
   std::string gateway;
   std::string idempotency_key;
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-class ServiceStandIn::Impl {
+class ServiceEmulator::Impl {
  public:
   Impl(runtime::Runtime* runtime, ServiceSettings settings, fleettest::HistoryRecorder* recorder)
       : runtime_(runtime),
@@ -80,7 +80,7 @@
   runtime::Runtime* const runtime_;
   const ServiceSettings settings_;
   fleettest::HistoryRecorder* const recorder_;
-  AnswerMixer mixer_;
+  ResponseMixer mixer_;
   runtime::MonotonicTime up_since_;
   uint64_t start_epoch_ = 0;
   uint64_t next_run_ = 1;
@@ -89,7 +89,7 @@
   RoutedServer server_;
 };
 
-absl::Status ServiceStandIn::Impl::Start() {
+absl::Status ServiceEmulator::Impl::Start() {
   up_since_ = runtime_->clock->Now();
   start_epoch_ = static_cast<uint64_t>(runtime::ToNanoseconds(up_since_) / 1000);
   server_.Route(
@@ -113,7 +113,7 @@
   return server_.Listen(settings_.listen);
 }
 
-void ServiceStandIn::Impl::Take(const RoutedRequest& routed, const WriterPointer& writer) {
+void ServiceEmulator::Impl::Take(const RoutedRequest& routed, const WriterPointer& writer) {
   if (running_ >= settings_.max_running) {
     http::Response refusal = NotExecuted(429, "overloaded", "too many operations in progress");
     refusal.headers.Add("X-Posthatch-Attempt", routed.request.headers.Get("X-Posthatch-Attempt"));
@@ -148,14 +148,14 @@
   }
 }
 
-void ServiceStandIn::Impl::After(runtime::Duration delay, std::function<void()> step) {
+void ServiceEmulator::Impl::After(runtime::Duration delay, std::function<void()> step) {
   std::weak_ptr<bool> alive = alive_;
   runtime_->timers->Schedule(delay, [alive, step = std::move(step)] {
     if (!alive.expired()) step();
   });
 }
 
-void ServiceStandIn::Impl::Execute(const OperationPointer& operation) {
+void ServiceEmulator::Impl::Execute(const OperationPointer& operation) {
   operation->identity.run = absl::StrCat(settings_.id, "-", start_epoch_, "-", next_run_++);
   RecordStart(*operation);
   const auto time = static_cast<double>(settings_.execution.count()) * behaviour.slow_factor;
@@ -166,7 +166,7 @@
   After(until_answer, [this, operation] { Answer(*operation); });
 }
 
-void ServiceStandIn::Impl::RecordStart(const Operation& operation) {
+void ServiceEmulator::Impl::RecordStart(const Operation& operation) {
   fleettest::HistoryEvent event;
   fleettest::RunStarted* started = event.mutable_run_started();
   started->set_backend(settings_.id);
@@ -186,7 +186,7 @@
   recorder_->Record(std::move(event));
 }
 
-void ServiceStandIn::Impl::Answer(const Operation& operation) {
+void ServiceEmulator::Impl::Answer(const Operation& operation) {
   --running_;
   fleettest::HistoryEvent event;
   event.mutable_run_ended()->set_run(operation.identity.run);
@@ -200,8 +200,8 @@
   }
 }
 
-void ServiceStandIn::Impl::SendAnswer(const Operation& operation) {
-  const AnswerIdentity answer = mixer_.Choose(
+void ServiceEmulator::Impl::SendAnswer(const Operation& operation) {
+  const ResponseIdentity answer = mixer_.Choose(
       operation.identity, {behaviour.answers_twice_share, behaviour.answers_crossed_share,
                            behaviour.answers_crossed_body_share});
   const std::string result = absl::StrCat(answer.operation, " done by ", answer.run);
@@ -222,17 +222,17 @@
   operation.writer->SendResponse(std::move(response));
 }
 
-ServiceStandIn::ServiceStandIn(runtime::Runtime* runtime, ServiceSettings settings,
-                               fleettest::HistoryRecorder* recorder)
+ServiceEmulator::ServiceEmulator(runtime::Runtime* runtime, ServiceSettings settings,
+                                 fleettest::HistoryRecorder* recorder)
     : impl_(std::make_unique<Impl>(runtime, std::move(settings), recorder)) {}
 
-ServiceStandIn::~ServiceStandIn() = default;
+ServiceEmulator::~ServiceEmulator() = default;
 
-absl::Status ServiceStandIn::Start() { return impl_->Start(); }
-const std::string& ServiceStandIn::endpoint() const { return impl_->endpoint(); }
-void ServiceStandIn::SetBehaviour(const ServiceBehaviour& behaviour) {
+absl::Status ServiceEmulator::Start() { return impl_->Start(); }
+const std::string& ServiceEmulator::endpoint() const { return impl_->endpoint(); }
+void ServiceEmulator::SetBehaviour(const ServiceBehaviour& behaviour) {
   impl_->behaviour = behaviour;
 }
-const ServiceBehaviour& ServiceStandIn::behaviour() const { return impl_->behaviour; }
+const ServiceBehaviour& ServiceEmulator::behaviour() const { return impl_->behaviour; }
 
 }  // namespace posthatch::emulator
--- a/src/posthatch/emulator/service_standin.h
+++ b/src/posthatch/emulator/service_emulator.h
@@ -39,13 +39,13 @@
 // Stand-in for an application service (docs/BACKENDS.md): records each start (RunStarted) and
 // removes no duplicates. An execution continues when its caller disconnects. Event loop thread
 // only.
-class ServiceStandIn {
+class ServiceEmulator {
  public:
-  ServiceStandIn(runtime::Runtime* runtime, ServiceSettings settings,
-                 fleettest::HistoryRecorder* recorder);
-  ~ServiceStandIn();
-  ServiceStandIn(const ServiceStandIn&) = delete;
-  ServiceStandIn& operator=(const ServiceStandIn&) = delete;
+  ServiceEmulator(runtime::Runtime* runtime, ServiceSettings settings,
+                  fleettest::HistoryRecorder* recorder);
+  ~ServiceEmulator();
+  ServiceEmulator(const ServiceEmulator&) = delete;
+  ServiceEmulator& operator=(const ServiceEmulator&) = delete;
 
   // Listens and serves. Errors: those of HttpServerFactory::Listen.
   absl::Status Start();
--- a/src/posthatch/emulator/state_reader.cc
+++ b/src/posthatch/emulator/state_reader.cc
@@ -64,11 +64,11 @@
 };
 
 StateReader::StateReader(runtime::Runtime* runtime, fleettest::HistoryRecorder* recorder,
-                         std::string admin_token, runtime::Duration answer_timeout)
+                         std::string admin_token, runtime::Duration response_timeout)
     : clock_(runtime->clock),
       recorder_(recorder),
       admin_token_(std::move(admin_token)),
-      answer_timeout_(answer_timeout),
+      response_timeout_(response_timeout),
       client_(runtime) {}
 
 void StateReader::Read(const std::string& node, std::function<void(bool)> done) {
@@ -84,10 +84,10 @@
   http::Request request = JsonRequest("GET", kPaths[reading->next_path], "");
   if (!admin_token_.empty()) request.headers.Add("Authorization", "Bearer " + admin_token_);
   http::CallOptions options;
-  options.head_timeout = answer_timeout_;
+  options.head_timeout = response_timeout_;
   client_.Send(reading->node, std::move(request), options,
-               [this, reading](const absl::StatusOr<http::Response>& answer) {
-                 if (!answer.ok() || !Take(reading.get(), *answer)) {
+               [this, reading](const absl::StatusOr<http::Response>& response) {
+                 if (!response.ok() || !Take(reading.get(), *response)) {
                    reading->done(false);
                  } else if (++reading->next_path < kPaths.size()) {
                    Step(reading);
@@ -100,9 +100,9 @@
                });
 }
 
-bool StateReader::Take(Reading* reading, const http::Response& answer) {
-  const absl::StatusOr<json::object> body = ParseObject(answer.body);
-  if (answer.status != kOk || !body.ok()) return false;
+bool StateReader::Take(Reading* reading, const http::Response& response) {
+  const absl::StatusOr<json::object> body = ParseObject(response.body);
+  if (response.status != kOk || !body.ok()) return false;
   TakeEvacuations(*body, &reading->state);
   TakeRevisions(*body, &reading->state);
   TakeHistory(*body, &reading->state);
--- a/src/posthatch/emulator/state_reader.h
+++ b/src/posthatch/emulator/state_reader.h
@@ -15,7 +15,7 @@
 class StateReader {
  public:
   StateReader(runtime::Runtime* runtime, fleettest::HistoryRecorder* recorder,
-              std::string admin_token, runtime::Duration answer_timeout);
+              std::string admin_token, runtime::Duration response_timeout);
 
   // `done` says whether a StateRead was recorded.
   void Read(const std::string& node, std::function<void(bool)> done);
@@ -25,12 +25,12 @@
   using ReadingPointer = std::shared_ptr<Reading>;
 
   void Step(const ReadingPointer& reading);
-  static bool Take(Reading* reading, const http::Response& answer);
+  static bool Take(Reading* reading, const http::Response& response);
 
   const runtime::Clock* const clock_;
   fleettest::HistoryRecorder* const recorder_;
   const std::string admin_token_;
-  const runtime::Duration answer_timeout_;
+  const runtime::Duration response_timeout_;
   JsonClient client_;
 };
 
--- a/src/posthatch/emulator/store_standin.cc
+++ b/src/posthatch/emulator/store_emulator.cc
@@ -1,4 +1,4 @@
-#include "posthatch/emulator/store_standin.h"
+#include "posthatch/emulator/store_emulator.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,7 +16,7 @@
 
 using WriterPointer = std::shared_ptr<http::ResponseWriter>;
 
-class StoreStandIn::Impl {
+class StoreEmulator::Impl {
  public:
   Impl(runtime::Runtime* runtime, StoreSettings settings)
       : runtime_(runtime),
@@ -25,7 +25,7 @@
         server_(runtime) {}
 
   absl::Status Start();
-  void GoCold();
+  void EmulateRestart();
   const std::string& endpoint() const { return server_.endpoint(); }
   uint64_t epoch() const { return epoch_; }
   uint64_t kept_blocks() const { return cache_.size(); }
@@ -41,8 +41,8 @@
   RoutedServer server_;
 };
 
-absl::Status StoreStandIn::Impl::Start() {
-  GoCold();
+absl::Status StoreEmulator::Impl::Start() {
+  EmulateRestart();
   server_.Route(
       "POST", "/kv/put",
       [this](const RoutedRequest& routed, const WriterPointer& writer) { Put(routed, writer); });
@@ -56,19 +56,19 @@
   server_.Route("PUT", "/debug/behaviour",
                 [this](const RoutedRequest& routed, const WriterPointer& writer) {
                   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
-                  if (body.ok() && FlagField(*body, "cold")) GoCold();
+                  if (body.ok() && FlagField(*body, "cold")) EmulateRestart();
                   writer->SendResponse(JsonResponse(200, json::object{{"epoch", epoch_}}));
                 });
   return server_.Listen(settings_.listen);
 }
 
-void StoreStandIn::Impl::GoCold() {
+void StoreEmulator::Impl::EmulateRestart() {
   cache_.Clear();
   const auto now_us = static_cast<uint64_t>(runtime::ToNanoseconds(runtime_->clock->Now()) / 1000);
   epoch_ = std::max(epoch_ + 1, now_us);
 }
 
-void StoreStandIn::Impl::Put(const RoutedRequest& routed, const WriterPointer& writer) {
+void StoreEmulator::Impl::Put(const RoutedRequest& routed, const WriterPointer& writer) {
   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
   if (!body.ok()) {
     writer->SendResponse(NotExecuted(400, "bad_request", util::ToStd(body.status().message())));
@@ -84,7 +84,7 @@
       JsonResponse(200, json::object{{"epoch", epoch_}, {"blocks", blocks.size()}}));
 }
 
-void StoreStandIn::Impl::Fetch(const RoutedRequest& routed, const WriterPointer& writer) {
+void StoreEmulator::Impl::Fetch(const RoutedRequest& routed, const WriterPointer& writer) {
   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
   if (!body.ok()) {
     writer->SendResponse(NotExecuted(400, "bad_request", util::ToStd(body.status().message())));
@@ -94,21 +94,21 @@
   const runtime::Duration transfer =
       TransferTime(makers.size(), settings_.kv_bytes_per_block, settings_.link_bytes_per_second);
   runtime_->timers->Schedule(transfer,
-                             [writer, answer = FetchAnswer(settings_.id, epoch_, makers)] {
+                             [writer, answer = FetchResponse(settings_.id, epoch_, makers)] {
                                writer->SendResponse(JsonResponse(200, answer));
                              });
 }
 
-StoreStandIn::StoreStandIn(runtime::Runtime* runtime, StoreSettings settings,
-                           fleettest::HistoryRecorder* /*recorder*/)
+StoreEmulator::StoreEmulator(runtime::Runtime* runtime, StoreSettings settings,
+                             fleettest::HistoryRecorder* /*recorder*/)
     : impl_(std::make_unique<Impl>(runtime, std::move(settings))) {}
 
-StoreStandIn::~StoreStandIn() = default;
+StoreEmulator::~StoreEmulator() = default;
 
-absl::Status StoreStandIn::Start() { return impl_->Start(); }
-const std::string& StoreStandIn::endpoint() const { return impl_->endpoint(); }
-void StoreStandIn::GoCold() { impl_->GoCold(); }
-uint64_t StoreStandIn::epoch() const { return impl_->epoch(); }
-uint64_t StoreStandIn::kept_blocks() const { return impl_->kept_blocks(); }
+absl::Status StoreEmulator::Start() { return impl_->Start(); }
+const std::string& StoreEmulator::endpoint() const { return impl_->endpoint(); }
+void StoreEmulator::EmulateRestart() { impl_->EmulateRestart(); }
+uint64_t StoreEmulator::epoch() const { return impl_->epoch(); }
+uint64_t StoreEmulator::kept_blocks() const { return impl_->kept_blocks(); }
 
 }  // namespace posthatch::emulator
--- a/src/posthatch/emulator/store_standin.h
+++ b/src/posthatch/emulator/store_emulator.h
@@ -22,19 +22,19 @@
 // Stand-in for the store of kept KV blocks (docs/BACKENDS.md). It forgets everything when it is
 // destroyed and begins a new epoch at each start. Checks neither tenant nor version. Event loop
 // thread only.
-class StoreStandIn {
+class StoreEmulator {
  public:
-  StoreStandIn(runtime::Runtime* runtime, StoreSettings settings,
-               fleettest::HistoryRecorder* recorder);
-  ~StoreStandIn();
-  StoreStandIn(const StoreStandIn&) = delete;
-  StoreStandIn& operator=(const StoreStandIn&) = delete;
+  StoreEmulator(runtime::Runtime* runtime, StoreSettings settings,
+                fleettest::HistoryRecorder* recorder);
+  ~StoreEmulator();
+  StoreEmulator(const StoreEmulator&) = delete;
+  StoreEmulator& operator=(const StoreEmulator&) = delete;
 
   // Listens and serves. Errors: those of HttpServerFactory::Listen.
   absl::Status Start();
   const std::string& endpoint() const;
   // Forgets all blocks and begins a new epoch, as a restart would.
-  void GoCold();
+  void EmulateRestart();
   uint64_t epoch() const;
   uint64_t kept_blocks() const;
 
--- a/src/posthatch/emulator/worker_standin-test.cc
+++ b/src/posthatch/emulator/worker_emulator-test.cc
@@ -1,10 +1,10 @@
-#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/emulator/worker_emulator.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "posthatch/emulator/standin_world.h"
-#include "posthatch/emulator/store_standin.h"
+#include "posthatch/emulator/emulator_world.h"
+#include "posthatch/emulator/store_emulator.h"
 
 namespace posthatch::emulator {
 namespace {
@@ -16,7 +16,7 @@
 
 std::string Blocks(char letter, size_t count) { return std::string(count * kBlockBytes, letter); }
 
-class WorkerStandInTest : public StandInWorld {
+class WorkerEmulatorTest : public EmulatorWorld {
  protected:
   // A completion with header fields as a gateway sends them.
   http::Response Ask(const std::string& endpoint, const std::string& prompt,
@@ -36,7 +36,7 @@
     return Send(endpoint, request);
   }
   // Numbers ("seq") and types of the events after `after`, as "1stored 2removed".
-  std::string EventsAfter(const WorkerStandIn& worker, uint64_t after, uint64_t wait_ms = 0) {
+  std::string EventsAfter(const WorkerEmulator& worker, uint64_t after, uint64_t wait_ms = 0) {
     const boost::json::object answer =
         Get(worker.endpoint(), "/kv_events?epoch=" + std::to_string(worker.epoch()) + "&after=" +
                                    std::to_string(after) + "&wait_ms=" + std::to_string(wait_ms));
@@ -65,8 +65,8 @@
   }
 };
 
-TEST_F(WorkerStandInTest, TimesFollowTheModel) {
-  WorkerStandIn* worker = BootWorker();
+TEST_F(WorkerEmulatorTest, TimingFollowsModel) {
+  WorkerEmulator* worker = BootWorker();
   const std::string prompt = Blocks('a', 10) + "rest";  // 10 blocks and a part of one
   Run({Completion(worker->endpoint(), prompt, 4, true)});
   Run({Completion(worker->endpoint(), prompt, 4, false)});
@@ -79,15 +79,15 @@
   EXPECT_THAT(RunMilliseconds(), ElementsAre(88 + 40, 8 + 40, 3 * 48));
 }
 
-TEST_F(WorkerStandInTest, OtherRunsSlowDecoding) {
-  WorkerStandIn* worker = BootWorker();
+TEST_F(WorkerEmulatorTest, OtherRunsSlowDecoding) {
+  WorkerEmulator* worker = BootWorker();
   Run({Completion(worker->endpoint(), "a", 20, true),
        Completion(worker->endpoint(), "b", 20, true)});
   for (const double time : RunMilliseconds()) EXPECT_NEAR(time, 8 + 20 * 10.5, 1.0);
 }
 
-TEST_F(WorkerStandInTest, ReuseNamesTheMakerAndSaltsKeepBlocksApart) {
-  WorkerStandIn* worker = BootWorker();
+TEST_F(WorkerEmulatorTest, ReuseNamesMakerAndSaltsSeparateBlocks) {
+  WorkerEmulator* worker = BootWorker();
   const std::string prompt = Blocks('a', 5);
   const auto ask = [&](const std::string& tenant, const std::string& salt) {
     Ask(worker->endpoint(), prompt,
@@ -111,10 +111,10 @@
   EXPECT_EQ(Starts()[4].reused(0).made_by_tenant(), "third");
 }
 
-TEST_F(WorkerStandInTest, LeastRecentlyUsedBlocksGoFirstAndChainsLoseTheirTail) {
+TEST_F(WorkerEmulatorTest, EvictsLeastRecentlyUsedAndTails) {
   WorkerSettings settings;
   settings.cache_blocks = 10;
-  WorkerStandIn* worker = BootWorker(settings);
+  WorkerEmulator* worker = BootWorker(settings);
   Ask(worker->endpoint(), Blocks('a', 6));
   Ask(worker->endpoint(), Blocks('b', 4));
   Ask(worker->endpoint(), Blocks('a', 6));  // used again: now b is the oldest
@@ -127,11 +127,11 @@
   EXPECT_EQ(ReusedBy(Starts()[5]), 2u);  // the first two of b's chain are still there
 }
 
-TEST_F(WorkerStandInTest, FullQueueRefusesAndNothingRuns) {
+TEST_F(WorkerEmulatorTest, FullQueueRejects) {
   WorkerSettings settings;
   settings.max_running = 2;
   settings.max_waiting = 3;
-  WorkerStandIn* worker = BootWorker(settings);
+  WorkerEmulator* worker = BootWorker(settings);
   std::vector<CallPlan> plans;
   plans.reserve(8);
   for (int i = 0; i < 8; ++i) plans.push_back(Completion(worker->endpoint(), "p", 5, false));
@@ -145,8 +145,8 @@
   for (const auto& run : Starts()) EXPECT_LE(run.running(), 2u);
 }
 
-TEST_F(WorkerStandInTest, RunEndsWhenItsCallerLeaves) {
-  WorkerStandIn* worker = BootWorker();
+TEST_F(WorkerEmulatorTest, DisconnectEndsRun) {
+  WorkerEmulator* worker = BootWorker();
   CallPlan plan = Completion(worker->endpoint(), "p", 100, true);
   plan.leave_after = Milliseconds(200);
   EXPECT_TRUE(Run({plan})[0].caller_left());
@@ -157,9 +157,9 @@
   EXPECT_EQ(ends[0].run_ended().reason(), "caller_gone");
 }
 
-TEST_F(WorkerStandInTest, EveryStartAndLossOfTheCacheBeginsAHigherEpoch) {
+TEST_F(WorkerEmulatorTest, StartAndCacheLossRaiseEpoch) {
   simulation::SimHost* host = nullptr;
-  WorkerStandIn* worker = BootWorker({}, &host);
+  WorkerEmulator* worker = BootWorker({}, &host);
   std::vector<uint64_t> epochs = {worker->epoch()};
   SendJson(worker->endpoint(), "PUT", "/debug/behaviour", R"({"cold":true})");
   epochs.push_back(worker->epoch());
@@ -179,8 +179,8 @@
   EXPECT_EQ(ReusedBy(Starts().back()), 0u);
 }
 
-TEST_F(WorkerStandInTest, OlderAndForeignFencingTokensAreRefused) {
-  WorkerStandIn* worker = BootWorker();
+TEST_F(WorkerEmulatorTest, StaleFencingTokensAreRejected) {
+  WorkerEmulator* worker = BootWorker();
   EXPECT_EQ(Order(worker->endpoint(), 1, 7, "g1").status, 202);
   EXPECT_EQ(Order(worker->endpoint(), 2, 6, "g2").status, 409);
   EXPECT_EQ(Order(worker->endpoint(), 2, 7, "g2").status, 409);
@@ -201,8 +201,8 @@
   EXPECT_EQ(obeyed, "+--++");
 }
 
-TEST_F(WorkerStandInTest, LoadingCutsRunsDropsBlocksAndRefusesProvably) {
-  WorkerStandIn* worker = BootWorker();
+TEST_F(WorkerEmulatorTest, LoadingCancelsRunsAndRejects) {
+  WorkerEmulator* worker = BootWorker();
   Ask(worker->endpoint(), Blocks('a', 3));
   const uint64_t epoch = worker->epoch();
   JsonClient orderer(client->runtime());
@@ -220,18 +220,18 @@
 
   const http::Response loading = Ask(worker->endpoint(), "p");
   EXPECT_EQ(loading.status, 503);
-  EXPECT_EQ(ReadWholeAnswer(503, loading.body, "", 1).code, "loading");
+  EXPECT_EQ(ReadCompleteResponse(503, loading.body, "", 1).code, "loading");
   world.RunFor(std::chrono::seconds(3));
   EXPECT_EQ(worker->model_revision(), 5u);
   const http::Response wrong = Ask(worker->endpoint(), "p", {{"X-Posthatch-Model-Revision", "4"}});
   EXPECT_EQ(wrong.status, 409);
-  EXPECT_EQ(ReadWholeAnswer(409, wrong.body, "", 1).executed, "no");
+  EXPECT_EQ(ReadCompleteResponse(409, wrong.body, "", 1).executed, "no");
   EXPECT_EQ(Ask(worker->endpoint(), "p", {{"X-Posthatch-Model-Revision", "5"}}).status, 200);
   EXPECT_EQ(Starts().size(), 3u);
   EXPECT_EQ(EventsOf(HistoryEvent::kRevisionServed).back().revision_served().revision(), 5u);
 }
 
-TEST_F(WorkerStandInTest, EventsGoWrongAsAsked) {
+TEST_F(WorkerEmulatorTest, EventFaultsAreInjected) {
   struct Case {
     double WorkerBehaviour::*share;
     std::string seen;  // of three "stored" events
@@ -241,7 +241,7 @@
                             Case{&WorkerBehaviour::events_doubled_share,
                                  "1stored 1stored 2stored 2stored 3stored 3stored"},
                             Case{&WorkerBehaviour::events_lost_mark_share, "1lost 2lost 3lost"}}) {
-    WorkerStandIn* worker = BootWorker();
+    WorkerEmulator* worker = BootWorker();
     WorkerBehaviour behaviour;
     behaviour.*wrong.share = 1;
     worker->SetBehaviour(behaviour);
@@ -254,10 +254,10 @@
   }
 }
 
-TEST_F(WorkerStandInTest, EventsComeLateReorderedAndBeyondTheKeptOnesWithALostMark) {
+TEST_F(WorkerEmulatorTest, EventsAreDelayedReorderedAndBounded) {
   WorkerSettings settings;
   settings.kept_events = 2;
-  WorkerStandIn* worker = BootWorker(settings);
+  WorkerEmulator* worker = BootWorker(settings);
   WorkerBehaviour behaviour;
   behaviour.events_reordered_share = 1;
   worker->SetBehaviour(behaviour);
@@ -287,12 +287,12 @@
   std::string whole_fault;
 };
 
-class WrongAnswerTest : public WorkerStandInTest,
+class WrongAnswerTest : public WorkerEmulatorTest,
                         public ::testing::WithParamInterface<WrongAnswer> {};
 
-TEST_P(WrongAnswerTest, CallerSeesIt) {
+TEST_P(WrongAnswerTest, CallerDetectsFault) {
   for (const bool stream : {true, false}) {
-    WorkerStandIn* worker = BootWorker();
+    WorkerEmulator* worker = BootWorker();
     Run({Completion(worker->endpoint(), "first", 6, stream)});
     WorkerBehaviour behaviour;
     behaviour.*GetParam().share = 1;
@@ -328,8 +328,8 @@
         WrongAnswer{"Skipped", &WorkerBehaviour::skipped_piece_share, "piece", ""}),
     [](const auto& info) { return info.param.name; });
 
-TEST_F(WorkerStandInTest, CrossedAnswersEchoTheOtherAttemptUnlessOnlyTheBodyIsCrossed) {
-  WorkerStandIn* worker = BootWorker();
+TEST_F(WorkerEmulatorTest, CrossedResponsesEchoOtherAttempt) {
+  WorkerEmulator* worker = BootWorker();
   for (const bool whole : {true, false}) {
     worker->SetBehaviour({});
     Ask(worker->endpoint(), "first", {{"X-Posthatch-Attempt", "a1"}, {"X-Request-Id", "q1"}});
@@ -343,8 +343,8 @@
   }
 }
 
-TEST_F(WorkerStandInTest, LateAnswersComeLate) {
-  WorkerStandIn* worker = BootWorker();
+TEST_F(WorkerEmulatorTest, ResponsesAreDelayed) {
+  WorkerEmulator* worker = BootWorker();
   SendJson(worker->endpoint(), "PUT", "/debug/behaviour",
            R"({"answers_late_ms":2000,"answers_late_share":1})");
   const auto before = world.Now();
@@ -357,19 +357,19 @@
   EXPECT_EQ(worker->behaviour().answers_late_ms, 2000u);  // all or nothing
 }
 
-TEST_F(WorkerStandInTest, MissingBlocksAreFetchedFromPeerOrStore) {
+TEST_F(WorkerEmulatorTest, FetchesMissingBlocks) {
   StoreSettings store_settings;
   store_settings.id = "store";
-  StoreStandIn* store = Boot<StoreStandIn>("store", store_settings);
+  StoreEmulator* store = Boot<StoreEmulator>("store", store_settings);
   WorkerSettings settings;
   settings.id = "maker";
   settings.store_endpoint = store->endpoint();
   settings.timing.kv_bytes_per_block = 1000;
   settings.timing.link_bytes_per_second = 10000;  // 100 ms a block
-  WorkerStandIn* maker = BootWorker(settings);
+  WorkerEmulator* maker = BootWorker(settings);
   settings.id = "fetcher";
   settings.store_endpoint.clear();
-  WorkerStandIn* fetcher = BootWorker(settings);
+  WorkerEmulator* fetcher = BootWorker(settings);
   const std::string prompt = Blocks('a', 4);
   Ask(maker->endpoint(), prompt, {{"X-Posthatch-Tenant", "t1"}, {"X-Posthatch-Cache-Salt", "s"}});
   world.RunFor(Milliseconds(10));
@@ -390,14 +390,14 @@
   EXPECT_EQ(Starts().back().reused(0).made_by_tenant(), "t1");
   EXPECT_EQ(Starts().back().reused(0).blocks(), 3u);
 
-  fetcher->GoCold();
+  fetcher->EmulateRestart();
   fetch(store->endpoint());
   EXPECT_EQ(Starts().back().reused(0).fetched_from(), "store");
-  fetcher->GoCold();
-  store->GoCold();
+  fetcher->EmulateRestart();
+  store->EmulateRestart();
   fetch(store->endpoint());
   EXPECT_EQ(Starts().back().reused_size(), 0);
-  fetcher->GoCold();
+  fetcher->EmulateRestart();
   fetch("10.9.9.9:1");  // nobody there: prefilled instead
   EXPECT_EQ(Starts().back().reused_size(), 0);
   EXPECT_EQ(EventsOf(HistoryEvent::kRunEnded).size(), 5u);
--- a/src/posthatch/emulator/worker_standin.cc
+++ b/src/posthatch/emulator/worker_emulator.cc
@@ -1,4 +1,4 @@
-#include "posthatch/emulator/worker_standin.h"
+#include "posthatch/emulator/worker_emulator.h"
 
 #include <algorithm>
 #include <deque>
@@ -53,8 +53,8 @@
 }
 
 // A rejection says that nothing ran; like every response it carries the attempt's nonce.
-void SendRefusal(const RunRequest& request, int status, std::string_view code,
-                 std::string_view message, http::ResponseWriter* writer) {
+void SendRejection(const RunRequest& request, int status, std::string_view code,
+                   std::string_view message, http::ResponseWriter* writer) {
   http::Response response = NotExecuted(status, code, message);
   response.headers.Add("X-Posthatch-Attempt", request.attempt);
   writer->SendResponse(std::move(response));
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-class WorkerStandIn::Impl {
+class WorkerEmulator::Impl {
  public:
   Impl(runtime::Runtime* runtime, WorkerSettings settings, fleettest::HistoryRecorder* recorder)
       : state(runtime, std::move(settings), recorder),
@@ -70,7 +70,7 @@
         server_(runtime) {}
 
   absl::Status Start();
-  void GoCold();
+  void EmulateRestart();
   const std::string& endpoint() const { return server_.endpoint(); }
 
   WorkerState state;
@@ -82,37 +82,37 @@
     runtime::MonotonicTime arrived;
     WriterPointer writer;
   };
-  struct Order {
+  struct LoadCommand {
     std::string holder;
     uint64_t token = 0;
     std::string model;
     uint64_t revision = 0;
   };
 
-  void TakeRequest(const RoutedRequest& routed, const std::string& operation,
-                   const WriterPointer& writer);
-  bool Refuse(const RunRequest& request, http::ResponseWriter* writer) const;
-  void CallerGone(uint64_t number);
-  void StartWaiting();
+  void HandleRequest(const RoutedRequest& routed, const std::string& operation,
+                     const WriterPointer& writer);
+  bool RejectIfUnable(const RunRequest& request, http::ResponseWriter* writer) const;
+  void OnCallerDisconnected(uint64_t number);
+  void StartWaitingRuns();
   void StartRun(Waiting waiting);
-  void RunIsOver(uint64_t number);
+  void OnRunEnded(uint64_t number);
 
-  void TakeOrder(const RoutedRequest& routed, const WriterPointer& writer);
-  bool MayOrder(const Order& order);
-  void RecordOrder(const Order& order, bool obeyed);
+  void HandleLoadCommand(const RoutedRequest& routed, const WriterPointer& writer);
+  bool AcceptsToken(const LoadCommand& command);
+  void RecordCommand(const LoadCommand& command, bool accepted);
   void BeginLoading(uint64_t revision);
   void ServeRevision(uint64_t revision);
   void DropBlocks();
 
-  void AnswerFetch(const RoutedRequest& routed, const WriterPointer& writer);
-  void AnswerStatus(const WriterPointer& writer) const;
-  void ChangeBehaviour(const RoutedRequest& routed, const WriterPointer& writer);
+  void HandleFetch(const RoutedRequest& routed, const WriterPointer& writer);
+  void HandleStatus(const WriterPointer& writer) const;
+  void HandleSetBehaviour(const RoutedRequest& routed, const WriterPointer& writer);
 
   bool loading_ = false;
   uint64_t loading_revision_ = 0;
   runtime::Timer loading_timer_;
   uint64_t newest_token_ = 0;
-  std::string newest_holder_;
+  std::string newest_token_holder_;
   uint64_t start_epoch_ = 0;
   uint64_t next_number_ = 1;
   std::deque<Waiting> waiting_;
@@ -121,14 +121,14 @@
   RoutedServer server_;
 };
 
-absl::Status WorkerStandIn::Impl::Start() {
+absl::Status WorkerEmulator::Impl::Start() {
   server_.Route("POST", "/v1/completions",
                 [this](const RoutedRequest& routed, const WriterPointer& writer) {
-                  TakeRequest(routed, "completions", writer);
+                  HandleRequest(routed, "completions", writer);
                 });
   server_.Route("POST", "/v1/chat/completions",
                 [this](const RoutedRequest& routed, const WriterPointer& writer) {
-                  TakeRequest(routed, "chat", writer);
+                  HandleRequest(routed, "chat", writer);
                 });
   server_.Route("GET", "/kv_events",
                 [this](const RoutedRequest& routed, const WriterPointer& writer) {
@@ -136,20 +136,20 @@
                 });
   server_.Route("POST", "/kv/fetch",
                 [this](const RoutedRequest& routed, const WriterPointer& writer) {
-                  AnswerFetch(routed, writer);
+                  HandleFetch(routed, writer);
                 });
   server_.Route("POST", "/admin/load_weights",
                 [this](const RoutedRequest& routed, const WriterPointer& writer) {
-                  TakeOrder(routed, writer);
+                  HandleLoadCommand(routed, writer);
                 });
   server_.Route("GET", "/status", [this](const RoutedRequest&, const WriterPointer& writer) {
-    AnswerStatus(writer);
+    HandleStatus(writer);
   });
   server_.Route("PUT", "/debug/behaviour",
                 [this](const RoutedRequest& routed, const WriterPointer& writer) {
-                  ChangeBehaviour(routed, writer);
+                  HandleSetBehaviour(routed, writer);
                 });
-  GoCold();
+  EmulateRestart();
   start_epoch_ = state.epoch;
   if (absl::Status listening = server_.Listen(state.settings.listen); !listening.ok()) {
     return listening;
@@ -158,12 +158,12 @@
   return absl::OkStatus();
 }
 
-void WorkerStandIn::Impl::GoCold() {
+void WorkerEmulator::Impl::EmulateRestart() {
   DropBlocks();
-  state.up_since = state.runtime->clock->Now();
+  state.started_at = state.runtime->clock->Now();
 }
 
-void WorkerStandIn::Impl::DropBlocks() {
+void WorkerEmulator::Impl::DropBlocks() {
   state.cache.Clear();
   // Rises over process restarts too, since the monotonic clock runs on.
   const auto now_us =
@@ -174,43 +174,44 @@
 
 // ---------------------------------------------------------------- runs
 
-void WorkerStandIn::Impl::TakeRequest(const RoutedRequest& routed, const std::string& operation,
-                                      const WriterPointer& writer) {
+void WorkerEmulator::Impl::HandleRequest(const RoutedRequest& routed, const std::string& operation,
+                                         const WriterPointer& writer) {
   absl::StatusOr<RunRequest> request = ReadRunRequest(routed.request, operation, state.settings);
   if (!request.ok()) {
     writer->SendResponse(NotExecuted(400, "bad_request", util::ToStd(request.status().message())));
     return;
   }
-  if (Refuse(*request, writer.get())) return;
+  if (RejectIfUnable(*request, writer.get())) return;
   if (waiting_.size() >= state.settings.max_waiting &&
       state.running >= state.settings.max_running) {
-    SendRefusal(*request, 429, "overloaded", "queue is full", writer.get());
+    SendRejection(*request, 429, "overloaded", "queue is full", writer.get());
     return;
   }
   const uint64_t number = next_number_++;
-  writer->OnCallerDisconnected([this, number] { CallerGone(number); });
+  writer->OnCallerDisconnected([this, number] { OnCallerDisconnected(number); });
   waiting_.push_back({number, *std::move(request), state.runtime->clock->Now(), writer});
-  StartWaiting();
+  StartWaitingRuns();
 }
 
-bool WorkerStandIn::Impl::Refuse(const RunRequest& request, http::ResponseWriter* writer) const {
+bool WorkerEmulator::Impl::RejectIfUnable(const RunRequest& request,
+                                          http::ResponseWriter* writer) const {
   if (loading_) {
-    SendRefusal(request, 503, "loading", "weights are being loaded", writer);
+    SendRejection(request, 503, "loading", "weights are being loaded", writer);
     return true;
   }
   if (request.model != state.settings.model) {
-    SendRefusal(request, 404, "not_found", "this worker serves another model", writer);
+    SendRejection(request, 404, "not_found", "this worker serves another model", writer);
     return true;
   }
   if (request.expected_revision.value_or(state.model_revision) != state.model_revision) {
-    SendRefusal(request, 409, "wrong_revision",
-                absl::StrCat("serves revision ", state.model_revision), writer);
+    SendRejection(request, 409, "wrong_revision",
+                  absl::StrCat("serves revision ", state.model_revision), writer);
     return true;
   }
   return false;
 }
 
-void WorkerStandIn::Impl::CallerGone(uint64_t number) {
+void WorkerEmulator::Impl::OnCallerDisconnected(uint64_t number) {
   const auto run = runs_.find(number);
   if (run != runs_.end()) {
     run->second->Cancel("caller_gone", /*abort=*/false);
@@ -222,93 +223,94 @@
   if (waiting != waiting_.end()) waiting_.erase(waiting);
 }
 
-void WorkerStandIn::Impl::StartWaiting() {
+void WorkerEmulator::Impl::StartWaitingRuns() {
   while (!waiting_.empty() && state.running < state.settings.max_running) {
     Waiting next = std::move(waiting_.front());
     waiting_.pop_front();
-    if (!Refuse(next.request, next.writer.get())) StartRun(std::move(next));
+    if (!RejectIfUnable(next.request, next.writer.get())) StartRun(std::move(next));
   }
 }
 
-void WorkerStandIn::Impl::StartRun(Waiting waiting) {
+void WorkerEmulator::Impl::StartRun(Waiting waiting) {
   const uint64_t number = waiting.number;
   const std::string run_id = absl::StrCat(state.settings.id, "-", start_epoch_, "-", number);
-  auto run =
-      std::make_unique<WorkerRun>(&state, run_id, std::move(waiting.request), waiting.arrived,
-                                  std::move(waiting.writer), [this, number] { RunIsOver(number); });
+  auto run = std::make_unique<WorkerRun>(&state, run_id, std::move(waiting.request),
+                                         waiting.arrived, std::move(waiting.writer),
+                                         [this, number] { OnRunEnded(number); });
   WorkerRun* started = run.get();
   runs_[number] = std::move(run);
   started->Start();
 }
 
-void WorkerStandIn::Impl::RunIsOver(uint64_t number) {
+void WorkerEmulator::Impl::OnRunEnded(uint64_t number) {
   const auto entry = runs_.find(number);
   if (entry == runs_.end()) return;
   ReleaseLater(state.runtime, std::move(entry->second));
   runs_.erase(entry);
-  if (!loading_) StartWaiting();
+  if (!loading_) StartWaitingRuns();
 }
 
 // ---------------------------------------------------------------- orders
 
-void WorkerStandIn::Impl::TakeOrder(const RoutedRequest& routed, const WriterPointer& writer) {
+void WorkerEmulator::Impl::HandleLoadCommand(const RoutedRequest& routed,
+                                             const WriterPointer& writer) {
   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
-  Order order;
-  order.holder = std::string(routed.request.headers.Get("X-Posthatch-Gateway"));
+  LoadCommand command;
+  command.holder = std::string(routed.request.headers.Get("X-Posthatch-Gateway"));
   const bool has_token = absl::SimpleAtoi(
-      util::ToAbsl(routed.request.headers.Get("X-Posthatch-Fencing-Token")), &order.token);
+      util::ToAbsl(routed.request.headers.Get("X-Posthatch-Fencing-Token")), &command.token);
   if (!body.ok() || !has_token || TextField(*body, "model") != state.settings.model) {
     writer->SendResponse(
         NotExecuted(400, "bad_request", "needs model, revision and fencing token"));
     return;
   }
-  order.model = state.settings.model;
-  order.revision = NumberField(*body, "revision");
-  const bool obeyed = MayOrder(order);
-  RecordOrder(order, obeyed);
-  if (!obeyed) {
+  command.model = state.settings.model;
+  command.revision = NumberField(*body, "revision");
+  const bool accepted = AcceptsToken(command);
+  RecordCommand(command, accepted);
+  if (!accepted) {
     writer->SendResponse(
         NotExecuted(409, "stale_token", absl::StrCat("newest token seen is ", newest_token_)));
     return;
   }
-  const json::object taken = {{"revision", order.revision}};
-  if (!loading_ && order.revision == state.model_revision) {
+  const json::object taken = {{"revision", command.revision}};
+  if (!loading_ && command.revision == state.model_revision) {
     writer->SendResponse(JsonResponse(200, taken));
     return;
   }
-  if (!loading_ || order.revision != loading_revision_) BeginLoading(order.revision);
+  if (!loading_ || command.revision != loading_revision_) BeginLoading(command.revision);
   writer->SendResponse(JsonResponse(202, taken));
 }
 
 // A token belongs to one lease holder; an older one, or the same one from another holder, is stale.
-bool WorkerStandIn::Impl::MayOrder(const Order& order) {
-  const bool stale = order.token < newest_token_ ||
-                     (order.token == newest_token_ && order.holder != newest_holder_);
+bool WorkerEmulator::Impl::AcceptsToken(const LoadCommand& command) {
+  const bool stale = command.token < newest_token_ ||
+                     (command.token == newest_token_ && command.holder != newest_token_holder_);
   if (stale && state.behaviour.check_fencing_tokens) return false;
   if (!stale) {
-    newest_token_ = order.token;
-    newest_holder_ = order.holder;
+    newest_token_ = command.token;
+    newest_token_holder_ = command.holder;
   }
   return true;
 }
 
-void WorkerStandIn::Impl::RecordOrder(const Order& order, bool obeyed) {
+void WorkerEmulator::Impl::RecordCommand(const LoadCommand& command, bool accepted) {
   fleettest::HistoryEvent event;
   fleettest::OrderSeen* seen = event.mutable_order_seen();
   seen->set_worker(state.settings.id);
-  seen->set_holder(order.holder);
-  seen->set_fencing_token(order.token);
-  seen->set_model(order.model);
-  seen->set_revision(order.revision);
-  seen->set_obeyed(obeyed);
+  seen->set_holder(command.holder);
+  seen->set_fencing_token(command.token);
+  seen->set_model(command.model);
+  seen->set_revision(command.revision);
+  seen->set_obeyed(accepted);
   state.recorder->Record(std::move(event));
 }
 
-void WorkerStandIn::Impl::BeginLoading(uint64_t revision) {
+void WorkerEmulator::Impl::BeginLoading(uint64_t revision) {
   loading_ = true;
   loading_revision_ = revision;
   for (Waiting& waiting : std::exchange(waiting_, {}))
-    Refuse(waiting.request, waiting.writer.get());
+    RejectIfUnable(waiting.request, waiting.writer.get());
   std::vector<WorkerRun*> running;
   for (const auto& [number, run] : runs_) running.push_back(run.get());
   for (WorkerRun* run : running) run->Cancel("loading", /*abort=*/true);
@@ -319,12 +321,12 @@
   }
   loading_timer_.Start(state.Slowed(state.settings.timing.weight_loading), [this, revision] {
     loading_ = false;
-    state.up_since = state.runtime->clock->Now();
+    state.started_at = state.runtime->clock->Now();
     ServeRevision(revision);
   });
 }
 
-void WorkerStandIn::Impl::ServeRevision(uint64_t revision) {
+void WorkerEmulator::Impl::ServeRevision(uint64_t revision) {
   state.model_revision = revision;
   fleettest::HistoryEvent event;
   event.mutable_revision_served()->set_worker(state.settings.id);
@@ -335,7 +337,7 @@
 
 // ---------------------------------------------------------------- the rest
 
-void WorkerStandIn::Impl::AnswerFetch(const RoutedRequest& routed, const WriterPointer& writer) {
+void WorkerEmulator::Impl::HandleFetch(const RoutedRequest& routed, const WriterPointer& writer) {
   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
   if (!body.ok()) {
     writer->SendResponse(NotExecuted(400, "bad_request", util::ToStd(body.status().message())));
@@ -347,13 +349,13 @@
                    state.settings.timing.link_bytes_per_second);
   state.runtime->timers->Schedule(
       state.Slowed(transfer),
-      [writer, answer = FetchAnswer(state.settings.id, state.epoch, makers)] {
+      [writer, answer = FetchResponse(state.settings.id, state.epoch, makers)] {
         writer->SendResponse(JsonResponse(200, answer));
       });
 }
 
-void WorkerStandIn::Impl::AnswerStatus(const WriterPointer& writer) const {
-  const runtime::Duration up = state.runtime->clock->Now() - state.up_since;
+void WorkerEmulator::Impl::HandleStatus(const WriterPointer& writer) const {
+  const runtime::Duration up = state.runtime->clock->Now() - state.started_at;
   writer->SendResponse(JsonResponse(
       200, json::object{{"id", state.settings.id},
                         {"epoch", state.epoch},
@@ -365,8 +367,8 @@
                         {"up_ms", static_cast<int64_t>(runtime::ToMilliseconds(up))}}));
 }
 
-void WorkerStandIn::Impl::ChangeBehaviour(const RoutedRequest& routed,
-                                          const WriterPointer& writer) {
+void WorkerEmulator::Impl::HandleSetBehaviour(const RoutedRequest& routed,
+                                              const WriterPointer& writer) {
   absl::StatusOr<json::object> body = ParseObject(routed.request.body);
   absl::Status applied = body.status();
   bool cold = false;
@@ -379,27 +381,27 @@
     writer->SendResponse(NotExecuted(400, "bad_request", util::ToStd(applied.message())));
     return;
   }
-  if (cold) GoCold();
+  if (cold) EmulateRestart();
   writer->SendResponse(JsonResponse(200, json::object{{"epoch", state.epoch}}));
 }
 
 // ---------------------------------------------------------------- surface
 
-WorkerStandIn::WorkerStandIn(runtime::Runtime* runtime, WorkerSettings settings,
-                             fleettest::HistoryRecorder* recorder)
+WorkerEmulator::WorkerEmulator(runtime::Runtime* runtime, WorkerSettings settings,
+                               fleettest::HistoryRecorder* recorder)
     : impl_(std::make_unique<Impl>(runtime, std::move(settings), recorder)) {}
 
-WorkerStandIn::~WorkerStandIn() = default;
+WorkerEmulator::~WorkerEmulator() = default;
 
-absl::Status WorkerStandIn::Start() { return impl_->Start(); }
-const std::string& WorkerStandIn::endpoint() const { return impl_->endpoint(); }
-void WorkerStandIn::SetBehaviour(const WorkerBehaviour& behaviour) {
+absl::Status WorkerEmulator::Start() { return impl_->Start(); }
+const std::string& WorkerEmulator::endpoint() const { return impl_->endpoint(); }
+void WorkerEmulator::SetBehaviour(const WorkerBehaviour& behaviour) {
   impl_->state.behaviour = behaviour;
 }
-const WorkerBehaviour& WorkerStandIn::behaviour() const { return impl_->state.behaviour; }
-void WorkerStandIn::GoCold() { impl_->GoCold(); }
-uint64_t WorkerStandIn::epoch() const { return impl_->state.epoch; }
-uint64_t WorkerStandIn::model_revision() const { return impl_->state.model_revision; }
-uint64_t WorkerStandIn::kept_blocks() const { return impl_->state.cache.size(); }
+const WorkerBehaviour& WorkerEmulator::behaviour() const { return impl_->state.behaviour; }
+void WorkerEmulator::EmulateRestart() { impl_->EmulateRestart(); }
+uint64_t WorkerEmulator::epoch() const { return impl_->state.epoch; }
+uint64_t WorkerEmulator::model_revision() const { return impl_->state.model_revision; }
+uint64_t WorkerEmulator::kept_blocks() const { return impl_->state.cache.size(); }
 
 }  // namespace posthatch::emulator
--- a/src/posthatch/emulator/worker_standin.h
+++ b/src/posthatch/emulator/worker_emulator.h
@@ -15,14 +15,14 @@
 // prefill and decoding by a stated timing model, KV events, weight loading under fencing tokens.
 // Records RunStarted, RunEnded, OrderSeen and RevisionServed. Owned by its process; event loop
 // thread only. Destroying it ends every run and connection at once.
-class WorkerStandIn {
+class WorkerEmulator {
  public:
   // `runtime` and `recorder` outlive the stand-in.
-  WorkerStandIn(runtime::Runtime* runtime, WorkerSettings settings,
-                fleettest::HistoryRecorder* recorder);
-  ~WorkerStandIn();
-  WorkerStandIn(const WorkerStandIn&) = delete;
-  WorkerStandIn& operator=(const WorkerStandIn&) = delete;
+  WorkerEmulator(runtime::Runtime* runtime, WorkerSettings settings,
+                 fleettest::HistoryRecorder* recorder);
+  ~WorkerEmulator();
+  WorkerEmulator(const WorkerEmulator&) = delete;
+  WorkerEmulator& operator=(const WorkerEmulator&) = delete;
 
   // Listens and serves. Errors: those of HttpServerFactory::Listen.
   absl::Status Start();
@@ -33,7 +33,7 @@
   void SetBehaviour(const WorkerBehaviour& behaviour);
   const WorkerBehaviour& behaviour() const;
   // Drops the whole cache and begins a new epoch, as a restart would.
-  void GoCold();
+  void EmulateRestart();
   uint64_t epoch() const;
   uint64_t model_revision() const;
   uint64_t kept_blocks() const;
--- a/src/posthatch/emulator/worker_run.cc
+++ b/src/posthatch/emulator/worker_run.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr size_t kMostPushesInFlight = 32;
+constexpr size_t kMaxPushesInFlight = 32;
 constexpr runtime::Duration kFetchTimeout = std::chrono::seconds(5);
 
 }  // namespace
@@ -37,9 +37,9 @@
   chain_ = index::HashBlocks(salt, request_.prompt,
                              state_->settings.block_tokens * index::kBytesPerToken);
   makers_ = state_->cache.Lookup(chain_);
-  own_blocks_ = static_cast<uint32_t>(makers_.size());
+  local_blocks_ = static_cast<uint32_t>(makers_.size());
   if (!request_.kv_source.empty() &&
-      own_blocks_ < std::min<size_t>(request_.kv_blocks, chain_.size())) {
+      local_blocks_ < std::min<size_t>(request_.kv_blocks, chain_.size())) {
     Fetch();
   } else {
     Prefill();
@@ -48,25 +48,25 @@
 
 void WorkerRun::Fetch() {
   const size_t wanted = std::min<size_t>(request_.kv_blocks, chain_.size());
-  const std::vector<index::BlockHash> missing(chain_.begin() + own_blocks_,
+  const std::vector<index::BlockHash> missing(chain_.begin() + local_blocks_,
                                               chain_.begin() + static_cast<int64_t>(wanted));
   http::CallOptions options;
   options.head_timeout = kFetchTimeout;
   fetch_client_.Send(request_.kv_source,
                      JsonRequest("POST", "/kv/fetch", FetchBody(request_.cache_salt, missing)),
-                     options, [this](const absl::StatusOr<http::Response>& answer) {
+                     options, [this](const absl::StatusOr<http::Response>& response) {
                        if (over_) return;
-                       TakeFetched(answer);
+                       OnFetched(response);
                        Prefill();
                      });
 }
 
-void WorkerRun::TakeFetched(const absl::StatusOr<http::Response>& answer) {
-  if (!answer.ok() || answer->status != 200) return;  // prefilled instead
-  const absl::StatusOr<json::object> body = ParseObject(answer->body);
+void WorkerRun::OnFetched(const absl::StatusOr<http::Response>& response) {
+  if (!response.ok() || response->status != 200) return;  // prefilled instead
+  const absl::StatusOr<json::object> body = ParseObject(response->body);
   if (!body.ok()) return;
   std::vector<BlockMaker> fetched = MakersFromJson(ArrayField(*body, "made_by"));
-  fetched.resize(std::min(fetched.size(), chain_.size() - own_blocks_));
+  fetched.resize(std::min(fetched.size(), chain_.size() - local_blocks_));
   fetched_blocks_ = static_cast<uint32_t>(fetched.size());
   fetched_from_ = TextField(*body, "holder", request_.kv_source);
   makers_.insert(makers_.end(), fetched.begin(), fetched.end());
@@ -78,8 +78,8 @@
   const size_t rest = request_.prompt.size() - reused_blocks() * block_bytes;
   const auto blocks = static_cast<int64_t>((rest + block_bytes - 1) / block_bytes);
   timer_.Start(state_->Slowed(blocks * state_->settings.timing.prefill_per_block), [this] {
-    KeepBlocks();
-    BeginAnswer();
+    StoreBlocks();
+    BeginResponse();
   });
 }
 
@@ -102,15 +102,15 @@
   started->set_backend_epoch(state_->epoch);
   started->set_prompt_blocks(static_cast<uint32_t>(chain_.size()));
   started->set_running(state_->running);
-  started->set_up_since_ns(runtime::ToNanoseconds(state_->up_since));
+  started->set_up_since_ns(runtime::ToNanoseconds(state_->started_at));
   started->set_arrived_ns(runtime::ToNanoseconds(arrived_));
   for (size_t i = 0; i < makers_.size(); ++i) {
-    const bool first_fetched = i == own_blocks_;
+    const bool first_fetched = i == local_blocks_;
     if (i == 0 || first_fetched || !(makers_[i] == makers_[i - 1])) {
       fleettest::ReusedBlocks* reused = started->add_reused();
       reused->set_made_by_tenant(makers_[i].tenant);
       reused->set_made_under_revision(makers_[i].model_revision);
-      if (i >= own_blocks_) reused->set_fetched_from(fetched_from_);
+      if (i >= local_blocks_) reused->set_fetched_from(fetched_from_);
     }
     fleettest::ReusedBlocks* last = started->mutable_reused(started->reused_size() - 1);
     last->set_blocks(last->blocks() + 1);
@@ -119,11 +119,11 @@
   started_ = true;
 }
 
-void WorkerRun::KeepBlocks() {
+void WorkerRun::StoreBlocks() {
   const BlockMaker self{request_.tenant, state_->model_revision};
   std::vector<index::BlockHash> stored;
   std::vector<index::BlockHash> removed;
-  for (size_t i = own_blocks_; i < chain_.size(); ++i) {
+  for (size_t i = local_blocks_; i < chain_.size(); ++i) {
     const BlockMaker& maker = i < makers_.size() ? makers_[i] : self;
     for (const index::BlockHash hash : state_->cache.Insert(chain_[i], maker)) {
       removed.push_back(hash);
@@ -131,14 +131,14 @@
     stored.push_back(chain_[i]);
   }
   state_->cache.Lookup(chain_);  // counts the chain as used, its tail as the oldest part
-  state_->events.Stored(stored, own_blocks_, request_.attempt, state_->behaviour);
+  state_->events.Stored(stored, local_blocks_, request_.attempt, state_->behaviour);
   state_->events.Removed(removed, state_->behaviour);
   if (!state_->settings.store_endpoint.empty()) PushToStore();
 }
 
 void WorkerRun::PushToStore() {
   if (reused_blocks() >= chain_.size()) return;
-  if (state_->client.in_flight() >= kMostPushesInFlight) return;
+  if (state_->client.in_flight() >= kMaxPushesInFlight) return;
   const std::vector<BlockMaker> makers(chain_.size() - reused_blocks(),
                                        {request_.tenant, state_->model_revision});
   json::array hashes;
@@ -153,29 +153,29 @@
                       [](const absl::StatusOr<http::Response>&) {});
 }
 
-void WorkerRun::BeginAnswer() {
-  const AnswerIdentity own{run_id_,
-                           request_.nonce,
-                           request_.attempt,
-                           request_.operation,
-                           request_.tokens,
-                           static_cast<uint32_t>(request_.prompt.size() / index::kBytesPerToken),
-                           reused_blocks() * state_->settings.block_tokens};
+void WorkerRun::BeginResponse() {
+  const ResponseIdentity own{run_id_,
+                             request_.nonce,
+                             request_.attempt,
+                             request_.operation,
+                             request_.tokens,
+                             static_cast<uint32_t>(request_.prompt.size() / index::kBytesPerToken),
+                             reused_blocks() * state_->settings.block_tokens};
   const WorkerBehaviour& behaviour = state_->behaviour;
   runtime::Random* random = state_->runtime->random;
-  answer_ =
+  response_ =
       state_->mixer.Choose(own, {behaviour.answers_twice_share, behaviour.answers_crossed_share,
                                  behaviour.answers_crossed_body_share});
-  if (random->Chance(behaviour.cut_share)) cut_at_ = behaviour.cut_at_piece;
+  if (random->Chance(behaviour.cut_share)) truncate_at_ = behaviour.cut_at_piece;
   if (random->Chance(behaviour.cut_clean_share)) {
-    cut_at_ = behaviour.cut_at_piece;
-    cut_clean_ = true;
+    truncate_at_ = behaviour.cut_at_piece;
+    truncate_cleanly_ = true;
   }
   if (random->Chance(behaviour.repeated_piece_share)) {
-    repeated_piece_ = static_cast<uint32_t>(random->Uniform(answer_.tokens));
+    repeated_chunk_ = static_cast<uint32_t>(random->Uniform(response_.tokens));
   }
   if (random->Chance(behaviour.skipped_piece_share)) {
-    skipped_piece_ = static_cast<uint32_t>(random->Uniform(answer_.tokens));
+    skipped_chunk_ = static_cast<uint32_t>(random->Uniform(response_.tokens));
   }
   const bool late = random->Chance(behaviour.answers_late_share);
   timer_.Start(std::chrono::milliseconds(late ? behaviour.answers_late_ms : 0), [this] {
@@ -194,52 +194,52 @@
 
 void WorkerRun::MakeToken() {
   if (request_.stream) {
-    if (next_piece_ >= cut_at_ && !cut_clean_) {
+    if (next_chunk_ >= truncate_at_ && !truncate_cleanly_) {
       writer_->Abort();
       End(false, "cut");
       return;
     }
-    if (next_piece_ >= cut_at_) {
+    if (next_chunk_ >= truncate_at_) {
       writer_->FinishStream();
       End(false, "cut");
       return;
     }
-    WriteChunk(next_piece_);
+    WriteChunk(next_chunk_);
   }
-  ++next_piece_;
-  if (next_piece_ >= answer_.tokens) {
-    FinishAnswer();
+  ++next_chunk_;
+  if (next_chunk_ >= response_.tokens) {
+    FinishResponse();
   } else {
     ScheduleToken();
   }
 }
 
 void WorkerRun::WriteChunk(uint32_t piece) {
-  if (piece == skipped_piece_) return;
-  const json::object choice = {{"index", 0}, {"text", PieceText(answer_.run, piece)}};
-  const json::object event = {{"id", answer_.run},
-                              {"request_id", answer_.request_id},
+  if (piece == skipped_chunk_) return;
+  const json::object choice = {{"index", 0}, {"text", ChunkText(response_.run, piece)}};
+  const json::object event = {{"id", response_.run},
+                              {"request_id", response_.request_id},
                               {"piece", piece},
                               {"choices", json::array{choice}}};
   const std::string text = absl::StrCat("data: ", json::serialize(event), "\n\n");
   writer_->WriteChunk(text);
-  if (piece == repeated_piece_) writer_->WriteChunk(text);
+  if (piece == repeated_chunk_) writer_->WriteChunk(text);
 }
 
-void WorkerRun::FinishAnswer() {
+void WorkerRun::FinishResponse() {
   if (request_.stream) {
     writer_->WriteChunk("data: [DONE]\n\n");
     writer_->FinishStream();
     End(true, "");
   } else {
-    SendWholeAnswer();
+    SendCompleteResponse();
   }
 }
 
-void WorkerRun::SendWholeAnswer() {
+void WorkerRun::SendCompleteResponse() {
   http::Response response = Head();
-  const std::string body = WholeBody();
-  if (cut_at_ != UINT32_MAX && !cut_clean_) {
+  const std::string body = CompleteBody();
+  if (truncate_at_ != UINT32_MAX && !truncate_cleanly_) {
     writer_->StartStream(std::move(response));
     writer_->WriteChunk(body.substr(0, body.size() / 2));
     writer_->Abort();
@@ -254,22 +254,22 @@
 http::Response WorkerRun::Head() const {
   http::Response head;
   head.headers.Add("Content-Type", request_.stream ? "text/event-stream" : "application/json");
-  head.headers.Add("X-Posthatch-Attempt", answer_.attempt);
+  head.headers.Add("X-Posthatch-Attempt", response_.attempt);
   head.headers.Add("X-Worker-Epoch", std::to_string(state_->epoch));
   head.headers.Add("X-Worker-Cached-Blocks", std::to_string(reused_blocks()));
   return head;
 }
 
-std::string WorkerRun::WholeBody() const {
-  const std::string text = AnswerText(answer_.run, answer_.tokens);
+std::string WorkerRun::CompleteBody() const {
+  const std::string text = ResponseText(response_.run, response_.tokens);
   const json::object choice = {{"index", 0}, {"text", text}, {"finish_reason", "length"}};
-  const json::object usage = {{"prompt_tokens", answer_.prompt_tokens},
-                              {"completion_tokens", answer_.tokens},
-                              {"cached_tokens", answer_.cached_tokens}};
-  return json::serialize(json::object{{"id", answer_.run},
+  const json::object usage = {{"prompt_tokens", response_.prompt_tokens},
+                              {"completion_tokens", response_.tokens},
+                              {"cached_tokens", response_.cached_tokens}};
+  return json::serialize(json::object{{"id", response_.run},
                                       {"object", "text_completion"},
                                       {"model", state_->settings.model},
-                                      {"request_id", answer_.request_id},
+                                      {"request_id", response_.request_id},
                                       {"choices", json::array{choice}},
                                       {"usage", usage},
                                       {"checksum", Checksum(text)}});
--- a/src/posthatch/emulator/worker_run.h
+++ b/src/posthatch/emulator/worker_run.h
@@ -14,7 +14,7 @@
 
 // One run at an emulated worker, from its start to its end: looks up cached blocks, fetches what a
 // peer or the store is said to have, prefills the rest, decodes and responds. Owned by
-// WorkerStandIn; destroyed, it does nothing more. Event loop thread only.
+// WorkerEmulator; destroyed, it does nothing more. Event loop thread only.
 class WorkerRun {
  public:
   // `ended` runs once, as the last thing; the owner may destroy the run later, not within it.
@@ -28,20 +28,20 @@
 
  private:
   void Fetch();
-  void TakeFetched(const absl::StatusOr<http::Response>& answer);
+  void OnFetched(const absl::StatusOr<http::Response>& response);
   void Prefill();
   void RecordStart();
-  void KeepBlocks();
+  void StoreBlocks();
   void PushToStore();
-  void BeginAnswer();
+  void BeginResponse();
   void ScheduleToken();
   void MakeToken();
   void WriteChunk(uint32_t piece);
-  void FinishAnswer();
-  void SendWholeAnswer();
+  void FinishResponse();
+  void SendCompleteResponse();
   http::Response Head() const;
-  std::string WholeBody() const;
-  uint32_t reused_blocks() const { return own_blocks_ + fetched_blocks_; }
+  std::string CompleteBody() const;
+  uint32_t reused_blocks() const { return local_blocks_ + fetched_blocks_; }
   void End(bool completed, const std::string& reason);
 
   WorkerState* const state_;
@@ -54,17 +54,17 @@
 
   std::vector<index::BlockHash> chain_;
   std::vector<BlockMaker> makers_;  // of the reused blocks: own ones, then fetched ones
-  uint32_t own_blocks_ = 0;
+  uint32_t local_blocks_ = 0;
   uint32_t fetched_blocks_ = 0;
   std::string fetched_from_;
   JsonClient fetch_client_;
 
-  AnswerIdentity answer_;
-  uint32_t next_piece_ = 0;
-  uint32_t cut_at_ = UINT32_MAX;
-  bool cut_clean_ = false;
-  uint32_t repeated_piece_ = UINT32_MAX;
-  uint32_t skipped_piece_ = UINT32_MAX;
+  ResponseIdentity response_;
+  uint32_t next_chunk_ = 0;
+  uint32_t truncate_at_ = UINT32_MAX;
+  bool truncate_cleanly_ = false;
+  uint32_t repeated_chunk_ = UINT32_MAX;
+  uint32_t skipped_chunk_ = UINT32_MAX;
   bool started_ = false;  // RunStarted was recorded
   bool over_ = false;
 };
--- a/src/posthatch/emulator/worker_state.h
+++ b/src/posthatch/emulator/worker_state.h
@@ -3,17 +3,17 @@
 #include <cstdint>
 #include <string>
 
-#include "posthatch/emulator/answer_mixer.h"
 #include "posthatch/emulator/block_cache.h"
 #include "posthatch/emulator/json_client.h"
 #include "posthatch/emulator/kv_event_log.h"
+#include "posthatch/emulator/response_mixer.h"
 #include "posthatch/emulator/worker_settings.h"
 #include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::emulator {
 
-// What the runs of one emulated worker share. Owned by WorkerStandIn, outlives its runs.
+// What the runs of one emulated worker share. Owned by WorkerEmulator, outlives its runs.
 struct WorkerState {
   WorkerState(runtime::Runtime* owner_runtime, WorkerSettings worker_settings,
               fleettest::HistoryRecorder* history_recorder)
@@ -37,11 +37,11 @@
   WorkerBehaviour behaviour;
   BlockCache cache;
   KvEventLog events;
-  AnswerMixer mixer;
+  ResponseMixer mixer;
   JsonClient client;
   uint64_t epoch = 0;
   uint64_t model_revision = 0;
-  runtime::MonotonicTime up_since;
+  runtime::MonotonicTime started_at;
   uint32_t running = 0;  // runs in progress
 };
 
