--- a/src/posthatch/consensus/replica_metrics.cc
+++ b/src/posthatch/consensus/replica_metrics.cc
@@ -1,30 +1,31 @@
 #include "posthatch/consensus/replica_metrics.h"
 
+#include "posthatch/util/metrics.h"
+
 namespace posthatch::consensus {
 
+using util::AddCounter;
+using util::AddGauge;
+
 void ReplicaMetrics::Register(prometheus::Registry* registry) {
   if (registry == nullptr) return;
-  const auto counter = [registry](const char* name, const char* help) {
-    return &prometheus::BuildCounter().Name(name).Help(help).Register(*registry).Add({});
-  };
-  const auto gauge = [registry](const char* name, const char* help) {
-    return &prometheus::BuildGauge().Name(name).Help(help).Register(*registry).Add({});
-  };
   const auto histogram = [registry](const char* name, const char* help) {
     const prometheus::Histogram::BucketBoundaries buckets{0.001, 0.002, 0.005, 0.01, 0.025, 0.05,
                                                           0.1,   0.25,  0.5,   1,    2.5,   10};
     return &prometheus::BuildHistogram().Name(name).Help(help).Register(*registry).Add({}, buckets);
   };
-  committed_total_ = counter("posthatch_raft_committed_total", "Entries applied by this replica");
-  elections_won_total_ =
-      counter("posthatch_raft_elections_won_total", "Times this replica became leader");
-  snapshots_total_ = counter("posthatch_raft_snapshots_total", "Snapshots made durable");
+  committed_total_ =
+      &AddCounter(registry, "posthatch_raft_committed_total", "Entries applied by this replica");
+  elections_won_total_ = &AddCounter(registry, "posthatch_raft_elections_won_total",
+                                     "Times this replica became leader");
+  snapshots_total_ =
+      &AddCounter(registry, "posthatch_raft_snapshots_total", "Snapshots made durable");
   commit_seconds_ = histogram("posthatch_raft_commit_seconds",
                               "Time from proposal to the state machine's answer, on the leader");
   sync_seconds_ = histogram("posthatch_raft_sync_seconds", "Time of each log write with its sync");
-  is_leader_ = gauge("posthatch_raft_is_leader", "1 on the leader, else 0");
-  term_ = gauge("posthatch_raft_term", "Current term");
-  log_bytes_ = gauge("posthatch_raft_log_bytes", "Bytes of commands held in memory");
+  is_leader_ = &AddGauge(registry, "posthatch_raft_is_leader", "1 on the leader, else 0");
+  term_ = &AddGauge(registry, "posthatch_raft_term", "Current term");
+  log_bytes_ = &AddGauge(registry, "posthatch_raft_log_bytes", "Bytes of commands held in memory");
 }
 
 void ReplicaMetrics::CountAppliedEntry() {
--- a/src/posthatch/invalidation/invalidation_server.cc
+++ b/src/posthatch/invalidation/invalidation_server.cc
@@ -13,10 +13,9 @@
       serving_(std::move(serving)),
       metrics_(runtime) {
   ExportMetrics();
-  const std::weak_ptr<bool> alive = alive_;
-  objects_->AddListener([this, alive](const std::string& object, const ObjectVersion&) {
-    if (!alive.expired()) publisher_.ObjectChanged(object);
-  });
+  objects_->AddListener(lifetime_.Guard([this](const std::string& object, const ObjectVersion&) {
+    publisher_.ObjectChanged(object);
+  }));
   runtime_->transport->SetReceiver(
       runtime::SERVICE_CHANNELS, [this](const runtime::Envelope& envelope) { Receive(envelope); });
 }
--- a/src/posthatch/invalidation/invalidation_server.h
+++ b/src/posthatch/invalidation/invalidation_server.h
@@ -1,7 +1,6 @@
 #pragma once
 
 #include <functional>
-#include <memory>
 #include <string>
 #include <vector>
 
@@ -9,6 +8,7 @@
 #include "posthatch/invalidation/object_source.h"
 #include "posthatch/invalidation/publishing_source.h"
 #include "posthatch/runtime/runtime.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::invalidation {
 
@@ -39,7 +39,7 @@
   const std::function<ServingState()> serving_;
   MetricsExport metrics_;
   // Guards the listener left with `objects_`, which can't be taken back.
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  util::Lifetime lifetime_;
 };
 
 }  // namespace posthatch::invalidation
--- a/src/posthatch/membership/peer_cache.cc
+++ b/src/posthatch/membership/peer_cache.cc
@@ -47,9 +47,8 @@
   operations.push_back({Kind::kSyncDirectory, "", "", "", 0});
   writing_ = true;
   runtime_->file_system->Submit(
-      std::move(operations), [this, alive = std::weak_ptr<bool>(alive_),
-                              content = std::move(content)](const absl::Status& status) {
-        if (alive.expired()) return;
+      std::move(operations),
+      lifetime_.Guard([this, content = std::move(content)](const absl::Status& status) {
         writing_ = false;
         if (status.ok()) {
           last_written_ = content;
@@ -57,7 +56,7 @@
           runtime_->trace->Event(runtime::Severity::kWarning, "PeerCacheWriteFailed",
                                  {{"error", status.ToString()}});
         }
-      });
+      }));
 }
 
 std::vector<std::string> PeerCache::Addresses(const std::string& self_endpoint) const {
--- a/src/posthatch/membership/peer_cache.h
+++ b/src/posthatch/membership/peer_cache.h
@@ -1,6 +1,5 @@
 #pragma once
 
-#include <memory>
 #include <string>
 #include <utility>
 #include <vector>
@@ -8,6 +7,7 @@
 #include "posthatch/membership/gossip_options.h"
 #include "posthatch/membership/member_table.h"
 #include "posthatch/runtime/runtime.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::membership {
 
@@ -39,8 +39,8 @@
   std::vector<std::string> cached_peers_;
   std::string last_written_;
   bool writing_ = false;
-  // Held weakly by a running write, which may end after this object.
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  // A write in flight may end after this object.
+  util::Lifetime lifetime_;
 };
 
 }  // namespace posthatch::membership
--- a/src/posthatch/storage/log_writer.cc
+++ b/src/posthatch/storage/log_writer.cc
@@ -28,7 +28,7 @@
   write_started_ = clock_->Now();
   std::vector<FileOperation> operations = repairs_;  // all of them may be done again
   file_system_->Submit(std::move(operations),
-                       guard_.Wrap([this, done = std::move(done)](const absl::Status& status) {
+                       lifetime_.Guard([this, done = std::move(done)](const absl::Status& status) {
                          disk_full_ = absl::IsResourceExhausted(status);
                          if (disk_full_) {
                            retry_timer_.Start(options_.full_disk_retry_interval,
@@ -108,7 +108,7 @@
   write_attempted_ = true;
   write_started_ = clock_->Now();
   file_system_->Submit(std::move(operations),
-                       guard_.Wrap([this](const absl::Status& status) { OnWritten(status); }));
+                       lifetime_.Guard([this](const absl::Status& status) { OnWritten(status); }));
 }
 
 void LogWriter::OnWritten(const absl::Status& status) {
--- a/src/posthatch/storage/log_writer.h
+++ b/src/posthatch/storage/log_writer.h
@@ -10,8 +10,8 @@
 #include "posthatch/runtime/clock.h"
 #include "posthatch/runtime/file_system.h"
 #include "posthatch/runtime/timer_service.h"
-#include "posthatch/storage/callback_guard.h"
 #include "posthatch/storage/log_replay.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::storage {
 
@@ -91,7 +91,7 @@
   bool disk_full_ = false;
   absl::Status failure_;
   runtime::MonotonicTime write_started_;
-  CallbackGuard guard_;
+  util::Lifetime lifetime_;
 };
 
 }  // namespace posthatch::storage
--- a/src/posthatch/storage/snapshot_writer.cc
+++ b/src/posthatch/storage/snapshot_writer.cc
@@ -35,7 +35,7 @@
   operations.push_back(written_bytes_ == 0 ? OverwriteFile(path, std::move(chunk))
                                            : AppendToFile(path, std::move(chunk)));
   operations.push_back(SyncFile(path));
-  file_system_->Submit(std::move(operations), guard_.Wrap([this](const absl::Status& status) {
+  file_system_->Submit(std::move(operations), lifetime_.Guard([this](const absl::Status& status) {
     if (!status.ok()) return Finish(status);
     written_bytes_ += kChunkBytes;
     written_bytes_ < contents_.size() ? WriteChunk() : Publish();
@@ -48,7 +48,7 @@
       RenameFile(TemporarySnapshotPath(directory_, index_), SnapshotPath(directory_, index_)));
   operations.push_back(SyncDirectory(directory_));
   file_system_->Submit(std::move(operations),
-                       guard_.Wrap([this](const absl::Status& status) { Finish(status); }));
+                       lifetime_.Guard([this](const absl::Status& status) { Finish(status); }));
 }
 
 void SnapshotWriter::Finish(absl::Status status) {
--- a/src/posthatch/storage/snapshot_writer.h
+++ b/src/posthatch/storage/snapshot_writer.h
@@ -6,8 +6,8 @@
 
 #include "absl/status/status.h"
 #include "posthatch/runtime/file_system.h"
-#include "posthatch/storage/callback_guard.h"
 #include "posthatch/storage/snapshot_file.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::storage {
 
@@ -45,7 +45,7 @@
   std::string contents_;
   size_t written_bytes_ = 0;
   Done done_;
-  CallbackGuard guard_;
+  util::Lifetime lifetime_;
 };
 
 }  // namespace posthatch::storage
