--- a/src/posthatch/consensus/bootstrap.cc
+++ b/src/posthatch/consensus/bootstrap.cc
@@ -11,9 +11,9 @@
 
 constexpr runtime::Duration kHelloInterval = std::chrono::milliseconds(250);
 constexpr runtime::Duration kJoinInterval = std::chrono::milliseconds(500);
-// A replica not heard from for this long doesn't count as seen.
+// A peer that has sent nothing for this long doesn't count as visible.
 constexpr runtime::Duration kPeerTimeout = std::chrono::seconds(1);
-// Rounds of Hello before a cluster is formed, so that members of an older one are heard first.
+// Rounds of Hello before a cluster is formed, so that members of an existing one can respond first.
 constexpr uint64_t kHelloRoundsBeforeBootstrap = 4;
 
 }  // namespace
@@ -75,7 +75,7 @@
   }
   endpoints.erase(core_->EndpointOf(core_->replica_id()));
   endpoints.erase("");
-  for (const std::string& endpoint : endpoints) SendHello(endpoint, 0, /*answer=*/false, now);
+  for (const std::string& endpoint : endpoints) SendHello(endpoint, 0, /*is_response=*/false, now);
 }
 
 void Bootstrap::RecordPeer(const RaftMessage& message, MonotonicTime now) {
@@ -103,13 +103,13 @@
   core_->RecordEndpoint(message);
   RecordPeer(message, now);
   if (!hello.is_response()) {
-    SendHello(message.from_endpoint(), message.from(), /*answer=*/true, now);
+    SendHello(message.from_endpoint(), message.from(), /*is_response=*/true, now);
   } else if (!core_->HasLeader(now)) {
     RequestJoin(hello, now);
   }
 }
 
-// The leader takes no notice of members.
+// Sent without knowing whether this replica is a member: the leader ignores the request of one.
 void Bootstrap::RequestJoin(const Hello& hello, MonotonicTime now) {
   if (hello.leader_id() == 0 || hello.leader_endpoint().empty() || now < next_join_) return;
   next_join_ = now + kJoinInterval;
@@ -140,9 +140,10 @@
   return eligible.size() == options_.bootstrap_voters.size();
 }
 
-// Forms a cluster if this replica has the lowest id of enough fresh replicas that all see each
-// other, and no member of a cluster is in sight. Where founders are named, only they count: all of
-// them must see each other, and as their number is known, no two replicas can both be the lowest.
+// Forms a cluster if this replica has the lowest id of enough unbootstrapped replicas that all see
+// each other, and no member of a cluster is visible. Where bootstrap voters are configured, only
+// they count: all of them must see each other, and as their number is known, no two replicas can
+// both have the lowest id.
 void Bootstrap::TryBootstrap(MonotonicTime now) {
   std::set<uint64_t> participants = VisibleUnbootstrappedPeers(now);
   participants.insert(core_->replica_id());
--- a/src/posthatch/consensus/bootstrap.h
+++ b/src/posthatch/consensus/bootstrap.h
@@ -13,20 +13,20 @@
 namespace posthatch::consensus {
 
 struct BootstrapOptions {
-  // Fresh replicas that form a cluster together; 0: this one never forms any.
+  // How many unbootstrapped replicas form a cluster together; 0: this one never forms any.
   size_t expect = 3;
   // Internal endpoints of the only replicas that may form one, the same on all; every one of them
   // must take part. Empty: any replica may, and `expect` must be the number of all.
   std::vector<std::string> bootstrap_voters;
-  // The first so many by id become voters.
+  // This many, by lowest replica id, become voters; the others learners.
   size_t target_voters = 3;
-  // Internal endpoints of replicas that discovery knows; asked while there is no leader.
+  // Internal endpoints of replicas that discovery knows; contacted while there is no leader.
   std::function<std::vector<std::string>()> peers;
 };
 
-// How a replica that knows no leader finds its cluster, or forms one with other fresh replicas:
-// Hello messages to the endpoints that discovery and the last configuration name. Rules and the
-// argument that two clusters can't both commit anything: docs/design-docs/consensus.md.
+// How a replica that knows no leader finds its cluster, or forms one with other unbootstrapped
+// replicas: by Hello messages to the endpoints that discovery and the last configuration name. The
+// rules, and why two clusters can't both commit anything: docs/design-docs/consensus.md.
 // Owned by RaftReplica; not thread-safe.
 class Bootstrap {
  public:
@@ -52,9 +52,9 @@
   void RecordPeer(const RaftMessage& message, runtime::MonotonicTime now);
   void RequestJoin(const Hello& hello, runtime::MonotonicTime now);
   void TryBootstrap(runtime::MonotonicTime now);
-  // Whether it falls to this replica to form a cluster of `together`.
+  // Whether this replica is the one that forms a cluster of `participants`.
   bool ShouldBootstrap(const std::set<uint64_t>& participants) const;
-  // Those of `together` that may form one: all, or the founders.
+  // Those of `participants` that may form one: all, or the bootstrap voters.
   std::set<uint64_t> EligibleParticipants(const std::set<uint64_t>& participants) const;
   void BootstrapCluster(const std::set<uint64_t>& participants, runtime::MonotonicTime now);
   std::set<uint64_t> VisibleUnbootstrappedPeers(runtime::MonotonicTime now) const;
--- a/src/posthatch/consensus/cluster_configuration.h
+++ b/src/posthatch/consensus/cluster_configuration.h
@@ -9,6 +9,8 @@
 
 namespace posthatch::consensus {
 
+// Functions over the membership that a configuration entry or a snapshot carries.
+
 // Null if `replica_id` is no member.
 const Member* FindMember(const ClusterConfiguration& configuration, uint64_t replica_id);
 Member* FindMutableMember(ClusterConfiguration* configuration, uint64_t replica_id);
@@ -25,7 +27,8 @@
 uint64_t MajorityValue(const ClusterConfiguration& configuration,
                        const std::function<uint64_t(uint64_t replica_id)>& value_of);
 
-// What a configuration entry or a snapshot carries; an empty one if it does not parse.
+// Parses the data of a configuration entry or of a snapshot's metadata; an empty configuration if
+// it does not parse.
 ClusterConfiguration ParseConfiguration(const std::string& data);
 
 }  // namespace posthatch::consensus
--- a/src/posthatch/consensus/disk_health.h
+++ b/src/posthatch/consensus/disk_health.h
@@ -7,7 +7,8 @@
 
 namespace posthatch::consensus {
 
-// Watches how long the log's disk syncs take, so that a leader with a slow disk hands over.
+// Measures how long the log's disk syncs take, so that a leader with a slow disk transfers its
+// leadership. Owned by RaftReplica; not thread-safe.
 class DiskHealth {
  public:
   // Slow means a 95th percentile above `threshold` for `patience`.
@@ -15,10 +16,10 @@
       : threshold_(threshold), min_slow_duration_(min_slow_duration) {}
 
   void OnSync(runtime::Duration sync_duration, runtime::MonotonicTime now);
-  // To be called regularly; `in_flight` is how long the write under way has taken so far.
+  // To be called regularly; `in_flight` is how long the write in flight has taken so far.
   void Update(runtime::Duration in_flight, runtime::MonotonicTime now);
-  // 95th percentile over the last seconds, or the write under way if that is longer. Zero if there
-  // was none.
+  // 95th percentile over the last 3 s, or the write in flight if that is longer. Zero without any
+  // write.
   runtime::Duration p95() const { return p95_; }
   bool IsSlow(runtime::MonotonicTime now) const {
     return slow_ && now - slow_since_ >= min_slow_duration_;
--- a/src/posthatch/consensus/memory_log.h
+++ b/src/posthatch/consensus/memory_log.h
@@ -9,17 +9,18 @@
 
 namespace posthatch::consensus {
 
-// The entries that a replica holds in memory: all since the last compaction, durable or not.
+// The entries that a replica keeps in memory: all since the last compaction, durable or not. Owned
+// by RaftCore; not thread-safe.
 class MemoryLog {
  public:
   void Restore(uint64_t base_index, uint64_t base_term, std::vector<storage::LogEntry> entries);
 
-  // Index before the first entry held; its term is known.
+  // Index before the first entry; its term is known.
   uint64_t base_index() const { return base_index_; }
   uint64_t last_index() const { return base_index_ + entries_.size(); }
   uint64_t last_term() const { return *Term(last_index()); }
   uint64_t bytes() const { return bytes_; }
-  // Nothing for indexes before base_index() or after last_index().
+  // Nullopt for indexes before base_index() or after last_index().
   std::optional<uint64_t> Term(uint64_t index) const;
   // `index` must be in (base_index(), last_index()].
   const storage::LogEntry& Entry(uint64_t index) const { return entries_[index - base_index_ - 1]; }
@@ -28,9 +29,9 @@
   void Append(storage::LogEntry entry);
   // Removes the entries from `index` on.
   void TruncateFrom(uint64_t index);
-  // Forgets the entries up to `index`, which must not be above last_index().
+  // Removes the entries up to `index`, which must not be above last_index().
   void CompactTo(uint64_t index);
-  // Empties the log: it goes on after `index`.
+  // Empties the log: the next entry is `index` + 1.
   void Reset(uint64_t index, uint64_t term);
 
  private:
--- a/src/posthatch/consensus/raft_core.cc
+++ b/src/posthatch/consensus/raft_core.cc
@@ -30,7 +30,8 @@
     AdoptConfiguration(index, ParseConfiguration(entry.data()));
   }
   verified_index_ = commit_index_;
-  // What was promised to a leader before the restart is forgotten: keep the longest such promise.
+  // Contacts with a leader before the restart are not stored. Assuming one at this moment keeps the
+  // lease that any leader of before may still rely on.
   leader_contact_assumed_ = term() > 0;
   if (leader_contact_assumed_) leader_contact_at_ = now;
   ResetElectionTimer(now);
@@ -114,7 +115,7 @@
 
 bool RaftCore::Accepts(const RaftMessage& message) {
   if (message.from() == 0 || message.from() == replica_id()) return false;
-  // A message for the identity that this machine had before it lost its disk is not for us.
+  // Sent to the replica id that this machine had before it lost its disk.
   if (message.to() != replica_id()) return false;
   if (message.has_join_request()) {
     return !IsUnbootstrapped() &&
@@ -122,7 +123,7 @@
   }
   if (message.cluster_id() == 0) return false;
   if (!IsUnbootstrapped()) return message.cluster_id() == cluster_id();
-  // Only a cluster that has this replica id in its configuration writes to it.
+  // Only a cluster that has this replica id in its configuration sends these to it.
   if (!message.has_vote_request() && !message.has_append_request() &&
       !message.has_snapshot_chunk()) {
     return false;
@@ -151,7 +152,8 @@
   return true;
 }
 
-// Tells a leader or candidate of an earlier term that its time is over.
+// The response carries the current term, which makes a leader or candidate of an earlier one step
+// down.
 void RaftCore::RejectStaleTerm(const RaftMessage& message) {
   RaftMessage reply = NewMessage(message.from());
   if (message.has_append_request() || message.has_snapshot_chunk()) {
@@ -191,7 +193,7 @@
       return HandleTimeoutNow(message, now);
     case RaftMessage::kJoinRequest:
       return HandleJoinRequest(message, now);
-    case RaftMessage::kHello:  // Bootstrap's
+    case RaftMessage::kHello:  // handled by class Bootstrap
     case RaftMessage::BODY_NOT_SET:
       return;
   }
--- a/src/posthatch/consensus/raft_core.h
+++ b/src/posthatch/consensus/raft_core.h
@@ -22,7 +22,7 @@
 namespace posthatch::consensus {
 
 // The Raft algorithm as a state machine without clock, disk or network: calls go in, TakeReady()
-// tells what to do. After Ongaro, "Consensus: Bridging Theory and Practice" (2014), with pre-vote
+// returns what to do. After Ongaro, "Consensus: Bridging Theory and Practice" (2014), with pre-vote
 // (9.6), leadership transfer (3.10), single-server membership change (4), log compaction (5), read
 // index (6.4) and writing to the leader's disk in parallel (10.2.1). Design note: consensus.md.
 //
@@ -34,29 +34,35 @@
            runtime::MonotonicTime now);
 
   // ------------------------------------------------------------------ input
+  // A message has arrived from another replica.
   void Step(const RaftMessage& message, runtime::MonotonicTime now);
   // To be called at least every quarter of a heartbeat interval.
   void Tick(runtime::MonotonicTime now);
-  // Index of the new entry, or FailedPrecondition (not the leader, or handing over),
+  // Index of the new entry, or FailedPrecondition (not the leader, or transferring),
   // ResourceExhausted (too much uncommitted), InvalidArgument (longer than max_command_bytes).
   absl::StatusOr<uint64_t> Propose(std::string command, runtime::MonotonicTime now);
   // An id that comes back in Ready::reads, or FailedPrecondition. Reads are lost with leadership.
   absl::StatusOr<uint64_t> RequestRead(runtime::MonotonicTime now);
-  // The first entry of a new cluster; only for a fresh replica. Stands for election at once.
+  // The first entry of a new cluster; only for an unbootstrapped replica. Stands for election at
+  // once.
   void Bootstrap(const ClusterConfiguration& configuration, runtime::MonotonicTime now);
-  // Begins to hand leadership to the best-placed live voter whose disk syncs faster than
-  // `max_sync_p95_us`. False if not leader or there is none.
+  // Begins to transfer leadership to the most up-to-date live voter whose 95th percentile of disk
+  // syncs is at most `max_sync_p95_us`. False if not leader or there is none.
   bool TransferLeadership(uint64_t max_sync_p95_us, runtime::MonotonicTime now);
+  // Everything handed out with ids up to `persist_id` is durable.
   void OnPersisted(uint64_t persist_id, runtime::MonotonicTime now);
+  // `snapshot` (from Ready::install) is durable and the state machine is restored from it.
   void OnSnapshotInstalled(const std::shared_ptr<const storage::Snapshot>& snapshot,
                            runtime::MonotonicTime now);
-  // A snapshot of the state machine at applied_index() or before is durable. Forgets entries before
-  // it, but for the last ones.
+  // A snapshot of the state machine at applied_index() or before is durable: compacts
+  // the log before it, except for the entries that `retention` keeps.
   void OnSnapshotTaken(const std::shared_ptr<const storage::Snapshot>& snapshot,
                        const LogRetention& retention, runtime::MonotonicTime now);
+  // 95th percentile of this replica's disk syncs, reported to the leader.
   void SetSyncP95(uint64_t microseconds) { sync_p95_us_ = microseconds; }
 
   // ------------------------------------------------------------------ output
+  // Whether TakeReady would return anything to do.
   bool HasReady(runtime::MonotonicTime now) const;
   Ready TakeReady(runtime::MonotonicTime now);
 
@@ -68,9 +74,10 @@
   uint64_t cluster_id() const;
   ReplicaRole role() const;
   bool IsLeader() const { return role_ == Role::kLeader; }
-  // Leader, and an entry of its own term is committed: reads and membership changes are allowed.
+  // Leader, and an entry of the current term is committed: reads and membership changes are
+  // allowed.
   bool CurrentTermCommitted() const;
-  // Leader, and the state machine holds all that earlier leaders have committed.
+  // Leader, and the state machine has applied everything that earlier leaders committed.
   bool IsLeaderReady() const { return IsLeader() && applied_index_ >= term_start_index_; }
   bool IsTransferring() const { return transfer_target_ != 0; }
   // Whether a majority has answered messages that were sent within the shortest election timeout:
@@ -79,7 +86,7 @@
   // No configuration is known: the replica belongs to no cluster.
   bool IsUnbootstrapped() const { return configurations_.empty(); }
   uint64_t leader_id() const { return leader_id_; }
-  // Whether a leader has been heard (or this replica leads).
+  // Whether this replica leads, or a leader has contacted it within the longest election timeout.
   bool HasLeader(runtime::MonotonicTime now) const;
   std::string EndpointOf(uint64_t replica_id) const;  // empty if unknown
   std::string LeaderEndpoint() const;                 // empty if unknown
@@ -97,7 +104,8 @@
 
  private:
   enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
-  struct Staged {  // handed out for persisting, not yet durable
+  // A batch handed out for persisting that is not yet durable.
+  struct Staged {
     uint64_t persist_id;
     uint64_t last_index;
   };
@@ -112,7 +120,7 @@
   };
   struct PendingRead {
     uint64_t id;
-    uint64_t sequence = 0;  // 0: not yet asked of the followers
+    uint64_t sequence = 0;  // 0: its confirmation has not started
     uint64_t index = 0;
   };
   struct ReceivedSnapshot {
@@ -142,7 +150,7 @@
   void StartElection(bool transfer, runtime::MonotonicTime now);
   void RequestVotes(bool pre_vote, bool transfer);
   void CountVotes(runtime::MonotonicTime now);
-  // Whether every other member has been heard not to lead since this replica's restart.
+  // Whether every other member has shown since this replica's restart that it doesn't lead.
   bool AllOthersKnownNotLeading() const;
   bool MustRefuseVotes(runtime::MonotonicTime now) const;
   void HandleVoteRequest(const RaftMessage& message, runtime::MonotonicTime now);
@@ -177,7 +185,7 @@
                            runtime::MonotonicTime now) const;
   void StartSnapshot(uint64_t to, Progress* progress, runtime::MonotonicTime now);
   void SendChunk(uint64_t to, Progress* progress, runtime::MonotonicTime now);
-  // Where the leader is to go on sending the snapshot.
+  // Returns the offset from which the leader is to continue.
   uint64_t ReceiveChunk(const SnapshotChunk& chunk);
   void HandleSnapshotChunk(const RaftMessage& message, runtime::MonotonicTime now);
   void HandleSnapshotResponse(const RaftMessage& message, runtime::MonotonicTime now);
@@ -196,11 +204,11 @@
   bool RefreshEndpoints(runtime::MonotonicTime now);
   bool IsLive(const Member& member, runtime::MonotonicTime now) const;
   bool IsPresumedLost(const Member& member, runtime::MonotonicTime now) const;
-  // No message came from it for the longest election timeout.
+  // It has not responded for the longest election timeout.
   bool IsUnresponsive(const Member& member, runtime::MonotonicTime now) const;
-  // Another voter speaks from its endpoint: its machine has come back under another identity.
+  // Another voter sends from its endpoint: its machine has come back with another replica id.
   bool HasSuccessor(const Member& member) const;
-  // The voter that a learner which is being promoted stands in for; 0 if all are heard.
+  // The voter that a learner which is being promoted replaces; 0 if all voters respond.
   uint64_t LongestUnresponsiveVoter(runtime::MonotonicTime now) const;
   bool IsCaughtUp(const Member& member, runtime::MonotonicTime now) const;
 
@@ -222,14 +230,14 @@
   // Configurations that may still matter, rising by index; the last is in force.
   std::vector<ConfigurationEntry> configurations_;
   AddressBook addresses_;
-  uint64_t joining_cluster_id_ = 0;  // of a fresh replica: the first cluster that wrote to it
+  uint64_t joining_cluster_id_ = 0;  // unbootstrapped: the first cluster that wrote
 
   Role role_ = Role::kFollower;
   uint64_t leader_id_ = 0;
   std::optional<runtime::MonotonicTime> leader_contact_at_;
-  // `leader_contact_at_` is the restart: what was promised to a leader before it is forgotten.
+  // `leader_contact_at_` is the time of the restart: earlier contacts with a leader are not stored.
   bool leader_contact_assumed_ = false;
-  // Members that have asked for votes since the restart: none of them leads.
+  // Members that have requested votes since the restart: none of them leads.
   std::set<uint64_t> known_non_leaders_;
   int64_t newest_append_sent_at_ns_ = 0;  // of the leader's messages, by its clock
   uint64_t newest_read_sequence_ = 0;
@@ -256,7 +264,7 @@
   uint64_t transfer_target_ = 0;
   runtime::MonotonicTime transfer_deadline_;
   std::map<uint64_t, ReplicaAddress> pending_joins_;
-  // Voters that were silent when a replica with a place of its own was promoted
+  // Voters that were unresponsive when a replica at a new endpoint was promoted
   // (DropReplacedVoter).
   std::set<uint64_t> replaced_while_unresponsive_;
 
--- a/src/posthatch/consensus/raft_membership.cc
+++ b/src/posthatch/consensus/raft_membership.cc
@@ -1,6 +1,7 @@
 // Membership: single-server changes (dissertation, section 4.1), learners, automatic replacement.
-// At most one change is under way, and none before the leader has committed an entry of its own
-// term. The order of a replacement and why it loses nothing: docs/design-docs/consensus.md.
+// At most one change is in flight, and none before the leader has committed an entry of its
+// term. The order of a replacement and why no committed entry is lost:
+// docs/design-docs/consensus.md.
 #include <algorithm>
 
 #include "posthatch/consensus/cluster_configuration.h"
@@ -21,7 +22,7 @@
   }
 }
 
-// Brings the progress table in line with the configuration in force.
+// Makes the progress table match the configuration in force.
 void RaftCore::RefreshProgress(MonotonicTime now) {
   for (const Member& member : configuration().members()) {
     if (member.replica_id() == replica_id() || progress_.count(member.replica_id()) > 0) continue;
@@ -55,12 +56,12 @@
 void RaftCore::RunMembershipPolicy(MonotonicTime now) {
   if (!CurrentTermCommitted() || IsTransferring() || !HasQuorum(now)) return;
   if (configurations_.back().index > commit_index_) return;
-  // The first that has something to do.
+  // The first step that applies proposes its change; only one may be in flight.
   static_cast<void>(DropReplacedVoter(now) || DropExcessVoter(now) || PromoteLearner(now) ||
                     RemoveUnresponsiveLearner(now) || AdmitLearner(now) || RefreshEndpoints(now));
 }
 
-// Silent for long, or its machine has come back under another identity (its disk was lost).
+// Unresponsive for long, or its machine has come back with another replica id (its disk was lost).
 bool RaftCore::IsPresumedLost(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
   if (found == progress_.end()) return false;  // this replica itself
@@ -100,11 +101,11 @@
   return longest == nullptr ? 0 : longest->replica_id();
 }
 
-// A voter whose place another one has taken counts in the quorum and can't answer any more: it goes
-// at once, whatever the number of voters aimed for. Either its own machine is back under another
-// identity, or it fell silent before a new replica was promoted and has stayed so. A silent one of
-// an even number goes too, as after a planned replacement: without it one more may be lost, with it
-// not. One that was only away joins again.
+// A voter that another one has replaced counts in the quorum but can't respond any more: it is
+// removed at once, whatever `target_voters` is. Either its machine is back with another replica id,
+// or it was unresponsive when a new replica was promoted and still is. An unresponsive one of an
+// even number is removed too, as after a planned replacement: that lowers the majority by one and
+// so tolerates one more failure. A voter that was only unreachable joins again.
 bool RaftCore::DropReplacedVoter(MonotonicTime now) {
   for (const Member& member : configuration().members()) {
     if (!member.voter() || member.replica_id() == replica_id()) continue;
@@ -124,15 +125,15 @@
   return false;
 }
 
-// Has answered a message of the last shortest election timeout.
+// Has responded to a message that was sent within the shortest election timeout.
 bool RaftCore::IsLive(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
   return found != progress_.end() && found->second.last_contact.has_value() &&
          now - *found->second.last_contact < options_.election_timeout_min;
 }
 
-// Has within the last round trip confirmed, durably, all that was committed before it, and lacks
-// little of the rest.
+// Has acknowledged, since the last heartbeat, everything that was committed before it, and is at
+// most `max_promotion_lag` entries behind.
 bool RaftCore::IsCaughtUp(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
   if (found == progress_.end()) return false;
@@ -171,7 +172,7 @@
   const size_t voters = VoterCount(configuration());
   const bool wanted =
       voters < options_.target_voters || (voters == options_.target_voters && presumed_lost > 0);
-  // The promotion itself, and the removal after it, must find a majority.
+  // Both the promotion and the removal after it need a majority of responding voters.
   const bool will_commit = voters + 1 - presumed_lost > (voters + 1) / 2;
   if (candidate == nullptr || !wanted || !will_commit) return false;
   Member promoted = *candidate;
@@ -199,7 +200,7 @@
     };
     if (excess == nullptr || lag_of(member) > lag_of(*excess)) excess = &member;
   }
-  // The voter to be replaced came back: whoever is furthest behind becomes a learner.
+  // The voter to be replaced came back: the one furthest behind becomes a learner.
   if (excess == nullptr || !all_live) return false;
   Member demoted = *excess;
   demoted.set_voter(false);
@@ -216,7 +217,8 @@
   return false;
 }
 
-// Writes newer endpoints into the configuration, for replicas that start when all have moved.
+// Commits newer endpoints to the configuration, for replicas that start after all others have
+// moved.
 bool RaftCore::RefreshEndpoints(MonotonicTime now) {
   ClusterConfiguration refreshed = configuration();
   bool changed = false;
--- a/src/posthatch/consensus/raft_replication.cc
+++ b/src/posthatch/consensus/raft_replication.cc
@@ -1,4 +1,4 @@
-// Sending and taking entries, commit, reads.
+// Log replication, commit and linearizable reads.
 #include <algorithm>
 
 #include "posthatch/consensus/cluster_configuration.h"
@@ -41,8 +41,8 @@
   return message;
 }
 
-// An empty append. It carries the end of what was sent, so that a follower that missed some of it
-// says so.
+// An empty append. It carries the index before the next entry, so that a follower that missed some
+// of what was sent rejects it.
 void RaftCore::SendHeartbeat(uint64_t to, Progress* progress, MonotonicTime now) {
   if (progress->mode == Progress::Mode::kSnapshot) {
     const storage::SnapshotMetadata& metadata = progress->snapshot->metadata;
@@ -131,7 +131,7 @@
   progress->next = std::max(progress->match + 1, std::min(rejected, response.reject_hint() + 1));
 }
 
-// An entry is committed once it is durable at a majority, the leader's own disk counting like any
+// An entry is committed once it is durable at a majority, where the leader's disk counts like any
 // other, and only if it is of the leader's term (section 3.6.2).
 void RaftCore::AdvanceCommit() {
   const uint64_t reached = MajorityValue(configuration(), [this](uint64_t id) -> uint64_t {
@@ -171,7 +171,8 @@
   SendAppendResponse(message.from(), request.sent_at_ns(), request.read_sequence());
 }
 
-// Takes over what the log lacks, cutting off what contradicts. False if the request is malformed.
+// Appends the entries that the log lacks, truncating it where they conflict. False if the request
+// is malformed.
 bool RaftCore::MatchEntries(const AppendRequest& request) {
   uint64_t expected = request.prev_index();
   for (const storage::LogEntry& entry : request.entries()) {
@@ -188,7 +189,7 @@
 void RaftCore::RejectAppend(const RaftMessage& message) {
   const AppendRequest& request = message.append_request();
   uint64_t hint = std::min(log_.last_index(), request.prev_index() - 1);
-  // Skip the whole term that contradicts, so that few rounds are needed (section 5.3 of the paper).
+  // Skip the whole conflicting term, so that few probes are needed (section 5.3 of the paper).
   const std::optional<uint64_t> conflict_term = log_.Term(request.prev_index());
   while (conflict_term.has_value() && hint > commit_index_ && log_.Term(hint) == conflict_term) {
     --hint;
@@ -204,7 +205,7 @@
   Send(std::move(reply));
 }
 
-// At once, for the leader's quorum check, and again when more of the log has become durable.
+// Sent at once, for the leader's quorum check, and again when more of the log is durable.
 void RaftCore::SendAppendResponse(uint64_t to, int64_t sent_at_ns, uint64_t read_sequence) {
   RaftMessage reply = NewMessage(to);
   AppendResponse* response = reply.mutable_append_response();
@@ -228,8 +229,8 @@
   return reads_.back().id;
 }
 
-// Gives waiting reads one round: the commit index of now, valid once a majority has answered a
-// message sent from now on (section 6.4).
+// Gives the pending reads one read sequence and the current commit index, which is confirmed once a
+// majority has responded to a message sent from now on (section 6.4).
 void RaftCore::StartReadConfirmation(MonotonicTime now) {
   if (reads_.empty() || reads_.back().sequence != 0 || !CurrentTermCommitted()) return;
   ++read_sequence_;
--- a/src/posthatch/consensus/raft_snapshot.cc
+++ b/src/posthatch/consensus/raft_snapshot.cc
@@ -1,5 +1,5 @@
-// Log compaction and snapshots sent in chunks. One chunk is under way at a time; a lost one is sent
-// again by heartbeat.
+// Log compaction, and snapshots sent in chunks. One chunk is in flight at a time; a lost one is
+// retransmitted with a heartbeat.
 #include <algorithm>
 
 #include "posthatch/consensus/cluster_configuration.h"
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-// Up to where the log may be forgotten once there is a snapshot at `snapshot_index`.
+// The index up to which the log may be compacted once there is a snapshot at `snapshot_index`.
 uint64_t RaftCore::CompactionIndex(uint64_t snapshot_index, const LogRetention& retention,
                                    MonotonicTime now) const {
   const uint64_t end = std::min(snapshot_index, durable_index_);
@@ -30,7 +30,7 @@
     if (bytes > retention.bytes) break;
     --compact_to;
   }
-  // A live follower that is being sent an older snapshot will need the entries behind that one.
+  // A live follower that is receiving an older snapshot will need the entries after that one.
   for (const auto& [id, progress] : progress_) {
     const bool alive = now - progress.last_response_at < options_.election_timeout_max;
     if (alive && progress.snapshot != nullptr) {
--- a/src/posthatch/consensus/replicated_log.h
+++ b/src/posthatch/consensus/replicated_log.h
@@ -9,15 +9,17 @@
 
 namespace posthatch::consensus {
 
-// What a replicated log drives. Deterministic: equal entries give equal states on every replica.
+// The state that a replicated log maintains. Deterministic: equal entries give equal states on
+// every replica. Event loop thread only.
 class StateMachine {
  public:
   virtual ~StateMachine() = default;
-  // Applies the committed command at `index` (rising, each once per life of the object) and
-  // returns the answer for the proposer.
+  // Applies the committed command at `index` (rising, each once during the life of the object)
+  // and returns the result for the proposer.
   virtual std::string Apply(uint64_t index, uint64_t term, const std::string& command) = 0;
+  // The whole state in serialized form.
   virtual std::string TakeSnapshot() const = 0;
-  // Replaces the whole state. An error stops the process: it must not go on with half a state.
+  // Replaces the whole state. After an error the state may be incomplete, so the replica stops.
   virtual absl::Status RestoreSnapshot(const std::string& snapshot) = 0;
 };
 
@@ -27,13 +29,13 @@
 // Event loop thread only.
 class ReplicatedLog {
  public:
-  // Answer of the state machine, or: FailedPrecondition ("not leader": not taken, ask
-  // leader_endpoint()), Unavailable or Aborted (lost leadership: it may still commit),
-  // ResourceExhausted (too much in flight: not taken).
+  // Result of the state machine, or an error: FailedPrecondition (not leader: not proposed, try
+  // leader_endpoint()), Unavailable or Aborted (leadership lost: it may still commit),
+  // ResourceExhausted (too much in flight, or the disk is full: not proposed).
   using ProposeDone = std::function<void(absl::StatusOr<std::string>)>;
   using ReadDone = std::function<void(absl::Status)>;
   // Called when this replica becomes leader of `term` and has applied all entries of earlier
-  // terms, and with is_leader false as soon as it is leader no more.
+  // terms, and with is_leader false as soon as it no longer leads.
   using LeadershipListener = std::function<void(bool is_leader, uint64_t term)>;
 
   virtual ~ReplicatedLog() = default;
@@ -45,7 +47,7 @@
   virtual uint64_t term() const = 0;
   virtual uint64_t applied_index() const = 0;
   virtual ReplicaRole role() const = 0;
-  // Internal endpoint of the leader as far as known, else empty.
+  // Internal endpoint of the leader; empty if unknown.
   virtual std::string leader_endpoint() const = 0;
   virtual void SetLeadershipListener(LeadershipListener listener) = 0;
 };
--- a/src/posthatch/invalidation/channel_names.cc
+++ b/src/posthatch/invalidation/channel_names.cc
@@ -18,10 +18,10 @@
 constexpr std::string_view kTenantPrefix = "tenant/";
 constexpr std::string_view kStorePrefix = "store/";
 
-// A worker or store that came back cold costs only speed; four seconds of it are borne, and leave
-// room for three lost heartbeats.
+// A worker or store that came back with an empty cache costs only speed: four seconds are
+// acceptable, and tolerate three lost heartbeats.
 constexpr runtime::Duration kBackendGuarantee = std::chrono::seconds(4);
-// Revisions and isolation are fenced by name and salt as well; the session lease is as long.
+// Revisions and isolation are also fenced by name and salt; the session lease is as long.
 constexpr runtime::Duration kFencedGuarantee = std::chrono::seconds(4);
 
 bool HasPrefix(std::string_view text, std::string_view prefix) {
--- a/src/posthatch/invalidation/channel_names.h
+++ b/src/posthatch/invalidation/channel_names.h
@@ -8,8 +8,8 @@
 #include "posthatch/invalidation/invalidation.pb.h"
 #include "posthatch/runtime/clock.h"
 
-// The one place that says which object belongs to which channel (WCIP 4.3: a channel covers a class
-// of related objects), and how long each class may be trusted.
+// The one place that defines which object belongs to which channel (WCIP 4.3: a channel covers a
+// class of related objects), and how long each class may be trusted.
 namespace posthatch::invalidation {
 
 // Workers and their draining marks are spread over this many channels by a hash of their id.
--- a/src/posthatch/invalidation/channel_subscription.h
+++ b/src/posthatch/invalidation/channel_subscription.h
@@ -15,8 +15,8 @@
 namespace posthatch::invalidation {
 
 struct SubscriptionOptions {
-  runtime::Duration lifetime = std::chrono::minutes(2);   // wished; zero: volume validation
-  runtime::Duration heartbeat = std::chrono::seconds(1);  // wished
+  runtime::Duration lifetime = std::chrono::minutes(2);   // requested; zero: volume validation
+  runtime::Duration heartbeat = std::chrono::seconds(1);  // requested
   runtime::Duration response_timeout = std::chrono::milliseconds(400);
   runtime::Duration retry_delay = std::chrono::milliseconds(100);  // after a refusal
   std::string zone;
@@ -72,7 +72,7 @@
   runtime::MonotonicTime proven() const;
   // Covered objects, sorted by name.
   std::vector<RegisteredObject> Objects() const { return objects_.Covered(); }
-  // Every object ever heard of, covered or not, sorted.
+  // Every object that any message named, covered or not, sorted.
   std::vector<std::string> KnownObjectNames() const { return objects_.KnownNames(); }
   // False if the object is not covered.
   bool Find(const std::string& object, ObjectVersion* version) const;
@@ -128,7 +128,7 @@
   std::optional<Attempt> attempt_;
   std::optional<ActiveRegistration> registered_;
   SubscribedObjects objects_;
-  // Targeted service: what is wished, and what the increment in flight changes.
+  // Targeted service: the requested objects, and what the increment in flight changes.
   absl::btree_set<std::string> targets_;
   absl::btree_set<std::string> increment_include_;
   absl::btree_set<std::string> increment_exclude_;
--- a/src/posthatch/invalidation/invalidation_relay.cc
+++ b/src/posthatch/invalidation/invalidation_relay.cc
@@ -37,7 +37,7 @@
   const auto found = relayed_.find(channel);
   if (found == relayed_.end()) return proof;
   const ChannelSubscription* subscription = upstream_->Find(channel);
-  // Asked by the clock at this moment: after a freeze the loss may not have been noticed yet.
+  // Checked against the clock at this moment: after a freeze the loss may not be detected yet.
   proof.live = subscription->IsLive();
   proof.proven = found->second;
   return proof;
@@ -87,8 +87,8 @@
 
 void InvalidationRelay::OnSynchronized(const std::string& channel) {
   relayed_[channel] = upstream_->Find(channel)->proven();
-  // What changed while nothing was heard is not known, so everything is said again. It waits in the
-  // publisher and goes out before anything that carries the new proof.
+  // What changed while the channel was lost is not known, so everything is published again. It is
+  // pending in the publisher and goes out before anything that carries the new proof.
   for (const std::string& object : upstream_->Find(channel)->KnownObjectNames()) {
     publisher_.ObjectChanged(object);
   }
--- a/src/posthatch/invalidation/invalidation_relay.h
+++ b/src/posthatch/invalidation/invalidation_relay.h
@@ -15,9 +15,9 @@
 //
 // Time: what it sends proves its objects up to P, the moment by its own clock to which its upstream
 // has proved them, never up to now (docs/WCIP.md, "Relays"). So a relay point that was stopped, or
-// whose upstream fell silent, can't lengthen anybody's trust.
+// whose upstream became unresponsive, can't extend anybody's trust.
 //
-// Owned next to the set, which must outlive it. Event loop thread only.
+// Owned by index::IndexNode beside the subscriber, which must outlive it. Event loop thread only.
 class InvalidationRelay : public PublishingSource, private InvalidationSubscriber::Listener {
  public:
   InvalidationRelay(runtime::Runtime* runtime, PublisherOptions options,
--- a/src/posthatch/invalidation/invalidation_server.h
+++ b/src/posthatch/invalidation/invalidation_server.h
@@ -16,13 +16,13 @@
   PublisherOptions publisher;
 };
 
-// The invalidation server of every channel (WCIP 2, 5), on each controller; it answers and sends
+// The invalidation server of every channel (WCIP 2, 5), on each controller; it responds and sends
 // only while this process leads. Takes the process's SERVICE_CHANNELS messages. Owned by the
 // controller's assembly; must not outlive `objects`. Event loop thread only.
 class InvalidationServer : public PublishingSource {
  public:
-  // `serving` is asked at each moment of sending, after the time to be proved has been read: it
-  // must check its right to serve against the clock (lease, quorum), not against a cached flag.
+  // `serving` is called before everything that is sent, after the time to be proved has been read:
+  // it must check the right to serve against the clock (lease, quorum), not against a cached flag.
   InvalidationServer(runtime::Runtime* runtime, InvalidationServerOptions options,
                      ObjectSource* objects, std::function<ServingState()> serving);
   ~InvalidationServer() override;
@@ -38,7 +38,7 @@
   ObjectSource* const objects_;
   const std::function<ServingState()> serving_;
   MetricsExport metrics_;
-  // Guards the listener left with `objects_`, which can't be taken back.
+  // Guards the listener registered with `objects_`, which can't be removed.
   util::Lifetime lifetime_;
 };
 
--- a/src/posthatch/invalidation/invalidation_subscriber.h
+++ b/src/posthatch/invalidation/invalidation_subscriber.h
@@ -15,21 +15,22 @@
 
 struct InvalidationSubscriberOptions {
   SubscriptionOptions subscription;
-  // One registration on the aggregate channel instead of one per class; for subscribers that stand
-  // behind relay points.
+  // One registration on the aggregate channel instead of one per class; for subscribers that are
+  // served by relay points.
   bool aggregate = false;
 };
 
-// All registrations of one process, and its answer to "may this be trusted now?". Takes the
-// process's SERVICE_CHANNELS messages; requests from further subscribers go to the relay point, if
-// one is set. Owned by index::IndexNode. Event loop thread only.
+// All channel subscriptions of one process, and its judgement whether an object may be trusted now.
+// Receives the process's SERVICE_CHANNELS messages; requests from downstream subscribers go to the
+// request handler (a relay point), if one is set, and are refused otherwise. Owned by
+// index::IndexNode. Event loop thread only.
 class InvalidationSubscriber : public ObjectTrust, private SubscriptionObserver {
  public:
   using Listener = SubscriptionObserver;
   using RequestHandler =
       std::function<void(const runtime::Envelope& envelope, const ChannelEnvelope& content)>;
 
-  // `endpoints`: internal endpoints of the controllers; asked at each registration.
+  // `endpoints`: internal endpoints of the controllers; called at each registration.
   InvalidationSubscriber(runtime::Runtime* runtime, InvalidationSubscriberOptions options,
                          const ChannelSubscription::Endpoints& endpoints);
   ~InvalidationSubscriber() override;
@@ -37,7 +38,7 @@
   InvalidationSubscriber& operator=(const InvalidationSubscriber&) = delete;
 
   void Start();
-  // Listeners must outlive the set, or be removed.
+  // Listeners must outlive this object, or be removed.
   void AddListener(Listener* listener);
   void RemoveListener(Listener* listener);
   void SetRequestHandler(RequestHandler handler) { request_handler_ = std::move(handler); }
--- a/src/posthatch/invalidation/metrics_export.h
+++ b/src/posthatch/invalidation/metrics_export.h
@@ -12,14 +12,14 @@
 
 namespace posthatch::invalidation {
 
-// Shows counters that a component keeps as plain numbers as Prometheus gauges, refreshed once a
-// second. Nothing is shown if the runtime has no registry. Owned by the component whose numbers it
+// Exports counters that a component keeps as plain numbers as Prometheus gauges, updated once a
+// second. Exports nothing if the runtime has no registry. Owned by the component whose numbers it
 // reads; event loop thread only.
 class MetricsExport {
  public:
   explicit MetricsExport(runtime::Runtime* runtime) : runtime_(runtime), timer_(runtime->timers) {}
 
-  // `read` is called from then on; `help` documents the metric.
+  // `read` is called at each update, from Start on; `help` documents the metric.
   void Add(const std::string& name, const std::string& help, std::function<double()> read) {
     if (runtime_->metrics == nullptr) return;
     auto& family = prometheus::BuildGauge().Name(name).Help(help).Register(*runtime_->metrics);
--- a/src/posthatch/invalidation/object_source.h
+++ b/src/posthatch/invalidation/object_source.h
@@ -17,15 +17,15 @@
   using Listener = std::function<void(const std::string& object, const ObjectVersion& version)>;
 
   virtual ~ObjectSource() = default;
-  // Every object known, sorted by name.
+  // All known objects, sorted by name.
   virtual std::vector<RegisteredObject> Objects() const = 0;
-  // False if there is no such object.
+  // False if there is no such object; `version` is then left alone.
   virtual bool Find(const std::string& object, ObjectVersion* version) const = 0;
   virtual void AddListener(Listener listener) = 0;
 };
 
 // Whether this process may act as the server of a channel now: it leads, and its objects reflect
-// every accepted invalidation. `epoch` differs for each such term.
+// every accepted invalidation. `epoch` is different in each term in which it does.
 struct ServingState {
   bool serving = false;
   uint64_t epoch = 0;
--- a/src/posthatch/invalidation/subscribed_objects.h
+++ b/src/posthatch/invalidation/subscribed_objects.h
@@ -27,7 +27,7 @@
 
   // Null if the object is not covered.
   const Object* FindCovered(const std::string& name) const;
-  // Null if the object was never heard of; covered or not.
+  // Covered or not; null if no message has named the object.
   const Object* FindKnown(const std::string& name) const;
   // Covered ones, sorted by name.
   std::vector<RegisteredObject> Covered() const;
--- a/src/posthatch/membership/broadcast_queue.h
+++ b/src/posthatch/membership/broadcast_queue.h
@@ -9,18 +9,18 @@
 
 namespace posthatch::membership {
 
-// Updates that this process still passes on, at most one per node id, those passed on least first.
-// Owned by GossipMembership.
+// Updates that this process still disseminates, at most one per node id, those transmitted least
+// often first. Owned by GossipMembership; event loop thread only.
 class BroadcastQueue {
  public:
   explicit BroadcastQueue(size_t max_updates) : max_updates_(max_updates) {}
 
-  // Adds an update (a serialized MemberRecord), in place of an earlier one about `node_id`. Beyond
-  // max_updates the one passed on most often is dropped: anti-entropy brings it to the others.
+  // Adds an update (a serialized MemberRecord), which replaces an earlier one about `node_id`.
+  // Beyond max_updates the one transmitted most often is dropped: anti-entropy spreads it as well.
   void Add(const std::string& node_id, std::string record);
 
-  // Takes updates of at most `max_bytes` in all (with framing), and counts each as passed on once;
-  // after `transmit_limit` times an update is dropped.
+  // Returns updates of at most `max_bytes` in all (with framing) and counts one transmission for
+  // each; after `transmit_limit` transmissions an update is dropped.
   std::vector<std::string> Take(size_t max_bytes, int transmit_limit);
 
   bool empty() const { return updates_.empty(); }
--- a/src/posthatch/membership/failure_detector.cc
+++ b/src/posthatch/membership/failure_detector.cc
@@ -6,7 +6,7 @@
 namespace posthatch::membership {
 namespace {
 
-// Pings for others that run at a time; more are not taken.
+// Maximum of concurrent pings on request of others; further requests are ignored.
 constexpr size_t kMaxRelays = 256;
 
 }  // namespace
@@ -77,7 +77,7 @@
   const auto found = probes_.find(sequence);
   if (found == probes_.end()) return;
   const std::string node_id = found->second.node_id;
-  // Helpers that didn't even say that they got no answer: the fault may be here.
+  // A proxy that sent not even a nack: the fault may be this process's own.
   if (found->second.nacks < found->second.requests) AdjustHealthScore(1);
   probes_.erase(found);
   probe_by_node_.erase(node_id);
--- a/src/posthatch/membership/failure_detector.h
+++ b/src/posthatch/membership/failure_detector.h
@@ -14,11 +14,13 @@
 
 namespace posthatch::membership {
 
-// Probes members: a ping, its repetition directly and over others, and the failure of the round.
-// Also pings for others, and keeps the local health score, which slows this process down when the
-// fault is probably its own (Lifeguard, section IV.A). Owned by GossipMembership.
+// Probes members (SWIM, section 3.1): a ping, then a repetition both direct and indirect, by ping
+// requests to other members, then the failure of the probe. Also pings on request of others, and
+// keeps the local health score, which lengthens this process's time-outs when the fault is probably
+// its own (Lifeguard, section IV.A). Owned by GossipMembership; event loop thread only.
 class FailureDetector {
  public:
+  // Results of probes.
   class Observer {
    public:
     virtual ~Observer() = default;
@@ -29,10 +31,10 @@
   FailureDetector(runtime::Runtime* runtime, const GossipOptions* options, MemberTable* table,
                   MessageSender* sender, PauseDetector* pause_detector, Observer* observer);
 
-  // Starts a round with a member, unless one is running. `record` (serialized, may be empty) is put
-  // into the pings: what is said of the member and it should deny.
+  // Starts a probe of a member, unless one is running. `record` (serialized, may be empty) is put
+  // into the pings: a false claim about the member that it should refute.
   void Probe(const MemberEntry& target, const std::string& record);
-  // Drops all running rounds without a conclusion.
+  // Drops all running probes without a result.
   void AbandonProbes();
 
   void OnPing(const std::string& from_endpoint, const Ping& ping, const std::string& self_node_id,
@@ -42,8 +44,9 @@
   void OnNack(const Nack& nack);
 
   int health_score() const { return health_score_; }
+  // 0: healthy. Time-outs are multiplied by 1 + score; positive `by` is worse.
   void AdjustHealthScore(int by);
-  // When some process last answered this one.
+  // When any process last responded to this one.
   runtime::MonotonicTime last_response_at() const { return last_response_at_; }
 
  private:
--- a/src/posthatch/membership/gossip_fleet.h
+++ b/src/posthatch/membership/gossip_fleet.h
@@ -35,13 +35,13 @@
   simulation::SimHost* host(size_t node) const { return nodes_[node].host; }
   // Null while the process isn't running.
   GossipMembership* membership(size_t node) const { return nodes_[node].process; }
-  // Payload bytes sent by all nodes in all their lives.
+  // Payload bytes sent by all nodes, previous incarnations included.
   uint64_t sent_bytes() const;
   uint64_t sent_datagrams() const;
 
   // What `observer` reports of `member`: its state, or kLeft if it doesn't know it.
   MemberState StateSeen(size_t observer, size_t member) const;
-  // Whether every running node reports all running nodes (except those in `except`) and no others.
+  // Whether every running node reports all running nodes and no others.
   bool Converged() const;
   // Runs the world until Converged, checked every 250 ms; false if `limit` passes.
   bool RunUntilConverged(runtime::Duration limit);
--- a/src/posthatch/membership/gossip_membership.cc
+++ b/src/posthatch/membership/gossip_membership.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr runtime::Duration kTick = std::chrono::milliseconds(250);
-// No member is asked about one contradiction more often.
+// Shortest interval between two probes of a member because of contradicting records.
 constexpr runtime::Duration kVerifyInterval = std::chrono::seconds(2);
-// A leaving process tells so many others, so many times, because it may end right after.
+// A leaving process notifies this many others, this many times, because it may end right after.
 constexpr size_t kLeaveFanout = 8;
 constexpr int kLeaveSends = 3;
 constexpr runtime::Duration kLeaveInterval = std::chrono::milliseconds(100);
@@ -153,7 +153,7 @@
   return MakeRecord(entry->member, entry->version, false).SerializeAsString();
 }
 
-// What the parts report.
+// Reports of the parts.
 
 void GossipMembership::OnProbeSucceeded(const std::string& node_id) {
   if (MemberEntry* entry = table_.Find(node_id)) entry->failed_probes = 0;
@@ -206,12 +206,12 @@
 
 void GossipMembership::OnRefuted() { detector_.AdjustHealthScore(1); }
 
-// What happens by time.
+// Timers.
 
 bool GossipMembership::AdvanceIfDue(runtime::MonotonicTime* next, runtime::Duration interval) {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (now < *next) return false;
-  // Spread by a quarter, so that processes started together don't stay in step.
+  // Jitter of a quarter, so that processes started together don't stay synchronized.
   *next = now + runtime_->random->Between(interval - interval / 8, interval + interval / 8);
   return true;
 }
@@ -243,7 +243,7 @@
 void GossipMembership::ProbeNext() {
   MemberEntry* target = table_.NextToProbe();
   if (target == nullptr) return;
-  // A suspect hears what is said of it, so that it can deny it.
+  // The ping tells a suspect of the suspicion, so that it can refute it.
   const bool suspected = target->member.state == MemberState::kSuspect;
   detector_.Probe(*target,
                   suspected ? MakeRecord(target->member, target->version, false).SerializeAsString()
--- a/src/posthatch/membership/gossip_membership.h
+++ b/src/posthatch/membership/gossip_membership.h
@@ -24,24 +24,24 @@
 namespace posthatch::membership {
 
 // SWIM-style gossip membership (Das et al., DSN 2002) with Lifeguard's local health (Dadgar et al.,
-// DSN-W 2018) and anti-entropy by bucket digests, all in datagrams on SERVICE_MEMBERSHIP. Sends
-// about as much in a fleet of 1,000 as in one of 10. Owned by the node's assembly; event loop
-// thread only; the runtime must outlive it.
+// DSN-W 2018) and anti-entropy by bucket digests, all in datagrams on SERVICE_MEMBERSHIP. The
+// traffic of one process is about the same in a fleet of 1,000 as in one of 10. Owned by the node's
+// assembly; event loop thread only; the runtime must outlive it.
 class GossipMembership : public Membership,
                          private FailureDetector::Observer,
                          private RecordMerger::Owner {
  public:
-  // `self.incarnation` is set from the transport. `seeds` are internal endpoints; any one live one
-  // is enough, and none is for the first process.
+  // `self.incarnation` is set from the transport. `seeds` are internal endpoints; one that is alive
+  // is enough, and the first process needs none.
   GossipMembership(runtime::Runtime* runtime, Member self, std::vector<std::string> seeds,
                    GossipOptions options = {});
   ~GossipMembership() override;
   GossipMembership(const GossipMembership&) = delete;
   GossipMembership& operator=(const GossipMembership&) = delete;
 
-  // Begins to answer and to look for others. Reads the remembered peers (blocks shortly).
+  // Starts to respond and to contact others. Reads the peer cache (blocks shortly).
   void Start();
-  // Other addresses to find the fleet by, from now on.
+  // Replaces the seeds from now on.
   void SetSeeds(std::vector<std::string> seeds) { peers_.SetSeeds(std::move(seeds)); }
 
   std::vector<Member> LiveMembers() const override;
@@ -51,7 +51,7 @@
 
   // Number of members that LiveMembers would return, without copying them.
   size_t live_count() const;
-  // What is reported of a member; nothing if it isn't known.
+  // The reported state of a member; nullopt if it isn't known.
   std::optional<MemberState> StateOf(const std::string& node_id) const;
 
  private:
@@ -65,7 +65,8 @@
 
   void OnEnvelope(const runtime::Envelope& envelope);
   void Dispatch(const runtime::Envelope& envelope, const MembershipMessage& message);
-  // What is known of a sender that it should hear, serialized; empty if all is well.
+  // The serialized record of a sender that is not known as alive in this incarnation, for it to
+  // refute; else empty.
   std::string RecordForSender(const runtime::Envelope& envelope);
 
   void Tick();
@@ -79,6 +80,7 @@
   // Whether this process's failed probes say anything about others: not while it seems to be cut
   // off itself, nor shortly after it was stopped.
   bool MayAccuse() const;
+  // Whether `next` has passed; then sets it to about `interval` from now.
   bool AdvanceIfDue(runtime::MonotonicTime* next, runtime::Duration interval);
 
   runtime::Runtime* const runtime_;
--- a/src/posthatch/membership/gossip_options.h
+++ b/src/posthatch/membership/gossip_options.h
@@ -12,39 +12,40 @@
 struct GossipOptions {
   // Failure detection (SWIM, sections 3.1 and 4.2; Lifeguard, section IV).
   runtime::Duration probe_interval = std::chrono::seconds(1);
-  // From a ping to its repetition, directly and over others.
+  // From a ping to its repetition, direct and indirect.
   runtime::Duration probe_retry = std::chrono::milliseconds(200);
-  // From a ping to the failure of the round.
+  // From a ping to the failure of the probe.
   runtime::Duration probe_deadline = std::chrono::milliseconds(500);
+  // Members that are requested to ping the target at the repetition.
   int indirect_probes = 3;
-  // Rounds in a row that must fail before a member is suspected aloud.
+  // Probes in a row that must fail before the suspicion of a member is disseminated.
   int failed_probes_to_suspect = 3;
   // Shortest suspicion before a member counts as dead, for 10 processes or fewer; it is multiplied
   // by log10 of the number of processes.
   runtime::Duration min_suspicion = std::chrono::milliseconds(1500);
-  // Longest suspicion (nobody else suspects), as a multiple of the shortest.
+  // Longest suspicion (nobody else confirms it), as a multiple of the shortest.
   int max_suspicion_factor = 3;
-  // Other accusers that bring the suspicion down to the shortest.
+  // Confirmations by others that shorten a suspicion to the shortest.
   int confirmations = 2;
   // Upper end of the local health score; time-outs are multiplied by 1 + score.
   int max_health_score = 8;
-  // A gap between two callbacks beyond this means that this process was stopped.
+  // A gap between two callbacks of at least this means that this process was stopped.
   runtime::Duration pause_threshold = std::chrono::milliseconds(2500);
-  // After a pause, nobody is suspected for so long.
+  // How long nobody is suspected after such a pause.
   runtime::Duration pause_grace = std::chrono::seconds(5);
-  // Without any answer for so long, this process takes itself for cut off and suspects nobody ...
+  // Without any response for this long, this process considers itself isolated and suspects nobody,
   runtime::Duration isolation_timeout = std::chrono::seconds(2);
-  // ... for at most so long.
+  // for at most this long.
   runtime::Duration max_isolation = std::chrono::seconds(30);
 
   // Dissemination.
   runtime::Duration gossip_interval = std::chrono::milliseconds(200);
   int gossip_fanout = 2;
-  // How often one process passes an update on: this times log2 of the number of processes.
+  // How often one process transmits an update: this times log2 of the number of processes.
   int retransmit_factor = 2;
   size_t max_gossip_bytes_per_second = 8000;
   size_t max_queued_updates = 512;
-  // Bytes of updates that ride on a ping or its answer.
+  // Bytes of updates that are piggybacked on a ping or its ack.
   size_t piggyback_bytes = 600;
 
   // Anti-entropy, with a random member.
@@ -54,18 +55,19 @@
   int pull_retries = 4;
   int pull_window_buckets = 8;
 
-  // Finding others: seeds, and peers remembered that are not alive.
+  // Discovery: seeds, cached peers, and dead members that may be reachable again.
   runtime::Duration join_interval = std::chrono::seconds(1);
   runtime::Duration reconnect_interval = std::chrono::seconds(10);
-  // How many processes of the whole fleet try one such address per reconnect_interval.
+  // How many processes of the whole fleet contact one such address per reconnect_interval.
   int reconnects_per_interval = 8;
   runtime::Duration dead_member_retention = std::chrono::hours(24);
-  // Where peers are remembered over restarts, on machines with a disk.
+  // Where the peer cache is stored, on machines with a disk.
   std::string peers_directory = "membership";
   runtime::Duration peers_write_interval = std::chrono::seconds(60);
 
-  // Flapping: deaths of a member, halved each half-life. Beyond the limit, a member that comes
-  // back is reported only after it has stayed for flap_damping_period, doubled per further death.
+  // Damping of flapping members: their deaths are counted, and the count is halved each half-life.
+  // Beyond the limit, a member that comes back is reported only after it has been alive for
+  // flap_damping_period, doubled per further death.
   runtime::Duration flap_half_life = std::chrono::seconds(60);
   double flap_limit = 2.5;
   runtime::Duration flap_damping_period = std::chrono::seconds(5);
--- a/src/posthatch/membership/member_record.h
+++ b/src/posthatch/membership/member_record.h
@@ -10,12 +10,14 @@
 RecordState ToRecordState(MemberState state);
 MemberState FromRecordState(RecordState state);
 
-// The wire form; without details, the receiver must know this incarnation of the member already.
+// Conversions between Member and its wire form, MemberRecord.
+
+// Without details, the receiver must already know this incarnation of the member.
 MemberRecord MakeRecord(const Member& member, uint32_t version, bool with_details);
 // The inverse; the record must have details.
 Member MakeMember(const MemberRecord& record);
 
-// Whether a record counts over what is known at (`version`, `incarnation`, `state`).
+// Whether a record is newer than what is known at (`version`, `incarnation`, `state`).
 bool Supersedes(const MemberRecord& record, uint32_t version, uint64_t incarnation,
                 MemberState state);
 
--- a/src/posthatch/membership/member_table.h
+++ b/src/posthatch/membership/member_table.h
@@ -12,23 +12,24 @@
 
 namespace posthatch::membership {
 
-// What this process believes of one process. The fields other than `member` and `version` are
-// changed freely; those two only through MemberTable.
+// What this process believes about one process. `member` and `version` change only through
+// MemberTable; the other fields may be changed freely.
 struct MemberEntry {
   Member member;
   uint32_t version = 0;
   runtime::MonotonicTime state_since{};
-  // Probe rounds failed in a row, by this process.
+  // Probes by this process that failed in a row.
   int failed_probes = 0;
-  // No second check of the same contradiction before this time.
+  // No further probe because of contradicting records before this time.
   runtime::MonotonicTime next_verify_at{};
-  // Damping of flapping: deaths, decaying, as of `flaps_updated_at`; not reported as live until
-  // `damped_until`.
+  // Damping of flapping: decaying count of deaths, as of `flaps_updated_at`; while `damped`, not
+  // reported as live before `damped_until`.
   double flaps = 0;
   runtime::MonotonicTime flaps_updated_at{};
   runtime::MonotonicTime damped_until{};
   bool damped = false;
-  // Place among the table's live members; kNotListed for this process and those that don't live.
+  // Position in the table's list of live members; kNotListed for this process and for those that
+  // are not live.
   static constexpr size_t kNotListed = SIZE_MAX;
   size_t live_position = kNotListed;
 
@@ -38,8 +39,8 @@
 };
 
 // All known processes by node id, this one included; hash digests of the live ones in buckets; and
-// random choice among the live others. Entries stay at their address until Remove. Owned by
-// GossipMembership.
+// random choice among the live others. Entries stay at their address until ForgetBefore
+// removes them. Owned by GossipMembership; event loop thread only.
 class MemberTable {
  public:
   static constexpr size_t kBuckets = 128;
@@ -55,15 +56,15 @@
   // Changes version and state of an entry.
   void SetState(MemberEntry* entry, uint32_t version, MemberState state,
                 runtime::MonotonicTime now);
-  // Forgets dead and left members whose state is older than `since`.
+  // Removes dead and left members whose state is older than `since`.
   void ForgetBefore(runtime::MonotonicTime since);
 
   // Number of live members without this process.
   size_t live_count() const { return live_.size(); }
   // Up to `count` different live members, without this process and without `except`.
   std::vector<MemberEntry*> PickLive(size_t count, const std::string& except);
-  // Next member to probe: each live one once per round, in an order drawn anew each round, with
-  // newcomers mixed in (SWIM, section 4.3). Null if there is none.
+  // Next member to probe: each live one once per pass, in a random order drawn for each pass, with
+  // new members inserted at random (SWIM, section 4.3). Null if there is none.
   MemberEntry* NextToProbe();
 
   const Digests& digests() const { return digests_; }
@@ -73,7 +74,7 @@
  private:
   static size_t BucketOf(const std::string& node_id);
   static uint32_t HashOf(const MemberEntry& entry);
-  // Takes the entry out of, or puts it into, the digests and the list of live ones.
+  // Removes a live entry from, or adds it to, the digests and the list of live members.
   void UnindexIfLive(MemberEntry* entry);
   void IndexIfLive(MemberEntry* entry);
 
--- a/src/posthatch/membership/membership.h
+++ b/src/posthatch/membership/membership.h
@@ -21,8 +21,8 @@
   MemberState state = MemberState::kAlive;
 };
 
-// The processes that this one believes to exist. A hint for finding peers and spreading load, never
-// ground for a decision about leases or quorums. Event loop thread only.
+// The processes that this one believes to be alive. A hint for finding peers and spreading load,
+// never the basis of a decision about leases or quorums. Event loop thread only.
 class Membership {
  public:
   using Listener = std::function<void(const Member&)>;
@@ -33,7 +33,7 @@
   virtual const Member& self() const = 0;
   // Called for each member that is new or whose state, endpoint or incarnation changed.
   virtual void AddListener(Listener listener) = 0;
-  // Tells the others that this process leaves (at drain).
+  // Notifies the others that this process leaves (when it drains).
   virtual void Leave() = 0;
 };
 
--- a/src/posthatch/membership/message_sender.h
+++ b/src/posthatch/membership/message_sender.h
@@ -11,13 +11,14 @@
 // together) leaves of kMaxDatagramBytes.
 inline constexpr size_t kMaxPayloadBytes = runtime::kMaxDatagramBytes - 160;
 
-// How the parts of GossipMembership send; implemented by it.
+// How the parts of GossipMembership send. Event loop thread only.
 class MessageSender {
  public:
   virtual ~MessageSender() = default;
-  // Sends `message` as one datagram and adds updates to it as far as there is room.
+  // Sends `message` as one datagram and piggybacks as many queued updates as
+  // fit.
   virtual void SendWithUpdates(const std::string& endpoint, MembershipMessage message) = 0;
-  // Sends `message` as it is.
+  // Sends `message` without further updates.
   virtual void SendPlain(const std::string& endpoint, const MembershipMessage& message) = 0;
 };
 
--- a/src/posthatch/membership/peer_cache.h
+++ b/src/posthatch/membership/peer_cache.h
@@ -12,7 +12,8 @@
 namespace posthatch::membership {
 
 // Addresses at which others may be found when nobody is known: the seeds, and the peers that were
-// alive in an earlier life, kept in a file on machines with a disk. Owned by GossipMembership.
+// alive in a previous incarnation, stored in a file on machines with a disk. Owned by
+// GossipMembership; event loop thread only.
 class PeerCache {
  public:
   PeerCache(runtime::Runtime* runtime, const GossipOptions* options,
@@ -23,14 +24,14 @@
   // Replaces the seeds: they may move to other machines.
   void SetSeeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
   // Writes the endpoints of some live members, if they changed and no write is running. A failed
-  // write is traced and tried again at the next call.
+  // write is traced and retried at the next call.
   void Save(MemberTable* table);
 
-  // Seeds and remembered peers without `self_endpoint`, each once.
+  // Seeds and cached peers without `self_endpoint`, each once.
   std::vector<std::string> Addresses(const std::string& self_endpoint) const;
 
  private:
-  // So many peers are kept in the file.
+  // Maximum number of peers in the file.
   static constexpr size_t kMaxPeers = 64;
 
   runtime::Runtime* const runtime_;
--- a/src/posthatch/membership/record_merger.cc
+++ b/src/posthatch/membership/record_merger.cc
@@ -5,7 +5,8 @@
 namespace posthatch::membership {
 namespace {
 
-// Shortest time between two records by which this process overrides another life of its node id.
+// Shortest time between two records by which this process overrides another incarnation of its
+// node id.
 constexpr runtime::Duration kOverrideInterval = std::chrono::seconds(1);
 
 }  // namespace
@@ -75,7 +76,8 @@
   const bool same_incarnation = record.incarnation() == self_->member.incarnation;
   if (same_incarnation && record.state() == RECORD_ALIVE) return;
   if (!same_incarnation && !MayOverrideNow(record)) return;
-  // Only this process raises its version: above what is said wrongly of it, or of its former life.
+  // Only this process raises its version: above that of a false record about it, or of one about a
+  // previous incarnation.
   table_->SetState(self_, record.version() + 1, MemberState::kAlive, runtime_->clock->Now());
   Broadcast(MakeRecord(self_->member, self_->version, !same_incarnation));
   metrics_->refutations.Increment();
@@ -83,7 +85,7 @@
 }
 
 bool RecordMerger::MayOverrideNow(const MemberRecord& record) {
-  // Two live processes under one node id would otherwise outbid each other at full speed.
+  // Two live processes with one node id would otherwise override each other at full speed.
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (now < next_override_) return false;
   next_override_ = now + kOverrideInterval;
@@ -93,7 +95,7 @@
 }
 
 void RecordMerger::AddNew(const MemberRecord& record, Dissemination dissemination) {
-  if (!record.has_details()) return;  // anti-entropy will bring the whole record
+  if (!record.has_details()) return;  // anti-entropy will bring the complete record
   MemberEntry* entry = table_->Upsert(MakeMember(record), record.version(), runtime_->clock->Now());
   if (!entry->live()) return;
   Disseminate(record, dissemination);
@@ -107,7 +109,7 @@
 void RecordMerger::ApplyAlive(MemberEntry* entry, const MemberRecord& record,
                               Dissemination dissemination) {
   const bool new_incarnation = record.incarnation() != entry->member.incarnation;
-  // A life that isn't known needs its details; anti-entropy will bring them.
+  // An unknown incarnation needs its details; anti-entropy will bring them.
   if (new_incarnation && !record.has_details()) return;
   const bool was_live = entry->live();
   const bool changed = new_incarnation || entry->member.state != MemberState::kAlive;
@@ -127,7 +129,7 @@
 void RecordMerger::ApplySuspect(MemberEntry* entry, const MemberRecord& record,
                                 Dissemination dissemination) {
   if (record.incarnation() != entry->member.incarnation) {
-    // Of another life than the one that is known to live: that one must raise its version.
+    // About another incarnation than the one known to be alive: that one must raise its version.
     if (entry->live()) owner_->Verify(entry, record.SerializeAsString());
     return;
   }
@@ -147,7 +149,7 @@
   const bool reported_by_itself = record.state() == RECORD_LEFT && known_incarnation;
   const bool suspected = entry->member.state == MemberState::kSuspect && known_incarnation;
   if (entry->live() && !reported_by_itself && !suspected) {
-    // Somebody who was cut off may bring this; the member itself can deny it.
+    // May come from a process that was isolated; the member itself can refute it.
     owner_->Verify(entry, record.SerializeAsString());
     return;
   }
--- a/src/posthatch/membership/record_merger.h
+++ b/src/posthatch/membership/record_merger.h
@@ -18,19 +18,21 @@
 // the others have it, and queueing it would displace newer updates.
 enum class Dissemination { kRebroadcast, kLocalOnly };
 
-// Decides what a record changes: in the table, the suspicions, the updates passed on, and the view
-// reported to listeners, where flapping is damped. Owned by GossipMembership.
+// Decides what a record changes: the table, the suspicions, the queued updates, and the view
+// reported to listeners, where flapping is damped. Owned by GossipMembership; event loop thread
+// only.
 class RecordMerger {
  public:
-  // What it asks of its owner.
+  // What RecordMerger needs from its owner.
   class Owner {
    public:
     virtual ~Owner() = default;
     // The reported view of a member has changed.
     virtual void Notify(const Member& member) = 0;
-    // Others say (in `record`) what contradicts a live `entry`: the member itself should be asked.
+    // `record` (serialized), from others, contradicts a live `entry`: the member itself should be
+    // probed with it, so that it can refute it.
     virtual void Verify(MemberEntry* entry, const std::string& record) = 0;
-    // This process was suspected, wrongly.
+    // This process has refuted a false suspicion of itself.
     virtual void OnRefuted() = 0;
   };
 
@@ -38,18 +40,18 @@
                SuspicionList* suspicions, BroadcastQueue* queue, GossipMetrics* metrics,
                Owner* owner);
 
-  // Enters this process itself and tells the others.
+  // Adds this process itself and notifies the others.
   void Join(const Member& self);
-  // Tells the others that this process leaves.
+  // Notifies the others that this process leaves.
   void Leave();
 
   // Applies a record received from another process, or made by this one about another.
   void Apply(const MemberRecord& record, Dissemination dissemination);
-  // This process's own finding: starts or confirms a suspicion.
+  // This process's probes of the member failed: starts or confirms a suspicion.
   void Suspect(MemberEntry* entry);
-  // A suspicion's time has run out.
+  // The suspicion of the member has expired.
   void DeclareDead(const std::string& node_id);
-  // Reports returned members whose time of being held back is over.
+  // Reports the members whose damping is over.
   void ReleaseDamped();
 
   // Whether a member is to be reported as live.
--- a/src/posthatch/membership/state_sync.cc
+++ b/src/posthatch/membership/state_sync.cc
@@ -76,7 +76,8 @@
 }
 
 void StateSync::OnBucketRequest(const std::string& from_endpoint, const BucketRequest& request) {
-  // More than any process of ours asks for is not answered: small requests, large answers.
+  // More than any process of ours requests is ignored: it would amplify small requests into large
+  // responses.
   if (request.buckets_size() > options_->pull_window_buckets) return;
   std::vector<MembershipMessage> chunks(1);
   size_t bytes = 0;
--- a/src/posthatch/membership/state_sync.h
+++ b/src/posthatch/membership/state_sync.h
@@ -14,32 +14,32 @@
 namespace posthatch::membership {
 
 // Anti-entropy: two processes exchange hash digests of their buckets, and each pulls the buckets
-// that differ, a few at a time, in datagrams. What goes over the wire depends on the difference,
-// not on the size of the fleet. Owned by GossipMembership.
+// that differ, a few at a time, in datagrams. The traffic depends on the difference, not on the
+// size of the fleet. Owned by GossipMembership; event loop thread only.
 class StateSync {
  public:
   StateSync(runtime::Runtime* runtime, const GossipOptions* options, MemberTable* table,
             MessageSender* sender);
 
-  // Called when a pull that was started has got everything.
+  // Called when a pull is complete.
   void set_on_pulled(std::function<void()> on_pulled) { on_pulled_ = std::move(on_pulled); }
 
-  // Offers this process's digest to another; what follows goes by itself.
+  // Sends this process's digest to another; the rest of the exchange is driven by its messages.
   void StartExchange(const std::string& endpoint);
   void OnDigest(const std::string& from_endpoint, const Digest& digest,
                 const std::string& record_of_sender);
   void OnBucketRequest(const std::string& from_endpoint, const BucketRequest& request);
-  // To be called after the chunk's records have been taken in.
+  // To be called after the chunk's records have been applied.
   void OnBucketChunk(const BucketChunk& chunk);
 
   // Whether the last comparison found a difference, or a pull is running.
   bool differed() const { return differed_; }
   bool pulling() const { return !pending_buckets_.empty(); }
-  // Whether the running pull brings so much that the news in it should not be gossiped on.
+  // Whether the running pull is so large that its updates should not be disseminated further.
   bool pulling_many_buckets() const { return pulling() && pull_bucket_count_ > kLargePullBuckets; }
 
  private:
-  // Buckets.
+  // In buckets.
   static constexpr size_t kLargePullBuckets = 16;
 
   void SendDigest(const std::string& endpoint, bool reply_wanted, const std::string& record);
@@ -55,7 +55,7 @@
   runtime::Timer pull_timer_;
   bool differed_ = false;
   std::string pull_endpoint_;
-  std::vector<uint32_t> pending_buckets_;  // the last ones are asked for first
+  std::vector<uint32_t> pending_buckets_;  // requested from the end
   uint64_t last_request_ = 0;
   std::set<uint32_t> received_parts_;
   size_t pull_bucket_count_ = 0;
--- a/src/posthatch/membership/suspicion_list.h
+++ b/src/posthatch/membership/suspicion_list.h
@@ -10,8 +10,8 @@
 
 namespace posthatch::membership {
 
-// Members under suspicion and when each one's time runs out. The time shrinks with each further
-// accuser (Lifeguard, section IV.B). Owned by GossipMembership.
+// Suspected members and when each suspicion expires. The time-out shrinks with each further accuser
+// (Lifeguard, section IV.B). Owned by GossipMembership; event loop thread only.
 class SuspicionList {
  public:
   explicit SuspicionList(const GossipOptions* options) : options_(options) {}
@@ -19,12 +19,12 @@
   // Starts a suspicion in a fleet of `fleet_size`; nothing if there is one already.
   void Start(const std::string& node_id, const std::string& accuser, size_t fleet_size,
              runtime::MonotonicTime now);
-  // Adds an accuser; true if it was new and still shortened the time.
+  // Adds an accuser; true if it was new and still shortened the time-out.
   bool Confirm(const std::string& node_id, const std::string& accuser);
   void Remove(const std::string& node_id) { suspicions_.erase(node_id); }
-  // Puts all ends off, after this process was stopped or cut off.
+  // Postpones all expiries, after this process was stopped or isolated.
   void Extend(runtime::Duration duration);
-  // Takes out those whose time has run out.
+  // Removes and returns the node ids whose suspicion has expired, sorted.
   std::vector<std::string> TakeExpired(runtime::MonotonicTime now);
   bool empty() const { return suspicions_.empty(); }
 
--- a/src/posthatch/storage/log_replay.cc
+++ b/src/posthatch/storage/log_replay.cc
@@ -117,7 +117,7 @@
   log->base_term = snapshot.term();
 }
 
-// Makes log and snapshot meet: entries that don't continue the snapshot are dropped.
+// Aligns the log with the snapshot: entries that don't continue it are dropped.
 absl::Status AlignWithSnapshot(RecoveredLog* log, const SnapshotMetadata& snapshot) {
   const uint64_t index = snapshot.index();
   const uint64_t last = log->base_index + log->entries.size();
--- a/src/posthatch/storage/log_writer.cc
+++ b/src/posthatch/storage/log_writer.cc
@@ -26,7 +26,7 @@
 void LogWriter::Open(Done done) {
   writing_ = true;
   write_started_ = clock_->Now();
-  std::vector<FileOperation> operations = repairs_;  // all of them may be done again
+  std::vector<FileOperation> operations = repairs_;  // all are idempotent
   file_system_->Submit(std::move(operations),
                        lifetime_.Guard([this, done = std::move(done)](const absl::Status& status) {
                          disk_full_ = absl::IsResourceExhausted(status);
@@ -75,7 +75,7 @@
   };
   if (synced_bytes_ == 0) {
     encoded_ = EncodeSegmentHeader(segments_.back().sequence);
-    // What was durable before this batch: the segments before this one may be removed.
+    // Repeated at the head of each segment, since the segments before it may be removed.
     append(RecordType::kHardState, hard_state_.SerializeAsString());
   }
   for (PendingBatch& pending : pending_) {
@@ -144,14 +144,14 @@
 
 void LogWriter::RemovePrefix(uint64_t index) {
   std::vector<FileOperation> operations;
-  // Each removal is made durable before the next, so that the segments left are always without gap.
+  // Each removal is made durable before the next, so that there is never a gap between segments.
   while (segments_.size() > 1 && segments_.front().max_index <= index) {
     operations.push_back(RemoveFile(SegmentPath(options_.directory, segments_.front().sequence)));
     operations.push_back(SyncDirectory(options_.directory));
     segments_.erase(segments_.begin());
   }
   if (operations.empty()) return;
-  // A segment that could not be removed is read again at the next start and does no harm.
+  // A failed removal is harmless: the segment is replayed at the next start.
   file_system_->Submit(std::move(operations), [](const absl::Status&) {});
 }
 
--- a/src/posthatch/storage/log_writer.h
+++ b/src/posthatch/storage/log_writer.h
@@ -16,37 +16,40 @@
 namespace posthatch::storage {
 
 struct LogWriterOptions {
-  std::string directory = "raft";
-  uint64_t segment_bytes = 8u << 20;  // a new segment is begun once one is this long
+  std::string directory = "raft";     // below the process's data, holds segments and snapshots
+  uint64_t segment_bytes = 8u << 20;  // a new segment is started once one is this long
+  // From a write that failed because the disk was full to the next attempt.
   runtime::Duration full_disk_retry_interval = std::chrono::milliseconds(250);
 };
 
-// What is to be made durable together. Order within: reset, entries, hard state.
+// What is made durable together. Written in this order: reset, entries, hard state.
 struct LogBatch {
   std::optional<LogReset> reset;
   std::vector<LogEntry> entries;
   std::optional<HardState> hard_state;
 };
 
-// Appends to the segmented log with group commit: while one write is in flight, further batches
-// gather and are written by the next, with one sync for all. A full disk is no failure: what was
-// written of the batch is cut off and the batch is tried again until it fits. Any other error ends
-// the writer: after a failed sync nothing can be said about the file's content.
-// Event loop thread only.
+// Appends to the segmented log with group commit: while one write is in flight, further batches are
+// queued and written by the next, with one sync for all. A full disk is no failure: the segment is
+// truncated to what was synced and the write is retried until it fits. Any other error ends the
+// writer: after a failed sync the content of the file is unknown. Owned by consensus::RaftReplica;
+// event loop thread only. Callbacks pending at destruction are not called.
 class LogWriter {
  public:
   // Called once the batch is durable, or with the error that ended the writer.
   using Done = std::function<void(absl::Status)>;
-  // Called with the time that each write and sync took.
+  // Called after each write with the time that it and its sync took.
   using SyncObserver = std::function<void(runtime::Duration)>;
 
+  // The pointers must outlive this object; `recovered` is what RecoverLog returned for the
+  // directory.
   LogWriter(runtime::FileSystem* file_system, runtime::Clock* clock, runtime::TimerService* timers,
             LogWriterOptions options, const RecoveredLog& recovered);
   LogWriter(const LogWriter&) = delete;
   LogWriter& operator=(const LogWriter&) = delete;
 
   void SetSyncObserver(SyncObserver observer) { sync_observer_ = std::move(observer); }
-  // Runs recovery's repairs, then calls `done`. Nothing recovered counts as durable before.
+  // Runs recovery's repairs, then calls `done`. What was recovered counts as durable only then.
   void Open(Done done);
   void Append(LogBatch batch, Done done);
   // Removes segments that hold only entries up to `index`, oldest first. The caller has made a
@@ -85,7 +88,7 @@
 
   std::vector<PendingBatch> pending_;
   std::vector<Done> in_flight_;
-  std::string encoded_;  // bytes of the write in flight, kept for another try
+  std::string encoded_;  // bytes of the write in flight, kept for a retry
   bool writing_ = false;
   bool write_attempted_ = false;  // the bytes in flight may already be in the file, in part
   bool disk_full_ = false;
--- a/src/posthatch/storage/record_format.cc
+++ b/src/posthatch/storage/record_format.cc
@@ -39,7 +39,7 @@
   uint32_t payload_crc;
 };
 
-// The header at `offset`, if one with a right checksum is there.
+// The record header at `offset`; nullopt if none with a correct checksum is there.
 std::optional<RecordHeader> ReadRecordHeader(std::string_view contents, size_t offset) {
   if (contents.size() - offset < kRecordHeaderBytes) return std::nullopt;
   const std::string_view header = contents.substr(offset, kRecordHeaderBytes);
@@ -54,7 +54,7 @@
                       endian::load_little_u32(bytes + kPayloadCrcOffset)};
 }
 
-// Whether a record of a batch that began after `offset` can be found behind it.
+// Whether a record of a batch that began after `offset` follows it.
 bool LaterBatchFollows(std::string_view contents, size_t offset) {
   std::string marker(sizeof(kRecordMarker), '\0');
   endian::store_little_u32(Bytes(marker), kRecordMarker);
@@ -66,8 +66,8 @@
   return false;
 }
 
-// Whether any sector's share of [begin, end) is all zero: what a file system leaves where it had
-// grown the file but not yet written the data.
+// Whether the part of any sector in [begin, end) is all zero: what a file system leaves where it
+// has extended the file but not yet written the data.
 bool HasUnwrittenSector(std::string_view contents, size_t begin, size_t end) {
   while (begin < end) {
     const size_t sector_end = std::min(end, (begin / kSectorBytes + 1) * kSectorBytes);
--- a/src/posthatch/storage/record_format.h
+++ b/src/posthatch/storage/record_format.h
@@ -12,10 +12,10 @@
 // (marker, type, payload length, start of its batch, payload checksum, header checksum) and its
 // payload. All numbers are little-endian, all checksums CRC32C.
 //
-// A batch is what was written between two syncs. Each record names the offset at which its batch
-// begins, so a damaged record followed by a record of a later batch is known to have been synced:
-// that is corruption. A damaged record with nothing of a later batch behind it may be a write that
-// power loss interrupted.
+// A batch is what was written between two syncs. Each record holds the offset at which its batch
+// begins, so a damaged record that a record of a later batch follows is known to have been synced:
+// that is corruption. A damaged record that none follows may be a write that a power loss
+// interrupted (a torn tail).
 namespace posthatch::storage {
 
 inline constexpr uint32_t kFormatVersion = 1;
@@ -40,14 +40,14 @@
 
 struct ParsedSegment {
   std::vector<ParsedRecord> records;
-  // Bytes that hold the header and whole records; less than the file size if the tail is torn.
+  // Bytes of the header and all intact records; less than the file size if the tail is torn.
   uint64_t valid_bytes = 0;
   bool torn = false;
 };
 
 // Reads one segment, which must have been written as number `sequence`. Errors: DataLoss
-// (corruption), FailedPrecondition (unknown format version). A torn tail is no error; whether one
-// is allowed is for the caller to say.
+// (corruption), FailedPrecondition (unknown format version). A torn tail is no error here: the
+// caller knows whether the segment may have one.
 absl::StatusOr<ParsedSegment> ParseSegment(std::string_view contents, uint64_t sequence);
 
 }  // namespace posthatch::storage
--- a/src/posthatch/storage/snapshot_file.h
+++ b/src/posthatch/storage/snapshot_file.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::storage {
 
-// A snapshot as it is on disk and on its way to a follower.
+// A snapshot of the state machine, on disk and when it is sent to a follower.
 struct Snapshot {
   SnapshotMetadata metadata;
   std::string data;
