--- a/src/posthatch/consensus/bootstrap-test.cc
+++ b/src/posthatch/consensus/bootstrap-test.cc
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-// One fresh replica with id 10; the test plays the others.
+// One unbootstrapped replica with id 10; the test sends the messages of the others.
 class BootstrapTest : public testing::Test {
  protected:
   BootstrapTest()
@@ -25,7 +25,7 @@
                                return std::vector<std::string>{"host10", "host20", "host30"};
                              }}) {}
 
-  // From now on only these may form a cluster.
+  // Restarts with only these allowed to form a cluster.
   void SetBootstrapVoters(const std::vector<std::string>& bootstrap_voters) {
     bootstrap_.emplace(&core_, &random_,
                        BootstrapOptions{.expect = 3,
@@ -54,7 +54,7 @@
     return message;
   }
 
-  // For two seconds the replica ticks and hears `messages` again and again.
+  // Lets the replica tick for two seconds and receive `messages` repeatedly.
   void Run(const std::vector<RaftMessage>& messages) {
     for (int i = 0; i < 20; ++i) {
       now_ += milliseconds(100);
@@ -69,48 +69,48 @@
   std::optional<Bootstrap> bootstrap_;
 };
 
-TEST_F(BootstrapTest, LowestIdFormsAClusterOfAllThatSeeEachOther) {
+TEST_F(BootstrapTest, LowestIdBootstrapsAllMutuallyVisibleReplicas) {
   Run({HelloFrom(20, {10, 30}), HelloFrom(30, {10, 20})});
   EXPECT_FALSE(core_.IsUnbootstrapped());
   EXPECT_EQ(VoterCount(core_.configuration()), 3U);
   EXPECT_NE(core_.cluster_id(), 0U);
 }
 
-TEST_F(BootstrapTest, WaitsForEnoughReplicas) {
+TEST_F(BootstrapTest, WaitsForExpectedReplicas) {
   Run({HelloFrom(20, {10})});
   EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
-TEST_F(BootstrapTest, WaitsUntilAllSeeEachOther) {
+TEST_F(BootstrapTest, WaitsForMutualVisibility) {
   Run({HelloFrom(20, {10, 30}), HelloFrom(30, {10})});
   EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
-TEST_F(BootstrapTest, LeavesItToALowerId) {
+TEST_F(BootstrapTest, DefersToLowerId) {
   Run({HelloFrom(20, {10, 5}), HelloFrom(5, {10, 20})});
   EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
-TEST_F(BootstrapTest, OnlyAFounderFormsAClusterThoughItSeesNoLowerId) {
+TEST_F(BootstrapTest, OnlyBootstrapVoterFormsCluster) {
   SetBootstrapVoters({"host20", "host30", "host40"});
   Run({HelloFrom(20, {10, 30, 40}), HelloFrom(30, {10, 20, 40}), HelloFrom(40, {10, 20, 30})});
   EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
-TEST_F(BootstrapTest, AFounderWaitsForAllOthers) {
+TEST_F(BootstrapTest, BootstrapVoterWaitsForAllOthers) {
   SetBootstrapVoters({"host10", "host20", "host30"});
   Run({HelloFrom(20, {10, 40, 50}), HelloFrom(40, {10, 20, 50}), HelloFrom(50, {10, 20, 40})});
   EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
-TEST_F(BootstrapTest, TheLowestFounderTakesInAllThatItSees) {
+TEST_F(BootstrapTest, LowestBootstrapVoterIncludesAllVisibleReplicas) {
   SetBootstrapVoters({"host10", "host20", "host30"});
   Run({HelloFrom(20, {10, 30}), HelloFrom(30, {10, 20}), HelloFrom(5, {10}), HelloFrom(40, {})});
   EXPECT_FALSE(core_.IsUnbootstrapped());
   EXPECT_EQ(VoterCount(core_.configuration()), 5U);
 }
 
-TEST_F(BootstrapTest, FormsNoClusterWithAMemberOfOneInSight) {
+TEST_F(BootstrapTest, FormsNoClusterWhileAMemberIsVisible) {
   RaftMessage member = HelloFrom(40, {});
   member.set_cluster_id(77);
   member.mutable_hello()->set_unbootstrapped(false);
@@ -118,14 +118,14 @@
   EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
-TEST_F(BootstrapTest, DoesNotCountTheFormerLifeOfALostDisk) {
-  RaftMessage second_life = HelloFrom(21, {10});
-  second_life.set_from_endpoint("host20");
-  Run({HelloFrom(20, {10, 21}), second_life});
+TEST_F(BootstrapTest, IgnoresPreviousIdentityOfLostDisk) {
+  RaftMessage second_identity = HelloFrom(21, {10});
+  second_identity.set_from_endpoint("host20");
+  Run({HelloFrom(20, {10, 21}), second_identity});
   EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
-TEST_F(BootstrapTest, AsksTheLeaderToJoin) {
+TEST_F(BootstrapTest, RequestsLeaderToJoin) {
   RaftMessage member = HelloFrom(40, {});
   member.set_cluster_id(77);
   member.mutable_hello()->set_unbootstrapped(false);
--- a/src/posthatch/consensus/consensus-bench.cc
+++ b/src/posthatch/consensus/consensus-bench.cc
@@ -1,7 +1,6 @@
 // Prints commits a second and commit latency of 3 and 5 replicas on loopback with real syncs,
 // beside the bare sync rate of the same disk, and how long writes stop when the leader is killed. A
-// "kill" is the destruction of the replica without a word to the others; it starts again from its
-// folder.
+// "kill" destroys the replica without notifying the others; it restarts from its data directory.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -50,7 +49,7 @@
   uint64_t count_ = 0;
 };
 
-// One controller: its runtime on a thread of its own, and the replica, which lives on that thread.
+// One controller: its runtime on a thread of its own, and the replica, which runs on that thread.
 class Controller {
  public:
   Controller(const std::string& folder, size_t number) {
@@ -131,7 +130,7 @@
   return std::chrono::duration<double, std::milli>(steady_clock::now() - start).count();
 }
 
-// Closed loops of `clients` calls of `call` for `seconds`, on the controller's event loop.
+// Runs `clients` closed loops that call `call` for `seconds`, on the controller's event loop.
 class ClosedLoop {
  public:
   using Done = std::function<void(bool accepted)>;
--- a/src/posthatch/consensus/core_harness-test.h
+++ b/src/posthatch/consensus/core_harness-test.h
@@ -14,7 +14,7 @@
 
 namespace posthatch::consensus {
 
-// For tests: RaftCores with message passing and disks that the test steers, in virtual time.
+// RaftCores with message passing and disks that the test controls, in virtual time.
 class CoreHarness {
  public:
   struct Node {
@@ -56,7 +56,7 @@
 
   void AddFresh(uint64_t id) { Boot(id); }
 
-  // Starts node `id` from what it has on disk.
+  // Starts node `id` from what is durable on its disk.
   void Boot(uint64_t id) {
     Node& node = nodes_[id];
     node.hard_state.set_replica_id(id);
@@ -92,12 +92,12 @@
       for (auto& [id, node] : nodes_) {
         if (node.up) node.core->Tick(now_);
       }
-      Settle();
+      RunUntilQuiescent();
     }
   }
 
-  // Passes messages and finishes syncs until nothing moves; no time passes.
-  void Settle() {
+  // Delivers messages and completes syncs until nothing is left to do; no time passes.
+  void RunUntilQuiescent() {
     bool moved = true;
     while (moved) {
       moved = false;
@@ -121,7 +121,7 @@
     return Leader();
   }
 
-  // Names the two nodes other than `leader` in a cluster of three.
+  // The ids of the two nodes other than `leader` in a cluster of three.
   static std::pair<uint64_t, uint64_t> Others(uint64_t leader) {
     return {leader == 1 ? 2 : 1, leader == 3 ? 2 : 3};
   }
--- a/src/posthatch/consensus/log_history-test.cc
+++ b/src/posthatch/consensus/log_history-test.cc
@@ -1,4 +1,4 @@
-// The checks of log_history-test.h are fed histories that violate them.
+// Checks LogHistory against histories that violate its invariants.
 #include "posthatch/consensus/log_history-test.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
   return {is_read, command, begin, end, position};
 }
 
-TEST(LogHistoryTest, AcceptsALinearizableHistory) {
+TEST(LogHistoryTest, AcceptsLinearizableHistory) {
   LogHistory history;
   history.OnApplied("a", 1, "x");
   history.OnApplied("a", 2, "y");
@@ -26,7 +26,7 @@
   EXPECT_TRUE(history.Check(2).empty());
 }
 
-TEST(LogHistoryTest, FindsALostCommand) {
+TEST(LogHistoryTest, DetectsLostCommand) {
   LogHistory history;
   history.OnApplied("a", 1, "x");
   history.AddOperation(NewOperation(false, "y", 0, 10, 2));
@@ -37,7 +37,7 @@
   EXPECT_FALSE(forgotten.Check(0).empty());
 }
 
-TEST(LogHistoryTest, FindsReplicasThatDifferAndCommandsAppliedTwice) {
+TEST(LogHistoryTest, DetectsDivergedReplicasAndDuplicateCommands) {
   LogHistory differ;
   differ.OnApplied("a", 1, "x");
   differ.OnApplied("b", 1, "y");
@@ -48,7 +48,7 @@
   EXPECT_FALSE(twice.Check(2).empty());
 }
 
-TEST(LogHistoryTest, FindsTwoLeadersAndTwoQuorums) {
+TEST(LogHistoryTest, DetectsTwoLeadersAndTwoQuorums) {
   LogHistory history;
   history.OnLeader("a", 3);
   history.OnLeader("a", 3);
@@ -60,7 +60,7 @@
   EXPECT_FALSE(quorums.Check(0).empty());
 }
 
-TEST(LogHistoryTest, FindsStaleReadsAndReadsOfTheFuture) {
+TEST(LogHistoryTest, DetectsStaleAndFutureReads) {
   LogHistory stale;
   stale.OnApplied("a", 1, "x");
   stale.AddOperation(NewOperation(false, "x", 0, 10, 1));
--- a/src/posthatch/consensus/log_history-test.h
+++ b/src/posthatch/consensus/log_history-test.h
@@ -11,18 +11,18 @@
 
 namespace posthatch::consensus {
 
-// What clients and replicas of a replicated log saw in one run, and the checks on it. The log of
-// commands itself is the object: an append's answer is its position, a read's answer is how many
-// commands it saw. Positions give the order, so linearizability is that no operation that ended
-// before another began comes after it in that order.
+// What clients and replicas of a replicated log observed in one run, and the checks on it. The
+// linearizable object is the list of commands: the result of an append is its position, that of a
+// read the number of commands that it observed. Positions give the order, so linearizability means
+// that no operation that ended before another began comes after it in that order.
 class LogHistory {
  public:
   struct Operation {
     bool is_read = false;
     std::string command;  // of appends
     int64_t begin_ns = 0;
-    std::optional<int64_t> end_ns;  // not set: no answer, or an uncertain one
-    uint64_t position = 0;          // of an answered append, or commands seen by a read
+    std::optional<int64_t> end_ns;  // not set: no result, or an uncertain one
+    uint64_t position = 0;          // of a completed append, or commands observed by a read
   };
 
   void AddOperation(Operation operation) { operations_.push_back(std::move(operation)); }
@@ -45,10 +45,10 @@
     }
   }
 
-  // Several replicas said at one moment that a majority is theirs.
+  // Several replicas claimed a quorum at the same moment.
   void OnTwoQuorums() { violations_.push_back("two replicas have a quorum at the same time"); }
 
-  // All violations. `final_length`: how many commands the replicas hold in the end.
+  // All violations. `final_length`: how many commands the replicas have in the end.
   std::vector<std::string> Check(uint64_t final_length) const {
     std::vector<std::string> violations = violations_;
     CheckAcknowledged(final_length, &violations);
@@ -80,7 +80,7 @@
     }
   }
 
-  // Rank of an operation in the order of the log: a read stands behind the append it saw last.
+  // Rank of an operation in the order of the log: a read comes after the last append it observed.
   static std::pair<uint64_t, bool> Rank(const Operation& operation) {
     return {operation.position, operation.is_read};
   }
@@ -92,7 +92,7 @@
       const auto found = commands_.find(operation.command);
       const bool took_effect = !operation.is_read && found != commands_.end();
       if (operation.end_ns.has_value() || !took_effect) continue;
-      // Unanswered but in the log: it began before any operation that saw it ended.
+      // Without a result but in the log: it began before any operation that observed it ended.
       Operation effective = operation;
       effective.position = found->second;
       finished.push_back(effective);
--- a/src/posthatch/consensus/raft_membership-test.cc
+++ b/src/posthatch/consensus/raft_membership-test.cc
@@ -19,7 +19,7 @@
   cluster.core(leader).Step(message, cluster.now());
 }
 
-TEST(RaftMembershipTest, LearnerIsNeitherCountedNorPromotedBeforeItHasCaughtUp) {
+TEST(RaftMembershipTest, LearnerIsNotCountedOrPromotedBeforeCaughtUp) {
   RaftOptions options;
   options.target_voters = 3;
   options.replace_unresponsive_after = seconds(5);
@@ -41,7 +41,7 @@
   EXPECT_EQ(VoterCount(cluster.core(leader).configuration()), 3U);
 }
 
-TEST(RaftMembershipTest, ReplacementNeverHasFewerVotersAndChangesOneAtATime) {
+TEST(RaftMembershipTest, ReplacementKeepsVoterCountAndChangesOneAtATime) {
   RaftOptions options;
   options.replace_unresponsive_after = seconds(5);
   CoreHarness cluster(3, options);
@@ -66,7 +66,7 @@
   EXPECT_EQ(changes, 4U) << "first, learner, promotion, removal";
 }
 
-TEST(RaftMembershipTest, NewestEndpointOfAReplicaWinsAndIsWrittenDown) {
+TEST(RaftMembershipTest, NewestEndpointWinsAndIsCommitted) {
   CoreHarness cluster(3);
   const uint64_t leader = cluster.RunUntilLeader();
   const uint64_t moved = CoreHarness::Others(leader).first;
@@ -81,8 +81,8 @@
   EXPECT_EQ(FindMember(cluster.core(leader).configuration(), moved)->endpoint(), "elsewhere");
 }
 
-TEST(RaftMembershipTest, ReplicaWhoseEndpointSpeaksUnderAnotherIdIsReplacedQuickly) {
-  CoreHarness cluster(3);  // with the default of 30 s for silent voters
+TEST(RaftMembershipTest, ReplicaSupersededAtItsEndpointIsReplacedQuickly) {
+  CoreHarness cluster(3);  // with the default of 30 s for unresponsive voters
   const uint64_t leader = cluster.RunUntilLeader();
   const uint64_t lost = CoreHarness::Others(leader).first;
   cluster.node(lost).up = false;
@@ -97,7 +97,7 @@
   EXPECT_TRUE(IsVoter(cluster.core(leader).configuration(), 9));
 }
 
-TEST(RaftMembershipTest, VoterThatComesBackDuringItsReplacementLeavesTargetVoters) {
+TEST(RaftMembershipTest, VoterReturningDuringReplacementLeavesTargetVoters) {
   RaftOptions options;
   options.replace_unresponsive_after = seconds(5);
   CoreHarness cluster(3, options);
@@ -115,8 +115,8 @@
   EXPECT_EQ(VoterCount(cluster.core(cluster.Leader()).configuration()), 3U);
 }
 
-// More voters are aimed for than there are machines: a replaced one must still go, or two losses
-// one after the other leave two live voters of four.
+// target_voters exceeds the number of machines: a replaced voter must still be removed, or two
+// losses in sequence leave two live voters of four.
 class ReplacementBelowTargetTest : public testing::Test {
  protected:
   static RaftOptions Options() {
@@ -141,7 +141,7 @@
   uint64_t leader_ = cluster_.RunUntilLeader();
 };
 
-TEST_F(ReplacementBelowTargetTest, LostDiskLeavesAsManyVotersAsMachines) {
+TEST_F(ReplacementBelowTargetTest, LostDiskLeavesOneVoterPerMachine) {
   const uint64_t lost = CoreHarness::Others(leader_).first;
   cluster_.node(lost).up = false;
   cluster_.Run(milliseconds(500));
@@ -152,7 +152,7 @@
   EXPECT_EQ(VoterCount(configuration()), 3U);
 }
 
-TEST_F(ReplacementBelowTargetTest, MachineReplacedAtAnotherAddressLeavesAsManyVotersAsMachines) {
+TEST_F(ReplacementBelowTargetTest, MachineReplacedAtNewAddressLeavesOneVoterPerMachine) {
   const uint64_t lost = CoreHarness::Others(leader_).first;
   cluster_.node(lost).up = false;
   cluster_.Run(milliseconds(1000));
@@ -163,13 +163,13 @@
   EXPECT_EQ(VoterCount(configuration()), 3U);
 }
 
-TEST_F(ReplacementBelowTargetTest, FurtherMachineJoinsBesideTheOthers) {
+TEST_F(ReplacementBelowTargetTest, AdditionalMachineJoins) {
   Join(9, "host9");
   cluster_.Run(seconds(3));
   EXPECT_EQ(VoterCount(configuration()), 4U);
 }
 
-TEST_F(ReplacementBelowTargetTest, MachineThatGoesAfterItsSuccessorJoinedLeavesThreeVoters) {
+TEST_F(ReplacementBelowTargetTest, MachineLeavingAfterSuccessorJoinedLeavesThreeVoters) {
   Join(9, "host9");
   cluster_.Run(seconds(3));
   ASSERT_EQ(VoterCount(configuration()), 4U);
@@ -184,7 +184,7 @@
   EXPECT_TRUE(IsVoter(configuration(), leaving)) << "it was only away";
 }
 
-TEST_F(ReplacementBelowTargetTest, VoterCutOffWhileNobodyJoinsKeepsItsPlace) {
+TEST_F(ReplacementBelowTargetTest, PartitionedVoterRemainsWhileNobodyJoins) {
   const uint64_t away = CoreHarness::Others(leader_).first;
   cluster_.Isolate(away);
   cluster_.Run(seconds(6));
--- a/src/posthatch/consensus/raft_message-fuzz.cc
+++ b/src/posthatch/consensus/raft_message-fuzz.cc
@@ -1,6 +1,6 @@
 // Arbitrary messages, one after another, to a member of a cluster of three: it must neither crash
-// nor commit backwards, and its log must stay without gaps. The message is decoded from bytes and
-// then addressed so that it is not dropped at the door.
+// nor lower its commit index, and its log must have no gaps. The message is decoded from bytes and
+// then addressed so that RaftCore accepts it.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/src/posthatch/consensus/raft_replica-test.cc
+++ b/src/posthatch/consensus/raft_replica-test.cc
@@ -25,12 +25,13 @@
   EXPECT_NE(hash_of(5), hash_of(6));
 }
 
-TEST(RaftReplicaTest, DisksLostOneAfterAnotherAreReplacedAndNothingIsLost) {
+TEST(RaftReplicaTest, DisksLostInSequenceAreReplacedWithoutDataLoss) {
   RaftWorld cluster(11, 3);
   ASSERT_TRUE(cluster.RunUntilLeader());
   cluster.RunClients();
   for (size_t i = 0; i < 3; ++i) {
-    ASSERT_TRUE(cluster.world().RunUntil([&cluster] { return cluster.IsWhole(); }, seconds(30)));
+    ASSERT_TRUE(
+        cluster.world().RunUntil([&cluster] { return cluster.IsFullyReplicated(); }, seconds(30)));
     const uint64_t old_id = cluster.Replica(i)->Status().replica_id;
     cluster.LoseDisk(i);
     cluster.nodes()[i].host->Start();
@@ -38,13 +39,14 @@
     ASSERT_TRUE(cluster.Usable(i));
     EXPECT_NE(cluster.Replica(i)->Status().replica_id, old_id);
   }
-  ASSERT_TRUE(cluster.world().RunUntil([&cluster] { return cluster.IsWhole(); }, seconds(30)));
-  EXPECT_EQ(cluster.Settle(), "");
+  ASSERT_TRUE(
+      cluster.world().RunUntil([&cluster] { return cluster.IsFullyReplicated(); }, seconds(30)));
+  EXPECT_EQ(cluster.HealAndConverge(), "");
   EXPECT_TRUE(cluster.history().Check(cluster.Length(0)).empty());
   EXPECT_GT(cluster.history().acknowledged(), 100U);
 }
 
-TEST(RaftReplicaTest, LeaderWithASlowDiskHandsOver) {
+TEST(RaftReplicaTest, LeaderWithSlowDiskTransfersLeadership) {
   RaftWorld cluster(12, 3);
   ASSERT_TRUE(cluster.RunUntilLeader());
   cluster.RunClients();
@@ -57,7 +59,7 @@
   cluster.StopClients();
 }
 
-TEST(RaftReplicaTest, FullDiskRefusesCommandsAndRecovers) {
+TEST(RaftReplicaTest, FullDiskRejectsCommandsAndRecovers) {
   RaftWorld cluster(13, 3);
   ASSERT_TRUE(cluster.RunUntilLeader());
   for (RaftWorld::Node& node : cluster.nodes()) node.host->SetDiskFull(true);
@@ -73,11 +75,11 @@
       });
   EXPECT_TRUE(absl::IsResourceExhausted(refused)) << refused;
   cluster.RunClients();
-  EXPECT_EQ(cluster.Settle(), "");
+  EXPECT_EQ(cluster.HealAndConverge(), "");
   EXPECT_TRUE(cluster.history().Check(cluster.Length(0)).empty());
 }
 
-TEST(RaftReplicaTest, TransferMovesLeadershipWithoutAnElectionTimeout) {
+TEST(RaftReplicaTest, TransferNeedsNoElectionTimeout) {
   RaftWorld cluster(14, 3);
   ASSERT_TRUE(cluster.RunUntilLeader());
   const int old_leader = cluster.Leader();
@@ -90,7 +92,7 @@
   EXPECT_TRUE(result.ok()) << result;
 }
 
-TEST(RaftReplicaTest, WakingLeaderAnswersNoReadAndHasNoQuorum) {
+TEST(RaftReplicaTest, WakingLeaderCompletesNoReadAndHasNoQuorum) {
   RaftWorld cluster(15, 3);
   ASSERT_TRUE(cluster.RunUntilLeader());
   const auto old_leader = static_cast<size_t>(cluster.Leader());
@@ -108,18 +110,18 @@
   EXPECT_FALSE(read_answered);
 }
 
-TEST(RaftReplicaTest, SingleControllerFormsAClusterAndSurvivesPowerLoss) {
+TEST(RaftReplicaTest, SingleControllerBootstrapsAndSurvivesPowerLoss) {
   RaftWorld cluster(17, 1);
   ASSERT_TRUE(cluster.RunUntilLeader());
   cluster.RunClients();
   cluster.world().RunFor(seconds(5));
   cluster.nodes()[0].host->PowerLoss();
-  EXPECT_EQ(cluster.Settle(), "");
+  EXPECT_EQ(cluster.HealAndConverge(), "");
   EXPECT_TRUE(cluster.history().Check(cluster.Length(0)).empty());
   EXPECT_GT(cluster.history().acknowledged(), 50U);
 }
 
-TEST(RaftReplicaTest, TwoControllersOfThreeFormNoCluster) {
+TEST(RaftReplicaTest, TwoOfThreeControllersFormNoCluster) {
   RaftWorld cluster(16, 3);
   cluster.nodes()[2].host->Crash();
   cluster.world().RunFor(seconds(20));
@@ -128,17 +130,18 @@
   EXPECT_TRUE(cluster.RunUntilLeader());
 }
 
-TEST(RaftReplicaTest, FormsOneClusterThoughReplicasDieAndLoseDisksMeanwhile) {
+TEST(RaftReplicaTest, BootstrapsOneClusterDespiteCrashesAndLostDisks) {
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     RaftWorld cluster(seed, 3);
-    // One replica dies in the moment of forming; at odd seeds its disk is lost too.
+    // One replica crashes while the cluster is formed; at odd seeds its disk is lost too.
     cluster.world().RunFor(cluster.random().Between(milliseconds(500), milliseconds(1500)));
     const size_t i = cluster.random().Uniform(3);
     cluster.nodes()[i].host->PowerLoss();
     if (seed % 2 == 1) cluster.LoseDisk(i);
     cluster.world().RunFor(cluster.random().Between(milliseconds(1), seconds(4)));
     cluster.nodes()[i].host->Start();
-    ASSERT_TRUE(cluster.world().RunUntil([&cluster] { return cluster.IsWhole(); }, seconds(60)))
+    ASSERT_TRUE(
+        cluster.world().RunUntil([&cluster] { return cluster.IsFullyReplicated(); }, seconds(60)))
         << "seed " << seed;
   }
 }
--- a/src/posthatch/consensus/raft_simulation-test.cc
+++ b/src/posthatch/consensus/raft_simulation-test.cc
@@ -1,5 +1,5 @@
-// Whole replicas over the simulator, by seed, under a mix of faults. POSTHATCH_SEEDS sets how many
-// seeds are run (default 30), POSTHATCH_FIRST_SEED the first.
+// Complete replicas in the simulator, by seed, under a mix of faults. POSTHATCH_SEEDS sets the
+// number of seeds (default 30), POSTHATCH_FIRST_SEED the first.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -25,7 +25,7 @@
 
 class RaftSimulationTest : public testing::TestWithParam<size_t> {};
 
-TEST_P(RaftSimulationTest, KeepsItsPromisesUnderMixedFaults) {
+TEST_P(RaftSimulationTest, InvariantsHoldUnderMixedFaults) {
   const uint64_t first = EnvironmentNumber("POSTHATCH_FIRST_SEED", 1);
   const uint64_t seeds = EnvironmentNumber("POSTHATCH_SEEDS", 30);
   size_t acknowledged = 0;
@@ -38,7 +38,7 @@
     cluster.RunClients();
     FaultMix faults(&cluster);
     faults.Run(seconds(40));
-    const std::string trouble = cluster.Settle();
+    const std::string trouble = cluster.HealAndConverge();
     ASSERT_EQ(trouble, "") << "seed " << seed << "\n"
                            << absl::StrJoin(cluster.world().RecentTrace(), "\n");
     const std::vector<std::string> violations = cluster.history().Check(cluster.Length(0));
@@ -48,7 +48,7 @@
     leaders += cluster.history().leaders();
     lost_disks += faults.lost_disks();
   }
-  // A run that saw nothing has proved nothing.
+  // A run without faults and acknowledgements would prove nothing.
   EXPECT_GT(acknowledged, seeds * 50);
   EXPECT_GT(reads, seeds * 20);
   EXPECT_GT(leaders, seeds * 2);
@@ -58,9 +58,9 @@
             << lost_disks << " lost disks\n";
 }
 
-// What the core must bear at the end of a day: in the moment after an acknowledgement as many disks
-// are lost as a majority can do without, and all other machines lose power, whoever they are.
-TEST_P(RaftSimulationTest, DisksLostWhileAllOthersLosePowerLoseNothingAcknowledged) {
+// Right after an acknowledgement as many disks are lost as a majority can do without, and all other
+// machines lose power, whichever they are.
+TEST_P(RaftSimulationTest, LostDisksAndPowerLossKeepAcknowledgedEntries) {
   const uint64_t first = EnvironmentNumber("POSTHATCH_FIRST_SEED", 1);
   const uint64_t seeds = EnvironmentNumber("POSTHATCH_SEEDS", 30);
   for (uint64_t seed = first; seed < first + seeds; ++seed) {
@@ -89,16 +89,16 @@
     });
     ASSERT_TRUE(cluster.world().RunUntil([&struck] { return struck; }, seconds(20)));
     cluster.world().RunFor(seconds(5));
-    const std::string trouble = cluster.Settle();
+    const std::string trouble = cluster.HealAndConverge();
     ASSERT_EQ(trouble, "") << "seed " << seed;
     const std::vector<std::string> violations = cluster.history().Check(cluster.Length(0));
     ASSERT_TRUE(violations.empty()) << "seed " << seed << ": " << absl::StrJoin(violations, "; ");
   }
 }
 
-// Cut into two halves neither may acknowledge anything, whichever the leader stands in; healed, it
-// goes on and nothing is lost.
-TEST(HalvesTest, NeitherHalfAcknowledgesAndNothingIsLost) {
+// Partitioned into two halves neither may acknowledge anything, whichever the leader is in; when
+// the partition heals, the cluster continues and nothing is lost.
+TEST(EvenPartitionTest, NeitherHalfAcknowledgesAndNothingIsLost) {
   constexpr size_t kReplicas = 4;
   const uint64_t first = EnvironmentNumber("POSTHATCH_FIRST_SEED", 1);
   const uint64_t seeds = EnvironmentNumber("POSTHATCH_SEEDS", 30);
@@ -115,7 +115,7 @@
         cluster.world().Partition(other, one);
       }
     }
-    cluster.world().RunFor(seconds(1));  // answers to what was committed before
+    cluster.world().RunFor(seconds(1));  // results of what was committed before
     const size_t before = cluster.history().acknowledged();
     cluster.world().RunFor(seconds(6));
     EXPECT_EQ(cluster.history().acknowledged(), before) << "seed " << seed;
@@ -123,20 +123,20 @@
     cluster.world().HealAll();
     cluster.world().RunFor(seconds(4));
     EXPECT_GT(cluster.history().acknowledged(), before) << "seed " << seed;
-    ASSERT_EQ(cluster.Settle(), "") << "seed " << seed;
+    ASSERT_EQ(cluster.HealAndConverge(), "") << "seed " << seed;
     const std::vector<std::string> violations = cluster.history().Check(cluster.Length(0));
     ASSERT_TRUE(violations.empty()) << "seed " << seed << ": " << absl::StrJoin(violations, "; ");
   }
 }
 
-// Nine controllers whose number nobody tells, all with the same three seeds, that start at slightly
-// different times and hear of each other one by one, as from gossip.
+// Nine controllers that don't know their number, all with the same three seeds, that start at
+// slightly different times and discover each other one by one, as by gossip.
 class FirstStartTest : public testing::Test {
  protected:
   static constexpr size_t kControllers = 9;
   static constexpr size_t kSeeds = 3;
 
-  // Whether one cluster holds all of them soon, and leads.
+  // Whether all of them are soon in one cluster that has a leader.
   static bool FormsOneCluster(uint64_t seed) {
     RaftWorld* world = nullptr;
     runtime::Random random(seed);
@@ -165,11 +165,11 @@
     };
     RaftWorld cluster(seed, kControllers, adjust, std::chrono::milliseconds(300));
     world = &cluster;
-    return cluster.world().RunUntil([&cluster] { return cluster.IsWhole(); }, seconds(6));
+    return cluster.world().RunUntil([&cluster] { return cluster.IsFullyReplicated(); }, seconds(6));
   }
 };
 
-TEST_F(FirstStartTest, ControllersThatMeetOneByOneFormOneCluster) {
+TEST_F(FirstStartTest, GradualDiscoveryFormsOneCluster) {
   const uint64_t first = EnvironmentNumber("POSTHATCH_FIRST_SEED", 1);
   const uint64_t seeds = 5 * EnvironmentNumber("POSTHATCH_SEEDS", 30);
   std::vector<uint64_t> failed;
--- a/src/posthatch/consensus/raft_world-test.h
+++ b/src/posthatch/consensus/raft_world-test.h
@@ -21,7 +21,7 @@
 
 namespace posthatch::consensus {
 
-// A list of commands; the answer to a command is its position.
+// A list of commands; the result of a command is its position.
 class ListMachine : public StateMachine {
  public:
   ListMachine(std::string replica, LogHistory* history)
@@ -153,7 +153,7 @@
     });
   }
 
-  // Every few milliseconds one client turns to some usable replica, not knowing who leads.
+  // Every few milliseconds one client calls a random usable replica, without knowing the leader.
   void RunClients() {
     const size_t i = random_.Uniform(nodes_.size());
     if (Usable(i)) random_.Chance(0.7) ? Append(i) : Read(i);
@@ -175,7 +175,7 @@
     if (with_quorum > 1) history_.OnTwoQuorums();
   }
 
-  // Whether the quorum outlives the loss of one more disk: of the voters in force, less than half
+  // Whether the quorum survives the loss of one more disk: less than half of the current voters
   // would then have lost theirs.
   bool MayLoseADisk() {
     const int leader = Leader();
@@ -192,7 +192,7 @@
   }
 
   // All replicas are voters of one cluster, and there is no other member.
-  bool IsWhole() {
+  bool IsFullyReplicated() {
     const int leader = Leader();
     if (leader < 0) return false;
     const ReplicaStatus status = Replica(static_cast<size_t>(leader))->Status();
@@ -211,8 +211,8 @@
     nodes_[i].id_on_disk = 0;
   }
 
-  // Mends everything and waits until all replicas hold the same. Returns what went wrong.
-  std::string Settle() {
+  // Heals everything and waits until all replicas have the same commands. Returns what went wrong.
+  std::string HealAndConverge() {
     world_.HealAll();
     world_.SetNetwork({});
     for (Node& node : nodes_) {
@@ -352,7 +352,7 @@
           [&node] { node.host->Start(); });
   }
   void LoseDisk(size_t i) {
-    // With a majority of disks gone at once nothing can be promised.
+    // With a majority of the disks lost at once nothing is guaranteed.
     if (!cluster_->MayLoseADisk()) return;
     ++lost_disks_;
     cluster_->LoseDisk(i);
@@ -380,7 +380,7 @@
     Later(random_->Between(std::chrono::seconds(1), std::chrono::seconds(8)),
           [this] { cluster_->world().HealAll(); });
   }
-  // All lose power in the moment after an acknowledgement.
+  // All lose power right after an acknowledgement.
   void LoseAllPower() {
     cluster_->SetOnAcknowledged([this] {
       Later(runtime::Duration(0), [this] {
--- a/src/posthatch/invalidation/channel_fleet-test.cc
+++ b/src/posthatch/invalidation/channel_fleet-test.cc
@@ -1,6 +1,5 @@
-// A fleet of controllers, relay points and subscribers in the simulator, under faults, and a
-// checker from outside: no subscriber may trust a version longer than X after a newer one was
-// accepted.
+// A fleet of controllers, relay points and subscribers in the simulator, under faults, and an
+// external checker: no subscriber may trust a version longer than X after a newer one was accepted.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -24,7 +23,7 @@
 constexpr runtime::Duration kCheckInterval = milliseconds(20);
 constexpr runtime::Duration kLeaderLease = seconds(1);
 
-// Each process has a clock of another origin and a slightly different rate.
+// Each process has a clock with another origin and a slightly different rate.
 class SkewedClock : public runtime::Clock {
  public:
   SkewedClock(const runtime::Clock* clock, uint64_t seed)
@@ -43,7 +42,7 @@
   const int64_t parts_per_million_;
 };
 
-// The durable versions and who may serve them: what the replicated log stands for.
+// The durable versions and who may serve them: stands for the replicated log.
 struct Truth {
   struct Accepted {
     ObjectVersion version;
@@ -55,7 +54,7 @@
   runtime::MonotonicTime lease_end;
 };
 
-// A controller's copy of the truth. It applies what is accepted at once when it leads.
+// A controller's replica of them. It applies accepted changes immediately when it leads.
 class ReplicatedObjects : public ObjectSource {
  public:
   explicit ReplicatedObjects(const Truth* truth) { CatchUp(*truth); }
@@ -171,7 +170,7 @@
     if (auto process = Find(name)) process->objects->CatchUp(truth_);
     RenewLeaderLease();
   }
-  // What quorum checks do: the leader may serve for a short time after the last one.
+  // As with quorum checks: the leader may serve for a short time after the last one.
   void RenewLeaderLease() {
     if (Usable(truth_.leader)) truth_.lease_end = world_.Now() + kLeaderLease;
   }
@@ -243,7 +242,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ChannelFleetTest, testing::Range<uint64_t>(1, 9));
 
-TEST_P(ChannelFleetTest, CalmFleetTrustsEverythingAndLearnsOfChangesInMilliseconds) {
+TEST_P(ChannelFleetTest, HealthyFleetTrustsAllAndReceivesChangesInMilliseconds) {
   AddGateway("r0", true);
   RunFor(seconds(1));  // subscribers are redirected to relay points that are registered
   for (int i = 0; i < 5; ++i) AddGateway(absl::StrCat("g", i), false);
@@ -258,7 +257,7 @@
   EXPECT_LE(longest_, milliseconds(80));
 }
 
-TEST_P(ChannelFleetTest, FrozenServerIsReplacedAndItsLateMessagesProveNothing) {
+TEST_P(ChannelFleetTest, FrozenServerIsReplacedAndItsDelayedMessagesProveNothing) {
   for (int i = 0; i < 3; ++i) AddGateway(absl::StrCat("g", i), false);
   RunFor(seconds(3));
   Freeze("c0");
@@ -274,7 +273,7 @@
   EXPECT_TRUE(AllTrusted());
 }
 
-TEST_P(ChannelFleetTest, FrozenSubscriberTrustsNothingOldWhenItWakes) {
+TEST_P(ChannelFleetTest, WakingSubscriberTrustsNothingStale) {
   AddGateway("g0", false);
   RunFor(seconds(3));
   for (int round = 0; round < 4; ++round) {
@@ -289,7 +288,7 @@
   }
 }
 
-TEST_P(ChannelFleetTest, FrozenRelayCannotLengthenTrust) {
+TEST_P(ChannelFleetTest, FrozenRelayCannotExtendTrust) {
   AddGateway("r0", true);
   AddGateway("r1", true, "r0");  // a second level
   AddGateway("g0", false, "r1");
@@ -310,7 +309,7 @@
   }
 }
 
-TEST_P(ChannelFleetTest, RelayWhoseUpstreamIsCutStopsRenewing) {
+TEST_P(ChannelFleetTest, RelayWithPartitionedUpstreamStopsRenewing) {
   AddGateway("r0", true);
   AddGateway("g0", false, "r0");
   AddGateway("g1", false, "r0", /*aggregate=*/true);
@@ -332,7 +331,7 @@
   }
 }
 
-TEST_P(ChannelFleetTest, KilledRelayIsReplacedByTheServer) {
+TEST_P(ChannelFleetTest, KilledRelayIsReplacedByServer) {
   AddGateway("r0", true);
   RunFor(seconds(1));  // subscribers are redirected to relay points that are registered
   for (int i = 0; i < 6; ++i) AddGateway(absl::StrCat("g", i), false);
@@ -345,7 +344,7 @@
   EXPECT_TRUE(AllTrusted());
 }
 
-TEST_P(ChannelFleetTest, RandomFaultsNeverLengthenTrust) {
+TEST_P(ChannelFleetTest, RandomFaultsNeverExtendTrust) {
   AddGateway("r0", true);
   AddGateway("r1", true, "r0");
   AddGateway("g0", false, "r1");
@@ -368,7 +367,7 @@
     if (fault == 7) world_.SetNetwork({milliseconds(0), milliseconds(50), 0.02, 0.02, 0.02});
     if (!world_.FindHost(host)->running() && random->Chance(0.7)) world_.FindHost(host)->Start();
     const std::string candidate = absl::StrCat("c", random->Uniform(kControllers));
-    // Another leader only after the former one's right to serve has ended.
+    // Another leader only after the previous one's right to serve has expired.
     if (world_.Now() > truth_.lease_end && Usable(candidate)) Elect(candidate);
     if (fault >= 7) Raise(std::next(truth_.objects.begin(), random->Uniform(5))->first);
     RunFor(milliseconds(random->Uniform(1500)));
--- a/src/posthatch/invalidation/channel_messages-fuzz.cc
+++ b/src/posthatch/invalidation/channel_messages-fuzz.cc
@@ -5,8 +5,8 @@
 #include "posthatch/invalidation/invalidation_relay.h"
 #include "posthatch/invalidation/invalidation_subscriber.h"
 
-// Any bytes as a channel message, to a subscriber that is also a relay point: nothing may crash,
-// and nothing may be trusted, since no registration was ever answered by its number.
+// Arbitrary bytes as a channel message, to a subscriber that is also a relay point: it must not
+// crash and must trust nothing, since no registration was ever granted by its number.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using posthatch::invalidation::FakeRuntime;
   FakeRuntime fake;
--- a/src/posthatch/invalidation/channel_subscription-test.cc
+++ b/src/posthatch/invalidation/channel_subscription-test.cc
@@ -18,7 +18,7 @@
 constexpr int64_t kServerClock = 77'000'000'000;
 constexpr uint64_t kServerEpoch = 3;
 
-// Plays the server of the channel "models" by hand.
+// The test acts as the server of the channel "models".
 class ChannelSubscriptionTest : public testing::Test {
  protected:
   ChannelSubscriptionTest() { set_.Start(); }
@@ -34,7 +34,7 @@
   int64_t ServerNow() const {
     return kServerClock + runtime::ToNanoseconds(fake_.clock.now) - 1'000'000'000'000;
   }
-  ChannelEnvelope Answer(const RegistrationRequest& request, uint32_t lifetime_ms = 60000) {
+  ChannelEnvelope MakeResponse(const RegistrationRequest& request, uint32_t lifetime_ms = 60000) {
     ChannelEnvelope reply;
     RegistrationResponse* response = reply.mutable_response();
     response->set_channel("models");
@@ -71,7 +71,7 @@
   // Registers and returns the registration's number.
   uint64_t Register(uint32_t lifetime_ms = 60000) {
     const RegistrationRequest request = TakeRequest();
-    fake_.Deliver(kServer, Answer(request, lifetime_ms));
+    fake_.Deliver(kServer, MakeResponse(request, lifetime_ms));
     return request.registration();
   }
   bool Fresh(uint64_t epoch) const { return set_.IsFresh(kModel, MakeVersion(epoch, 0)); }
@@ -81,7 +81,7 @@
   InvalidationSubscriber set_{&fake_.runtime, {}, [] { return std::vector<std::string>{kServer}; }};
 };
 
-TEST_F(ChannelSubscriptionTest, NothingIsTrustedBeforeTheAnswer) {
+TEST_F(ChannelSubscriptionTest, TrustsNothingBeforeResponse) {
   EXPECT_FALSE(Fresh(1));
   ObjectVersion version;
   EXPECT_FALSE(set_.CurrentVersion(kModel, &version));
@@ -91,10 +91,10 @@
   EXPECT_FALSE(set_.IsFresh("model/other", MakeVersion(0, 0)));
 }
 
-TEST_F(ChannelSubscriptionTest, TrustEndsAtTheBoundCountedFromWhenTheRequestWasSent) {
+TEST_F(ChannelSubscriptionTest, TrustBoundCountsFromSendingOfRequest) {
   const RegistrationRequest request = TakeRequest();
-  const ChannelEnvelope reply = Answer(request);  // t2 = t1 in real time
-  fake_.timers.Freeze(milliseconds(300));         // the answer is 300 ms on its way
+  const ChannelEnvelope reply = MakeResponse(request);  // t2 = t1 in real time
+  fake_.timers.Freeze(milliseconds(300));               // the response takes 300 ms
   fake_.Deliver(kServer, reply);
   fake_.timers.Freeze(milliseconds(1650));
   ChannelEnvelope heartbeat = Message(request.registration(), 1);
@@ -103,7 +103,7 @@
   fake_.Deliver(kServer, Message(request.registration() - 1, 1));  // of another registration
   EXPECT_TRUE(Fresh(1));
   heartbeat.mutable_message()->set_sequence(1);
-  fake_.Deliver(kServer, heartbeat);  // an old t3 again: heard, but it proves nothing newer
+  fake_.Deliver(kServer, heartbeat);  // an old t3 again: received, but it proves nothing newer
   fake_.timers.Freeze(milliseconds(1900));
   fake_.Deliver(kServer, heartbeat);
   EXPECT_TRUE(Fresh(1)) << "5750 ms after t1";
@@ -111,9 +111,9 @@
   EXPECT_FALSE(Fresh(1)) << "5960 ms after t1, though a message has just arrived";
 }
 
-TEST_F(ChannelSubscriptionTest, AnswersAndMessagesDelayedInAFrozenProcessRenewNothing) {
+TEST_F(ChannelSubscriptionTest, ResponsesAndMessagesDelayedByFreezeRenewNothing) {
   const RegistrationRequest request = TakeRequest();
-  const ChannelEnvelope reply = Answer(request);
+  const ChannelEnvelope reply = MakeResponse(request);
   const ChannelEnvelope heartbeat = Message(request.registration(), 1);
   fake_.timers.Freeze(seconds(25));
   fake_.Deliver(kServer, reply);
@@ -125,33 +125,33 @@
   EXPECT_TRUE(Fresh(1));
 }
 
-TEST_F(ChannelSubscriptionTest, InvalidationReplacesTheVersionAtOnce) {
+TEST_F(ChannelSubscriptionTest, InvalidationReplacesVersionImmediately) {
   const uint64_t number = Register();
   ChannelEnvelope message = Message(number, 1);
   *message.mutable_message()->add_objects() = State(2, STALE);
   fake_.Deliver(kServer, message);
   EXPECT_FALSE(Fresh(1));
   EXPECT_TRUE(Fresh(2));
-  fake_.Deliver(kServer, message);  // doubled
+  fake_.Deliver(kServer, message);  // duplicate
   EXPECT_EQ(subscription().stats().ignored, 1u);
   EXPECT_TRUE(Fresh(2));
   ASSERT_EQ(fake_.TakeSent().back().ack().sequence(), 1u);
 }
 
-TEST_F(ChannelSubscriptionTest, GapUntrustsUntilTheNextAnswer) {
+TEST_F(ChannelSubscriptionTest, GapEndsTrustUntilNextResponse) {
   const uint64_t number = Register();
-  fake_.Deliver(kServer, Message(number, 2));  // a heartbeat after an invalidation that got lost
+  fake_.Deliver(kServer, Message(number, 2));  // a heartbeat after a lost invalidation
   EXPECT_EQ(subscription().stats().gaps, 1u);
   EXPECT_FALSE(Fresh(1));
   const RegistrationRequest again = TakeRequest();
   EXPECT_GT(again.registration(), number);
-  fake_.Deliver(kServer, Message(number, 1));  // late, of the old registration
+  fake_.Deliver(kServer, Message(number, 1));  // delayed, of the old registration
   EXPECT_FALSE(Fresh(1));
-  fake_.Deliver(kServer, Answer(again));
+  fake_.Deliver(kServer, MakeResponse(again));
   EXPECT_TRUE(Fresh(1));
 }
 
-TEST_F(ChannelSubscriptionTest, LateMessagesOfAnOldRegistrationAreIgnored) {
+TEST_F(ChannelSubscriptionTest, DelayedMessagesOfOldRegistrationAreIgnored) {
   const uint64_t old_number = Register();
   const ChannelEnvelope late = Message(old_number, 1);
   fake_.timers.Advance(milliseconds(1000));
@@ -160,7 +160,7 @@
   ASSERT_NE(number, old_number);
   RegistrationRequest request;
   request.set_registration(number);
-  fake_.Deliver(kServer, Answer(request));
+  fake_.Deliver(kServer, MakeResponse(request));
   ChannelEnvelope wrong = late;
   *wrong.mutable_message()->add_objects() = State(9, STALE);
   fake_.Deliver(kServer, wrong);
@@ -169,7 +169,7 @@
   EXPECT_EQ(subscription().stats().ignored, 2u);
 }
 
-TEST_F(ChannelSubscriptionTest, AnotherServerEpochUntrusts) {
+TEST_F(ChannelSubscriptionTest, OtherServerEpochEndsTrust) {
   const uint64_t number = Register();
   ChannelEnvelope message = Message(number, 1);
   message.mutable_message()->set_server_epoch(kServerEpoch + 1);
@@ -178,7 +178,7 @@
   EXPECT_GT(TakeRequest().registration(), number);
 }
 
-TEST_F(ChannelSubscriptionTest, TwoSilentHeartbeatsUntrustByTheClockEvenIfNoTimerRan) {
+TEST_F(ChannelSubscriptionTest, TwoMissedHeartbeatsEndTrustEvenWithoutTimer) {
   Register();
   fake_.timers.Freeze(milliseconds(1990));
   EXPECT_TRUE(Fresh(1));
@@ -189,7 +189,7 @@
   EXPECT_NE(TakeRequest().registration(), 0u);
 }
 
-TEST_F(ChannelSubscriptionTest, EndOfLifetimeUntrusts) {
+TEST_F(ChannelSubscriptionTest, EndOfLifetimeEndsTrust) {
   const uint64_t number = Register(/*lifetime_ms=*/1500);
   fake_.timers.Freeze(milliseconds(1400));
   fake_.Deliver(kServer, Message(number, 1));
@@ -199,7 +199,7 @@
   EXPECT_FALSE(Fresh(1));
 }
 
-TEST_F(ChannelSubscriptionTest, RenewsBeforeTheLifetimeEndsWithoutLosingTrust) {
+TEST_F(ChannelSubscriptionTest, RenewsBeforeExpiryWithoutLosingTrust) {
   const uint64_t number = Register(/*lifetime_ms=*/3000);
   for (int i = 0; i < 2; ++i) {
     fake_.timers.Advance(milliseconds(1000));
@@ -208,19 +208,19 @@
   const RegistrationRequest renewal = TakeRequest();
   ASSERT_GT(renewal.registration(), number);
   EXPECT_TRUE(Fresh(1));
-  fake_.Deliver(kServer, Answer(renewal));
+  fake_.Deliver(kServer, MakeResponse(renewal));
   EXPECT_TRUE(Fresh(1));
-  fake_.Deliver(kServer, Answer(renewal));  // doubled
+  fake_.Deliver(kServer, MakeResponse(renewal));  // duplicate
   EXPECT_EQ(subscription().stats().ignored, 1u);
 }
 
-TEST_F(ChannelSubscriptionTest, VersionsNeverGoBack) {
+TEST_F(ChannelSubscriptionTest, VersionsNeverDecrease) {
   uint64_t number = Register();
   ChannelEnvelope message = Message(number, 1);
   *message.mutable_message()->add_objects() = State(5, STALE);
   fake_.Deliver(kServer, message);
   fake_.Deliver(kServer, Message(number, 9));
-  Register();  // an answer that knows only version 1
+  Register();  // a response that knows only version 1
   EXPECT_FALSE(Fresh(1));
   EXPECT_FALSE(Fresh(5));
 }
@@ -233,17 +233,17 @@
   EXPECT_FALSE(Fresh(1));
 }
 
-TEST_F(ChannelSubscriptionTest, VolumeValidationTrustsOnlyTheAnswer) {
+TEST_F(ChannelSubscriptionTest, VolumeValidationTrustsOnlyTheResponse) {
   Register(/*lifetime_ms=*/0);
   EXPECT_TRUE(Fresh(1));
   fake_.timers.Advance(milliseconds(1001));
   const RegistrationRequest again = TakeRequest();
   ASSERT_NE(again.registration(), 0u);
-  fake_.Deliver(kServer, Answer(again, 0));
+  fake_.Deliver(kServer, MakeResponse(again, 0));
   EXPECT_TRUE(Fresh(1));
 }
 
-TEST_F(ChannelSubscriptionTest, RefusedAsksTheNextServer) {
+TEST_F(ChannelSubscriptionTest, RefusalMovesToNextServer) {
   RegistrationRequest request = TakeRequest();
   ChannelEnvelope refusal;
   refusal.mutable_response()->set_channel("models");
@@ -255,7 +255,7 @@
   EXPECT_FALSE(Fresh(1));
 }
 
-TEST_F(ChannelSubscriptionTest, RedirectionIsFollowedAndASilentRelayAvoided) {
+TEST_F(ChannelSubscriptionTest, FollowsRedirectionAndAvoidsUnresponsiveRelay) {
   const RegistrationRequest request = TakeRequest();
   ChannelEnvelope redirection;
   redirection.mutable_response()->set_channel("models");
@@ -267,7 +267,7 @@
   for (const auto& sent : fake_.transport.sent) to = sent.to;
   EXPECT_EQ(to, "10.0.0.5:7000");
   EXPECT_EQ(TakeRequest().redirected_from(), kServer);
-  fake_.timers.Advance(milliseconds(410));  // no answer
+  fake_.timers.Advance(milliseconds(410));  // no response
   const RegistrationRequest again = TakeRequest();
   ASSERT_EQ(again.avoid_size(), 1);
   EXPECT_EQ(again.avoid(0), "10.0.0.5:7000");
--- a/src/posthatch/invalidation/fake_runtime-test.h
+++ b/src/posthatch/invalidation/fake_runtime-test.h
@@ -9,7 +9,7 @@
 #include "posthatch/invalidation/invalidation.pb.h"
 #include "posthatch/runtime/runtime.h"
 
-// For tests: a runtime whose time moves only when told to, and whose messages are kept.
+// A runtime whose time advances only when the test lets it, and which records what is sent.
 namespace posthatch::invalidation {
 
 class FakeClock : public runtime::Clock {
@@ -30,7 +30,7 @@
   void Cancel(runtime::TimerId id) override {
     std::erase_if(timers_, [id](const auto& timer) { return timer.first.second == id; });
   }
-  // Moves the clock and runs what is due, in order.
+  // Advances the clock and runs the timers that are due, in order.
   void Advance(runtime::Duration duration) {
     const runtime::MonotonicTime end = clock_->now + duration;
     while (!timers_.empty() && timers_.begin()->first.first <= end) {
@@ -40,7 +40,7 @@
     }
     clock_->now = end;
   }
-  // Moves the clock without running anything, as a stopped process sees it.
+  // Advances the clock without running timers, as a stopped process observes it.
   void Freeze(runtime::Duration duration) { clock_->now += duration; }
 
  private:
--- a/src/posthatch/invalidation/invalidation-bench.cc
+++ b/src/posthatch/invalidation/invalidation-bench.cc
@@ -54,7 +54,7 @@
   runtime::TimerId last_id_ = 0;
 };
 
-// Counts what is sent and drops it: the cost of sending itself is the transport's.
+// Counts what is sent and drops it: the cost of sending is not measured here.
 class CountingTransport : public runtime::Transport {
  public:
   const std::string& endpoint() const override { return name_; }
--- a/src/posthatch/invalidation/invalidation_relay-test.cc
+++ b/src/posthatch/invalidation/invalidation_relay-test.cc
@@ -13,8 +13,8 @@
 constexpr char kServer[] = "10.0.0.9:7000";
 constexpr char kSubscriber[] = "10.0.0.3:7000";
 
-// Plays the server above and the subscribers below. The server's clock is the relay point's, so
-// that a time proved upstream can be compared with what is proved downstream.
+// The test acts as the upstream server and the downstream subscribers. The server's clock is the
+// relay point's, so that a time proved upstream can be compared with what is proved downstream.
 class InvalidationRelayTest : public testing::Test {
  protected:
   InvalidationRelayTest() {
@@ -71,7 +71,7 @@
   std::map<std::string, uint64_t> numbers_;
 };
 
-TEST_F(InvalidationRelayTest, AnswersProveOnlyWhatUpstreamHasProved) {
+TEST_F(InvalidationRelayTest, ResponsesProveOnlyWhatUpstreamHasProved) {
   const int64_t proved = Now();
   fake_.timers.Freeze(milliseconds(700));
   const RegistrationResponse response = Register("models").response();
@@ -80,7 +80,7 @@
   EXPECT_EQ(response.proven_ns(), proved);
 }
 
-TEST_F(InvalidationRelayTest, MessagesProveWhatUpstreamHasProvedAndGoOutAtOnce) {
+TEST_F(InvalidationRelayTest, MessagesProveWhatUpstreamHasProvedImmediately) {
   Register("models");
   fake_.timers.Freeze(milliseconds(800));
   HeartbeatFromUpstream("models");
@@ -89,13 +89,13 @@
   const int64_t proved = renewed[0].message().server_ns();
   EXPECT_LE(proved, Now());
   EXPECT_GE(proved, Now() - 1'000'000) << "less the allowance for clock rates";
-  fake_.timers.Advance(milliseconds(1100));  // its own heartbeat, without news from upstream
+  fake_.timers.Advance(milliseconds(1100));  // its own heartbeat, without a message from upstream
   const auto own = fake_.TakeSent(kSubscriber);
   ASSERT_GE(own.size(), 1u);
   EXPECT_EQ(own.back().message().server_ns(), proved);
 }
 
-TEST_F(InvalidationRelayTest, AggregateProvesTheOldestOfItsChannels) {
+TEST_F(InvalidationRelayTest, AggregateProvesOldestOfItsChannels) {
   const int64_t proved = Now();
   fake_.timers.Freeze(milliseconds(900));
   HeartbeatFromUpstream("models");
@@ -106,11 +106,11 @@
   EXPECT_EQ(heartbeats.back().message().server_ns(), proved);
 }
 
-TEST_F(InvalidationRelayTest, LostChannelIsExcludedFromTheAggregateAndHoldsItBackNoLonger) {
+TEST_F(InvalidationRelayTest, LostChannelIsExcludedFromAggregateProof) {
   Register(kAggregateChannel);
   for (int i = 0; i < 3; ++i) {
     fake_.timers.Advance(milliseconds(900));
-    HeartbeatFromUpstream("models");  // and "tenants" is silent
+    HeartbeatFromUpstream("models");  // and none for "tenants"
   }
   std::vector<std::string> excluded;
   int64_t proved = 0;
@@ -125,9 +125,9 @@
   EXPECT_GT(proved, Now() - 1'300'000'000);
 }
 
-TEST_F(InvalidationRelayTest, RefusesAndSaysNothingOnceItsUpstreamIsSilent) {
+TEST_F(InvalidationRelayTest, RefusesAndSendsNothingWithoutLiveUpstream) {
   Register("models");
-  fake_.timers.Freeze(milliseconds(2100));  // the loss has not been noticed by a timer yet
+  fake_.timers.Freeze(milliseconds(2100));  // no timer has detected the loss yet
   ChannelEnvelope request;
   request.mutable_request()->set_channel("models");
   request.mutable_request()->set_registration(9);
--- a/src/posthatch/invalidation/invalidation_server-test.cc
+++ b/src/posthatch/invalidation/invalidation_server-test.cc
@@ -59,7 +59,7 @@
     request.set_sent_ns(42);
     return request;
   }
-  // Sends a request and returns the answers; there may be messages among them.
+  // Sends a request and returns what was sent to it; there may be messages among the responses.
   std::vector<ChannelEnvelope> Ask(const RegistrationRequest& request,
                                    const std::string& from = "sub:1") {
     ChannelEnvelope envelope;
@@ -81,7 +81,7 @@
   std::unique_ptr<InvalidationServer> server_;
 };
 
-TEST_F(InvalidationServerTest, AnswerStatesLifetimeHeartbeatAndFreshness) {
+TEST_F(InvalidationServerTest, ResponseStatesLifetimeHeartbeatAndFreshness) {
   RegistrationRequest request = Request(1);
   request.set_lifetime_ms(3'600'000);
   const auto include = [&request](const char* object, uint64_t epoch) {
@@ -90,7 +90,7 @@
     *included->mutable_version() = MakeVersion(epoch, 0);
   };
   include("model/a", 1);
-  include("tenant/t", 1);  // not this channel's
+  include("tenant/t", 1);  // of another channel
   const RegistrationResponse response = Ask(request)[0].response();
   EXPECT_EQ(response.status(), RegistrationResponse::OK);
   EXPECT_EQ(response.request_sent_ns(), 42);
@@ -104,7 +104,7 @@
   EXPECT_EQ(response.objects(2).freshness(), EXCLUDED);
 }
 
-TEST_F(InvalidationServerTest, TargetedSubscribersGetOnlyWhatTheyAskedFor) {
+TEST_F(InvalidationServerTest, TargetedSubscribersReceiveOnlyRequestedObjects) {
   RegistrationRequest request = Request(1);
   request.set_base(RegistrationRequest::EXCLUDE_ALL);
   request.add_include()->set_object("model/b");
@@ -148,7 +148,7 @@
       << "each proves its own sending time";
 }
 
-TEST_F(InvalidationServerTest, NoHeartbeatOvertakesAWaitingInvalidation) {
+TEST_F(InvalidationServerTest, HeartbeatNeverOvertakesPendingInvalidation) {
   Ask(Request(1));
   const uint32_t heartbeat_ms = 1000;
   fake_.timers.Advance(milliseconds(heartbeat_ms - 5));
@@ -159,7 +159,7 @@
   EXPECT_EQ(messages[0].message().objects_size(), 1);
 }
 
-TEST_F(InvalidationServerTest, RegistrationDoesNotOvertakeAWaitingInvalidationEither) {
+TEST_F(InvalidationServerTest, RegistrationNeverOvertakesPendingInvalidation) {
   Ask(Request(1));
   objects_.Raise("model/a");
   ChannelEnvelope envelope;
@@ -171,16 +171,16 @@
   EXPECT_EQ(sent[1].response().objects(0).version().epoch(), 2u);
 }
 
-TEST_F(InvalidationServerTest, SendsNothingOnceTheLeaseHasRunOut) {
+TEST_F(InvalidationServerTest, SendsNothingAfterLeaseExpiry) {
   Ask(Request(1));
   lease_end_ = fake_.clock.now + milliseconds(500);
-  fake_.timers.Freeze(seconds(3));  // stopped, and woken
+  fake_.timers.Freeze(seconds(3));  // frozen, then woken
   objects_.Raise("model/a");
   EXPECT_TRUE(After(seconds(3)).empty());
   EXPECT_EQ(Ask(Request(2), "sub:2")[0].response().status(), RegistrationResponse::REFUSED);
 }
 
-TEST_F(InvalidationServerTest, KeepsInvalidationsWhileItMayNotServeAndSendsThemFirst) {
+TEST_F(InvalidationServerTest, KeepsInvalidationsWhileNotServingAndSendsThemFirst) {
   Ask(Request(1));
   serving_ = false;
   objects_.Raise("model/a");
@@ -191,7 +191,7 @@
   EXPECT_EQ(messages[0].message().objects_size(), 1);
 }
 
-TEST_F(InvalidationServerTest, RegistrationsOfAnEarlierEpochGetNothing) {
+TEST_F(InvalidationServerTest, EarlierEpochRegistrationsReceiveNothing) {
   Ask(Request(1));
   epoch_ = 6;
   objects_.Raise("model/a");
@@ -199,7 +199,7 @@
   EXPECT_EQ(server_->registration_count(), 0u);
 }
 
-TEST_F(InvalidationServerTest, StateOfADeadSubscriberEndsWithItsLifetime) {
+TEST_F(InvalidationServerTest, DeadSubscriberExpiresWithItsLifetime) {
   RegistrationRequest request = Request(1);
   request.set_lifetime_ms(3000);
   Ask(request);
@@ -210,7 +210,7 @@
   EXPECT_TRUE(After(seconds(5)).empty());
 }
 
-TEST_F(InvalidationServerTest, DoubledAndOvertakenRequestsChangeNothing) {
+TEST_F(InvalidationServerTest, DuplicateAndOvertakenRequestsAreIgnored) {
   Ask(Request(2));
   objects_.Raise("model/a");
   EXPECT_EQ(After(milliseconds(30)).size(), 1u);
@@ -222,7 +222,7 @@
   EXPECT_EQ(messages[0].message().sequence(), 2u);
 }
 
-TEST_F(InvalidationServerTest, LifetimeZeroKeepsNoState) {
+TEST_F(InvalidationServerTest, ZeroLifetimeKeepsNoState) {
   RegistrationRequest request = Request(1);
   request.set_lifetime_ms(0);
   const RegistrationResponse response = Ask(request)[0].response();
@@ -231,7 +231,7 @@
   EXPECT_EQ(server_->registration_count(), 0u);
 }
 
-TEST_F(InvalidationServerTest, SubscribersBeyondTheLimitGoToARelayOfTheirZone) {
+TEST_F(InvalidationServerTest, RedirectsSubscribersBeyondLimitToRelayInTheirZone) {
   RegistrationRequest relay = Request(1);
   relay.set_relay(true);
   Ask(relay, "relay:1");
--- a/src/posthatch/membership/gossip_membership-test.cc
+++ b/src/posthatch/membership/gossip_membership-test.cc
@@ -24,7 +24,7 @@
     world_.Partition(absl::StrCat("n", from), absl::StrCat("n", to));
     world_.Partition(absl::StrCat("n", to), absl::StrCat("n", from));
   }
-  // Cuts nodes below `border` from the others.
+  // Partitions the nodes below `border` from the others.
   void Split(const GossipFleet& fleet, size_t border) {
     for (size_t low = 0; low < border; ++low) {
       for (size_t high = border; high < fleet.size(); ++high) CutBothWays(low, high);
@@ -36,13 +36,13 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, GossipTest, testing::Range<uint64_t>(1, 13));
 
-TEST_P(GossipTest, FleetFindsItselfFromThreeSeeds) {
+TEST_P(GossipTest, FleetConvergesFromThreeSeeds) {
   GossipFleet fleet(&world_, 40);
   EXPECT_TRUE(fleet.RunUntilConverged(seconds(20)));
   EXPECT_TRUE(fleet.false_deaths().empty());
 }
 
-TEST_P(GossipTest, OneLiveSeedIsEnough) {
+TEST_P(GossipTest, OneLiveSeedSuffices) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   fleet.host(0)->PowerLoss();
@@ -53,13 +53,13 @@
   EXPECT_TRUE(fleet.RunUntilConverged(seconds(60)));
 }
 
-TEST_P(GossipTest, RestartedProcessIsFoundAgainAlthoughAllSeedsHaveMoved) {
+TEST_P(GossipTest, RestartedProcessIsRediscoveredAfterAllSeedsMoved) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
-  // Long enough for the peers to be written.
+  // Long enough for the peer cache to be written.
   world_.RunFor(seconds(80));
   for (const size_t seed : {0, 1, 2}) fleet.host(seed)->PowerLoss();
-  // One has its remembered peers on its disk, the other nothing: the others remember it.
+  // One has its peer cache on disk, the other has nothing: the others still know its address.
   fleet.host(10)->Crash();
   fleet.host(11)->Crash();
   fleet.host(11)->LoseDisk();
@@ -71,7 +71,7 @@
   EXPECT_TRUE(fleet.RunUntilConverged(seconds(120)));
 }
 
-TEST_P(GossipTest, DeadMemberIsNoticed) {
+TEST_P(GossipTest, DeadMemberIsDetected) {
   GossipFleet fleet(&world_, 30);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   fleet.host(7)->PowerLoss();
@@ -79,7 +79,7 @@
   EXPECT_TRUE(fleet.false_deaths().empty());
 }
 
-TEST_P(GossipTest, MemberThatDiesRightAfterJoiningIsNoticed) {
+TEST_P(GossipTest, MemberDyingRightAfterJoiningIsDetected) {
   GossipFleet fleet(&world_, 60);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(30)));
   world_.RunFor(seconds(60));
@@ -89,7 +89,7 @@
   EXPECT_TRUE(fleet.RunUntilGone(added, seconds(20)));
 }
 
-TEST_P(GossipTest, AnAddressTakenOverByAnotherProcessDoesNotKeepTheOldOneAlive) {
+TEST_P(GossipTest, ReusedAddressDoesNotKeepPreviousProcessAlive) {
   GossipFleet fleet(&world_, 10);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   fleet.host(9)->Crash();
@@ -109,8 +109,8 @@
   EXPECT_EQ(fleet.membership(0)->StateOf("successor"), MemberState::kAlive);
 }
 
-// Stated rate: none in 20 nodes x 300 s x 12 seeds at each loss.
-TEST_P(GossipTest, NoFalseDeathUnderLoss) {
+// Required: no false death in 20 nodes x 300 s x 12 seeds at each loss rate.
+TEST_P(GossipTest, NoFalseDeathsUnderPacketLoss) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(60)));
   for (const double loss : {0.01, 0.05, 0.2}) {
@@ -121,7 +121,7 @@
   }
 }
 
-TEST_P(GossipTest, WakingFromAFreezeAccusesNobodyAndComesBack) {
+TEST_P(GossipTest, WakingProcessSuspectsNobodyAndRejoins) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   fleet.host(5)->Freeze();
@@ -134,10 +134,10 @@
   EXPECT_TRUE(fleet.false_deaths().empty());
 }
 
-TEST_P(GossipTest, SuspicionThatAPauseInterruptedIsNotCarriedOutOnWaking) {
+TEST_P(GossipTest, SuspicionInterruptedByPauseDoesNotExpireOnWaking) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
-  // Long enough cut off for a suspicion, not for a death.
+  // Partitioned long enough for a suspicion, not for a death.
   for (size_t other = 0; other < fleet.size(); ++other) {
     if (other != 6) CutBothWays(other, 6);
   }
@@ -153,7 +153,7 @@
   EXPECT_TRUE(fleet.Converged());
 }
 
-TEST_P(GossipTest, OneWayCutBetweenTwoIsBridgedByHelpers) {
+TEST_P(GossipTest, IndirectProbesBridgeOneWayPartition) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   world_.Partition("n4", "n5");
@@ -162,7 +162,7 @@
   EXPECT_EQ(fleet.false_suspicions(), 0u);
 }
 
-TEST_P(GossipTest, ProcessThatHearsNothingAccusesNobody) {
+TEST_P(GossipTest, ProcessThatReceivesNothingSuspectsNobody) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   for (size_t other = 0; other < fleet.size(); ++other) {
@@ -175,7 +175,7 @@
   for (const GossipFleet::FalseDeath& death : fleet.false_deaths()) EXPECT_EQ(death.member, "n5");
 }
 
-TEST_P(GossipTest, ProcessThatCannotSendIsDeclaredDeadAndComesBack) {
+TEST_P(GossipTest, ProcessThatCannotSendIsDeclaredDeadAndRejoins) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   for (size_t other = 0; other < fleet.size(); ++other) {
@@ -187,7 +187,7 @@
   for (const GossipFleet::FalseDeath& death : fleet.false_deaths()) EXPECT_EQ(death.member, "n5");
 }
 
-TEST_P(GossipTest, HealedSplitMergesWithoutFurtherDeaths) {
+TEST_P(GossipTest, HealedPartitionMergesWithoutFurtherDeaths) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   Split(fleet, 10);
@@ -200,9 +200,9 @@
   EXPECT_TRUE(fleet.false_deaths().empty());
 }
 
-TEST_P(GossipTest, TwoFleetsWithOneSeedInCommonMerge) {
+TEST_P(GossipTest, FleetsWithCommonSeedMerge) {
   GossipFleet fleet(&world_, 6);
-  // Started while cut off from all seeds: a fleet of its own, which knows only the seeds' names.
+  // Started while partitioned from all seeds: a separate fleet, which knows only the seeds' names.
   for (size_t i = 0; i < 3; ++i) fleet.Add();
   Split(fleet, 6);
   world_.RunFor(seconds(30));
@@ -210,7 +210,7 @@
   EXPECT_TRUE(fleet.RunUntilConverged(seconds(60)));
 }
 
-TEST_P(GossipTest, RestartOverridesTheFormerLife) {
+TEST_P(GossipTest, RestartOverridesPreviousIncarnation) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   for (int restart = 0; restart < 2; ++restart) {
@@ -229,7 +229,7 @@
   }
 }
 
-TEST_P(GossipTest, LeavingIsKnownAtOnce) {
+TEST_P(GossipTest, LeaveIsKnownImmediately) {
   SetLoss(0.05);
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(30)));
@@ -244,7 +244,7 @@
   }
 }
 
-TEST_P(GossipTest, FlappingMemberIsHeldBack) {
+TEST_P(GossipTest, FlappingMemberIsDamped) {
   GossipFleet fleet(&world_, 10);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   int returns = 0;
@@ -262,7 +262,7 @@
   EXPECT_TRUE(fleet.RunUntilConverged(seconds(90))) << "a member that stays is reported again";
 }
 
-TEST_P(GossipTest, GarbageIsCountedAndChangesNothing) {
+TEST_P(GossipTest, MalformedDatagramsAreCountedAndIgnored) {
   GossipFleet fleet(&world_, 10);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   runtime::Runtime* sender = fleet.host(1)->runtime();
@@ -288,7 +288,7 @@
   EXPECT_TRUE(fleet.false_deaths().empty());
 }
 
-TEST_P(GossipTest, TwoProcessesWithOneNodeIdDoNotOutbidEachOtherAtFullSpeed) {
+TEST_P(GossipTest, DuplicateNodeIdsOverrideEachOtherAtLimitedRate) {
   GossipFleet fleet(&world_, 10);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   simulation::SimHost* twin = world_.AddHost("n5", "zone", "10.9.9.9");
--- a/src/posthatch/membership/gossip_sockets-test.cc
+++ b/src/posthatch/membership/gossip_sockets-test.cc
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A process over real sockets; all of a test run in its thread, by turns.
+// A process over real sockets; all processes of a test run in its thread, in turn.
 struct Process {
   Process(size_t number, std::vector<std::string> seeds) {
     net::AsioRuntimeOptions options;
@@ -53,8 +53,9 @@
   std::vector<std::unique_ptr<Process>> processes_;
 };
 
-// Many enough that whole buckets and updates fill datagrams to the limit of the real transport.
-TEST_F(GossipSocketsTest, FleetFindsItselfAndNoticesALossOverUdp) {
+// Enough processes that complete buckets and updates fill datagrams to the limit of the real
+// transport.
+TEST_F(GossipSocketsTest, FleetConvergesAndDetectsDeathOverUdp) {
   constexpr size_t kProcesses = 12;
   std::vector<std::string> seeds;
   for (size_t number = 0; number < kProcesses; ++number) {
--- a/src/posthatch/membership/membership-bench.cc
+++ b/src/posthatch/membership/membership-bench.cc
@@ -38,7 +38,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// Three digits after the point: enough for all figures here.
+// Three decimals: enough for all figures here.
 double Rounded(double value) { return std::round(value * 1000) / 1000; }
 
 double ProcessorSeconds() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
@@ -90,7 +90,7 @@
     line["seconds"] = Seconds(world_.Now().time_since_epoch());
     line["bytes_per_node"] = static_cast<double>(fleet_.sent_bytes()) / static_cast<double>(size_);
     Print(line);
-    world_.RunFor(seconds(60));  // until what is left of the start has been passed on
+    world_.RunFor(seconds(60));  // until the updates of the start are disseminated
   }
 
   void MeasureSteadyState(double loss) {
@@ -117,7 +117,7 @@
     world_.SetNetwork({});
   }
 
-  // A new node, until it knows all, and until all know it.
+  // Adds a node, until it knows all, and until all know it.
   void MeasureJoin() {
     world_.RunFor(seconds(30));
     const runtime::MonotonicTime start = world_.Now();
@@ -133,7 +133,7 @@
     Print(line);
   }
 
-  // Nodes lose power one by one; per failure, until the first and until the last has noticed.
+  // Nodes lose power one by one; per failure, until the first and until the last has detected it.
   void MeasureDetection() {
     std::vector<double> first;
     std::vector<double> last;
@@ -168,7 +168,7 @@
     Print(line);
   }
 
-  // A twentieth of the nodes stand still for 25 s; deaths of the others are false.
+  // A twentieth of the nodes are frozen for 25 s; deaths of the others are false.
   void MeasurePauses() {
     std::set<std::string> paused;
     while (paused.size() < fleet_.size() / 20 + 1) {
@@ -192,7 +192,7 @@
     Print(line);
   }
 
-  // Two halves are cut from each other for two minutes.
+  // Two halves are partitioned from each other for two minutes.
   void MeasureSplit() {
     const size_t border = fleet_.size() / 2;
     for (size_t low = 0; low < border; ++low) {
--- a/src/posthatch/storage/log_recovery-fuzz.cc
+++ b/src/posthatch/storage/log_recovery-fuzz.cc
@@ -1,5 +1,5 @@
-// Recovery over arbitrary file contents must end in a log or an error, and a recovered log must be
-// without gaps. The input is cut into up to three segments and a snapshot's index and term.
+// Recovery over arbitrary file contents must end in a log or an error, and a recovered log must
+// have no gaps. The input is split into up to three segments and a snapshot's index and term.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/src/posthatch/storage/log_recovery-test.cc
+++ b/src/posthatch/storage/log_recovery-test.cc
@@ -74,12 +74,12 @@
   return metadata;
 }
 
-TEST(LogRecoveryTest, Crc32cMatchesTheStandardsTestVector) {  // RFC 3720, appendix B.4
+TEST(LogRecoveryTest, Crc32cMatchesStandardTestVector) {  // RFC 3720, appendix B.4
   EXPECT_EQ(Crc32c(std::string(32, '\0')), 0x8a9136aaU);
   EXPECT_EQ(Crc32c(std::string(32, '\xff')), 0x62a8ab43U);
 }
 
-TEST(LogRecoveryTest, LaterEntriesReplaceEarlierOnesFromTheirIndexOn) {
+TEST(LogRecoveryTest, LaterEntryReplacesAllFromItsIndex) {
   SegmentBuilder segment(1);
   segment.Batch({NewEntry(1, 1), NewEntry(2, 1), NewEntry(3, 1)}).Batch({NewEntry(2, 2)});
   const absl::StatusOr<RecoveredLog> log = Recover({segment.contents()});
@@ -88,7 +88,7 @@
   EXPECT_EQ(log->hard_state.replica_id(), 5U);
 }
 
-TEST(LogRecoveryTest, EveryCutOfTheTailLosesOnlyWhatWasNotSynced) {
+TEST(LogRecoveryTest, TruncatedTailLosesOnlyUnsyncedRecords) {
   SegmentBuilder segment(1);
   segment.Batch({NewEntry(1, 1)}).Batch({NewEntry(2, 1), NewEntry(3, 1)});
   for (size_t size = segment.SizeAfter(1); size < segment.contents().size(); ++size) {
@@ -105,7 +105,7 @@
   }
 }
 
-TEST(LogRecoveryTest, FileGrownButNotWrittenIsATornTail) {
+TEST(LogRecoveryTest, ExtendedButUnwrittenFileIsTornTail) {
   SegmentBuilder segment(1);
   segment.Batch({NewEntry(1, 1)});
   const absl::StatusOr<RecoveredLog> log = Recover({segment.contents() + std::string(4096, '\0')});
@@ -113,7 +113,7 @@
   EXPECT_EQ(log->entries.size(), 1U);
 }
 
-TEST(LogRecoveryTest, EveryFlippedBitInASyncedBatchIsReported) {
+TEST(LogRecoveryTest, ReportsEveryFlippedBitInSyncedBatch) {
   SegmentBuilder segment(1);
   segment.Batch({NewEntry(1, 1)}).Batch({NewEntry(2, 1)}).Batch({NewEntry(3, 1)});
   for (size_t at = 0; at < segment.SizeAfter(2); ++at) {
@@ -125,7 +125,7 @@
   }
 }
 
-TEST(LogRecoveryTest, FlippedBitInTheLastBatchIsNotTakenForATornTail) {
+TEST(LogRecoveryTest, FlippedBitInLastBatchIsNoTornTail) {
   SegmentBuilder segment(1);
   segment.Batch({NewEntry(1, 1)}).Batch({NewEntry(2, 1)});
   std::string damaged = segment.contents();
@@ -133,8 +133,8 @@
   EXPECT_TRUE(absl::IsDataLoss(Recover({damaged}).status()));
 }
 
-TEST(LogRecoveryTest, DamageWithinOneUnsyncedBatchIsATornTail) {
-  // The later record of a batch reached the disk, the earlier one did not.
+TEST(LogRecoveryTest, DamageInUnsyncedBatchIsTornTail) {
+  // The later record of a batch was written to disk, the earlier one was not.
   SegmentBuilder segment(1);
   segment.Batch({NewEntry(1, 1)});
   const size_t begin = segment.contents().size();
@@ -148,7 +148,7 @@
   EXPECT_EQ(log->entries.size(), 1U);
 }
 
-TEST(LogRecoveryTest, RefusesCutOrMissingSegmentsInTheMiddle) {
+TEST(LogRecoveryTest, RejectsTruncatedOrMissingSegmentsInTheMiddle) {
   SegmentBuilder first(1);
   first.Batch({NewEntry(1, 1)});
   SegmentBuilder second(2);
@@ -164,7 +164,7 @@
       << "begins at entry 2 without a snapshot";
 }
 
-TEST(LogRecoveryTest, RefusesUnknownFormatVersions) {
+TEST(LogRecoveryTest, RejectsUnknownFormatVersions) {
   SegmentBuilder segment(1);
   std::string newer = segment.contents();
   newer[8] = 2;
@@ -174,7 +174,7 @@
   EXPECT_TRUE(absl::IsFailedPrecondition(ParseSnapshot(snapshot).status()));
 }
 
-TEST(LogRecoveryTest, SegmentWhoseHeaderWasNeverSyncedIsRemoved) {
+TEST(LogRecoveryTest, RemovesSegmentWithUnsyncedHeader) {
   SegmentBuilder first(1);
   first.Batch({NewEntry(1, 1)});
   const std::string torn = EncodeSegmentHeader(2).substr(0, 10);
@@ -184,7 +184,7 @@
   EXPECT_EQ(log->entries.size(), 1U);
 }
 
-TEST(LogRecoveryTest, LogContinuesOrGivesWayToTheSnapshot) {
+TEST(LogRecoveryTest, LogContinuesOrIsReplacedBySnapshot) {
   SegmentBuilder segment(1);
   segment.Batch({NewEntry(1, 1), NewEntry(2, 1), NewEntry(3, 1)});
   const absl::StatusOr<RecoveredLog> same = Recover({segment.contents()}, NewMetadata(2, 1));
@@ -200,7 +200,7 @@
   EXPECT_EQ(behind->base_index, 9U);
 }
 
-TEST(LogRecoveryTest, ResetVoidsWhatWasBeforeAndKeepsWhatFollows) {
+TEST(LogRecoveryTest, ResetDiscardsEarlierEntriesAndKeepsLaterOnes) {
   SegmentBuilder segment(1);
   segment.Batch({NewEntry(1, 1), NewEntry(2, 1), NewEntry(3, 1)}).Reset(2, 4);
   segment.Batch({NewEntry(3, 4)});
@@ -209,14 +209,14 @@
   EXPECT_EQ(IndexesAndTerms(*log), (std::vector<std::pair<uint64_t, uint64_t>>{{3, 4}}));
 }
 
-TEST(LogRecoveryTest, GapBehindTheSnapshotIsReported) {
+TEST(LogRecoveryTest, ReportsGapAfterSnapshot) {
   SegmentBuilder segment(4);
   segment.Batch({NewEntry(8, 1)});
   EXPECT_TRUE(Recover({segment.contents()}, NewMetadata(7, 1), 4).ok());
   EXPECT_TRUE(absl::IsDataLoss(Recover({segment.contents()}, NewMetadata(6, 1), 4).status()));
 }
 
-TEST(SnapshotFileTest, EveryFlippedBitAndEveryCutIsReported) {
+TEST(SnapshotFileTest, ReportsEveryFlippedBitAndTruncation) {
   const std::string contents = EncodeSnapshot({NewMetadata(3, 1), "the state"});
   ASSERT_TRUE(ParseSnapshot(contents).ok());
   EXPECT_EQ(ParseSnapshot(contents)->data, "the state");
--- a/src/posthatch/storage/log_writer-test.cc
+++ b/src/posthatch/storage/log_writer-test.cc
@@ -52,7 +52,7 @@
     recovered_.hard_state.set_replica_id(7);
     writer_ = std::make_unique<LogWriter>(&files_, &clock_, &timers_, options_, recovered_);
   }
-  // Appends entry `index`; what became of it stands in outcomes_.
+  // Appends entry `index`; its status is stored in outcomes_.
   void Append(uint64_t index) {
     writer_->Append(NewBatch(index),
                     [this, index](const absl::Status& status) { outcomes_[index] = status; });
@@ -72,7 +72,7 @@
   std::map<uint64_t, absl::Status> outcomes_;
 };
 
-TEST_F(LogWriterTest, BatchesThatGatherShareOneSync) {
+TEST_F(LogWriterTest, QueuedBatchesShareOneSync) {
   Append(1);
   for (uint64_t index = 2; index <= 100; ++index) Append(index);
   ASSERT_EQ(files_.batches.size(), 1U);
@@ -87,7 +87,7 @@
   EXPECT_EQ(directory->log.entries.size(), 100U);
 }
 
-TEST_F(LogWriterTest, FullDiskIsTriedAgainWithoutDoubledOrBrokenRecords) {
+TEST_F(LogWriterTest, FullDiskIsRetriedWithoutDuplicateOrDamagedRecords) {
   Append(1);
   files_.FinishOne();
   Append(2);
@@ -116,7 +116,7 @@
   EXPECT_TRUE(files_.batches.empty());
 }
 
-TEST_F(LogWriterTest, RemovesOldSegmentsOldestFirstEachMadeDurable) {
+TEST_F(LogWriterTest, RemovesOldestSegmentsFirstAndDurably) {
   for (uint64_t index = 1; index <= 20; ++index) {
     Append(index);
     files_.FinishAll();
--- a/src/posthatch/storage/steered_file_system-test.h
+++ b/src/posthatch/storage/steered_file_system-test.h
@@ -10,7 +10,7 @@
 
 namespace posthatch::storage {
 
-// Keeps the batches until the test lets them finish; applies them to files in memory.
+// A file system in memory whose batches complete only when the test lets them.
 class SteeredFileSystem : public runtime::FileSystem {
  public:
   void Submit(std::vector<runtime::FileOperation> operations, Done done) override {
