--- a/src/posthatch/membership/gossip_membership.cc
+++ b/src/posthatch/membership/gossip_membership.cc
@@ -194,6 +194,8 @@
                          {{"member", member.node_id},
                           {"state", static_cast<int>(member.state)},
                           {"incarnation", member.incarnation}});
+  // By index: a listener may add another one.
+  // NOLINTNEXTLINE(modernize-loop-convert)
   for (size_t i = 0; i < listeners_.size(); ++i) listeners_[i](member);
 }
 
--- a/src/posthatch/membership/record_merger.cc
+++ b/src/posthatch/membership/record_merger.cc
@@ -15,7 +15,6 @@
                            MemberTable* table, SuspicionList* suspicions, BroadcastQueue* queue,
                            GossipMetrics* metrics, Owner* owner)
     : runtime_(runtime),
-      options_(options),
       table_(table),
       suspicions_(suspicions),
       queue_(queue),
--- a/src/posthatch/membership/record_merger.h
+++ b/src/posthatch/membership/record_merger.h
@@ -71,7 +71,6 @@
   void Report(const MemberEntry& entry);
 
   runtime::Runtime* const runtime_;
-  const GossipOptions* const options_;
   MemberTable* const table_;
   SuspicionList* const suspicions_;
   BroadcastQueue* const queue_;
--- a/src/posthatch/storage/steered_file_system-test.h
+++ b/src/posthatch/storage/steered_file_system-test.h
@@ -14,7 +14,7 @@
 class SteeredFileSystem : public runtime::FileSystem {
  public:
   void Submit(std::vector<runtime::FileOperation> operations, Done done) override {
-    batches.push_back({std::move(operations), std::move(done)});
+    batches.emplace_back(std::move(operations), std::move(done));
   }
   absl::StatusOr<std::string> ReadFile(const std::string& path) override {
     if (files.count(path) == 0) return absl::NotFoundError(path);
