--- a/src/posthatch/consensus/log_history-test.h
+++ b/src/posthatch/consensus/log_history-test.h
@@ -46,7 +46,7 @@
   }
 
   // Several replicas claimed a quorum at the same moment.
-  void OnTwoQuorums() { violations_.push_back("two replicas have a quorum at the same time"); }
+  void OnTwoQuorums() { violations_.emplace_back("two replicas have a quorum at the same time"); }
 
   // All violations. `final_length`: how many commands the replicas have in the end.
   std::vector<std::string> Check(uint64_t final_length) const {
