--- a/src/posthatch/http/http.h
+++ b/src/posthatch/http/http.h
@@ -12,9 +12,9 @@
 #include "absl/status/statusor.h"
 #include "posthatch/runtime/clock.h"
 
-// HTTP as the rest of posthatch sees it: interfaces without a library behind them, so that
-// gateways and stand-ins run alike over Beast and in the simulator. Field names are compared
-// without regard to case (RFC 9110, 5.1). All calls and callbacks are on the event loop thread.
+// HTTP as the rest of posthatch sees it: interfaces without a library behind them, so that gateways
+// and emulators run unchanged over Beast and in the simulator. Field names are compared
+// case-insensitively (RFC 9110, 5.1). All calls and callbacks are on the event loop thread.
 namespace posthatch::http {
 
 class Headers {
@@ -35,7 +35,7 @@
   std::string target;  // path and query, as sent
   Headers headers;
   std::string body;
-  // Tells apart the caller's connection: equal for requests on one kept connection.
+  // Identifies the caller's connection: equal for requests on one persistent connection.
   uint64_t connection_id = 0;
 };
 
@@ -45,9 +45,9 @@
   std::string body;
 };
 
-// Answers one request: either SendResponse once, or StartStream, any number of WriteChunk, and then
-// FinishStream or Abort. Dropped unanswered, it aborts. Never throws; calls after the caller has
-// gone are ignored.
+// Sends the response to one request: either SendResponse once, or StartStream, any number of
+// WriteChunk, and then FinishStream or Abort. Destroying it before the end aborts. Never throws;
+// calls after the caller has disconnected are ignored.
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
@@ -55,17 +55,17 @@
   // Sends status and fields now; the body follows in chunks (RFC 9112, 7.1).
   virtual void StartStream(Response head) = 0;
   virtual void WriteChunk(std::string chunk) = 0;
-  // Ends the body properly: the caller may take the answer as complete.
+  // Completes the body: the caller sees a complete response.
   virtual void FinishStream() = 0;
-  // Breaks the connection without the closing chunk, after what was written has gone out: the
-  // caller can see that the answer is cut.
+  // Closes the connection without the last chunk, after everything written has been sent: the
+  // caller sees that the response is incomplete.
   virtual void Abort() = 0;
-  // Bytes accepted by WriteChunk and not yet handed to the network.
+  // Bytes accepted by WriteChunk and not yet sent.
   virtual size_t buffered_bytes() const = 0;
   // Runs `callback` once, when the buffered bytes have fallen below half of the limit.
   virtual void OnWritable(std::function<void()> callback) = 0;
-  // Runs `callback` if the caller goes away before the answer has ended. A copy of the writer held
-  // in the callback is released when the answer ends.
+  // Runs `callback` if the caller disconnects before the end of the response. A reference to the
+  // writer in the callback is released when the response ends.
   virtual void OnCallerDisconnected(std::function<void()> callback) = 0;
 };
 
@@ -84,11 +84,11 @@
 class HttpServer {
  public:
   virtual ~HttpServer() = default;
-  // The bound address "ip:port" (with the port chosen if 0 was asked).
+  // The bound address "ip:port", with the chosen port if port 0 was requested.
   virtual const std::string& endpoint() const = 0;
-  // From now on each answer ends its connection; new connections are still accepted.
+  // From now on each response closes its connection; new connections are still accepted.
   virtual void DisableKeepAlive() = 0;
-  // Accepts no new connections, lets running answers end, and closes idle connections.
+  // Accepts no new connections, lets responses in progress complete, and closes idle connections.
   virtual void Drain() = 0;
   virtual size_t open_connections() const = 0;
 };
@@ -96,21 +96,22 @@
 class HttpServerFactory {
  public:
   virtual ~HttpServerFactory() = default;
-  // Listens on `endpoint`. Destroying the server closes everything at once.
+  // Listens on `endpoint`. Destroying the server closes all connections immediately.
   virtual absl::StatusOr<std::unique_ptr<HttpServer>> Listen(const std::string& endpoint,
                                                              ServerLimits limits,
                                                              Handler handler) = 0;
 };
 
-// How far a call got: what may be concluded about whether the back end saw it.
+// How far a call got: what may be concluded about whether the back end executed it.
 enum class CallProgress {
   kNotSent,       // no byte of the request went out: it can't have been executed
   kSent,          // some byte went out: the back end may have executed it
-  kHeadReceived,  // the status line came back
+  kHeadReceived,  // the status line was received
 };
 
 struct CallError {
-  absl::Status status;  // Unavailable, DeadlineExceeded, DataLoss (cut or malformed), Cancelled
+  absl::Status
+      status;  // Unavailable, DeadlineExceeded, DataLoss (truncated or malformed), Cancelled
   CallProgress progress = CallProgress::kNotSent;
 };
 
@@ -127,22 +128,22 @@
   runtime::Duration connect_timeout = std::chrono::milliseconds(500);
   // Until the status line; zero for none.
   runtime::Duration head_timeout = std::chrono::seconds(30);
-  // Longest silence between pieces of the body; zero for none.
+  // Longest time without a body byte; zero for none.
   runtime::Duration body_idle_timeout = std::chrono::seconds(30);
   size_t max_body_bytes = 64UL * 1024 * 1024;
-  // Use a new connection even if a kept one is idle: a kept one may be half dead, and a request
-  // that may not be repeated must not be sent on it.
+  // Use a new connection even if a pooled one is idle: the peer may already have closed a pooled
+  // one, and a non-idempotent request must not be sent on it.
   bool fresh_connection = false;
-  // Take an answer without a length or chunks as whole where the server ends its side (RFC 9112,
-  // 6.3). Off: such an answer is an error, since one that is cut may look the same.
+  // Accept a response without length or chunks as complete when the server closes its side (RFC
+  // 9112, 6.3). Off: such a response is an error, since a truncated one can look the same.
   bool accept_close_delimited = false;
-  // Use a kept connection only within this share of the time that its server said it keeps idle
-  // connections. Lower where a request must not be lost to a connection that has just been closed.
+  // Reuse a pooled connection only within this fraction of the time for which its server keeps idle
+  // connections. Lower where a request must not be lost to a connection that was just closed.
   double max_idle_fraction = 0.75;
 };
 
-// A running call. Destroying the handle cancels: the connection is closed, which tells the back end
-// that nobody waits any more. StopReading stops reading from the back end until ResumeReading.
+// A call in progress. Destroying the handle cancels it: the connection is closed, so that the back
+// end can stop. StopReading stops reading from the back end until ResumeReading.
 class Call {
  public:
   virtual ~Call() = default;
@@ -156,8 +157,7 @@
   // Sends `request` to "ip:port". No callback runs before Start returns.
   virtual std::unique_ptr<Call> Start(const std::string& endpoint, Request request,
                                       CallOptions options, CallObserver observer) = 0;
-  // Whether a call to "ip:port" would go out on a kept connection now, with that
-  // max_idle_fraction.
+  // Whether a call to "ip:port" would use a pooled connection now, with that max_idle_fraction.
   virtual bool HasPooledConnection(const std::string& endpoint, double share) const = 0;
 };
 
--- a/src/posthatch/net/asio_runtime.cc
+++ b/src/posthatch/net/asio_runtime.cc
@@ -59,7 +59,7 @@
   }
 
   ~AsioRuntimeImpl() override {
-    // What the event loop still holds must not be kept for a cut to heal.
+    // Sockets kept open by an injected partition must not outlive the event loop.
     if (faults_ != nullptr) faults_->SetRules({});
   }
 
--- a/src/posthatch/net/asio_runtime.h
+++ b/src/posthatch/net/asio_runtime.h
@@ -24,7 +24,7 @@
   // Empty: stderr.
   std::string log_file;
   runtime::Severity log_level = runtime::Severity::kInfo;
-  // Gives the process faults to inject, see fault_injection.h; for rehearsals only.
+  // Enables fault injection (fault_injection.h); for fleet tests only.
   bool enable_fault_injection = false;
   TransportLimits transport;
   HttpClientOptions http_client;
--- a/src/posthatch/net/asio_transport.cc
+++ b/src/posthatch/net/asio_transport.cc
@@ -18,9 +18,9 @@
 using runtime::Envelope;
 using runtime::Severity;
 
-// How often peers that nothing was sent to are looked for.
+// How often idle peers are removed.
 constexpr runtime::Duration kSweepInterval = std::chrono::seconds(60);
-// A flood of garbage must not fill the log; each is counted.
+// Malformed messages are all counted, but logged at most this often.
 constexpr runtime::Duration kMalformedEventInterval = std::chrono::seconds(1);
 // Attempts to find a port that is free for both TCP and UDP.
 constexpr int kBindAttempts = 16;
@@ -213,8 +213,8 @@
   sweep_.Set(BootNow() + kSweepInterval);
 }
 
-// A connection that was silenced by a cut has lost frames: once the cut heals, the peer has to see
-// it break and connect anew.
+// A connection that was stopped by a partition has lost frames. Once the partition heals, the peer
+// has to see it break and reconnect.
 void AsioTransport::CloseHealedConnections() {
   absl::erase_if(inbound_, [this](const auto& entry) {
     return entry.second->partitioned() &&
--- a/src/posthatch/net/asio_transport.h
+++ b/src/posthatch/net/asio_transport.h
@@ -21,9 +21,9 @@
 };
 
 // Messages over TCP, one connection per direction and pair of processes, and over UDP on the same
-// port number. A connection carries frames (envelope_codec.h) one way only; answers come back on
-// the peer's own connection. Pointers must outlive it. Event loop thread only.
-// Errors: FailedPrecondition (address in use), InvalidArgument, Unavailable.
+// port number. A connection carries frames (envelope_codec.h) one way only; responses arrive on the
+// peer's own connection. All pointers outlive the transport. Event loop thread only. Errors:
+// FailedPrecondition (address in use), InvalidArgument, Unavailable.
 absl::StatusOr<std::unique_ptr<runtime::Transport>> MakeAsioTransport(
     IoEnvironment* environment, const TransportIdentity& identity, const TransportLimits& limits,
     runtime::Random* random, runtime::TraceSink* trace, prometheus::Registry* metrics);
--- a/src/posthatch/net/beast_http_client.h
+++ b/src/posthatch/net/beast_http_client.h
@@ -11,16 +11,16 @@
 struct IoEnvironment;
 
 struct HttpClientOptions {
-  // Kept connections per endpoint; further ones are closed after their answer.
+  // Pooled connections per endpoint; further ones are closed after their response.
   size_t max_idle_per_endpoint = 64;
   // Shorter than the servers' idle timeout, so that they rarely close a connection in use.
   runtime::Duration idle_timeout = std::chrono::seconds(60);
-  // For servers that don't say how long they keep an idle connection.
+  // Assumed for servers that do not send a Keep-Alive timeout.
   runtime::Duration default_keep_alive_timeout = std::chrono::seconds(60);
 };
 
-// HTTP/1.1 client with a pool of kept connections per endpoint. `environment` and `metrics` must
-// outlive it, and it outlives its calls. Event loop thread only.
+// HTTP/1.1 client with a pool of persistent connections per endpoint. `environment` and `metrics`
+// must outlive it, and it outlives its calls. Event loop thread only.
 std::unique_ptr<http::HttpClient> MakeBeastHttpClient(IoEnvironment* environment,
                                                       const HttpClientOptions& options,
                                                       prometheus::Registry* metrics);
--- a/src/posthatch/net/beast_http_server.h
+++ b/src/posthatch/net/beast_http_server.h
@@ -9,10 +9,10 @@
 
 struct IoEnvironment;
 
-// HTTP/1.1 servers. A caller's requests on one connection are answered one after another. A
-// request that can't be read is answered 400, 408, 413 or 431 with the error body of docs/API.md,
-// and its connection is closed. `environment` and `metrics` must outlive the factory and its
-// servers. Event loop thread only.
+// HTTP/1.1 servers. The requests of one connection are processed one after another. A request that
+// can't be read is answered 400, 408, 413 or 431 with the error body of docs/API.md, and its
+// connection is closed. `environment` and `metrics` must outlive the factory and its servers. Event
+// loop thread only.
 std::unique_ptr<http::HttpServerFactory> MakeBeastHttpServerFactory(IoEnvironment* environment,
                                                                     prometheus::Registry* metrics);
 
--- a/src/posthatch/net/datagram_socket.cc
+++ b/src/posthatch/net/datagram_socket.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr size_t kMaxDatagramReceiveBytes = 64UL * 1024;
-// Datagrams read in one turn, so that a flood doesn't starve the rest.
+// Datagrams read in one event loop turn, so that a flood can't starve other work.
 constexpr int kMaxDatagramsPerTurn = 64;
 
 }  // namespace
--- a/src/posthatch/net/datagram_socket.h
+++ b/src/posthatch/net/datagram_socket.h
@@ -11,8 +11,8 @@
 
 namespace posthatch::net {
 
-// Sends and receives datagrams on one UDP port; the place where faults of outgoing datagrams are
-// injected. Owned by the transport; event loop thread only.
+// Sends and receives datagrams on one UDP port and injects faults into outgoing datagrams. Owned by
+// the transport; event loop thread only.
 class DatagramSocket {
  public:
   class Listener {
@@ -47,7 +47,7 @@
   TransportMetrics* const metrics_;
   Listener* const listener_;
   UdpSocket socket_;
-  // Kept: a new one for each turn would be filled with zeros and given back each time.
+  // Reused: allocating and zeroing 64 KiB in each turn would be measurable.
   std::vector<char> buffer_;
   util::Lifetime lifetime_;
 };
--- a/src/posthatch/net/envelope_codec.h
+++ b/src/posthatch/net/envelope_codec.h
@@ -21,10 +21,10 @@
 // and endpoint. Errors: InvalidArgument.
 absl::Status ParseEnvelope(std::string_view bytes, runtime::Envelope* envelope);
 
-// Cuts a stream of bytes into envelopes. Owned by one connection.
+// Splits a stream of bytes into envelopes. Owned by one connection.
 class FrameDecoder {
  public:
-  // Frames over `max_frame_bytes` are an error, noticed as soon as their length is read.
+  // Longer frames are an error, detected as soon as their length is read.
   explicit FrameDecoder(size_t max_frame_bytes) : max_frame_bytes_(max_frame_bytes) {}
 
   // Runs `received` for each envelope completed by `bytes`; it returns false to stop and to drop
@@ -39,7 +39,7 @@
                             const std::function<bool(const runtime::Envelope&)>& received);
 
   const size_t max_frame_bytes_;
-  std::string partial_;  // a frame whose rest has not come yet
+  std::string partial_;  // the start of an incomplete frame
   bool stopped_ = false;
 };
 
--- a/src/posthatch/net/fault_injection.h
+++ b/src/posthatch/net/fault_injection.h
@@ -15,8 +15,8 @@
 
 namespace posthatch::net {
 
-// What a rehearsal asks for, as parsed from `PUT /debug/faults`. Endpoints are the peers'
-// listening endpoints, "ip:port", or a bare "ip" for every port of it.
+// Faults to inject, as parsed from `PUT /debug/faults`. Endpoints are the peers' listening
+// endpoints, "ip:port", or a bare "ip" for every port of it.
 struct FaultRules {
   absl::flat_hash_set<std::string> drop_to;
   absl::flat_hash_set<std::string> drop_from;
@@ -31,13 +31,14 @@
 // Errors: InvalidArgument for anything else, unknown keys included.
 absl::StatusOr<FaultRules> ParseFaultRules(std::string_view json);
 
-// Network and disk faults of this process, for rehearsals only: it exists only in a process
-// started with --enable-fault-injection. A cut looks like a real one: connects hang until their
-// timeout, open connections go silent, closing one is not seen by the peer until the cut heals.
-// Owned by AsioRuntime. Event loop thread only, except the disk's two accessors.
+// Injected network and disk faults of this process, for fleet tests: exists only in a process
+// started with --enable-fault-injection. A partition behaves like a real one: connection attempts
+// hang until their timeout, open connections transfer nothing, and closing one is not seen by the
+// peer until the partition heals. Owned by AsioRuntime. Event loop thread only, except for the two
+// disk accessors.
 class FaultInjection {
  public:
-  // Replaces all rules and tells the listeners.
+  // Replaces all rules and notifies the listeners.
   void SetRules(FaultRules rules);
 
   bool DropsTo(const std::string& endpoint) const;
--- a/src/posthatch/net/file_operations.cc
+++ b/src/posthatch/net/file_operations.cc
@@ -100,7 +100,7 @@
   if (fstat(*descriptor, &before) != 0) return FileError("stat", path, errno);
   const int error_number = WriteAll(*descriptor, data);
   if (error_number == 0) return absl::OkStatus();
-  // Whatever was written of it must not stand between this and a later append.
+  // A partial write must not precede the data of a later append.
   if (ftruncate(*descriptor, before.st_size) != 0) uncertain_ = true;
   return FileError("append to", path, error_number);
 }
--- a/src/posthatch/net/file_operations.h
+++ b/src/posthatch/net/file_operations.h
@@ -15,8 +15,8 @@
 // InvalidArgument unless `path` is relative and stays below the data folder.
 absl::Status CheckRelativePath(const std::string& path);
 
-// Runs single operations below one folder, keeping files open that are appended to again and
-// again. Disk thread only.
+// Runs single operations below one folder. Files that are appended to repeatedly stay open. Disk
+// thread only.
 class FileOperations {
  public:
   explicit FileOperations(std::string root) : root_(std::move(root)) {}
--- a/src/posthatch/net/http_client_connection.cc
+++ b/src/posthatch/net/http_client_connection.cc
@@ -15,17 +15,17 @@
 namespace {
 
 constexpr uint32_t kMaxHeaderBytes = 64 * 1024;
-// A server that has not acknowledged a single byte of a request by then is cut off: the connection
-// is reset, before the kernel gives it up by itself and leaves the bytes to arrive after all.
+// A server that has not acknowledged a single byte of a request by then is unreachable. The
+// connection is reset, so that the kernel does not deliver the request after the call has failed.
 constexpr runtime::Duration kDeliveryTimeout = std::chrono::milliseconds(700);
-// What may wait for the rest of a chunk's or trailer's line.
+// Limit for an incomplete chunk or trailer line.
 constexpr size_t kMaxUnparsedBytes = kMaxHeaderBytes + 4096;
-// Bodies up to this size are copied behind the head, so that both leave in one buffer.
+// Bodies up to this size are copied behind the head, so that both are sent in one buffer.
 constexpr size_t kMaxInlineBodyBytes = 8UL * 1024;
 
 bool IsInformational(int status) { return status >= 100 && status < 200; }
 
-// The seconds of "timeout=5, max=100"; zero if there are none.
+// The seconds of a Keep-Alive field such as "timeout=5, max=100"; zero if there are none.
 runtime::Duration ParseKeepAliveTimeout(std::string_view keep_alive) {
   for (const absl::string_view part : absl::StrSplit(util::ToAbsl(keep_alive), ',')) {
     const std::pair<absl::string_view, absl::string_view> field =
@@ -159,7 +159,7 @@
 
 void HttpClientConnection::OnBytes(std::string_view bytes) {
   const auto self = shared_from_this();
-  if (phase_ == Phase::kIdle) {  // nobody asked for anything
+  if (phase_ == Phase::kIdle) {  // bytes without a request
     pool_->Forget(this);
     stream_->Close();
     return;
@@ -194,7 +194,7 @@
     break;
   }
   if (parser_->is_done()) {
-    if (!bytes.empty()) options_.fresh_connection = true;  // out of step: not to be kept
+    if (!bytes.empty()) options_.fresh_connection = true;  // more than one response: not reusable
     return Finish();
   }
   if (bytes.size() > kMaxUnparsedBytes) return Fail(absl::DataLossError("answer: line too long"));
@@ -205,7 +205,7 @@
   }
 }
 
-// Returns false if the call has ended meanwhile.
+// Returns false if the observer ended the call.
 bool HttpClientConnection::DeliverHead() {
   head_delivered_ = true;
   phase_ = Phase::kReadingBody;
@@ -261,7 +261,7 @@
   }
 }
 
-// RFC 9112, 6.3: without a length or chunks, the answer ends where the server ends its side. A
+// RFC 9112, 6.3: without a length or chunks, the response ends where the server closes its side. A
 // reset is no such end (OnBroken).
 bool HttpClientConnection::FinishCloseDelimited() {
   if (!options_.accept_close_delimited || !parser_->need_eof() || !unparsed_.empty()) return false;
--- a/src/posthatch/net/http_client_connection.h
+++ b/src/posthatch/net/http_client_connection.h
@@ -13,12 +13,12 @@
 
 class HttpClientConnection;
 
-// Where a connection goes after a complete answer, if it can serve another call.
+// Takes a connection back after a complete response, if it can serve another call.
 class HttpConnectionPool {
  public:
-  // Returns false if the connection is not wanted any more.
+  // Returns false if the pool is full; the connection is then closed.
   virtual bool ReturnToPool(const std::shared_ptr<HttpClientConnection>& connection) = 0;
-  // An idle connection has ended.
+  // An idle connection was closed.
   virtual void Forget(HttpClientConnection* connection) = 0;
 
  protected:
@@ -33,11 +33,11 @@
   HttpClientConnection(IoEnvironment* environment, std::string endpoint, HttpConnectionPool* pool);
   ~HttpClientConnection();
 
-  // Starts a call on a connection that is new (then it is connected to `address` first) or idle.
-  // `request` has been checked; `call` tells this call from earlier and later ones, never 0.
+  // Starts a call on a connection that is new (it then connects to `address`) or idle. `request`
+  // has been validated. `call` identifies this call among all calls of the connection; never 0.
   void Begin(uint64_t call, const TcpEndpoint& address, const http::Request& request,
              const http::CallOptions& options, http::CallObserver observer);
-  // The call that runs; 0 if none.
+  // The call in progress; 0 if none.
   uint64_t running_call() const { return running_call_; }
   // Ends the call without a callback.
   void Cancel();
@@ -49,15 +49,15 @@
   // Ends an idle connection.
   void CloseIdle() { stream_->Close(); }
   void SetIdleDeadline(runtime::Duration timeout) { stream_->SetDeadlineAfter(timeout); }
-  // How long the server said, in its last answer, that it keeps this connection while idle
-  // (Keep-Alive: timeout=SECONDS); zero if it didn't.
+  // How long the server keeps this connection while idle, by its last response (Keep-Alive:
+  // timeout=SECONDS); zero if it did not say.
   runtime::Duration keep_alive_timeout() const { return keep_alive_timeout_; }
-  // Set by the pool: when the connection became idle, and until when its server keeps it.
+  // Set by the pool: when the connection became idle, and for how long its server keeps it.
   void MarkIdle(runtime::MonotonicTime since, runtime::Duration idle_lifetime) {
     idle_since_ = since;
     idle_lifetime_ = idle_lifetime;
   }
-  // Whether less than `share` of the time that the server keeps it has passed.
+  // Whether the connection has been idle for less than the fraction `share` of that time.
   bool IdleWithin(double share, runtime::MonotonicTime now) const {
     return now - idle_since_ < idle_lifetime_ * share;
   }
@@ -74,14 +74,15 @@
 
   void Send(const http::Request& request);
   void AwaitHead();
-  // Ends the call if nothing of it was delivered, and waits for the head otherwise.
+  // Fails the call if no byte was delivered; waits for the head otherwise.
   void CheckDelivery();
-  // Whether the peer has acknowledged nothing of the request, though it had the time to.
+  // Whether the peer has acknowledged no byte of the request, although it had the time to.
   bool NoByteAcknowledged();
   void StartParser();
   void Parse(std::string_view bytes);
   bool DeliverHead();
-  // The server has closed its side: ends an answer that has no length of its own.
+  // The server has closed its side: completes a response that is delimited by that. Returns false
+  // if it is not.
   bool FinishCloseDelimited();
   void Finish();
   void Fail(absl::Status status);
--- a/src/posthatch/net/http_message.h
+++ b/src/posthatch/net/http_message.h
@@ -12,8 +12,8 @@
 // to and from plain strings. Private to the HTTP server and client.
 namespace posthatch::net {
 
-// Collects one message. Fields of a trailer are dropped. Body bytes gather in `body`, from where
-// a streaming reader takes them between calls of put().
+// Collects one message. Trailer fields are dropped. Body bytes accumulate in `body`, from which a
+// streaming reader removes them between calls of put().
 template <bool kIsRequest>
 class MessageParser : public boost::beast::http::basic_parser<kIsRequest> {
  public:
@@ -72,8 +72,8 @@
 // such a field could split a message.
 absl::Status CheckHeaders(const http::Headers& headers);
 
-// Appends request line and fields. Adds Host, and Content-Length where a body is or may be meant;
-// fields that frame the message or belong to the connection are not taken from `request`.
+// Appends request line and fields. Adds Host, and Content-Length where a body is or may be present;
+// fields of `request` that frame the message or concern the connection are omitted.
 void AppendRequestHead(const http::Request& request, std::string_view host, std::string* out);
 
 enum class BodyFraming { kLength, kChunked, kUntilClose, kNone };
--- a/src/posthatch/net/http_rejection.h
+++ b/src/posthatch/net/http_rejection.h
@@ -7,7 +7,7 @@
 
 namespace posthatch::net {
 
-// Why the server answers a request itself, without handing it to the handler.
+// Why the server rejects a request without passing it to the handler.
 struct HttpRejection {
   int status = 400;
   std::string_view code;  // of docs/API.md
--- a/src/posthatch/net/http_request_reader.h
+++ b/src/posthatch/net/http_request_reader.h
@@ -16,7 +16,7 @@
  public:
   enum class Progress {
     kIncomplete,    // more bytes are needed
-    kHeadComplete,  // as kIncomplete, told once when every field is known and the body is not
+    kHeadComplete,  // as kIncomplete, reported once when the head is complete
     kComplete,      // TakeRequest returns it
     kRejected,      // rejection() says why; nothing more can be read
   };
@@ -43,8 +43,8 @@
 
   // Whether the caller waits for "100 Continue" before it sends the body (RFC 9110, 10.1.1).
   bool ExpectsContinue() const;
-  // Whether the request being read can't have run: its head is known and has no idempotency key,
-  // which an earlier send may have run under.
+  // Whether the request being read is known not to have been executed: its head is complete and has
+  // no idempotency key, under which an earlier send may have run.
   bool ProvenNotExecuted() const;
 
  private:
--- a/src/posthatch/net/http_response_encoder.h
+++ b/src/posthatch/net/http_response_encoder.h
@@ -20,7 +20,7 @@
   // Whether status and fields can be sent; fields could split the message otherwise.
   static bool IsValid(const http::Response& head);
 
-  // Sends the whole response, or status 500 if it is not valid. `may_keep_alive` false: the
+  // Sends the complete response, or status 500 if it is not valid. `may_keep_alive` false: the
   // connection ends after it, and the response says so.
   void SendComplete(http::Response response, bool may_keep_alive);
   // Sends the head, which must be valid; the body follows.
--- a/src/posthatch/net/http_response_writer.h
+++ b/src/posthatch/net/http_response_writer.h
@@ -11,9 +11,9 @@
 
 class HttpServerConnection;
 
-// What a handler answers one request through. Keeps the connection alive; calls for an exchange
-// that has ended are ignored. Aborts the response if it is dropped before its end. Event loop
-// thread only.
+// Sends the response to one request on behalf of a handler. Owns the connection; calls after the
+// end of the exchange are ignored. The destructor aborts an incomplete response. Event loop thread
+// only.
 class HttpResponseWriter : public http::ResponseWriter {
  public:
   HttpResponseWriter(std::shared_ptr<HttpServerConnection> connection, uint64_t exchange);
--- a/src/posthatch/net/http_server_connection.cc
+++ b/src/posthatch/net/http_server_connection.cc
@@ -8,11 +8,11 @@
 namespace posthatch::net {
 namespace {
 
-// How long, and how far, a caller that was refused may go on sending before the connection is cut:
-// closing at once would reset it and lose the refusal (RFC 9112, 9.6).
+// Lingering close: how long and for how many bytes the caller of a rejected request may continue
+// sending. Closing immediately would reset the connection and lose the response (RFC 9112, 9.6).
 constexpr runtime::Duration kLingerTime = std::chrono::seconds(1);
 constexpr uint64_t kLingerBytes = 64UL * 1024 * 1024;
-// Pipelined bytes taken while a response runs.
+// Pipelined bytes buffered while a response is in progress.
 constexpr size_t kMaxPipelinedBytes = 64UL * 1024;
 
 }  // namespace
@@ -144,7 +144,7 @@
 void HttpServerConnection::EndExchange() {
   const auto self = shared_from_this();
   CountResponse(encoder_->status());
-  // Moved out first: destroying a callback may drop the writer and come back here.
+  // Moved out first: destroying a callback may drop the writer and re-enter.
   const auto on_writable = std::exchange(on_writable_, nullptr);
   const auto on_caller_disconnected = std::exchange(on_caller_disconnected_, nullptr);
   if (read_ended_ && stream_->queued_bytes() == 0) return Close();
@@ -174,7 +174,7 @@
 void HttpServerConnection::OnWritable(uint64_t exchange, std::function<void()> callback) {
   if (!Running(exchange)) return;
   on_writable_ = std::move(callback);
-  // Reported through the event loop, never from within this call.
+  // Reported by the event loop, never within this call.
   boost::asio::post(*context_->environment->io_context,
                     [self = shared_from_this()] { self->OnProgress(); });
 }
@@ -188,7 +188,7 @@
   });
 }
 
-// A caller that takes nothing for the body timeout is given up.
+// A caller that reads nothing of its response for the body timeout is disconnected.
 void HttpServerConnection::UpdateWriteDeadline() {
   if (stream_->queued_bytes() > 0) {
     stream_->SetDeadlineAfter(context_->limits.body_timeout);
@@ -218,7 +218,8 @@
   const auto self = shared_from_this();
   read_ended_ = true;
   if (phase_ != Phase::kResponding && phase_ != Phase::kAborting) return Close();
-  // The caller may have closed only its sending side: a response nobody watches is still sent.
+  // The caller may have closed only its sending side: a response without a disconnect callback is
+  // still sent.
   if (on_caller_disconnected_) HandleDisconnect();
 }
 
--- a/src/posthatch/net/http_server_connection.h
+++ b/src/posthatch/net/http_server_connection.h
@@ -27,7 +27,8 @@
   ~HttpConnectionOwner() = default;
 };
 
-// What a server and its connections share. Outlives the server, since writers keep connections.
+// State shared by a server and its connections. Outlives the server, since response writers own
+// connections.
 struct HttpServerContext {
   IoEnvironment* environment = nullptr;
   http::ServerLimits limits;
@@ -36,9 +37,9 @@
   HttpConnectionOwner* owner = nullptr;  // null once the server is gone
 };
 
-// One caller's connection: reads a request, hands it to the handler, sends the response, and so on.
-// A request and its response are an exchange, numbered from 1. Shared by the server, the response's
-// writer and pending operations. Event loop thread only.
+// One caller's connection: reads a request, passes it to the handler, sends the response, and
+// repeats. A request and its response are an exchange, numbered from 1. Shared by the server,
+// response writers and pending operations. Event loop thread only.
 class HttpServerConnection final : public TcpStream::Owner,
                                    public std::enable_shared_from_this<HttpServerConnection> {
  public:
@@ -47,9 +48,9 @@
   ~HttpServerConnection();
 
   void Start();
-  // Closes if idle; otherwise after the running response.
+  // Closes now if idle, otherwise after the response in progress.
   void Drain();
-  // Ends at once.
+  // Closes immediately.
   void Close();
 
   // For the writer of one exchange; ignored once that exchange has ended.
@@ -74,10 +75,10 @@
  private:
   enum class Phase {
     kIdle,        // between requests
-    kReading,     // part of a request has come
-    kResponding,  // the handler has the request
-    kAborting,    // the response was given up; what was queued is still sent
-    kLingering,   // the last response is sent; what the caller still sends is dropped
+    kReading,     // part of a request was received
+    kResponding,  // the handler processes the request
+    kAborting,    // the response was aborted; queued bytes are still sent
+    kLingering,   // the last response is being sent; received bytes are dropped
     kClosed,
   };
 
@@ -90,7 +91,7 @@
   void CountResponse(int status);
   // Answers a request that was never handed to the handler, and ends the connection.
   void Reject(const HttpRejection& rejection);
-  // Sends what is queued and the end, and drops what the caller still sends for a while.
+  // Sends what is queued, closes the sending side, and discards received bytes for a limited time.
   void Linger();
   void HandleDisconnect();
   void UpdateWriteDeadline();
--- a/src/posthatch/net/idle_connection_pool.h
+++ b/src/posthatch/net/idle_connection_pool.h
@@ -11,9 +11,9 @@
 
 namespace posthatch::net {
 
-// The idle connections of an HTTP client, by endpoint. A connection stays for as long as its server
-// said that it keeps it, and at most `idle_timeout`. Owned by the client; closes its connections
-// when destroyed. Event loop thread only.
+// The idle connections of an HTTP client, by endpoint. A connection is pooled for as long as its
+// server keeps it open, at most `idle_timeout`. Owned by the client; the destructor closes the
+// connections. Event loop thread only.
 class IdleConnectionPool final : public HttpConnectionPool {
  public:
   // `idle_connections` counts the connections and outlives the pool.
@@ -23,9 +23,9 @@
   IdleConnectionPool(const IdleConnectionPool&) = delete;
   IdleConnectionPool& operator=(const IdleConnectionPool&) = delete;
 
-  // The connection to `endpoint` that was used last, so that superfluous ones run into their idle
-  // timeout; null unless it has been idle for less than `max_idle_fraction` of the time that its
-  // server keeps it. The others have been idle for longer.
+  // Removes and returns the most recently used connection to `endpoint`, so that surplus ones reach
+  // their idle timeout. Null unless it has been idle for less than `max_idle_fraction` of the time
+  // that its server keeps it; the other connections have been idle for longer.
   std::shared_ptr<HttpClientConnection> Take(const std::string& endpoint, double max_idle_fraction);
   // Whether Take would return a connection.
   bool Has(const std::string& endpoint, double max_idle_fraction) const;
--- a/src/posthatch/net/inbound_connection.cc
+++ b/src/posthatch/net/inbound_connection.cc
@@ -30,7 +30,7 @@
 bool InboundConnection::Receive(const runtime::Envelope& envelope) {
   if (!identified_) {
     identified_ = true;
-    // From here on rules that name the peer's listening endpoint hold for this connection too.
+    // From here on, fault rules for the peer's listening endpoint apply to this connection too.
     stream_->set_remote_endpoint(envelope.from_endpoint());
     if (faults_ != nullptr && faults_->DropsFrom(envelope.from_endpoint())) {
       partitioned_ = true;
--- a/src/posthatch/net/inbound_connection.h
+++ b/src/posthatch/net/inbound_connection.h
@@ -10,11 +10,11 @@
 
 namespace posthatch::net {
 
-// A connection made by a peer: frames come in, nothing goes out. Owned by the transport; event loop
-// thread only.
+// A connection opened by a peer; it carries frames from the peer only. Owned by the transport;
+// event loop thread only.
 class InboundConnection final : public TcpStream::Owner {
  public:
-  // What happens on a connection. Each method may destroy the connection that calls it.
+  // Events of a connection. Each method may destroy the connection that calls it.
   class Listener {
    public:
     virtual void OnInboundBytes(size_t bytes) = 0;
@@ -35,8 +35,8 @@
   InboundConnection(const InboundConnection&) = delete;
   InboundConnection& operator=(const InboundConnection&) = delete;
 
-  // Whether the peer was behind a partition when it named itself: nothing is read any more, and the
-  // peer has to connect anew once the partition heals.
+  // Whether the peer was behind an injected partition when it identified itself. Nothing is read
+  // from then on; the peer has to reconnect once the partition heals.
   bool partitioned() const { return partitioned_; }
   const std::string& remote_endpoint() const { return stream_->remote_endpoint(); }
 
--- a/src/posthatch/net/json_trace_sink.h
+++ b/src/posthatch/net/json_trace_sink.h
@@ -9,11 +9,11 @@
 namespace posthatch::net {
 
 // Trace events as JSON lines on stderr or in a file, written by spdlog's own thread so that the
-// event loop never waits for the disk or a pipe; when 8192 lines wait, the oldest are dropped.
-// Event may be called on any thread.
+// event loop never waits for the disk or a pipe. When 8192 lines are queued, the oldest are
+// dropped. Event may be called on any thread.
 class JsonTraceSink : public runtime::TraceSink {
  public:
-  // An empty `log_file` stands for stderr. Errors: Internal (file can't be opened).
+  // An empty `log_file` means stderr. Errors: Internal (file can't be opened).
   static absl::StatusOr<std::unique_ptr<JsonTraceSink>> Open(const std::string& log_file,
                                                              const std::string& node_id,
                                                              runtime::Severity level);
--- a/src/posthatch/net/lazy_deadline.h
+++ b/src/posthatch/net/lazy_deadline.h
@@ -7,16 +7,16 @@
 
 namespace posthatch::net {
 
-// A deadline that moves often, as each request on a kept connection does: moving it later costs no
-// timer operation; the timer finds the new time when it fires and waits on. Owned by a connection,
-// whose `expired` callback must keep nothing alive. Event loop thread only.
+// A deadline that is postponed often, as by each request on a persistent connection. Postponing
+// costs no timer operation: the timer fires at the old time, sees the new one and waits again.
+// Owned by a connection; the callback must not own the connection. Event loop thread only.
 class LazyDeadline {
  public:
   LazyDeadline(boost::asio::io_context* io_context, std::function<void()> on_expired);
   LazyDeadline(const LazyDeadline&) = delete;
   LazyDeadline& operator=(const LazyDeadline&) = delete;
 
-  // Runs `expired` once when `time` has come, unless it is set anew or cleared before.
+  // Runs the callback once at `time`, unless Set or Clear is called before.
   void Set(runtime::MonotonicTime time);
   void Clear() { set_ = false; }
 
--- a/src/posthatch/net/socket_options.cc
+++ b/src/posthatch/net/socket_options.cc
@@ -7,8 +7,8 @@
 namespace posthatch::net {
 namespace {
 
-// A connection is given up when sent bytes stay unacknowledged for kTcpUserTimeoutMs, or when
-// kKeepAliveProbes probes of an idle one stay unanswered.
+// A connection fails when sent bytes stay unacknowledged for kTcpUserTimeoutMs, or when
+// kKeepAliveProbes probes of an idle connection stay unanswered.
 constexpr int kTcpUserTimeoutMs = 2000;
 constexpr int kKeepAliveIdleSeconds = 1;
 constexpr int kKeepAliveIntervalSeconds = 1;
--- a/src/posthatch/net/stream_faults.h
+++ b/src/posthatch/net/stream_faults.h
@@ -12,11 +12,11 @@
 
 namespace posthatch::net {
 
-// The faults of one TcpStream: cuts, and bytes that are sent or received late. Exists only in
+// Injected faults of one TcpStream: partitions, and delayed sending and receiving. Exists only in
 // processes with fault injection. Owned by its stream.
 class StreamFaults {
  public:
-  // `resume` runs when rules have changed or something held back has come due.
+  // `resume` runs when the fault rules have changed or delayed bytes are due.
   StreamFaults(boost::asio::io_context* io_context, FaultInjection* faults,
                const std::function<void()>& resume);
   ~StreamFaults();
@@ -25,17 +25,17 @@
 
   bool OutboundPartitioned(const std::string& remote) const { return faults_->DropsTo(remote); }
   bool InboundPartitioned(const std::string& remote) const { return faults_->DropsFrom(remote); }
-  // Whether a connection attempt may start; if not, `resume` runs later.
+  // Whether a connection attempt may start now; `resume` runs later otherwise.
   bool MayConnect(const std::string& remote);
 
-  // Notes that the write queue now ends at `end_position` (bytes since the connection began).
+  // Records that the write queue now ends at `end_position` (bytes since the connection began).
   void RecordQueued(const std::string& remote, uint64_t end_position);
-  // Position up to which bytes may be sent now.
+  // Position up to which bytes may be sent at this time.
   uint64_t SendLimit(uint64_t end_position);
 
-  // Takes received bytes (empty: the end of the peer's sending) if they have to wait.
+  // Stores received bytes (empty: the end of the peer's stream) if they have to be delayed.
   bool DelayReceived(const std::string& remote, std::string_view bytes);
-  // Next held bytes that are due.
+  // The next delayed bytes that are due.
   std::optional<std::string> TakeDueReceived();
 
  private:
@@ -53,7 +53,7 @@
   LazyDeadline timer_;
   std::optional<runtime::MonotonicTime> connect_due_;
   std::deque<SendWatermark> send_watermarks_;
-  uint64_t released_ = 0;  // position up to which marks have come due
+  uint64_t released_ = 0;  // position up to which watermarks were due
   std::deque<Received> received_;
 };
 
--- a/src/posthatch/net/tcp_listener.cc
+++ b/src/posthatch/net/tcp_listener.cc
@@ -8,9 +8,9 @@
 namespace posthatch::net {
 namespace {
 
-// Wait after an error that accepting again at once would only repeat.
+// Delay after an error that an immediate retry would only repeat.
 constexpr runtime::Duration kAcceptRetryDelay = std::chrono::milliseconds(50);
-// Connections that wait in the kernel.
+// Connections queued in the kernel.
 constexpr int kBacklog = 4096;
 
 }  // namespace
--- a/src/posthatch/net/tcp_listener.h
+++ b/src/posthatch/net/tcp_listener.h
@@ -10,8 +10,8 @@
 
 namespace posthatch::net {
 
-// Accepts TCP connections; goes on after errors such as too many open files. Owned by the server
-// or transport it serves. Event loop thread only.
+// Accepts TCP connections and continues after errors such as too many open files. Owned by the
+// server or transport that it serves. Event loop thread only.
 class TcpListener {
  public:
   using AcceptCallback = std::function<void(TcpSocket socket, std::string remote_endpoint)>;
--- a/src/posthatch/net/tcp_stream.cc
+++ b/src/posthatch/net/tcp_stream.cc
@@ -13,7 +13,7 @@
 namespace posthatch::net {
 namespace {
 
-// Reads of one connection in one turn, so that a fast sender doesn't starve the others.
+// Reads of one connection in one event loop turn, so that a fast sender can't starve the others.
 constexpr int kMaxReadsPerTurn = 4;
 
 }  // namespace
@@ -21,7 +21,7 @@
 void CloseHealedSockets(IoEnvironment* environment) {
   std::erase_if(environment->partitioned_sockets, [environment](auto& entry) {
     if (environment->faults->DropsTo(entry.remote_endpoint)) return false;
-    // Asio's destructor would end a connection in order that was to be reset.
+    // Asio's destructor would close in order a connection that has to be reset.
     boost::system::error_code ignored;
     entry.socket.close(ignored);
     return true;
@@ -88,7 +88,7 @@
 
 void TcpStream::WaitReadable() {
   if (read_wait_pending_ || read_ended_ || !reading_enabled_ || !connected_ || !Usable()) return;
-  if (InboundPartitioned()) return;  // OnFaultsChanged goes on
+  if (InboundPartitioned()) return;  // OnFaultsChanged continues
   read_wait_pending_ = true;
   socket_.async_wait(TcpSocket::wait_read,
                      [self = shared_from_this()](const boost::system::error_code& error) {
@@ -138,7 +138,7 @@
   if (connected_) RecordQueuedForFaults();
 }
 
-// Bytes queued before the connection was made start on their way when it is.
+// The delay of bytes queued before the connection counts from the connection.
 void TcpStream::RecordQueuedForFaults() {
   if (faults_ != nullptr) faults_->RecordQueued(remote_endpoint_, written_bytes_ + queue_.bytes());
 }
--- a/src/posthatch/net/tcp_stream.h
+++ b/src/posthatch/net/tcp_stream.h
@@ -27,19 +27,19 @@
 // What the streams of one event loop share. Owned by AsioRuntime.
 struct IoEnvironment {
   boost::asio::io_context* io_context = nullptr;
-  FaultInjection* faults = nullptr;  // null unless the process was started for a rehearsal
+  FaultInjection* faults = nullptr;  // null without --enable-fault-injection
   std::vector<PartitionedSocket> partitioned_sockets;
-  // Bytes are read into this and handed on at once, so an idle connection holds no buffer.
+  // Bytes are read into this and delivered immediately, so an idle connection owns no buffer.
   std::string read_buffer = std::string(64UL * 1024, '\0');
 };
 
-// Closes the kept sockets whose peers are no longer cut off; run after each change of the rules.
+// Closes the sockets whose peers are no longer partitioned; called after each change of the rules.
 void CloseHealedSockets(IoEnvironment* environment);
 
-// One TCP connection with a write queue and one deadline: the common ground of the HTTP server,
-// the HTTP client and the transport, and the place where faults of the network are injected.
-// Shared by its owner and its pending operations; the owner hears nothing after Close(). No owner
-// method runs from within a call of the owner. Event loop thread only.
+// One TCP connection with a write queue and one deadline, used by the HTTP server, the HTTP client
+// and the transport; network faults are injected here. Shared by its owner and its pending
+// operations; the owner is not called after Close(), nor from within its own calls. Event loop
+// thread only.
 class TcpStream : public std::enable_shared_from_this<TcpStream> {
  public:
   class Owner {
@@ -51,7 +51,7 @@
     virtual void OnReadEnd() = 0;
     // The connection is unusable. Status as from SocketError.
     virtual void OnBroken(absl::Status status) = 0;
-    // Bytes of the queue were handed to the network.
+    // Queued bytes were sent.
     virtual void OnProgress() {}
     virtual void OnDeadline() = 0;
 
@@ -73,24 +73,24 @@
 
   // Adds bytes to the write queue; nothing is sent before Flush.
   void Queue(std::string bytes);
-  // Adds to the last piece of the queue; for small pieces.
+  // Copies to the end of the queue's last buffer; for short byte strings.
   void QueueCopy(std::string_view bytes);
-  // Hands to the network what it takes now; the rest follows by itself.
+  // Writes as much as the socket accepts now; the rest is written when it becomes writable.
   void Flush();
-  // Flushes at the end of this turn of the event loop, together with what is queued until then.
+  // Flushes at the end of this event loop turn, together with everything queued until then.
   void FlushSoon();
   size_t queued_bytes() const { return queue_.bytes(); }
-  // Bytes handed to the network that the peer has not acknowledged; nothing if that can't be told.
+  // Sent bytes that the peer has not acknowledged; nothing if unknown.
   std::optional<size_t> UnacknowledgedBytes();
-  // Bytes handed to the network since the connection began.
+  // Bytes sent since the connection began.
   uint64_t written_bytes() const { return written_bytes_; }
 
-  // Tells the peer that nothing more is sent.
+  // Closes the sending side once the queue is written.
   void ShutdownSend();
-  // Ends the connection at once; the owner is forgotten.
+  // Closes immediately; the owner is not called any more.
   void Close();
-  // As Close, but the peer sees a reset and loses what it has not read yet. What still waits to be
-  // delivered, as behind a cut, never arrives.
+  // As Close, but with a reset: the peer loses what it has not read yet, and bytes not delivered
+  // yet, as behind a partition, never arrive.
   void Reset();
   bool open() const { return owner_ != nullptr; }
 
@@ -98,7 +98,7 @@
   void SetDeadlineAfter(runtime::Duration delay) { deadline_.Set(BootNow() + delay); }
   void ClearDeadline() { deadline_.Clear(); }
 
-  // Names the peer's listening endpoint, once an accepted connection has told it.
+  // Sets the peer's listening endpoint, once an accepted connection has identified itself.
   void set_remote_endpoint(std::string remote_endpoint) {
     remote_endpoint_ = std::move(remote_endpoint);
   }
--- a/src/posthatch/net/transport_peer.cc
+++ b/src/posthatch/net/transport_peer.cc
@@ -66,7 +66,7 @@
   SendPendingFrames();
 }
 
-// Small frames of one turn leave in one system call.
+// Small frames of one event loop turn are sent in one system call.
 void TransportPeer::SendPendingFrames() {
   const bool was_empty = stream_->queued_bytes() == 0;
   for (std::string& frame : pending_frames_) {
@@ -94,7 +94,7 @@
 
 void TransportPeer::OnBytes(std::string_view) {
   OnConnectionLost();
-}  // peers answer on their own connection
+}  // peers respond on their own connection
 
 void TransportPeer::OnReadEnd() { OnConnectionLost(); }
 
--- a/src/posthatch/net/transport_peer.h
+++ b/src/posthatch/net/transport_peer.h
@@ -19,10 +19,10 @@
   TransportMetrics* metrics = nullptr;
 };
 
-// The outgoing connection to one endpoint: made when there is something to send, made anew after
-// a break, with back-off. Messages that were queued when an attempt fails or a connection breaks
-// are dropped; those sent while it backs off wait for the next attempt. Owned by the transport;
-// event loop thread only.
+// The outgoing connection to one endpoint. Connects when there is something to send, and reconnects
+// with exponential backoff after a failure. Messages queued when a connection attempt fails or the
+// connection breaks are dropped; those sent during the backoff wait for the next attempt. Owned by
+// the transport; event loop thread only.
 class TransportPeer final : public TcpStream::Owner {
  public:
   TransportPeer(const TransportPeerContext* context, std::string endpoint,
@@ -32,7 +32,8 @@
   TransportPeer& operator=(const TransportPeer&) = delete;
 
   void Send(std::string frame);
-  // Nothing is queued, and nothing was sent for the idle timeout: the transport may forget it.
+  // Whether nothing is queued and nothing was sent for the idle timeout; the transport may then
+  // destroy the peer.
   bool Idle() const;
 
   void OnConnected() override;
--- a/src/posthatch/net/write_queue.h
+++ b/src/posthatch/net/write_queue.h
@@ -17,7 +17,7 @@
   static constexpr size_t kMaxBuffersPerWrite = 16;
   using Buffers = std::array<boost::asio::const_buffer, kMaxBuffersPerWrite>;
 
-  // Takes `bytes` as a buffer of its own.
+  // Appends `bytes` as a separate buffer, without copying.
   void Append(std::string bytes);
   // Copies `bytes` to the end of the last buffer while that is small, so that many short writes
   // leave in one buffer.
--- a/src/posthatch/runtime/clock.h
+++ b/src/posthatch/runtime/clock.h
@@ -5,7 +5,7 @@
 
 namespace posthatch::runtime {
 
-// Tag of the monotonic clock: never set back, and it goes on counting while the machine is
+// Tag of the monotonic clock: never set back, and it continues counting while the machine is
 // suspended or the process is stopped (CLOCK_BOOTTIME in real processes).
 struct MonotonicClockTag {
   using rep = int64_t;
--- a/src/posthatch/runtime/file_system.h
+++ b/src/posthatch/runtime/file_system.h
@@ -19,7 +19,7 @@
     kSyncDirectory,    // make the entries (creations, renames, removals) of folder `path` durable
     kRename,           // rename `path` to `target`, replacing it
     kRemove,           // remove file `path`; a missing one is not an error
-    kTruncate,         // cut `path` to `size` bytes
+    kTruncate,         // truncate `path` to `size` bytes
     kCreateDirectory,  // create folder `path` and its parents; an existing one is not an error
   };
   Kind kind;
@@ -37,9 +37,9 @@
 
   virtual ~FileSystem() = default;
 
-  // Runs the operations of a batch in order on the disk's own thread, stops at the first error,
-  // and reports on the event loop thread. Batches complete in the order they were submitted.
-  // Errors: ResourceExhausted (disk full), NotFound, Internal (I/O error).
+  // Runs the operations of a batch in order on the disk thread, stops at the first error, and
+  // reports on the event loop thread. Batches complete in the order of submission. Errors:
+  // ResourceExhausted (disk full), NotFound, Internal (I/O error).
   virtual void Submit(std::vector<FileOperation> operations, Done done) = 0;
 
   // Blocking reads, for start-up and recovery only.
--- a/src/posthatch/runtime/runtime.h
+++ b/src/posthatch/runtime/runtime.h
@@ -12,8 +12,8 @@
 
 namespace posthatch::runtime {
 
-// All that a component may touch of the outside world. One per process (real) or per simulated
-// host; everything in it belongs to one event loop thread and outlives the components.
+// A component's only access to the outside world. One per process (real) or per simulated host;
+// everything in it belongs to one event loop thread and outlives the components.
 struct Runtime {
   Clock* clock = nullptr;
   TimerService* timers = nullptr;
@@ -23,7 +23,7 @@
   http::HttpClient* http_client = nullptr;
   http::HttpServerFactory* http_servers = nullptr;
   TraceSink* trace = nullptr;
-  // Every component registers its own metric families here, with a help text that documents them.
+  // Every component registers its metric families here, with a help text that documents them.
   prometheus::Registry* metrics = nullptr;
 };
 
--- a/src/posthatch/runtime/timer_service.h
+++ b/src/posthatch/runtime/timer_service.h
@@ -15,13 +15,13 @@
  public:
   virtual ~TimerService() = default;
   // Runs `callback` once, not before `delay` has passed. After a freeze it runs late: callbacks
-  // check the clock instead of trusting that only `delay` has passed.
+  // check the clock instead of assuming that only `delay` has passed.
   virtual TimerId Schedule(Duration delay, std::function<void()> callback) = 0;
-  // Forgets the timer; unknown and fired ids are ignored.
+  // Cancels the timer; unknown and fired ids are ignored.
   virtual void Cancel(TimerId timer_id) = 0;
 };
 
-// A timer that its owner holds: cancelled when destroyed or started again.
+// A timer owned as a member: cancelled when destroyed or restarted.
 class Timer {
  public:
   explicit Timer(TimerService* timers) : timers_(timers) {}
--- a/src/posthatch/runtime/trace.h
+++ b/src/posthatch/runtime/trace.h
@@ -24,8 +24,8 @@
 };
 
 // Structured events: a type in CamelCase and key/value pairs. Real processes write them as JSON
-// lines through spdlog; the simulator hashes them, so that equal seeds can be proved to give equal
-// runs. Keys, tokens and prompts never go into a trace.
+// lines through spdlog; the simulator hashes them, so that runs of equal seeds can be compared.
+// Keys, tokens and prompts must never be traced.
 class TraceSink {
  public:
   virtual ~TraceSink() = default;
--- a/src/posthatch/runtime/transport.h
+++ b/src/posthatch/runtime/transport.h
@@ -8,24 +8,24 @@
 namespace posthatch::runtime {
 
 enum class Delivery {
-  kStream,    // TCP: ordered while the connection lives; may be lost when it breaks
-  kDatagram,  // UDP: may be lost, reordered or doubled; at most kMaxDatagramBytes
+  kStream,    // TCP: ordered per connection; may be lost when it breaks
+  kDatagram,  // UDP: may be lost, reordered or duplicated; at most kMaxDatagramBytes
 };
 
 inline constexpr size_t kMaxDatagramBytes = 1200;
 
-// Messages between posthatch processes. A send never blocks and never reports delivery: what
-// matters is answered by the receiving component. Decision modules must bear loss, doubles and
-// (across connections) reordering. Called on the event loop thread only.
+// Messages between posthatch processes. Send never blocks and never reports delivery: a receiving
+// component acknowledges what matters. Decision modules must tolerate loss, duplication and, across
+// connections, reordering. Event loop thread only.
 class Transport {
  public:
   using Receiver = std::function<void(const Envelope&)>;
 
   virtual ~Transport() = default;
-  // This process's own internal endpoint, "ip:port".
+  // This process's internal endpoint, "ip:port".
   virtual const std::string& endpoint() const = 0;
   virtual const std::string& node_id() const = 0;
-  // Drawn anew at each start; carried in each envelope.
+  // Random number of this start; carried in each envelope.
   virtual uint64_t incarnation() const = 0;
   virtual void SetReceiver(Service service, Receiver receiver) = 0;
   // Queues `payload` for `service` at `to_endpoint`. Beyond the queue's byte limit for that
--- a/src/posthatch/util/lifetime.h
+++ b/src/posthatch/util/lifetime.h
@@ -5,13 +5,13 @@
 
 namespace posthatch::util {
 
-// Tells callbacks whether the object that they belong to still exists. A callback that captures
-// `this` and may run after the object is gone (a timer, a completion, a listener that can't be
-// removed) is wrapped by Guard, or captures an Observer and asks it first.
+// Lets callbacks find out whether the object that they belong to still exists. A callback that
+// captures `this` and may run after the object is gone (a timer, a completion, a listener that
+// can't be removed) is wrapped by Guard, or captures an Observer and checks it first.
 //
-// Held by value as a member of the owner. Observers see the end when the member is destroyed, so
-// members declared after it are gone by then and members declared before it are not. Not
-// thread-safe: owner and callbacks share one event loop thread.
+// Declared as a member of the owner. Observers see the end when the member is destroyed, so members
+// declared after it are destroyed by then and members declared before it are not. Not thread-safe:
+// owner and callbacks share one event loop thread.
 class Lifetime {
   struct Token {};
 
