--- a/src/posthatch/gateway/admission_control.cc
+++ b/src/posthatch/gateway/admission_control.cc
@@ -10,7 +10,7 @@
 constexpr double kLowestPriorityShare = 0.7;
 constexpr uint32_t kHighestPriority = 9;
 constexpr int kOverloadRetrySeconds = 1;
-// Tenants that are no longer configured leave their usage behind; forget idle ones beyond this.
+// Usage records of removed tenants remain; idle records are removed beyond this number.
 constexpr size_t kMaxUsages = 8192;
 
 }  // namespace
--- a/src/posthatch/gateway/admission_control.h
+++ b/src/posthatch/gateway/admission_control.h
@@ -16,15 +16,15 @@
 
 class AdmissionControl;
 
-// What one tenant uses at this gateway.
+// One tenant's token bucket and concurrency at this gateway.
 struct TenantUsage {
-  double tokens = 0.0;  // of the token bucket, in requests
+  double tokens = 0.0;  // in the bucket, in requests
   runtime::MonotonicTime refilled;
   bool seen = false;
   uint32_t in_flight = 0;
 };
 
-// An admitted request's place; gives it back when destroyed.
+// An admitted request's slot; the destructor releases it.
 class AdmissionSlot {
  public:
   AdmissionSlot() = default;
@@ -41,21 +41,20 @@
   std::shared_ptr<TenantUsage> usage_;
 };
 
-// Decides at once whether a request may start: the tenant's rate and concurrency, and the gateway's
-// concurrency, where low priorities are shed first. Never queues and never holds an answer back.
-// Tenant limits are those of the fleet; this gateway enforces its equal share. Event loop thread
-// only; outlives its slots.
+// Decides without queueing whether a request may start: by the tenant's rate and concurrency limits
+// and the gateway's concurrency limit, where low priorities are shed first. Tenant limits are
+// fleet-wide; this gateway enforces an equal share. Event loop thread only; outlives its slots.
 class AdmissionControl {
  public:
   AdmissionControl(const runtime::Clock* clock, const GatewayOptions* options,
                    GatewayMetrics* metrics)
       : clock_(clock), options_(options), metrics_(metrics) {}
 
-  // Fills `slot`, or says why not. `executed` of the refusal is "no": the caller of this function
-  // weakens it where an idempotency key may name an earlier send.
+  // Fills `slot`, or returns the error. `executed` of the error is "no"; the caller changes it to
+  // "unknown" where an idempotency key may name an earlier send.
   std::optional<ApiError> Admit(const control::Tenant& tenant, AdmissionSlot* slot);
 
-  // Share of a capacity, in (0, 1], that requests of this priority (0 to 9) may fill.
+  // Fraction of a capacity, in (0, 1], that requests of this priority (0 to 9) may use.
   static double AllowedShare(uint32_t priority);
 
   size_t in_flight() const { return in_flight_; }
@@ -63,7 +62,7 @@
  private:
   friend class AdmissionSlot;
 
-  // Takes a token; otherwise the seconds until there is one.
+  // Takes a token from the bucket; if there is none, returns the seconds until the next one.
   std::optional<int> TakeToken(const control::Tenant& tenant, TenantUsage* usage);
   void Release(TenantUsage* usage);
 
--- a/src/posthatch/gateway/api_error.h
+++ b/src/posthatch/gateway/api_error.h
@@ -7,8 +7,8 @@
 
 namespace posthatch::gateway {
 
-// What a refusal may say about the request: "no" only where it is proved that it has not run and
-// will not run (docs/API.md, "Callers").
+// Whether the request was executed, as an error tells the caller: "no" only if it is proven that it
+// has not run and will not run (docs/API.md, "Callers").
 enum class Executed { kNo, kUnknown };
 
 // Why a request is refused or failed (docs/API.md, "Callers").
@@ -16,15 +16,15 @@
   kBadRequest,
   kUnauthorized,
   kNotFound,
-  kInProgress,         // another attempt with this idempotency key runs
+  kInProgress,         // another attempt with this idempotency key is in progress
   kKeyReused,          // the idempotency key was used for another request
   kKeyExpired,         // the idempotency key's record is closed
   kTooManyRequests,    // the tenant's concurrency limit
   kRateLimited,        // the tenant's rate limit
-  kBackendFailed,      // no complete response from a back end that was asked
+  kBackendFailed,      // a back end was called and gave no complete response
   kDraining,           // this gateway is stopping
   kNoCapacity,         // no back end may take the request
-  kNoLease,            // this gateway may decide nothing at the moment
+  kNoLease,            // this gateway has no valid session lease or inventory
   kOverloaded,         // load shedding
   kRecordUnavailable,  // the delivery record could not be written or read
   kTimeout,
@@ -32,10 +32,10 @@
 
 // The code as callers and metrics see it, such as "no_lease".
 std::string_view ErrorCodeName(ErrorCode code);
-// The HTTP status that goes with it.
+// The HTTP status of the error.
 int HttpStatusOf(ErrorCode code);
 
-// A refusal of the callers' interface.
+// An error response of the callers' interface.
 struct ApiError {
   ErrorCode code = ErrorCode::kBackendFailed;
   std::string message;
@@ -43,10 +43,10 @@
   int retry_after_seconds = 0;  // 0: no Retry-After field
 };
 
-// The error as a whole answer.
+// The error as a complete response.
 http::Response MakeErrorResponse(const ApiError& error);
 
-// The error as a server-sent event that ends a broken stream.
+// The error as the server-sent event that ends an incomplete stream.
 std::string MakeErrorEvent(const ApiError& error);
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/backend_directory.cc
+++ b/src/posthatch/gateway/backend_directory.cc
@@ -44,7 +44,7 @@
   BackendPointer& entry = entries_[backend.id()];
   const bool moved = entry != nullptr && entry->backend.endpoint() != backend.endpoint();
   if (entry == nullptr || moved) {
-    // Running attempts keep the entry of the old place, which gets no new work.
+    // Attempts in progress keep the entry of the former endpoint, which gets no new work.
     entry = std::make_shared<BackendEntry>();
     health_.EnterSlowStart(entry.get(), "seen");
   } else if (entry->draining && !draining) {
@@ -97,7 +97,7 @@
     if (backend.zone() == options_->zone) pool.local.push_back(entry);
     ++eligible;
   }
-  // Hash maps differ in order from run to run; routing must not.
+  // Hash map order differs between runs; routing must be deterministic by seed.
   const auto by_id = [](const BackendPointer& left, const BackendPointer& right) {
     return left->backend.id() < right->backend.id();
   };
--- a/src/posthatch/gateway/backend_directory.h
+++ b/src/posthatch/gateway/backend_directory.h
@@ -17,8 +17,9 @@
 
 namespace posthatch::gateway {
 
-// Which back ends there are: the inventory (with draining marks of the leader's and of this
-// gateway's own reading) and the evacuations. Event loop thread only.
+// The back ends by the inventory and the evacuations in force, with their health and load. Draining
+// marks are the union of the controllers' inventory and this gateway's own reading. Event loop
+// thread only.
 class BackendDirectory {
  public:
   BackendDirectory(runtime::Runtime* runtime, const GatewayOptions* options,
@@ -28,22 +29,22 @@
         health_(runtime->clock, options, lookup, metrics),
         load_(runtime->clock) {}
 
-  // Puts the inventory and evacuations of `state` in force, together with the draining marks of
+  // Applies the inventory and evacuations of `state`, together with the draining marks of
   // `local_inventory`, this gateway's own reading (may be null). A back end that only
-  // `local_inventory` names is taken as well.
+  // `local_inventory` names is added as well.
   void Update(const control::FleetState& state, const control::Inventory* local_inventory);
 
   // Pools by model and by service; null if there is none.
   BackendPool* WorkerPool(const std::string& model);
   BackendPool* ServicePool(const std::string& service);
-  // Null if the inventory doesn't name it.
+  // Null if it is not in the inventory.
   BackendPointer Find(const std::string& id) const;
 
   BackendHealth* health() { return &health_; }
   BackendLoad* load() { return &load_; }
 
  private:
-  // Whether the inventory names the back end as it was named before.
+  // Whether two inventory entries of a back end are equal, leaving draining marks aside.
   static bool SameInventoryEntry(const control::Backend& left, const control::Backend& right);
   void AddOrUpdate(const control::Backend& backend, bool draining);
   void MarkEvacuated(const control::FleetState& state);
@@ -53,7 +54,7 @@
   GatewayMetrics* const metrics_;
   BackendHealth health_;
   BackendLoad load_;
-  uint64_t evacuations_index_ = 0;  // of the evacuations that were last matched
+  uint64_t evacuations_index_ = 0;  // of the evacuations last applied
   absl::flat_hash_map<std::string, BackendPointer> entries_;
   absl::flat_hash_map<std::string, BackendPool> worker_pools_;
   absl::flat_hash_map<std::string, BackendPool> service_pools_;
--- a/src/posthatch/gateway/backend_health.cc
+++ b/src/posthatch/gateway/backend_health.cc
@@ -5,10 +5,10 @@
 namespace posthatch::gateway {
 namespace {
 
-// A repeated ejection lasts longer, up to this many times the configured length.
+// Repeated ejections last longer, up to this multiple of the configured duration.
 constexpr uint32_t kMaxEjectionFactor = 4;
-// How long a back end that refused isn't asked again: one that is full has room soon, one that
-// loads weights takes seconds.
+// Backoff after a rejection: an overloaded back end has capacity soon, one that loads weights needs
+// seconds.
 constexpr runtime::Duration kOverloadBackoff = std::chrono::milliseconds(250);
 constexpr runtime::Duration kRefusalBackoff = std::chrono::seconds(1);
 constexpr int kTooManyRequests = 429;
@@ -65,7 +65,7 @@
   entry->ejected_until = now + lookup_->limits().outlier_ejection * entry->consecutive_ejections;
   entry->consecutive_failures = 0;
   metrics_->ejections.Increment();
-  // What comes back after the ejection is taken as cold.
+  // Slow start begins when the ejection ends.
   entry->slow_start_began = entry->ejected_until;
 }
 
--- a/src/posthatch/gateway/backend_load.cc
+++ b/src/posthatch/gateway/backend_load.cc
@@ -6,10 +6,10 @@
 namespace posthatch::gateway {
 namespace {
 
-// An answer may take this long to begin before its back end counts as silent.
+// A response head may take this long before its back end counts as unresponsive.
 constexpr runtime::Duration kHeadGracePeriod = std::chrono::milliseconds(500);
 constexpr double kWaitSampleWeight = 0.3;  // of the moving average
-// A measured wait counts half after this time.
+// Half-life of a measured wait.
 constexpr double kWaitHalfLifeSeconds = 2.0;
 
 }  // namespace
--- a/src/posthatch/gateway/backend_load.h
+++ b/src/posthatch/gateway/backend_load.h
@@ -7,24 +7,24 @@
 
 namespace posthatch::gateway {
 
-// What this gateway has in flight at each back end, and how long requests wait there. Owned by
-// BackendDirectory; event loop thread only.
+// Accounts for the attempts of this gateway at each back end and for the measured queueing time
+// there. Owned by BackendDirectory; event loop thread only.
 class BackendLoad {
  public:
   explicit BackendLoad(const runtime::Clock* clock) : clock_(clock) {}
 
   void OnDispatched(BackendEntry* entry, uint64_t pending_blocks);
-  // The head of a response came, or it is no longer waited for: the prompt's blocks are done.
+  // The response head was received, or is no longer awaited: the prompt's blocks are no longer
+  // pending.
   void OnResponseHead(BackendEntry* entry, uint64_t pending_blocks);
   void OnEnded(BackendEntry* entry);
-  // A first chunk came `milliseconds` later than its prefill explains.
+  // The first chunk was received `milliseconds` later than its prefill explains.
   void OnWaitMeasured(BackendEntry* entry, double milliseconds);
 
-  // How long it has kept dispatches waiting without responding to any, beyond what responses may
-  // take.
+  // How long attempts have waited without any response head, beyond the grace period.
   runtime::Duration UnresponsiveTime(const BackendEntry& entry) const;
-  // Milliseconds that a request waits there for others, also of other gateways, as measured; decays
-  // when it isn't measured again.
+  // Measured queueing time in milliseconds, including the work of other gateways; decays
+  // exponentially without new measurements.
   double ExpectedWait(const BackendEntry& entry) const;
 
  private:
--- a/src/posthatch/gateway/caller_api.cc
+++ b/src/posthatch/gateway/caller_api.cc
@@ -19,7 +19,7 @@
 constexpr size_t kMaxFieldLength = 128;
 constexpr int kDrainRetrySeconds = 1;
 
-// An id that can stand in a header field, a log and a record: 1 to 128 visible characters.
+// An id that is valid in a header field, a log and a record: 1 to 128 visible characters.
 bool IsPlainId(std::string_view text) {
   return !text.empty() && text.size() <= kMaxFieldLength &&
          std::all_of(text.begin(), text.end(),
@@ -125,7 +125,7 @@
 }
 
 void CallerApi::StartInference(const Route& route, CallerRequest call) {
-  // Admission first: a tenant over its limits must not cost the parsing of its bodies.
+  // Admission first: parsing the bodies of a tenant over its limits would be wasted.
   if (!Admit(&call)) return;
   absl::StatusOr<InferenceBody> body =
       ParseInferenceBody(call.request.body, route.kind == Route::Kind::kChat);
@@ -169,7 +169,7 @@
 }
 
 void CallerApi::Refuse(const CallerRequest& call, ApiError error) {
-  // An earlier send of the same key may have run, unless the request could never have been taken.
+  // An earlier send of the same key may have run, unless this request could never be accepted.
   const bool may_have_run = call.request.headers.Has(header::kIdempotencyKey);
   const bool never_accepted = error.code == ErrorCode::kBadRequest;
   if (may_have_run && !never_accepted) error.executed = Executed::kUnknown;
--- a/src/posthatch/gateway/caller_api.h
+++ b/src/posthatch/gateway/caller_api.h
@@ -9,14 +9,14 @@
 
 namespace posthatch::gateway {
 
-// The callers' HTTP interface (docs/API.md, "Callers"): finds the route, the tenant and the
-// operation, admits the request and starts it, or refuses it at once. Event loop thread only.
+// The callers' HTTP interface (docs/API.md, "Callers"): resolves route, tenant and operation, then
+// admits and starts the request, or rejects it immediately. Event loop thread only.
 class CallerApi {
  public:
   explicit CallerApi(GatewayContext* context) : context_(context) {}
 
   void HandleRequest(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
-  // From now on every request is refused with `draining`.
+  // From now on every request is rejected with `draining`.
   void StopAccepting() { draining_ = true; }
   bool draining() const { return draining_; }
 
@@ -29,11 +29,11 @@
   };
 
   static std::optional<Route> FindRoute(const http::Request& request);
-  // Checks everything that needs no admission and fills `call`; the error otherwise.
+  // Checks everything that needs no admission and fills `call`; returns the error otherwise.
   std::optional<ApiError> Validate(CallerRequest* call);
   void StartInference(const Route& route, CallerRequest call);
   void StartService(const Route& route, CallerRequest call);
-  // Takes the tenant's place; false if the request was refused.
+  // Takes an admission slot; false if the request was rejected.
   bool Admit(CallerRequest* call);
   void Refuse(const CallerRequest& call, ApiError error);
 
--- a/src/posthatch/gateway/delivery_record_client.cc
+++ b/src/posthatch/gateway/delivery_record_client.cc
@@ -5,7 +5,7 @@
 namespace posthatch::gateway {
 namespace {
 
-// A begin that takes longer than a dispatch may wait for it (DESIGN.md) is of no use.
+// The dispatch limit of DESIGN.md: a later result is of no use.
 constexpr runtime::Duration kBeginTimeout = std::chrono::seconds(2);
 constexpr runtime::Duration kFinishTimeout = std::chrono::seconds(10);
 constexpr runtime::Duration kAbandonTimeout = std::chrono::seconds(30);
--- a/src/posthatch/gateway/delivery_record_client.h
+++ b/src/posthatch/gateway/delivery_record_client.h
@@ -9,19 +9,19 @@
 
 namespace posthatch::gateway {
 
-// One attempt at a non-repeatable operation.
+// Identifies one attempt at a non-idempotent operation.
 struct DeliveryKey {
   std::string tenant;
   std::string idempotency_key;
   std::string request_hash;  // of operation and body
-  std::string attempt;       // nonce of this attempt; tells it from every other send of the key
+  std::string attempt;       // nonce of this attempt, unique among all sends of the key
 };
 
-// The delivery records in the replicated log, as a gateway writes them (DESIGN.md, "Non-repeatable
-// operations"). Event loop thread only.
+// Writes the delivery records in the replicated log (DESIGN.md, "Non-repeatable operations"). Event
+// loop thread only.
 class DeliveryRecordClient {
  public:
-  // The log's answer, or an error: the begin or finish may still be applied.
+  // The result of the command. After an error it may still be applied.
   using Done = std::function<void(absl::StatusOr<control::CommandResult>)>;
 
   DeliveryRecordClient(control::ControlClient* client, std::string gateway_id)
@@ -29,8 +29,8 @@
 
   void Begin(const DeliveryKey& key, Done done);
   void Finish(const DeliveryKey& key, control::DeliveryOutcome outcome, Done done);
-  // A begin got no answer: finds out in the background whether it was applied, and closes the
-  // record as never executed if so. The attempt must not dispatch any more.
+  // The result of Begin is unknown: finds out in the background whether it was applied, and closes
+  // the record as not executed if so. The attempt must not dispatch any more.
   void Abandon(const DeliveryKey& key);
 
  private:
@@ -38,7 +38,7 @@
 
   control::ControlClient* const client_;
   const std::string gateway_id_;
-  util::Lifetime lifetime_;  // answers that come after it are dropped
+  util::Lifetime lifetime_;  // of pending proposals, whose results are dropped
 };
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/delivery_request.cc
+++ b/src/posthatch/gateway/delivery_request.cc
@@ -27,10 +27,10 @@
 void DeliveryRequest::Begin() {
   key_.tenant = call_.tenant->name();
   key_.idempotency_key = call_.idempotency_key;
-  // The service's name can't contain '/', so that the parts can't run into each other.
+  // '/' separates the parts unambiguously: it can't occur in the service's name.
   key_.request_hash = Sha256Hex(absl::StrCat(service_, "/", operation_, "\n", call_.request.body));
   key_.attempt = context_->NewNonce();
-  // Without a back end to send it to, the key is better left free than closed for ever.
+  // Without a back end, the key is better left unused than closed for good.
   const RouteDecision decision =
       context_->router->RouteService(service_, call_.tenant->priority(), attempted_backends_);
   if (decision.outcome != RouteDecision::Outcome::kChosen) {
--- a/src/posthatch/gateway/delivery_request.h
+++ b/src/posthatch/gateway/delivery_request.h
@@ -10,18 +10,17 @@
 
 namespace posthatch::gateway {
 
-// One send of a non-repeatable operation (DESIGN.md, "Non-repeatable operations"):
-//   1. a record is begun in the log; only the attempt that it answers BEGUN goes on;
-//   2. within kDispatchDeadline of the begin and under a valid lease the operation is dispatched
-//   once,
-//      on a fresh connection; otherwise the record is closed as never executed;
-//   3. the outcome is committed before the caller hears it.
-// Goes on when the caller leaves: a resend gets the outcome. Event loop thread only.
+// One send of a non-idempotent operation (DESIGN.md, "Non-repeatable operations"):
+//   1. A record is begun in the log; only the attempt that gets BEGUN continues.
+//   2. Within kDispatchDeadline of the begin and under a valid lease the operation is dispatched
+//      once, on a new connection. Otherwise the record is closed as not executed.
+//   3. The outcome is committed before the caller gets it.
+// Continues after the caller disconnects: a resend gets the stored outcome. Event loop thread only.
 class DeliveryRequest : public ActiveRequest, private AttemptListener {
  public:
-  // Longest time from sending the begin to the dispatch.
+  // Maximum time from sending the begin to the dispatch.
   static constexpr runtime::Duration kDispatchDeadline = std::chrono::seconds(2);
-  // Longest answer that is kept; a longer one ends as unknown.
+  // Maximum size of a stored response; a longer one ends as unknown.
   static constexpr size_t kMaxStoredBodyBytes = size_t{64} * 1024;
 
   DeliveryRequest(GatewayContext* context, CallerRequest call, std::string service,
@@ -38,11 +37,12 @@
   void OnBegun(const absl::StatusOr<control::CommandResult>& result);
   void RespondFromRecord(const control::DeliveryStatus& delivery);
   void Replay(const control::DeliveryOutcome& outcome);
-  // Checks everything anew and sends the operation; closes the record if that may not be.
+  // Repeats all checks and dispatches the operation; closes the record if a check fails.
   void Dispatch();
   std::optional<ApiError> DispatchError() const;
   void SendTo(BackendPointer backend);
-  // Commits the outcome, then answers: `answer` if it was committed, "unknown" if not.
+  // Commits the outcome, then sends `response`; sends an "unknown" error if the commit fails.
+  // `metric_label` is "ok" or an error code.
   void Commit(control::DeliveryOutcome outcome, http::Response response,
               const std::string& metric_label);
   void CloseNotExecuted(const ApiError& refusal);
--- a/src/posthatch/gateway/fleet_lookup.h
+++ b/src/posthatch/gateway/fleet_lookup.h
@@ -11,7 +11,7 @@
 
 namespace posthatch::gateway {
 
-// control.RoutingPolicy with its defaults filled in.
+// control.RoutingPolicy with defaults applied.
 struct RoutingLimits {
   double retry_ratio = 0.2;
   runtime::Duration request_timeout = std::chrono::seconds(60);
@@ -23,10 +23,10 @@
 
 struct ModelEntry {
   size_t block_bytes = 0;  // of canonical prompt text
-  uint64_t revision = 0;   // newest ordered; 0 before the first order
+  uint64_t revision = 0;   // newest; 0 before the first
 };
 
-// Look-ups over FleetState by name, rebuilt whenever it changes. Event loop thread only.
+// Indexes FleetState by name; rebuilt whenever it changes. Event loop thread only.
 class FleetLookup {
  public:
   void Rebuild(const control::FleetState& state);
@@ -36,10 +36,10 @@
   const control::ServiceRoute* FindService(const std::string& name) const;
   const RoutingLimits& limits() const { return limits_; }
 
-  // The identity of blocks that `tenant` may make and use under `revision` of `model`. An isolated
-  // tenant has a domain of its own. All others share one domain, whose generation each of them
-  // carries and which changes when a tenant enters or leaves it: what that tenant made there before
-  // can't be named any more. A tenant that the state doesn't mention counts as isolated.
+  // The identity of blocks that `tenant` may create and use under `revision` of `model`. An
+  // isolated tenant has a domain of its own. All others share one domain, whose generation changes
+  // when a tenant enters or leaves it, so that blocks made before are unreachable. A tenant unknown
+  // to the state counts as isolated.
   index::BlockSeed SeedFor(const std::string& model, uint64_t revision,
                            const std::string& tenant) const;
 
--- a/src/posthatch/gateway/gateway.h
+++ b/src/posthatch/gateway/gateway.h
@@ -8,8 +8,11 @@
 
 namespace posthatch::gateway {
 
-// The data plane of one gateway: takes callers' requests, admits, routes and relays them. Owned by
-// the process; everything given to the constructor outlives it. Event loop thread only.
+// The request path of posthatchd, for callers of the product's own interface (docs/API.md): admits,
+// routes and relays requests to workers and services. Gateways on the users' platform
+// (posthatch-platform) serve their callers by routing/ instead; both paths share look-ups and
+// metrics helpers. Owned by the process; everything given to the constructor outlives it. Event
+// loop thread only.
 class Gateway {
  public:
   Gateway(runtime::Runtime* runtime, GatewayOptions options, control::FleetView* view,
@@ -18,11 +21,11 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  // Handler of the callers' paths in docs/API.md; answers anything else with 404.
+  // Serves the callers' paths of docs/API.md; any other path gets 404.
   void HandleRequest(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
-  // Refuses new requests with `draining`, lets running ones end, then calls `done`.
+  // Rejects new requests with `draining`, waits for those in progress, then calls `done`.
   void Drain(std::function<void()> done);
-  // Whether requests can be served: a valid lease, a configuration, and not draining.
+  // Whether requests can be served: valid lease, configuration present, not draining.
   bool Ready() const;
   const GatewayMetrics& metrics() const { return metrics_; }
 
@@ -49,7 +52,7 @@
   uint64_t configuration_index_ = 0;
   uint64_t inventory_index_ = 0;
   uint64_t evacuations_index_ = 0;
-  util::Lifetime lifetime_;  // the view keeps its listeners
+  util::Lifetime lifetime_;  // the view's listeners can't be removed
 };
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/gateway_context.h
+++ b/src/posthatch/gateway/gateway_context.h
@@ -26,7 +26,7 @@
 
 struct CallerRequest;
 
-// What requests in progress work with. Owned by Gateway and outlives every request.
+// The parts of the gateway that requests use. Owned by Gateway; outlives every request.
 struct GatewayContext {
   runtime::Runtime* runtime = nullptr;
   const GatewayOptions* options = nullptr;
@@ -44,21 +44,21 @@
   control::InventoryWatch* inventory = nullptr;
   DeliveryRecordClient* deliveries = nullptr;
 
-  // Why nothing may be decided now, if so: no lease, or the list is too old and was not asked for
-  // anew. Asked right before every dispatch.
+  // The error if no routing decision may be made now: no lease, or an inventory that is too old.
+  // Checked immediately before every dispatch.
   std::optional<ApiError> FleetStateError() const;
-  // Why the caller of an admitted request may no longer be served, if so: its key was revoked, or
-  // names another tenant now.
+  // The error if the caller of an admitted request may no longer be served: its key was revoked or
+  // belongs to another tenant now.
   std::optional<ApiError> AuthorizationError(const CallerRequest& call) const;
   // A new nonce: 128 random bits, hexadecimal.
   std::string NewNonce() const;
 };
 
-// A caller's request after authentication and admission.
+// A caller's request; the tenant and the slot are set on admission.
 struct CallerRequest {
   http::Request request;
   std::shared_ptr<http::ResponseWriter> writer;
-  std::string request_id;       // the caller's X-Request-Id, or one of ours
+  std::string request_id;       // the caller's X-Request-Id, or a generated one
   std::string idempotency_key;  // empty if there is none
   std::shared_ptr<const control::Tenant> tenant;
   AdmissionSlot slot;
@@ -66,14 +66,14 @@
   runtime::MonotonicTime deadline;
 };
 
-// Answers with `error` and counts it.
+// Sends and counts `error`.
 void SendError(const GatewayContext& context, http::ResponseWriter* writer, const ApiError& error);
 
-// The fields that every dispatch carries (docs/BACKENDS.md).
+// Adds the fields of every dispatch (docs/BACKENDS.md).
 void AddAttemptHeaders(const GatewayContext& context, const CallerRequest& call,
                        const std::string& nonce, uint32_t attempt_number, http::Headers* headers);
 
-// The caller's answer made of a back end's: status, content type and body.
+// The response to the caller made from a back end's: status, content type and body.
 http::Response MakeCallerResponse(const CallerRequest& call, http::Response backend_response);
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/gateway_metrics.h
+++ b/src/posthatch/gateway/gateway_metrics.h
@@ -11,8 +11,8 @@
 
 using util::LabeledCounter;
 
-// The metric families of the data plane; each decision is counted. Owned by Gateway, event loop
-// thread only.
+// The metric families of the gateway. Each counter has one label, named here; the values and their
+// meanings are in the help texts. Owned by Gateway; event loop thread only.
 struct GatewayMetrics {
   explicit GatewayMetrics(prometheus::Registry* registry);
 
--- a/src/posthatch/gateway/inference_body.cc
+++ b/src/posthatch/gateway/inference_body.cc
@@ -5,7 +5,7 @@
 namespace posthatch::gateway {
 namespace {
 
-// Most bodies are parsed without a call to the allocator.
+// Large enough that most bodies are parsed without heap allocation.
 constexpr size_t kParseBufferBytes = size_t{8} * 1024;
 
 absl::Status Missing(const char* what) { return absl::InvalidArgumentError(what); }
--- a/src/posthatch/gateway/inference_body.h
+++ b/src/posthatch/gateway/inference_body.h
@@ -7,7 +7,8 @@
 
 namespace posthatch::gateway {
 
-// What the gateway needs of a completion request's body. The body itself is passed on unchanged.
+// The fields of a completion request's body that routing uses. The body itself is forwarded
+// unchanged.
 struct InferenceBody {
   std::string model;
   std::string prompt;  // canonical text, whose blocks are cached (docs/BACKENDS.md, "Worker")
--- a/src/posthatch/gateway/inference_request.cc
+++ b/src/posthatch/gateway/inference_request.cc
@@ -10,7 +10,7 @@
 namespace posthatch::gateway {
 namespace {
 
-// How long a caller may keep its worker waiting before the stream is broken off.
+// How long a caller may block reading from its worker before the stream is aborted.
 constexpr runtime::Duration kStallTimeout = std::chrono::seconds(30);
 
 }  // namespace
@@ -95,7 +95,7 @@
 }
 
 void InferenceRequest::OnFirstChunk() {
-  // From here on silence is bounded, not the whole length.
+  // From here on the gaps are bounded, not the total time.
   deadline_timer()->Cancel();
   ObserveFirstByte();
   context()->backends->health()->OnSuccess(attempt()->backend());
@@ -116,7 +116,7 @@
     context()->links->RecordPrefill(prefilled, elapsed);
     return;
   }
-  // A fetch that brought nothing took its time all the same.
+  // A fetch that returned no block took time too.
   const uint64_t fetched = cached > decision_.cached_blocks
                                ? cached - decision_.cached_blocks
                                : decision_.fetch_blocks - decision_.cached_blocks;
--- a/src/posthatch/gateway/inference_request.h
+++ b/src/posthatch/gateway/inference_request.h
@@ -10,7 +10,8 @@
 
 namespace posthatch::gateway {
 
-// One completion or chat completion, whole or streamed: routed by prefix, answered by one run.
+// One completion or chat completion, streamed or not: routed by prefix, with a response from a
+// single run.
 class InferenceRequest : public RetryableRequest {
  public:
   InferenceRequest(GatewayContext* context, CallerRequest call, InferenceBody body);
@@ -27,13 +28,13 @@
   void OnStreamEnd() override;
   void OnAttemptFailed(AttemptFailure failure) override;
 
-  // Computes seed, salt and chain by the state in force now.
+  // Computes seed, salt and block hashes from the fleet state in force.
   void ComputePromptIdentity();
   void AddRouteHeaders(const RouteDecision& decision, http::Headers* headers) const;
-  // The worker has prefilled the prompt: the index learns of it.
+  // The worker has prefilled the prompt: records its blocks in the index.
   void RecordPrefixCached(const http::Headers& head);
   void OnFirstChunk();
-  // What the time to the first piece says about wait, prefill and links.
+  // Updates estimates of queueing, prefill and link speed from the time to the first chunk.
   void MeasureFirstChunk();
   void ApplyBackpressure();
   void OnStreamBroken(const absl::Status& status);
--- a/src/posthatch/gateway/link_speed_estimator.h
+++ b/src/posthatch/gateway/link_speed_estimator.h
@@ -9,25 +9,25 @@
 
 namespace posthatch::gateway {
 
-// Learns how long a block takes to prefill and to fetch, from the first pieces of streams: without
-// a source the time is prefill alone, with one it is prefill of the rest plus the fetch. Used to
-// decide whether fetching is worth it. Event loop thread only.
+// Estimates the time to prefill and to fetch one block from the first chunks of streams: without a
+// source the time is prefill alone, with one it is prefill of the rest plus the fetch. Event loop
+// thread only.
 class LinkSpeedEstimator {
  public:
   explicit LinkSpeedEstimator(const runtime::Clock* clock) : clock_(clock) {}
 
-  // `elapsed` passed from dispatch to the first piece, in which `blocks` blocks were prefilled.
+  // `blocks` blocks were prefilled in `elapsed`, the time from dispatch to the first chunk.
   void RecordPrefill(uint64_t blocks, runtime::Duration elapsed);
-  // As above, with `fetched` blocks of them taken from `source` by `worker`.
+  // As above, with `fetched` blocks fetched from `source` by `worker`.
   void RecordFetch(const std::string& source, const std::string& worker, uint64_t fetched,
                    uint64_t prefilled, runtime::Duration elapsed);
 
-  // Milliseconds a block.
+  // Milliseconds per block.
   double PrefillCost() const { return prefill_milliseconds_ / prefill_blocks_; }
-  // Milliseconds a block from `source` to `worker`; a link that wasn't measured for
-  // kMeasurementTtl counts as good, so that it is tried again.
+  // Milliseconds per block from `source` to `worker`. A link without a measurement in the last
+  // kMeasurementTtl is assumed to be fast, so that it is measured again.
   double FetchCost(const std::string& source, const std::string& worker) const;
-  // Whether fetching beats prefilling clearly enough.
+  // Whether fetching is sufficiently cheaper than prefilling.
   bool FetchIsWorthwhile(const std::string& source, const std::string& worker) const;
 
  private:
@@ -40,7 +40,8 @@
   };
 
   const runtime::Clock* const clock_;
-  // Decaying sums, so that short prompts, whose time is mostly waiting, weigh little.
+  // Exponentially decaying sums, so that short prompts, whose time is mostly queueing, have little
+  // weight.
   double prefill_milliseconds_ = 20.0;
   double prefill_blocks_ = 10.0;
   absl::flat_hash_map<std::string, Link> links_;
--- a/src/posthatch/gateway/live_gateway_count.h
+++ b/src/posthatch/gateway/live_gateway_count.h
@@ -8,8 +8,8 @@
 
 namespace posthatch::gateway {
 
-// How many gateways share the fleet's limits. Asks its source at most once per kRefreshInterval,
-// because limits are computed many times per request. Event loop thread only.
+// The number of gateways that share fleet-wide limits, cached for kRefreshInterval because limits
+// are computed many times per request. Event loop thread only.
 class LiveGatewayCount {
  public:
   static constexpr runtime::Duration kRefreshInterval = std::chrono::milliseconds(500);
--- a/src/posthatch/gateway/request_registry.h
+++ b/src/posthatch/gateway/request_registry.h
@@ -9,27 +9,27 @@
 
 namespace posthatch::gateway {
 
-// A request that has been taken and not answered to its end.
+// A request in progress.
 class ActiveRequest : public std::enable_shared_from_this<ActiveRequest> {
  public:
   virtual ~ActiveRequest() = default;
   virtual void Begin() = 0;
 };
 
-// Owns the requests in progress. What has ended is destroyed a turn of the event loop later,
-// because it usually ends in one of its own callbacks. Event loop thread only.
+// Owns the requests in progress. Ended requests are destroyed in a later event loop turn, because
+// they usually end within one of their own callbacks. Event loop thread only.
 class RequestRegistry {
  public:
   explicit RequestRegistry(runtime::TimerService* timers) : sweep_timer_(timers) {}
 
-  // Takes the request and begins it.
+  // Takes ownership of the request and begins it.
   void Start(std::shared_ptr<ActiveRequest> request);
   // The request has ended.
   void Retire(ActiveRequest* request);
-  // Destroys `object` a turn later.
+  // Destroys `object` in a later event loop turn.
   void Discard(std::shared_ptr<void> object);
   size_t size() const { return active_.size(); }
-  // Runs `callback` once no request is in progress, perhaps at once.
+  // Runs `callback` once no request is in progress, possibly within this call.
   void OnEmpty(std::function<void()> callback);
 
  private:
--- a/src/posthatch/gateway/response_check.cc
+++ b/src/posthatch/gateway/response_check.cc
@@ -12,7 +12,7 @@
 
 absl::Status Broken(const char* what) { return absl::DataLossError(what); }
 
-// The text of the first choice, or nothing if there is none.
+// The text of the first choice; empty if there is none.
 std::string_view FirstText(const boost::json::object& response) {
   const boost::json::value* choices = response.if_contains("choices");
   if (choices == nullptr || !choices->is_array() || choices->get_array().empty()) return {};
--- a/src/posthatch/gateway/response_check.h
+++ b/src/posthatch/gateway/response_check.h
@@ -7,18 +7,18 @@
 
 namespace posthatch::gateway {
 
-// Whether `body` is a worker's whole answer to `request_id`: JSON with that id, a run, choices,
-// and, where the answer has a checksum, one that fits the text (docs/BACKENDS.md, "Worker").
+// Whether `body` is a worker's complete response to `request_id`: JSON with that id, a run,
+// choices, and a matching checksum of the text if there is one (docs/BACKENDS.md, "Worker").
 // DataLoss otherwise.
 absl::Status CheckCompletionBody(std::string_view body, std::string_view request_id);
 
-// Whether `body` is a service's whole answer to `request_id` (docs/BACKENDS.md, "Application
+// Whether `body` is a service's complete response to `request_id` (docs/BACKENDS.md, "Application
 // service"). DataLoss otherwise.
 absl::Status CheckServiceBody(std::string_view body, std::string_view request_id,
                               std::string_view operation);
 
-// Whether the back end says that it refused before running: a status of 400 or more with
-// `"executed": "no"` in its error.
+// Whether the back end states that it rejected the request before running it: status 400 or more
+// with `"executed": "no"` in the error.
 bool GuaranteesNotExecuted(const http::Response& response);
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/retry_budget.h
+++ b/src/posthatch/gateway/retry_budget.h
@@ -7,10 +7,9 @@
 
 namespace posthatch::gateway {
 
-// Bounds retries to a ratio of the first attempts in a sliding window of 10 s (invariant N11).
-// There is no allowance beyond the ratio: without first attempts there are no retries. A first
-// attempt of which no byte was sent is taken back, so that the ratio also holds as back ends see
-// it. Event loop thread only.
+// Limits retries to a ratio of the first attempts in a sliding window of 10 s (invariant N11), with
+// no allowance beyond the ratio. A first attempt of which no byte was sent is reverted, so that the
+// ratio also holds as back ends see it. Event loop thread only.
 class RetryBudget {
  public:
   explicit RetryBudget(const runtime::Clock* clock) : clock_(clock) {}
@@ -18,7 +17,7 @@
   void RecordFirstAttempt();
   // The newest first attempt was never sent.
   void RevertFirstAttempt();
-  // Counts and allows a retry if all retries in the window stay at or below `ratio` of the first
+  // Counts and allows a retry if the retries in the window stay at or below `ratio` of the first
   // attempts in it.
   bool TryRetry(double ratio);
 
@@ -27,12 +26,12 @@
   static constexpr runtime::Duration kBucketLength = std::chrono::milliseconds(100);
 
   struct Bucket {
-    int64_t number = -1;  // which stretch of kBucketLength it counts
+    int64_t number = -1;  // which interval of kBucketLength it counts
     int64_t firsts = 0;
     int64_t retries = 0;
   };
 
-  // The bucket of the present moment, emptied if it counted an older one.
+  // The bucket of the current interval, reset if it counted an older one.
   Bucket& Current();
   int64_t CurrentNumber() const;
 
--- a/src/posthatch/gateway/retryable_request.cc
+++ b/src/posthatch/gateway/retryable_request.cc
@@ -9,11 +9,11 @@
 namespace posthatch::gateway {
 namespace {
 
-// One attempt's wait for the head of its answer, as a part of the whole time.
+// Timeout of one attempt's response head, as a fraction 1/n of the request timeout.
 constexpr int kAttemptTimeoutDivisor = 4;
-// Longest silence inside an answer that has begun.
+// Maximum time without a body byte in a response.
 constexpr runtime::Duration kBodyIdleTimeout = std::chrono::seconds(10);
-// With less time than this left, another attempt is of no use.
+// With less time left, a retry can't succeed.
 constexpr runtime::Duration kMinTimeForRetry = std::chrono::milliseconds(50);
 
 }  // namespace
--- a/src/posthatch/gateway/retryable_request.h
+++ b/src/posthatch/gateway/retryable_request.h
@@ -10,9 +10,9 @@
 
 namespace posthatch::gateway {
 
-// A request that may be dispatched again after a failed attempt, as long as its caller has been
-// shown nothing, its deadline and number of attempts allow it, and the retry budget does. Every
-// dispatch is decided anew by the state in force at that moment. Event loop thread only.
+// An idempotent request, dispatched again after a failed attempt while no part of a response has
+// been sent to its caller and the deadline, the maximum attempts and the retry budget allow it.
+// Each dispatch is decided by the fleet state in force at that time. Event loop thread only.
 class RetryableRequest : public ActiveRequest, protected AttemptListener {
  public:
   void Begin() override;
@@ -23,13 +23,13 @@
   // Chooses a back end and fills the plan's request; attempt fields are added by the caller.
   virtual RouteDecision Plan(const std::vector<std::string>& attempted_backends,
                              AttemptPlan* plan) = 0;
-  // Whether a whole answer with status 200 is good and belongs to this request.
+  // Whether a complete response with status 200 is valid and for this request.
   virtual absl::Status CheckResponse(const http::Response& response) = 0;
-  // A good answer is about to be sent.
+  // A valid response is about to be sent.
   virtual void OnValidResponse(const http::Response& response) = 0;
-  // Whether the caller has been shown a part of the answer.
+  // Whether a part of the response has been sent to the caller.
   virtual bool ResponseStarted() const { return false; }
-  // Ends an answer of which a part was shown.
+  // Ends a response of which a part was sent.
   virtual void AbortStream(const ApiError& error);
 
   void OnStreamHead(const http::Response& head) override;
@@ -38,13 +38,13 @@
   void OnResponseComplete(http::Response response) override;
   void OnAttemptFailed(AttemptFailure failure) override;
 
-  // A good answer has been sent to its end.
+  // A valid response was sent completely.
   void Complete();
   GatewayContext* context() const { return context_; }
   CallerRequest& call() { return call_; }
   UpstreamAttempt* attempt() const { return attempt_.get(); }
   runtime::Timer* deadline_timer() { return &deadline_timer_; }
-  // Takes the deadline over by the gaps between pieces, once an answer is flowing.
+  // Records the time to the first byte.
   void ObserveFirstByte();
 
  private:
@@ -54,7 +54,7 @@
   void OnDeadline();
   void OnCallerDisconnected();
   ApiError FinalError(const AttemptFailure& failure) const;
-  // The answer when the retry budget is spent.
+  // The error when the retry budget is exhausted.
   ApiError RetryDeniedError() const;
   void Refuse(ApiError error);
   void End();
@@ -64,7 +64,7 @@
   std::shared_ptr<UpstreamAttempt> attempt_;
   std::vector<std::string> attempted_backends_;
   uint32_t attempts_ = 0;
-  bool guaranteed_not_executed_ = true;  // by every attempt so far
+  bool guaranteed_not_executed_ = true;  // holds for every attempt so far
   bool ended_ = false;
   runtime::Timer deadline_timer_;
 };
--- a/src/posthatch/gateway/service_request.h
+++ b/src/posthatch/gateway/service_request.h
@@ -7,7 +7,7 @@
 
 namespace posthatch::gateway {
 
-// One call of an application service's operation that may be repeated.
+// One call of an idempotent operation of an application service.
 class ServiceRequest : public RetryableRequest {
  public:
   ServiceRequest(GatewayContext* context, CallerRequest call, std::string service,
--- a/src/posthatch/gateway/sse_stream_checker.cc
+++ b/src/posthatch/gateway/sse_stream_checker.cc
@@ -46,7 +46,7 @@
   if (rest > 0 && done_) return Broken("bytes after [DONE]");
   if (rest > kMaxEventBytes) return Broken("an event is too long");
   partial_.assign(text, start, rest);
-  searched_ = rest > 0 ? rest - 1 : 0;  // the end may be split between its two bytes
+  searched_ = rest > 0 ? rest - 1 : 0;  // the two bytes of the end may be in two chunks
   text.resize(shown);
   return text;
 }
@@ -113,8 +113,8 @@
   if (key == std::string_view::npos) return;
   size_t end = key + kPieceKey.size();
   if (end < payload.size() && payload[end] == ' ') ++end;
-  // Closed after its number the prefix must be an object of just the three fields: then the key
-  // that was found is that of the event and not part of a text.
+  // With its object closed after the number, the prefix must hold exactly three fields: this proves
+  // that the key found is the event's and not part of a text.
   boost::json::error_code error;
   const boost::json::value closed =
       boost::json::parse(absl::StrCat(std::string(payload.substr(0, end)), "0}"), error);
--- a/src/posthatch/gateway/stream_relay.h
+++ b/src/posthatch/gateway/stream_relay.h
@@ -10,9 +10,9 @@
 
 namespace posthatch::gateway {
 
-// Hands the checked events of one worker's stream on to the caller. The answer's head goes out with
-// the first whole event: until then nothing has been shown and the request may be tried elsewhere.
-// Event loop thread only.
+// Forwards the validated events of one worker's stream to the caller. The response head is sent
+// with the first complete event: until then the request may be retried elsewhere. Event loop thread
+// only.
 class StreamRelay {
  public:
   StreamRelay(std::shared_ptr<http::ResponseWriter> writer, std::string request_id,
@@ -22,15 +22,15 @@
         checker_(std::move(request_id)),
         max_buffered_bytes_(max_buffered_bytes) {}
 
-  // Takes bytes from the worker; DataLoss if they aren't the next part of one whole stream.
+  // Takes bytes from the worker; DataLoss if they don't continue one valid stream.
   absl::Status Feed(std::string chunk);
-  // The worker's body has ended properly. OK: the caller's has too.
+  // The worker's body is complete. OK: the caller's is too.
   absl::Status Finish();
-  // Ends the caller's stream visibly incomplete.
+  // Ends the caller's stream with an error event, without completing it.
   void AbortWithError(const ApiError& error);
 
   bool response_started() const { return response_started_; }
-  // Whether so much waits for the caller that the worker should not be read on.
+  // Whether so much is buffered for the caller that reading from the worker should stop.
   bool Full() const { return response_started_ && writer_->buffered_bytes() > max_buffered_bytes_; }
 
  private:
--- a/src/posthatch/gateway/tenant_directory.h
+++ b/src/posthatch/gateway/tenant_directory.h
@@ -10,12 +10,12 @@
 
 namespace posthatch::gateway {
 
-// Finds the tenant of a caller's key. Holds only SHA-256 digests of keys and is built anew with
-// each configuration, so a revoked key is refused from then on, on kept connections too: every
-// request is looked up. Keys are neither kept nor logged. Event loop thread only.
+// Maps callers' keys to tenants. Stores only SHA-256 digests and is rebuilt with each
+// configuration. Every request is looked up, so a revoked key is rejected on persistent connections
+// too. Keys are neither stored nor logged. Event loop thread only.
 class TenantDirectory {
  public:
-  // Takes the tenants of `configuration`; digests that are not 64 hexadecimal digits match nothing.
+  // Loads the tenants of `configuration`; digests that are not 64 hexadecimal digits match nothing.
   void Rebuild(const control::Configuration& configuration);
 
   // Tenant of the `Authorization` field's value ("Bearer KEY", RFC 6750, 2.1), or null. The digests
@@ -27,7 +27,7 @@
     Sha256Digest digest;
     std::shared_ptr<const control::Tenant> tenant;
   };
-  // By the first 8 bytes of the digest, which nobody can choose without the key.
+  // Keyed by the first 8 bytes of the digest, which can't be chosen without the key.
   absl::flat_hash_map<uint64_t, Entry> entries_;
 };
 
--- a/src/posthatch/gateway/upstream_attempt.h
+++ b/src/posthatch/gateway/upstream_attempt.h
@@ -9,30 +9,30 @@
 
 namespace posthatch::gateway {
 
-// Why a dispatch brought no usable answer.
+// Why an attempt gave no usable response.
 struct AttemptFailure {
   enum class Cause {
-    kNotSent,          // no byte went out
-    kTruncated,        // the connection broke, or the body was not whole
-    kTimeout,          // no answer in time
-    kWrongAttempt,     // the answer belongs to another attempt: crossed, late or double
-    kInvalidResponse,  // the answer is not what BACKENDS.md says
-    kRefused,          // refused before running
+    kNotSent,          // no byte was sent
+    kTruncated,        // the connection broke, or the body is incomplete
+    kTimeout,          // no response in time
+    kWrongAttempt,     // the response is for another attempt
+    kInvalidResponse,  // the response violates docs/BACKENDS.md
+    kRefused,          // rejected before running
   };
   Cause cause = Cause::kNotSent;
   std::string message;
-  int status = 0;  // of a refusal
+  int status = 0;  // of a rejection
 
-  // Whether this attempt has provably not run and will not run.
+  // Whether it is proven that this attempt has not run and will not run.
   bool GuaranteesNotExecuted() const {
     return cause == Cause::kNotSent || cause == Cause::kRefused;
   }
-  // Name in metrics.
+  // Label value in metrics.
   const char* name() const;
 };
 
-// Told how an attempt goes: OnResponseComplete, or OnStreamHead, pieces and OnStreamEnd, or at any
-// point OnAttemptFailed, after which nothing more comes.
+// Events of an attempt: OnResponseComplete, or OnStreamHead, chunks and OnStreamEnd, or at any
+// point OnAttemptFailed; nothing follows the last one.
 class AttemptListener {
  public:
   virtual ~AttemptListener() = default;
@@ -45,16 +45,15 @@
 
 struct AttemptPlan {
   BackendPointer backend;
-  http::Request request;        // complete but for the attempt's own fields
-  std::string nonce;            // of this attempt; the answer has to echo it
+  http::Request request;        // without the attempt's own fields
+  std::string nonce;            // of this attempt; the response must echo it
   uint64_t pending_blocks = 0;  // prompt blocks that the worker has to prefill
-  bool stream = false;          // hand on a body of status 200 as it comes
+  bool stream = false;          // forward a body of status 200 as it arrives
   http::CallOptions call_options;
 };
 
-// One dispatch to one back end. Accepts only an answer that echoes this attempt's nonce. Keeps the
-// directory's account of requests in flight. Destroying it cancels the call. Event loop thread
-// only.
+// One dispatch to one back end. Accepts only a response that echoes this attempt's nonce. Updates
+// the back end's load and health. Destroying it cancels the call. Event loop thread only.
 class UpstreamAttempt {
  public:
   // The listener outlives the attempt.
@@ -77,7 +76,7 @@
   void OnChunk(std::string chunk);
   void OnEnd();
   void OnError(const http::CallError& error);
-  // The head came or nobody waits for it any more.
+  // The head was received or is no longer awaited.
   void CompleteHead();
   void CompleteAttempt();
 
--- a/src/posthatch/gateway/worker_router.cc
+++ b/src/posthatch/gateway/worker_router.cc
@@ -11,9 +11,9 @@
 
 constexpr size_t kMaxHolderCandidates = 4;
 constexpr int kMaxSamples = 8;
-// A zone's back end above this share of its limit sends new work to other zones.
+// Above this fraction of its limit, a local back end is compared with those of other zones.
 constexpr double kLocalLoadLimit = 0.5;
-// What one running request adds to the time of the next one's first token, in milliseconds.
+// Time that one running request adds to the next one's first token, in milliseconds.
 constexpr double kRunningRequestCostMs = 3.0;
 
 bool Contains(const std::vector<std::string>& list, const std::string& id) {
--- a/src/posthatch/gateway/worker_router.h
+++ b/src/posthatch/gateway/worker_router.h
@@ -10,34 +10,34 @@
 
 namespace posthatch::gateway {
 
-// What a routing decision needs to know of a request.
+// The properties of a request that a routing decision depends on.
 struct RouteQuery {
   const std::string* model = nullptr;
   const index::BlockSeed* seed = nullptr;
   const std::vector<index::BlockHash>* chain = nullptr;
   uint32_t priority = 0;  // of the tenant, 0 to 9
-  // Back ends that this request has failed at; not chosen again while there are others.
+  // Back ends that failed this request; not chosen again while there are others.
   const std::vector<std::string>* attempted_backends = nullptr;
 };
 
 struct RouteDecision {
   enum class Outcome {
     kChosen,
-    kNoCapacity,  // nobody may get new work
-    kShed,        // there is room, but not for this priority
+    kNoCapacity,  // no back end is eligible
+    kShed,        // capacity is reserved for higher priorities
   };
   Outcome outcome = Outcome::kNoCapacity;
   BackendPointer backend;
-  uint32_t cached_blocks = 0;  // leading blocks believed to be there
-  std::string fetch_endpoint;  // where the worker may fetch more from; empty for nowhere
-  std::string fetch_source;    // back end id of it
-  uint32_t fetch_blocks = 0;   // leading blocks believed to be there
+  uint32_t cached_blocks = 0;  // leading blocks expected in its cache
+  std::string fetch_endpoint;  // where the worker may fetch more blocks; empty: nowhere
+  std::string fetch_source;    // its back end id
+  uint32_t fetch_blocks = 0;   // leading blocks expected in its cache
 };
 
-// Chooses where a request goes. Workers: the holders of the longest trusted prefixes and two drawn
-// at random (by power of two choices, the gateway's zone first) are compared by expected time to
-// the first token: waiting plus prefill of what is missing, or its fetch where the measured link
-// makes that quicker. Services: the better of two. Event loop thread only.
+// Chooses the back end of a request. Workers: the holders of the longest trusted prefixes and the
+// better of two random workers (power of two choices, local zone first) are compared by expected
+// time to first token: queueing plus prefill of the missing blocks, or their fetch where the
+// measured link is faster. Services: power of two choices by load. Event loop thread only.
 class WorkerRouter {
  public:
   WorkerRouter(runtime::Runtime* runtime, const GatewayOptions* options,
@@ -64,13 +64,13 @@
 
   BackendPointer NextRoundRobin(BackendPool* pool, uint64_t revision,
                                 const std::vector<std::string>& attempted_backends);
-  // An eligible back end but `other` drawn at random, cold ones less often; null if none was drawn.
+  // A random eligible back end other than `other`, those in slow start less often; may be null.
   BackendPointer SampleEligible(const std::vector<BackendPointer>& from, uint64_t revision,
                                 const std::vector<std::string>& attempted_backends,
                                 const BackendEntry* other);
   BackendPointer PowerOfTwoChoices(const std::vector<BackendPointer>& from, uint64_t revision,
                                    const std::vector<std::string>& attempted_backends);
-  // The better of two of this zone unless they are busy, then of all; last a search through all.
+  // The better of two of this zone unless both are busy, then of all zones; finally a full search.
   BackendPointer LeastLoaded(BackendPool* pool, uint64_t revision,
                              const std::vector<std::string>& attempted_backends);
   BackendPointer SearchAll(const BackendPool& pool, uint64_t revision,
@@ -81,9 +81,9 @@
   const index::PrefixHolder* BestSource(const std::vector<index::PrefixHolder>& holders,
                                         const Candidate& candidate) const;
   double RelativeLoad(const BackendEntry& entry) const;
-  // Whether one more request of this priority may go there.
+  // Whether it has capacity for one more request of this priority.
   bool HasCapacity(const BackendEntry& entry, uint32_t priority) const;
-  // Holders of the longest prefixes that may be chosen.
+  // The eligible holders of the longest prefixes.
   std::vector<Candidate> HolderCandidates(const RouteQuery& query,
                                           const std::vector<index::PrefixHolder>& holders) const;
   void Finish(BackendPointer chosen, uint32_t priority, const std::string& reason,
