--- a/src/posthatch/ctl/admin_request.h
+++ b/src/posthatch/ctl/admin_request.h
@@ -15,8 +15,8 @@
 // read. `invocation.request_id` must be set for changes.
 absl::StatusOr<http::Request> MakeRequest(const Invocation& invocation);
 
-// How many back ends an evacuation's selector matches, out of how many, by the body of
-// GET /admin/v1/inventory.
+// The number of back ends that an evacuation's selector matches, and of all back ends, by the body
+// of GET /admin/v1/inventory.
 struct MatchCount {
   int matching = 0;
   int all = 0;
--- a/src/posthatch/ctl/command_runner.h
+++ b/src/posthatch/ctl/command_runner.h
@@ -21,7 +21,7 @@
   using Done = std::function<void(RunResult)>;
 
   CommandRunner(runtime::Runtime* runtime, Invocation invocation);
-  // `done` runs once, perhaps within this call.
+  // `done` runs once, possibly within this call.
   void Run(Done done);
 
  private:
--- a/src/posthatch/ctl/invocation.cc
+++ b/src/posthatch/ctl/invocation.cc
@@ -20,7 +20,7 @@
   return true;
 }
 
-// The command line's grammar; values go straight into the invocation.
+// The command line's grammar; values are stored directly in the invocation.
 class CommandLine {
  public:
   CommandLine() : app_("Operates a posthatch fleet from any of its gateways or controllers") {
@@ -149,7 +149,7 @@
                         "Refuse if this isn't the newest version");
   }
 
-  // Empty, or what is wrong.
+  // The error; empty if there is none.
   std::string ReadFiles() {
     if (!file_.empty() && !ReadFile(file_, &invocation_.file_content)) {
       return "can't read " + file_ + "\n";
--- a/src/posthatch/ctl/invocation.h
+++ b/src/posthatch/ctl/invocation.h
@@ -9,15 +9,15 @@
 
 // Exit codes of posthatchctl; docs/operations/posthatchctl.md explains them.
 enum class ExitCode {
-  kOk = 0,         // done, or acknowledged: in force at every gateway that holds a lease
-  kRefused = 1,    // the fleet refused it, or it was not confirmed; nothing was changed
+  kOk = 0,         // done; a change is in force at every gateway with a lease
+  kRefused = 1,    // rejected by the fleet, or not confirmed; nothing was changed
   kUsage = 2,      // the command line or a file can't be read; nothing was sent
-  kUncertain = 3,  // no final answer: send it again with the same --request-id
+  kUncertain = 3,  // no final response: send it again with the same --request-id
 };
 
 enum class OutputFormat { kTable, kJson };
 
-// What a command asks for, before it is an HTTP request.
+// The commands.
 enum class CommandKind {
   kConfigApply,
   kConfigGet,
@@ -36,12 +36,12 @@
   kIndexStats,
 };
 
-// One command line of posthatchctl, checked.
+// One validated command line of posthatchctl.
 struct Invocation {
   std::vector<std::string> targets;  // "ip:port", tried in turn
   OutputFormat output = OutputFormat::kTable;
   std::string token;
-  std::string request_id;  // empty: one is made at random
+  std::string request_id;  // empty: a random one is generated
   uint32_t timeout_ms = 30000;
   bool confirmed = false;  // --yes
 
--- a/src/posthatch/ctl/output.h
+++ b/src/posthatch/ctl/output.h
@@ -6,8 +6,9 @@
 
 namespace posthatch::ctl {
 
-// An answer's JSON body as the operator wants it. As a table: single fields first, one a line, then
-// each list of objects as columns, then other lists line by line. What isn't JSON is left as it is.
+// A response's JSON body in the format that the operator asked for. As a table: first the single
+// fields, one per line, then each list of objects as columns, then other lists line by line. Text
+// that isn't JSON is unchanged.
 std::string RenderOutput(const std::string& json, OutputFormat format);
 
 }  // namespace posthatch::ctl
--- a/src/posthatch/ctl/target_caller.cc
+++ b/src/posthatch/ctl/target_caller.cc
@@ -13,7 +13,7 @@
 // it was not.
 constexpr const char* kUncertainCode = "\"uncertain\"";
 constexpr runtime::Duration kRetryBackoff = std::chrono::milliseconds(300);
-// Longest wait for one target: a change waits for up to a session lease, and for an election.
+// Timeout for one target: a change may wait for a session lease and an election.
 constexpr runtime::Duration kAttemptTimeout = std::chrono::seconds(10);
 
 }  // namespace
--- a/src/posthatch/ctl/target_caller.h
+++ b/src/posthatch/ctl/target_caller.h
@@ -12,14 +12,14 @@
 
 struct CallOutcome {
   bool has_final_response = false;  // `response` is final: neither 503 nor a failure
-  bool may_be_applied = false;      // not answered, and some target may have taken it
+  bool may_be_applied = false;      // no final response, and a target may have applied it
   http::Response response;
-  std::string error;  // of the last try
+  std::string error;  // of the last attempt
 };
 
-// Sends one request to the targets in turn, the same bytes each time, until one gives a final
-// answer or the time is over. Safe for changes, since they carry a request id. Event loop thread
-// only; one request at a time.
+// Sends one request to the targets in turn, with identical bytes, until one gives a final response
+// or the timeout expires. Safe for changes, since they carry a request id. Event loop thread only;
+// one request at a time.
 class TargetCaller {
  public:
   using Done = std::function<void(CallOutcome)>;
--- a/src/posthatch/server/command_line.cc
+++ b/src/posthatch/server/command_line.cc
@@ -19,7 +19,7 @@
 namespace posthatch::server {
 namespace {
 
-// What the command line said for one role.
+// The parsed command line of one role.
 struct RoleCommand {
   CLI::App* command = nullptr;
   std::string config_file;
@@ -79,7 +79,7 @@
   return net::AsioRuntime::Create(options);
 }
 
-// Connections take a file descriptor each: asks for as many as the system lets the process have.
+// Each connection needs a file descriptor: raises the limit to the maximum that the system allows.
 void RaiseDescriptorLimit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
--- a/src/posthatch/server/common_http.h
+++ b/src/posthatch/server/common_http.h
@@ -11,7 +11,7 @@
 
 namespace posthatch::server {
 
-// What operators and fleet tests may change in a running process.
+// Changes to a running process by operators and fleet tests.
 class ProcessControls {
  public:
   // `level` as in the setting log_level. Errors: InvalidArgument.
@@ -28,23 +28,23 @@
 struct CommonHttpOptions {
   Process* process = nullptr;
   prometheus::Registry* metrics = nullptr;
-  // Null in the simulator: the calls that go to it are then unknown.
+  // Null in the simulator: its endpoints are then passed to the process.
   ProcessControls* controls = nullptr;
-  // As NodeSettings::admin_token_sha256; asked for by the calls that change something.
+  // As NodeSettings::admin_token_sha256; required by the PUT endpoints.
   std::string admin_token_sha256;
 };
 
-// The endpoints that every process has, in front of Process::HandleHttp: GET /healthz, /readyz,
-// /metrics, PUT /admin/v1/log-level and, in rehearsals, PUT /debug/faults. Owned by whoever
-// listens; outlives the server that uses handler(). Event loop thread only.
+// The endpoints common to all processes, in front of Process::HandleHttp: GET /healthz, /readyz,
+// /metrics, PUT /admin/v1/log-level and, with fault injection, PUT /debug/faults. Owned by the
+// listening code; outlives the server that uses it. Event loop thread only.
 class CommonHttp {
  public:
   explicit CommonHttp(CommonHttpOptions options);
 
-  // What a server's handler calls for each request.
+  // Handler of the HTTP server.
   void Handle(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
-  // What a listener for readiness and administration calls for each request: the common endpoints,
-  // /admin/v1/..., and readiness at any other path.
+  // Handler of a listener for readiness and administration: the common endpoints, /admin/v1/...,
+  // and readiness at any other path.
   void HandleReadiness(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
   // From now on /readyz answers 503.
   void SetDraining() { draining_ = true; }
@@ -61,7 +61,7 @@
 };
 
 // Whether `header`, the value of an Authorization field, is the bearer token whose SHA-256 is
-// `token_sha256` (hexadecimal); always so if that is empty. Takes equally long for every token.
+// `token_sha256` (hexadecimal); always true if that is empty. Compares in constant time.
 bool IsAuthorized(std::string_view header, std::string_view token_sha256);
 
 // The error body of docs/API.md. `executed` is "no" or "unknown".
--- a/src/posthatch/server/controller_node.cc
+++ b/src/posthatch/server/controller_node.cc
@@ -93,7 +93,7 @@
 
 absl::Status ControllerNode::Start() {
   replica_.SetFailureListener([this](const absl::Status& status) {
-    // The replica has stopped for good; this process answers reads through the leader, and is not
+    // The replica has stopped permanently: this process forwards reads to the leader and is not
     // ready any more.
     runtime_->trace->Event(runtime::Severity::kError, "ReplicaFailed",
                            {{"error", status.ToString()}});
@@ -122,7 +122,7 @@
     LeaveFleet(std::move(done));
     return;
   }
-  // Whatever comes of the transfer, this process is about to end.
+  // The process ends whether or not the transfer succeeds.
   replica_.TransferLeadership(
       [this, done = std::move(done)](const absl::Status& /*status*/) { LeaveFleet(done); });
 }
--- a/src/posthatch/server/controller_node.h
+++ b/src/posthatch/server/controller_node.h
@@ -17,25 +17,26 @@
 
 namespace posthatch::server {
 
-// A controller: one replica of the log with the control state on it, the invalidation server, and
-// what gateways and operators ask of the leader. The same in real processes and in the simulator.
+// A controller: one replica of the log with the control state, the invalidation server, and the
+// services that the leader offers to gateways and operators. The same in real processes and in the
+// simulator. Owned by the process runner; event loop thread only.
 class ControllerNode : public Process, public control::LeaderLeaseGuard {
  public:
-  // `formats`: how the platform speaks, for a fleet that carries routed traffic; null for one that
-  // serves the product's own interface only.
+  // `formats`: the formats of the platform, for a fleet with routed traffic; null for a fleet that
+  // serves only the product's own interface.
   ControllerNode(runtime::Runtime* runtime, ControllerSettings settings,
                  const PlatformFormats* formats = nullptr);
 
   // Reads the data folder. Errors: those of RaftReplica::Start.
   absl::Status Start() override;
-  // True once this replica takes part in a cluster and knows a leader.
+  // True once this replica is a member of a cluster and knows a leader.
   bool Ready() const override;
-  // Hands leadership over, then leaves the fleet. Its place among the voters stays.
+  // Transfers leadership, then leaves the fleet. The replica remains a voter.
   void Drain(std::function<void()> done) override;
   void HandleHttp(http::Request request, std::shared_ptr<http::ResponseWriter> writer) override;
   void OnSeedsChanged(const std::vector<std::string>& seeds) override;
 
-  // Whether this controller leads and a majority has answered it lately.
+  // Whether this controller leads and has recent responses of a majority.
   bool HasLeaderLease() const override;
 
   const consensus::RaftReplica& replica() const { return replica_; }
@@ -57,7 +58,7 @@
   control::ControllerService service_;
   invalidation::InvalidationServer invalidation_server_;
   control::AdminApi admin_api_;
-  // Both only with `formats`.
+  // Both null without `formats`.
   std::unique_ptr<control::OperatorApi> operator_api_;
   std::unique_ptr<rollout::RolloutCoordinator> rollouts_;
   runtime::Timer leave_timer_;
--- a/src/posthatch/server/gateway_node.h
+++ b/src/posthatch/server/gateway_node.h
@@ -13,16 +13,17 @@
 
 namespace posthatch::server {
 
-// A gateway: finds the controllers by gossip, holds a session lease, keeps the prefix cache index,
-// serves callers, and cares for the workers whose leases it holds. The same in real processes and
-// in the simulator.
+// A gateway of the product's own interface: finds the controllers by gossip, holds a session lease,
+// maintains the prefix cache index, serves callers, and manages the workers whose leases it holds.
+// The same in real processes and in the simulator. Owned by the process runner; event loop thread
+// only.
 class GatewayNode : public Process {
  public:
   GatewayNode(runtime::Runtime* runtime, GatewaySettings settings);
 
   absl::Status Start() override;
   bool Ready() const override;
-  // Lets running answers end, then gives up the session and leaves the fleet.
+  // Waits for requests in progress, then ends the session and leaves the fleet.
   void Drain(std::function<void()> done) override;
   void HandleHttp(http::Request request, std::shared_ptr<http::ResponseWriter> writer) override;
   void OnSeedsChanged(const std::vector<std::string>& seeds) override {
--- a/src/posthatch/server/member_views.h
+++ b/src/posthatch/server/member_views.h
@@ -8,15 +8,15 @@
 #include "posthatch/membership/membership.h"
 #include "posthatch/server/settings/node_settings.h"
 
-// What both kinds of node derive from the members they know.
+// Derived from the members known by gossip, for gateways and controllers.
 namespace posthatch::server {
 
-// This process as gossip tells the others of it.
+// This process as a member, as gossip spreads it.
 membership::Member MakeSelfMember(const NodeSettings& node, membership::MemberRole role,
                                   uint64_t incarnation);
 
-// Internal endpoints of the live members of `role`, without this process. While none is known, the
-// seed addresses, which may be of any role.
+// Internal endpoints of the other live members of `role`. While none is known, the seed addresses,
+// which may be of any role.
 std::vector<std::string> LiveEndpoints(const membership::Membership& membership,
                                        membership::MemberRole role,
                                        const std::vector<std::string>& seeds);
--- a/src/posthatch/server/node_options.h
+++ b/src/posthatch/server/node_options.h
@@ -9,7 +9,7 @@
 #include "posthatch/membership/membership.h"
 #include "posthatch/server/settings/node_settings.h"
 
-// What the kinds of processes are assembled from alike.
+// Parts and options common to the kinds of processes.
 namespace posthatch::server {
 
 // Time for the last messages (session end, gossip) to go out before the process ends.
--- a/src/posthatch/server/platform_gateway_node.cc
+++ b/src/posthatch/server/platform_gateway_node.cc
@@ -10,12 +10,12 @@
 
 constexpr int kNotFound = 404;
 constexpr runtime::Duration kMemberRefresh = std::chrono::milliseconds(300);
-// Longest that a worker holds a read of its cache events.
+// Long-poll time of a read of a worker's cache events.
 constexpr runtime::Duration kEventWait = std::chrono::milliseconds(900);
-// Events that the platform loses one by one, beyond which a worker's entries are dropped.
+// Fraction of single missing events that is tolerated; beyond it a worker's entries are dropped.
 constexpr double kToleratedMissingEvents = 0.2;
-// Revisions whose entries are of use at one time: the newest, the one that a roll-out replaces, and
-// the one before, where a further revision was named in the middle of a roll-out.
+// Revisions whose entries are retained: the newest, the one that a roll-out replaces, and the one
+// before, if a further revision was named during a roll-out.
 constexpr size_t kRetainedRevisions = 3;
 
 index::IndexOptions MakeIndexOptions(const GatewaySettings& settings,
@@ -24,7 +24,7 @@
   options.index_budget_bytes = settings.index_budget_bytes;
   options.zone = settings.node.zone;
   options.retained_revisions = kRetainedRevisions;
-  // One registration and one heartbeat a gateway: the leader serves all of them.
+  // One registration and heartbeat per gateway, since the leader serves all gateways.
   options.aggregate_channel = true;
   options.events.format = formats.cache_events;
   options.events.wait = kEventWait;
@@ -75,8 +75,8 @@
   return LiveEndpoints(membership_, membership::MemberRole::kController, settings_.node.seeds);
 }
 
-// Only the leader serves the channels, and without a lease no index entry is used: while there is
-// no leader, asking the other controllers one after the other would only keep them busy.
+// Only the leader serves the channels, and without a lease no index entry is used: without a
+// leader, polling the other controllers would only load them.
 std::vector<std::string> PlatformGatewayNode::ChannelServers() const {
   const std::string leader = session_.leader_endpoint();
   return leader.empty() ? std::vector<std::string>() : std::vector<std::string>{leader};
--- a/src/posthatch/server/platform_gateway_node.h
+++ b/src/posthatch/server/platform_gateway_node.h
@@ -15,9 +15,10 @@
 
 namespace posthatch::server {
 
-// A gateway for routed traffic on a platform: finds the controllers by gossip, follows the fleet's
-// state, keeps the prefix cache index, and serves callers as the platform's formats say. Without
-// controllers it serves on with what it knows and trusts no index entry past its freshness.
+// A gateway for routed traffic on the users' platform: finds the controllers by gossip, follows the
+// fleet's state, maintains the prefix cache index, and serves callers in the platform's formats by
+// routing::TrafficGateway. Without controllers it continues with the last known state and uses no
+// index entry beyond its freshness. Owned by the process runner; event loop thread only.
 class PlatformGatewayNode : public Process {
  public:
   PlatformGatewayNode(runtime::Runtime* runtime, GatewaySettings settings,
@@ -25,7 +26,7 @@
 
   absl::Status Start() override;
   bool Ready() const override { return traffic_.Ready(); }
-  // Lets running answers end, then gives up the session and leaves the fleet.
+  // Waits for requests in progress, then ends the session and leaves the fleet.
   void Drain(std::function<void()> done) override;
   void HandleHttp(http::Request request, std::shared_ptr<http::ResponseWriter> writer) override;
   void HandleAdmin(http::Request request, std::shared_ptr<http::ResponseWriter> writer) override;
@@ -49,7 +50,7 @@
   routing::TrafficGateway traffic_;
   control::AdminApi admin_api_;
   runtime::Timer leave_timer_;
-  // Looked up anew at most once per kMemberRefresh.
+  // Refreshed at most once per kMemberRefresh.
   mutable std::vector<std::string> gateway_ids_;
   mutable std::vector<routing::LoadPeer> other_gateways_;
   mutable std::vector<index::IndexPeer> index_peers_;
--- a/src/posthatch/server/process_factory.h
+++ b/src/posthatch/server/process_factory.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::server {
 
-// Builds the process of a role; what tests replace by a trivial one.
+// Builds the process of a role; replaced by a trivial one in tests.
 class ProcessFactory {
  public:
   virtual ~ProcessFactory() = default;
--- a/src/posthatch/server/process_runner.cc
+++ b/src/posthatch/server/process_runner.cc
@@ -13,7 +13,7 @@
 
 using runtime::Severity;
 
-// How often a draining process looks whether its last answers have ended.
+// How often a draining process checks whether its last responses have ended.
 constexpr runtime::Duration kDrainPollInterval = std::chrono::milliseconds(10);
 
 class ProcessRunner : private ProcessControls {
@@ -31,7 +31,7 @@
         drain_poll_(runtime_->timers) {}
 
   absl::Status Run(const MakeProcess& make_process) {
-    // No request is read before the event loop runs, and then the process is there.
+    // No request is read before the event loop runs; the process exists by then.
     auto server = runtime_->http_servers->Listen(
         node_.http_endpoint, limits_,
         [this](http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
@@ -92,7 +92,7 @@
     return absl::OkStatus();
   }
 
-  // A listener for readiness alone: it goes on answering while the others drain.
+  // A listener for readiness: it continues to respond while the other one drains.
   absl::Status ListenForReadiness() {
     if (node_.readiness_endpoint.empty()) return absl::OkStatus();
     auto server = runtime_->http_servers->Listen(
--- a/src/posthatch/server/process_runner.h
+++ b/src/posthatch/server/process_runner.h
@@ -13,10 +13,10 @@
 
 namespace posthatch::server {
 
-// Builds a process, once the address it answers HTTP on is bound.
+// Builds a process, once its HTTP endpoint is bound.
 using MakeProcess = std::function<std::unique_ptr<Process>(const std::string& http_endpoint)>;
 
-// The settings file of a process, and how to read the seeds in it.
+// The settings file of a process, and a function that reads its seeds.
 struct SettingsFile {
   std::string path;
   SettingsWatch::ReadSeeds read_seeds;
--- a/src/posthatch/server/settings/node_settings.h
+++ b/src/posthatch/server/settings/node_settings.h
@@ -11,9 +11,9 @@
 #include "posthatch/runtime/clock.h"
 #include "posthatch/runtime/trace.h"
 
-// Settings of one process, already checked (see settings_loader.h). Each field is documented here
-// and in the table of settings_table.cc, which names its key in the TOML file, checks it and makes
-// docs/operations/settings.md.
+// Settings of one process, already validated (settings_loader.h). Each field is documented here and
+// by a row of a settings table (setting_tables.h), which gives its key in the TOML file, its range
+// and its line in docs/operations/settings.md.
 namespace posthatch::server {
 
 struct NodeSettings {
@@ -23,13 +23,13 @@
   std::string internal_endpoint;   // "ip:port", TCP and UDP, between posthatch processes
   std::string http_endpoint;       // "ip:port", callers and operators
   std::vector<std::string> seeds;  // internal endpoints of up to three other processes
-  uint32_t seeds_port = 0;         // replaces the seeds' ports; 0: they stand as they are
-  std::string readiness_endpoint;  // "ip:port" where readiness alone is asked; empty: none
+  uint32_t seeds_port = 0;         // replaces the seeds' ports; 0: unchanged
+  std::string readiness_endpoint;  // "ip:port" of the readiness listener; empty: none
   std::string inventory_endpoint;  // "ip:port" of the platform's inventory
   runtime::Duration drain_deadline = std::chrono::seconds(20);  // SIGTERM to exit at the latest
-  // From SIGTERM until new connections are refused, while readiness already says no.
+  // From SIGTERM until new connections are refused; readiness fails at once.
   runtime::Duration drain_notice{0};
-  std::string admin_token_sha256;  // operators' bearer token, hashed; empty: none is asked
+  std::string admin_token_sha256;  // operators' bearer token, hashed; empty: none required
   std::string data_folder;         // of a controller: log and snapshots
   std::string log_file;            // empty: stderr
   runtime::Severity log_level = runtime::Severity::kInfo;
@@ -39,7 +39,7 @@
   NodeSettings node;
   http::ServerLimits limits;
   runtime::Duration session_renew_interval = std::chrono::seconds(1);
-  // Index entries in memory, in bytes.
+  // Memory limit of index entries, in bytes.
   uint64_t index_budget_bytes = 64ull * 1024 * 1024;
   gateway::RoutingMode routing_mode = gateway::RoutingMode::kPrefixAware;
   // Of routed traffic, for all gateways together; see docs/design-docs/platform.md.
@@ -54,12 +54,13 @@
 struct ControllerSettings {
   NodeSettings node;
   http::ServerLimits limits;
-  // How many fresh controllers must see each other before they form the first cluster.
+  // Number of fresh controllers that must find each other to form the first cluster.
   uint32_t bootstrap_expect = 3;
-  // Only the controllers at the seed addresses form the first cluster, all of them together; for
-  // fleets whose processes all get the same seeds and aren't told how many controllers there are.
+  // Only the controllers at the seed addresses form the first cluster, all of them together. For
+  // fleets whose processes all have the same seeds and are not configured with the number of
+  // controllers.
   bool founded_by_seeds = false;
-  // Voters that automatic repair keeps up.
+  // Number of voters that automatic repair maintains.
   uint32_t target_voters = 3;
   runtime::Duration session_lease = std::chrono::seconds(4);
   runtime::Duration inventory_poll_interval = std::chrono::milliseconds(500);
--- a/src/posthatch/server/settings/setting_description.h
+++ b/src/posthatch/server/settings/setting_description.h
@@ -12,7 +12,7 @@
 
 enum class Role { kGateway, kController };
 
-// What is being read: the common settings stand here and are copied into the role's at the end.
+// Settings while a file is read: the common ones are copied into the role's settings at the end.
 struct SettingsDraft {
   NodeSettings node;
   http::ServerLimits limits;
@@ -20,7 +20,7 @@
   ControllerSettings controller;
 };
 
-// What a setting's text or number must be.
+// The type of a setting, which its value is checked against.
 enum class SettingKind {
   kText,          // any text without control characters
   kName,          // 1 to 64 of a-z A-Z 0-9 . _ -
@@ -44,7 +44,7 @@
 enum class SettingRoles { kBoth, kGateway, kController };
 
 // One setting. Its key in the file is `table`.`name`; its flag is --name with '-' for '_'. Its
-// default is that of the field it fills.
+// default is that of the field that `target` points to.
 struct SettingDescription {
   std::string_view table;
   std::string_view name;
--- a/src/posthatch/server/settings/setting_tables.h
+++ b/src/posthatch/server/settings/setting_tables.h
@@ -5,8 +5,8 @@
 
 #include "posthatch/server/settings/setting_description.h"
 
-// The settings, one table of the settings file a function, each in a file of its own. Private to
-// settings_table.cc, which puts them together.
+// The settings, one function for each table of the settings file, each in its own source file.
+// Private to settings_table.cc, which joins them.
 namespace posthatch::server {
 
 inline constexpr int64_t kKibibyte = 1024;
@@ -17,7 +17,7 @@
 std::vector<SettingDescription> NodeTable();
 std::vector<SettingDescription> LimitsTable();
 std::vector<SettingDescription> GatewayTable();
-// The mechanisms of routed traffic, each a switch; off only to measure what it is worth.
+// Switches of the routing mechanisms; off only to measure their effect.
 std::vector<SettingDescription> RoutingTable();
 std::vector<SettingDescription> ControllerTable();
 
--- a/src/posthatch/server/settings/setting_value.h
+++ b/src/posthatch/server/settings/setting_value.h
@@ -11,10 +11,10 @@
 
 namespace posthatch::server {
 
-// A value as it stood in the file or in a flag, before it is checked.
+// A value from the file or a flag, before it is checked.
 using RawSetting = std::variant<std::string, int64_t, std::vector<std::string>>;
 
-// Turns a flag's text into what the file would have held. Errors: InvalidArgument.
+// Converts a flag's text to the value a file would have. Errors: InvalidArgument.
 absl::StatusOr<RawSetting> RawFromText(const SettingDescription& setting, const std::string& text);
 
 // Checks `value` against kind and range and stores it. Errors: InvalidArgument, with the allowed
--- a/src/posthatch/server/settings/settings_loader.cc
+++ b/src/posthatch/server/settings/settings_loader.cc
@@ -16,7 +16,7 @@
 
 constexpr const char* kCommandLine = "command line";
 
-// Where a value came from, for messages.
+// A value and its source, for messages.
 struct LocatedValue {
   RawSetting value;
   std::string file;
@@ -50,7 +50,7 @@
     return nullptr;
   }
 
-  // Returns false if the file is no TOML: then nothing else can be said of it.
+  // Returns false if the file is not TOML: nothing else can be checked then.
   bool ReadFile() {
     try {
       const toml::table document = toml::parse(source_.text, source_.file_name);
@@ -145,7 +145,7 @@
     }
   }
 
-  // What no single setting can tell.
+  // Rules that involve several settings.
   void CheckCombinations(const SettingsDraft& draft) {
     const bool any_port = draft.node.http_endpoint.ends_with(":0");
     if (draft.node.internal_endpoint == draft.node.http_endpoint && !any_port) {
--- a/src/posthatch/server/settings/settings_loader.h
+++ b/src/posthatch/server/settings/settings_loader.h
@@ -7,7 +7,7 @@
 
 namespace posthatch::server {
 
-// Something wrong with the settings.
+// An error in the settings.
 struct SettingsError {
   std::string file;  // "command line" for flags
   int line = 0;      // 0 if it has no line: a missing key, or a flag
@@ -30,8 +30,8 @@
   std::vector<SettingOverride> overrides;
 };
 
-// Check a whole settings file with the flags that override it, and fill `settings` if nothing is
-// wrong. Return every error found (of a file that is no TOML only the first), none if all is well.
+// Check a complete settings file and the flags that override it, and fill `settings` if there is no
+// error. Return every error found (only the first if the file is not TOML).
 std::vector<SettingsError> LoadGatewaySettings(const SettingsSource& source,
                                                GatewaySettings* settings);
 std::vector<SettingsError> LoadControllerSettings(const SettingsSource& source,
--- a/src/posthatch/server/settings/settings_page.cc
+++ b/src/posthatch/server/settings/settings_page.cc
@@ -42,7 +42,7 @@
   std::string operator()(const gateway::RoutingMode* mode) const {
     return absl::StrCat("\"", util::ToAbsl(gateway::RoutingModeName(*mode)), "\"");
   }
-  // The default level is the only one that is ever formatted.
+  // Only the default level is ever formatted.
   std::string operator()(const runtime::Severity*) const { return "\"info\""; }
 };
 
--- a/src/posthatch/server/settings/settings_watch.h
+++ b/src/posthatch/server/settings/settings_watch.h
@@ -8,9 +8,9 @@
 
 namespace posthatch::server {
 
-// Watches a process's settings file for seeds that have moved: the one setting that changes while
-// a process runs. Looked at on demand and every few seconds, since not every platform sends a
-// signal. Owned by the process's runner; event loop thread only.
+// Watches a process's settings file for changed seeds: the only setting that may change while a
+// process runs. Checked on demand and every few seconds, since not every platform sends a signal.
+// Owned by the process runner; event loop thread only.
 class SettingsWatch {
  public:
   // Reads the file and returns its seeds; empty if it can't be read or isn't valid.
@@ -20,7 +20,7 @@
   SettingsWatch(runtime::TimerService* timers, std::string file, std::vector<std::string> seeds,
                 ReadSeeds read_seeds, OnChange on_change);
   void Start();
-  // Reads the file now, whether or not it looks changed.
+  // Reads the file now, even if its modification time is unchanged.
   void Reload();
 
  private:
@@ -34,7 +34,7 @@
   runtime::Timer timer_;
 };
 
-// The endpoints with `port` in place of their own; as they are if `port` is 0.
+// The endpoints with their ports replaced by `port`; unchanged if `port` is 0.
 std::vector<std::string> WithPort(std::vector<std::string> endpoints, uint32_t port);
 
 }  // namespace posthatch::server
--- a/src/posthatch/simulation/event_queue.cc
+++ b/src/posthatch/simulation/event_queue.cc
@@ -60,7 +60,7 @@
 
 void EventQueue::Clear() {
   heap_.clear();
-  // Destroying a callback may schedule or cancel others, so the slots stay usable meanwhile.
+  // Destroying a callback may schedule or cancel others, so the slots stay valid meanwhile.
   for (size_t slot = 0; slot < slots_.size(); ++slot) {
     const Callback callback = std::move(slots_[slot].callback);
     slots_[slot].callback = nullptr;
--- a/src/posthatch/simulation/event_queue.h
+++ b/src/posthatch/simulation/event_queue.h
@@ -11,28 +11,28 @@
 
 using Callback = absl::AnyInvocable<void()>;
 
-// Names one scheduled event; 0 is never a valid id.
+// Identifies one scheduled event; 0 is never a valid id.
 using EventId = uint64_t;
 
-// Events in virtual time. Equal times run in the order of scheduling. Cancellation is by
+// Events in virtual time. Events of equal time run in the order of scheduling. Cancellation is by
 // generation: the heap entry stays and is skipped when it is reached. Owned by WorldCore; single
 // thread.
 class EventQueue {
  public:
   runtime::MonotonicTime now() const { return now_; }
 
-  // Runs `callback` at `time`, or now if that has passed.
+  // Runs `callback` at `time`, or at the current time if that is later.
   EventId ScheduleAt(runtime::MonotonicTime time, Callback callback);
   EventId ScheduleAfter(runtime::Duration delay, Callback callback) {
     return ScheduleAt(now_ + delay, std::move(callback));
   }
-  // Forgets the event; ids that have run or are unknown are ignored.
+  // Cancels the event; ids that have run or are unknown are ignored.
   void Cancel(EventId event_id);
 
-  // Runs the next event if its time is not after `limit`, and returns whether one ran. Time
-  // stands at `limit` when none is left before it.
+  // Runs the next event if its time is not after `limit`, and returns whether one ran. If none is
+  // left before `limit`, the time advances to `limit`.
   bool RunNext(runtime::MonotonicTime limit);
-  // Forgets all events; at the end of the world.
+  // Drops all events; called when the world is destroyed.
   void Clear();
 
  private:
--- a/src/posthatch/simulation/fifo.h
+++ b/src/posthatch/simulation/fifo.h
@@ -6,8 +6,8 @@
 
 namespace posthatch::simulation {
 
-// A queue that takes no memory while it has never been used (a std::deque takes half a kilobyte; a
-// world has hundreds of thousands of these).
+// A queue that allocates nothing until it is first used: a std::deque takes half a kilobyte, and a
+// world has hundreds of thousands of queues.
 template <typename Element>
 class Fifo {
  public:
@@ -25,7 +25,7 @@
     return element;
   }
   void clear() {
-    // Destroying elements may reach this queue again.
+    // Destroying elements may access this queue again.
     std::vector<Element> released;
     if (elements_.size() > kCompactAt || !empty()) {
       released.swap(elements_);
--- a/src/posthatch/simulation/host_executor.h
+++ b/src/posthatch/simulation/host_executor.h
@@ -10,18 +10,18 @@
 
 // How a simulated process ends.
 enum class ProcessEnd {
-  kCrash,      // the operating system goes on
+  kCrash,      // the operating system keeps running
   kPowerLoss,  // the whole machine is off
 };
 
-// Runs what happens to one simulated process, unless it is gone or frozen. Each start of the
-// process is a "life"; work scheduled for an earlier life is dropped. Owned by the host, and lives
-// as long as the world.
+// Runs the callbacks of one simulated process, unless it has ended or is frozen. Each start of the
+// process has a new process id; work scheduled for an earlier process is dropped. Owned by the
+// host; lives as long as the world.
 class HostExecutor {
  public:
   enum class Work {
     kTimer,     // runs late after a freeze
-    kNetwork,   // waits in the kernel's buffers
+    kNetwork,   // buffered by the kernel
     kDatagram,  // as kNetwork, but lost beyond kMaxWaitingDatagrams
   };
 
@@ -30,22 +30,22 @@
 
   uint32_t number() const { return number_; }
   const std::string& name() const { return name_; }
-  // The running life, or 0 when the process is not running.
+  // Id of the running process, unique in the world; 0 if none is running.
   uint64_t process_id() const { return process_id_; }
   bool running() const { return process_id_ != 0; }
   bool frozen() const { return frozen_; }
-  // False after a power loss until the next start: nothing answers, not even the kernel.
+  // False after a power loss until the next start: not even the kernel responds.
   bool powered() const { return powered_; }
-  // Whether a callback of this process is running just now.
+  // Whether a callback of this process is on the stack.
   bool executing() const { return executing_ > 0; }
 
-  // Runs `callback` if `life` is the running one: at once, or after Thaw when frozen.
+  // Runs `callback` if `process_id` is the running process: immediately, or after Thaw when frozen.
   void Run(uint64_t process_id, Work work, Callback callback);
 
   void StartProcess(uint64_t process_id);
   void EndProcess(ProcessEnd end);
   void Freeze() { frozen_ = running(); }
-  // Whether timers or the network come first on waking is the caller's choice.
+  // `timers_first`: deferred timers run before deferred network events.
   void Thaw(bool timers_first);
 
  private:
--- a/src/posthatch/simulation/host_trace.h
+++ b/src/posthatch/simulation/host_trace.h
@@ -9,7 +9,7 @@
 
 namespace posthatch::simulation {
 
-// Trace events of one host, written into the world's log as "seconds host Type key=value ...".
+// Writes the trace events of one host to the world's log: "seconds host Type key=value ...".
 class HostTrace : public runtime::TraceSink {
  public:
   HostTrace(WorldCore* core, std::string host_name)
--- a/src/posthatch/simulation/http_connection.cc
+++ b/src/posthatch/simulation/http_connection.cc
@@ -33,7 +33,7 @@
   request_pipe_->set_on_error([weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->OnServerClosed();
   });
-  // The first, empty message stands for the handshake; the server's kernel answers it.
+  // The first, empty message represents the handshake, which the server's kernel completes.
   request_pipe_->Push(0, id_, [] {});
 }
 
--- a/src/posthatch/simulation/http_connection.h
+++ b/src/posthatch/simulation/http_connection.h
@@ -9,11 +9,11 @@
 
 namespace posthatch::simulation {
 
-// A simulated HTTP/1.1 connection: a pipe each way and the two ends. Owned by its ends (the
-// client's pool or call, and the server); what is on the way refers to it weakly.
+// A simulated HTTP/1.1 connection: a pipe in each direction and the two ends. Owned by its ends
+// (the client's pool or call, and the server); messages in flight refer to it weakly.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
  public:
-  // What the client's side of a connection is told, in the client's context.
+  // Events at the client's side, in the client's context.
   class ClientEnd {
    public:
     virtual ~ClientEnd() = default;
@@ -23,7 +23,7 @@
     virtual void OnEnd() = 0;
     virtual void OnClosed() = 0;
   };
-  // What the server's side is told, in the server's context.
+  // Events at the server's side, in the server's context.
   class ServerEnd {
    public:
     virtual ~ServerEnd() = default;
--- a/src/posthatch/simulation/network.h
+++ b/src/posthatch/simulation/network.h
@@ -16,8 +16,9 @@
 class SimHttpServer;
 class SimTransport;
 
-// Links between hosts and who listens where. Hosts are named by their numbers. The hash maps are
-// only looked up, never iterated, so their order can't reach a run. Owned by WorldCore.
+// Links between hosts, and the registry of listeners. Hosts are identified by their numbers. The
+// hash maps are only looked up, never iterated, so their order can't influence a run. Owned by
+// WorldCore.
 class Network {
  public:
   explicit Network(runtime::Random* random) : random_(random) {}
@@ -30,17 +31,16 @@
   void HealAll() { partitions_.clear(); }
   void SlowLink(uint32_t from, uint32_t to, runtime::Duration extra_delay);
 
-  // Whether nothing gets through from one host to another just now.
+  // Whether messages from one host to another are blocked at the moment.
   bool IsPartitioned(uint32_t from, uint32_t to) const {
     return !partitions_.empty() && partitions_.contains(Key(from, to));
   }
-  // A delay for one message, drawn by seed.
+  // A random delay for one message.
   runtime::Duration SampleDelay(uint32_t from, uint32_t to);
 
-  // The first host added with an ip is the machine that answers for unused ports of it.
+  // The first host added with an ip responds for its unused ports.
   void AddAddress(const std::string& ip, HostExecutor* host);
-  // The host that answers at "ip:port": the one listening there, else the owner of the ip, else
-  // null (nobody has the address).
+  // The host that responds at "ip:port": the listener, else the owner of the ip, else null.
   HostExecutor* FindTarget(const std::string& endpoint) const;
 
   bool AddTransport(const std::string& endpoint, HostExecutor* host, SimTransport* transport);
@@ -52,7 +52,7 @@
   SimHttpServer* FindServer(const std::string& endpoint) const;
 
  private:
-  // Who listens at an endpoint.
+  // The listener at an endpoint.
   struct TransportBinding {
     HostExecutor* host;
     SimTransport* transport;
--- a/src/posthatch/simulation/pipe.cc
+++ b/src/posthatch/simulation/pipe.cc
@@ -6,10 +6,9 @@
 namespace posthatch::simulation {
 namespace {
 
-// Of the stream messages hit by loss, the share whose connection breaks instead of waiting for a
-// retransmission.
+// Fraction of lost stream messages that break the connection instead of being retransmitted.
 constexpr double kBreakProbabilityOnLoss = 0.1;
-// Chance that a reset is noticed late, and how late at most.
+// Probability that a reset is delayed, and its maximum delay.
 constexpr double kDelayedResetProbability = 0.2;
 constexpr runtime::Duration kMaxResetDelay = std::chrono::seconds(3);
 
@@ -104,7 +103,7 @@
     to_process_id_ = accept();
   }
   if (to_process_id_ != 0 && to_process_id_ == to_->process_id()) return !broken_;
-  // Nobody listens, or the process that did is gone: its kernel answers with a reset.
+  // No listener, or its process has ended: the kernel responds with a reset.
   Reset();
   return false;
 }
@@ -188,7 +187,7 @@
   buffered_bytes_ = 0;
   on_error_ = nullptr;
   on_writable_ = nullptr;
-  // The kernel of a killed process may still send what it holds, or reset at once.
+  // The kernel of a killed process may still send its buffer, or reset at once.
   if (core_->random.Chance(0.5)) {
     for (const Message& message : network_) window_bytes_ -= message.bytes;
     network_.clear();
--- a/src/posthatch/simulation/pipe.h
+++ b/src/posthatch/simulation/pipe.h
@@ -9,40 +9,39 @@
 
 namespace posthatch::simulation {
 
-// One direction of a simulated TCP connection: messages arrive in order, whole, once, until the
-// pipe breaks. Models the sender's buffer, what is on the way (bounded by a window), the receiver's
-// unread data, retransmission over cut links and the give-up after kMinStall to kMaxStall. Shared
-// by its ends and its pending event.
+// One direction of a simulated TCP connection: messages arrive complete, in order and exactly once,
+// until the pipe breaks. Models the sender's buffer, the data in flight (bounded by a window), the
+// receiver's unread data, retransmission over partitioned links, and failure after kMinStall to
+// kMaxStall. Shared by its ends and its pending event.
 class Pipe : public std::enable_shared_from_this<Pipe> {
  public:
-  // Binds the receiving process when the first message arrives: its life, or 0 if it refuses.
+  // Called when the first message arrives: returns the id of the receiving process, or 0 to refuse.
   using Accept = absl::AnyInvocable<uint64_t()>;
 
-  // `to` may be null: nobody has the address. `to_process_id` is 0 until `accept` binds it.
+  // `to` is null if no host has the address. `to_process_id` is 0 until `accept` binds it.
   Pipe(WorldCore* core, TraceKind kind, HostExecutor* from, HostExecutor* to,
        uint64_t to_process_id);
 
-  // Holds the first message back for the time that setting up a connection takes.
+  // Delays the first message by the time of a connection handshake.
   void AddSetupDelay();
   void set_accept(Accept accept) { accept_ = std::move(accept); }
-  // Runs at the sender when the pipe has broken by refusal, reset or time-out; not after Break.
+  // Runs at the sender when the pipe breaks by refusal, reset or timeout; not after Break.
   void set_on_error(Callback on_error) { on_error_ = std::move(on_error); }
 
-  // Runs `deliver` at the receiver once the message of `bytes` bytes has arrived. `digest` is mixed
+  // Runs `deliver` at the receiver when the message of `bytes` bytes arrives; `digest` is mixed
   // into the trace hash then.
   void Push(size_t bytes, uint64_t digest, Callback deliver);
-  // Ends the pipe from the sender's side although messages may be on the way: what is still in the
-  // sender's buffer is lost. `deliver`, if given, follows at the receiver (the reset), some time
-  // late by seed.
+  // Closes the pipe at the sender while messages may be in flight: the sender's buffer is lost.
+  // `deliver`, if given, runs at the receiver after them (the reset), with a random delay.
   void CloseSender(Callback deliver);
-  // Breaks as if the receiver had answered with a reset.
+  // Breaks as if the receiver had sent a reset.
   void Reset();
-  // Drops everything; nothing runs any more at either end.
+  // Drops everything; no callback runs at either end any more.
   void Break();
 
   bool broken() const { return broken_; }
   bool established() const { return to_process_id_ != 0; }
-  // Bytes not yet handed to the network.
+  // Bytes not sent yet.
   size_t buffered_bytes() const { return buffered_bytes_; }
   // Runs `callback` once at the sender when fewer than `threshold` bytes are buffered.
   void NotifyWritable(size_t threshold, Callback callback);
@@ -65,7 +64,7 @@
   void Transmit(Message message);
   void ScheduleArrival(runtime::MonotonicTime time);
   void Arrive();
-  // Whether the way to the receiver is blocked; arranges a later try or gives up.
+  // Whether the link is blocked; schedules a retransmission or fails the pipe.
   bool Stalled();
   bool BindReceiver();
   void RequestDrain();
@@ -87,7 +86,7 @@
   Fifo<Message> network_;
   Fifo<Message> unread_;
   size_t buffered_bytes_ = 0;
-  size_t window_bytes_ = 0;  // in network_ and unread_
+  size_t window_bytes_ = 0;  // bytes in network_ and unread_
   size_t writable_threshold_ = 0;
   Callback on_writable_;
   runtime::MonotonicTime last_arrival_;
--- a/src/posthatch/simulation/sim_call.h
+++ b/src/posthatch/simulation/sim_call.h
@@ -11,8 +11,8 @@
 
 class SimHttpClient;
 
-// One running call: connection, time-outs, and the order of the observer's callbacks. Shared by the
-// caller's handle and the connection.
+// One call in progress: connection, timeouts, and the order of the observer's callbacks. Shared by
+// the caller's handle and the connection.
 class SimCall : public HttpConnection::ClientEnd, public std::enable_shared_from_this<SimCall> {
  public:
   SimCall(SimHttpClient* client, std::string endpoint, http::Request request,
@@ -34,9 +34,9 @@
   void StartBodyIdleTimer(runtime::Duration delay);
   void CheckBodyIdle();
   void Fail(absl::Status status);
-  // Called after each callback: frees an observer that ended the call from within.
+  // Called after each callback: frees the observer if the callback ended the call.
   void ReleaseObserver();
-  // Ends the call's use of the connection; `keep` gives it back to the pool.
+  // Ends the call; `keep` returns the connection to the pool.
   void Finish(bool keep);
 
   SimHttpClient* const client_;
@@ -45,7 +45,7 @@
   const http::CallOptions options_;
   http::CallObserver observer_;
   std::shared_ptr<HttpConnection> connection_;
-  // Connecting, then waiting for the status line, then for pieces.
+  // For the connection, then the status line, then the body's chunks.
   runtime::Timer timer_;
   runtime::MonotonicTime last_chunk_at_{};
   http::CallProgress progress_ = http::CallProgress::kNotSent;
--- a/src/posthatch/simulation/sim_clock.h
+++ b/src/posthatch/simulation/sim_clock.h
@@ -5,8 +5,8 @@
 
 namespace posthatch::simulation {
 
-// A host's clocks. The monotonic one is the world's time, equal on all hosts, and goes on through a
-// freeze; the wall clock starts at a fixed date and may be made to jump.
+// A host's clocks. The monotonic clock is the world's time, equal on all hosts, and continues
+// during a freeze; the wall clock starts at a fixed date and can be made to jump.
 class SimClock : public runtime::Clock {
  public:
   explicit SimClock(const EventQueue* queue) : queue_(queue) {}
--- a/src/posthatch/simulation/sim_disk.cc
+++ b/src/posthatch/simulation/sim_disk.cc
@@ -58,7 +58,7 @@
   absl::StatusOr<std::shared_ptr<File>> file = FindOrCreateFile(path);
   if (!file.ok()) return file.status();
   if (full_ && !data.empty()) {
-    // A real write may come to a part of the data before the disk is full.
+    // A real write may write a part of the data before the disk is full.
     (*file)->content.append(data, 0, random_->Uniform(data.size()));
     return FullError();
   }
@@ -173,10 +173,10 @@
     const size_t tail = file->content.size() - durable.size();
     file->content.resize(durable.size() + random_->Uniform(tail + 1));
   } else if (file->content.size() < durable.size() && durable.starts_with(file->content)) {
-    // Truncated and not synced: the cut may have reached the disk or not.
+    // Truncated and not synced: the truncation may be durable or not.
     if (random_->Chance(0.5)) file->content = durable;
   } else {
-    // Rewritten in place and not synced: the old content, or the new one torn anywhere.
+    // Overwritten and not synced: the old content, or the new one torn at any byte.
     if (random_->Chance(0.5)) {
       file->content = durable;
     } else {
--- a/src/posthatch/simulation/sim_disk.h
+++ b/src/posthatch/simulation/sim_disk.h
@@ -26,7 +26,7 @@
   absl::StatusOr<std::string> ReadFile(const std::string& path) const;
   absl::StatusOr<std::vector<std::string>> ListDirectory(const std::string& path) const;
 
-  // Drops what was not synced; of a file's unsynced tail any prefix may stay, by seed.
+  // Drops what was not synced; a random prefix of a file's unsynced tail may remain.
   void PowerLoss();
   // Empties the data folder.
   void Wipe();
--- a/src/posthatch/simulation/sim_file_system.h
+++ b/src/posthatch/simulation/sim_file_system.h
@@ -10,14 +10,14 @@
 
 namespace posthatch::simulation {
 
-// How slow a host's disk is; shared by all lives of the host.
+// Speed of a host's disk; shared by all processes of the host.
 struct DiskSpeed {
   runtime::Duration per_sync = std::chrono::milliseconds(1);
   runtime::Duration per_operation = std::chrono::microseconds(20);
 };
 
-// One life's view of its host's disk. At a crash, the batch that is running has done any prefix of
-// its operations, and those behind it none. Owned by the host's runtime.
+// One process's access to its host's disk. After a crash, a random prefix of the running batch has
+// been applied, and no later batch. Owned by the host's runtime.
 class SimFileSystem : public runtime::FileSystem {
  public:
   SimFileSystem(WorldCore* core, HostExecutor* host, SimDisk* disk, const DiskSpeed* speed);
@@ -30,8 +30,8 @@
     return disk_->ListDirectory(path);
   }
 
-  // Called at the end of the life: leaves the running batch half done, as a crash does. The object
-  // stays and ignores calls.
+  // Called when the process ends: leaves the running batch partially applied. The object remains
+  // and ignores calls.
   void Shutdown();
 
  private:
--- a/src/posthatch/simulation/sim_host_impl.h
+++ b/src/posthatch/simulation/sim_host_impl.h
@@ -14,7 +14,7 @@
 
 namespace posthatch::simulation {
 
-// What SimWorld makes of SimHost. Owned by SimWorld.
+// Implementation of SimHost. Owned by SimWorld.
 class SimHostImpl : public SimHost {
  public:
   SimHostImpl(WorldCore* core, uint32_t number, const std::string& name, std::string zone,
@@ -57,8 +57,8 @@
   SimDisk disk_;
   DiskSpeed disk_speed_;
   Boot boot_;
-  std::unique_ptr<HostRuntime> runtime_;  // of the running life
-  // Runtimes of ended lives: whoever still points at one finds an object that ignores calls.
+  std::unique_ptr<HostRuntime> runtime_;  // of the running process
+  // Of ended processes: remaining pointers refer to objects that ignore calls.
   std::vector<std::unique_ptr<HostRuntime>> ended_runtimes_;
   std::shared_ptr<void> process_;
 };
--- a/src/posthatch/simulation/sim_http_client.cc
+++ b/src/posthatch/simulation/sim_http_client.cc
@@ -22,7 +22,7 @@
   }
 
  private:
-  const std::shared_ptr<SimCall> call_;  // null if the client's life had ended
+  const std::shared_ptr<SimCall> call_;  // null if the client's process had ended
 };
 
 }  // namespace
--- a/src/posthatch/simulation/sim_http_client.h
+++ b/src/posthatch/simulation/sim_http_client.h
@@ -13,8 +13,8 @@
 
 namespace posthatch::simulation {
 
-// Calls of one life of a host, with a pool of kept connections per endpoint. Owned by the host's
-// runtime; stays after the end of its life and then ignores calls.
+// HTTP calls of one process of a host, with a pool of persistent connections per endpoint. Owned by
+// the host's runtime; remains after the end of its process and then ignores calls.
 class SimHttpClient : public http::HttpClient {
  public:
   SimHttpClient(WorldCore* core, HostExecutor* host, const runtime::Clock* clock,
@@ -28,7 +28,7 @@
   void Shutdown();
 
   // For SimCall.
-  // A kept connection that is idle, or null.
+  // An idle pooled connection, or null.
   std::shared_ptr<HttpConnection> TakeIdle(const std::string& endpoint);
   std::shared_ptr<HttpConnection> NewConnection(const std::string& endpoint);
   void ReturnToPool(const std::string& endpoint, std::shared_ptr<HttpConnection> connection);
@@ -46,7 +46,7 @@
   runtime::TimerService* const timers_;
   absl::btree_map<std::string, std::vector<std::shared_ptr<HttpConnection>>> idle_;
   std::map<uint64_t, std::weak_ptr<HttpConnection>> connections_;
-  size_t sweep_at_ = kMinSweep;  // size of connections_ at which dead ones are dropped
+  size_t sweep_at_ = kMinSweep;  // size of connections_ at which closed ones are removed
 };
 
 }  // namespace posthatch::simulation
--- a/src/posthatch/simulation/sim_http_server.h
+++ b/src/posthatch/simulation/sim_http_server.h
@@ -11,14 +11,14 @@
 
 namespace posthatch::simulation {
 
-// One listening endpoint of one life of a host. Owned by its factory and by the handle that Listen
-// returned; either closes it.
+// One listening endpoint of one process of a host. Owned by its factory and by the handle that
+// Listen returned; either closes it.
 class SimHttpServer : public std::enable_shared_from_this<SimHttpServer> {
  public:
   SimHttpServer(WorldCore* core, HostExecutor* host, runtime::TimerService* timers,
                 std::string endpoint, http::ServerLimits limits, http::Handler handler);
 
-  // The kernel's part of accepting: returns the life that took the connection.
+  // Accepts in the kernel: returns the id of the accepting process.
   uint64_t Accept(const std::shared_ptr<HttpConnection>& connection);
   void Drain();
   // Closes all connections and stops listening; idempotent.
@@ -46,7 +46,7 @@
   std::map<uint64_t, std::shared_ptr<SimServerConnection>> connections_;
 };
 
-// Owned by the host's runtime; stays after the end of its life and then refuses.
+// Owned by the host's runtime; remains after the end of its process and then refuses.
 class SimHttpServerFactory : public http::HttpServerFactory {
  public:
   SimHttpServerFactory(WorldCore* core, HostExecutor* host, runtime::TimerService* timers)
--- a/src/posthatch/simulation/sim_server_connection.h
+++ b/src/posthatch/simulation/sim_server_connection.h
@@ -13,8 +13,8 @@
 
 class SimHttpServer;
 
-// The server's side of one connection: one request at a time, each answered through a writer.
-// Owned by the server; writers refer to it weakly.
+// The server's side of one connection: one request at a time, each with a response writer. Owned by
+// the server; writers refer to it weakly.
 class SimServerConnection : public HttpConnection::ServerEnd,
                             public std::enable_shared_from_this<SimServerConnection> {
  public:
@@ -33,7 +33,7 @@
   void OnWritable(uint64_t exchange, std::function<void()> callback);
   void OnCallerDisconnected(uint64_t exchange, std::function<void()> callback);
 
-  // Closes unless an answer is running; then it closes after the answer.
+  // Closes now if idle, otherwise after the response in progress.
   void CloseWhenIdle();
   void Close();
 
--- a/src/posthatch/simulation/sim_timer_service.h
+++ b/src/posthatch/simulation/sim_timer_service.h
@@ -9,13 +9,13 @@
 
 namespace posthatch::simulation {
 
-// Timers of one life of a host. A timer that fires while the host is frozen can still be cancelled
-// by a callback that runs before it on waking. Owned by the host's runtime.
+// Timers of one process of a host. A timer that fires while the host is frozen can still be
+// cancelled by a callback that runs before it after the freeze. Owned by the host's runtime.
 class SimTimerService : public runtime::TimerService {
  public:
   SimTimerService(EventQueue* queue, HostExecutor* host)
       : queue_(queue), host_(host), process_id_(host->process_id()) {}
-  // Called at the end of the life; the object stays and ignores calls.
+  // Called when the process ends; the object remains and ignores calls.
   void Shutdown();
 
   runtime::TimerId Schedule(runtime::Duration delay, std::function<void()> callback) override;
--- a/src/posthatch/simulation/sim_transport.cc
+++ b/src/posthatch/simulation/sim_transport.cc
@@ -7,7 +7,7 @@
 namespace posthatch::simulation {
 namespace {
 
-// How far a reordered datagram may be held back, in maximum delays.
+// Maximum extra delay of a reordered datagram, in maximum delays.
 constexpr int kReorderingSpread = 5;
 constexpr size_t kEnvelopeBytes = 64;
 
--- a/src/posthatch/simulation/sim_transport.h
+++ b/src/posthatch/simulation/sim_transport.h
@@ -11,13 +11,13 @@
 
 namespace posthatch::simulation {
 
-// Internal messages of one life of a host. Streams: one connection per target endpoint, made at the
-// first message, remade at the next message after it broke; what was on a broken connection is
-// lost. Owned by the host's runtime.
+// Internal messages of one process of a host. Streams: one connection per target endpoint, opened
+// at the first message and reopened at the next message after it broke; messages on a broken
+// connection are lost. Owned by the host's runtime.
 class SimTransport : public runtime::Transport {
  public:
   SimTransport(WorldCore* core, HostExecutor* host, std::string endpoint, uint64_t incarnation);
-  // Called at the end of the life; the object stays and ignores calls.
+  // Called when the process ends; the object remains and ignores calls.
   void Shutdown();
 
   const std::string& endpoint() const override { return endpoint_; }
@@ -27,7 +27,7 @@
   void Send(const std::string& to_endpoint, runtime::Service service, std::string payload,
             runtime::Delivery delivery) override;
 
-  // Hands an arrived message to its receiver; called in this host's context.
+  // Delivers a message to its receiver; called in this host's context.
   void Deliver(const runtime::Envelope& envelope);
   uint64_t process_id() const { return process_id_; }
   // Messages dropped because a stream's queue was full or a datagram was too large.
--- a/src/posthatch/simulation/sim_world.h
+++ b/src/posthatch/simulation/sim_world.h
@@ -9,8 +9,8 @@
 
 #include "posthatch/runtime/runtime.h"
 
-// The deterministic simulator: many hosts in one thread, in virtual time, from one seed. Equal seed
-// and equal calls give an equal trace hash.
+// The deterministic simulator: many hosts in one thread, in virtual time, from one seed. Equal
+// seeds and equal calls give equal trace hashes.
 namespace posthatch::simulation {
 
 class SimHost;
@@ -21,8 +21,8 @@
 struct NetworkBehaviour {
   runtime::Duration min_delay = std::chrono::microseconds(200);
   runtime::Duration max_delay = std::chrono::milliseconds(2);
-  // Of datagrams. A stream message that is hit waits 200 ms for its retransmission; one hit in ten
-  // breaks the connection instead.
+  // Of datagrams. A lost stream message waits 200 ms for its retransmission; one in ten breaks the
+  // connection instead.
   double loss = 0.0;
   double duplication = 0.0;  // of datagrams
   double reordering = 0.0;   // of datagrams
@@ -39,8 +39,8 @@
   SimWorld& operator=(const SimWorld&) = delete;
 
   // One process with its own disk, on the machine with address `ip`; `name` is its node id. Hosts
-  // may share an ip if their ports differ or they don't run together (the later one takes the
-  // address over). Any port of the ip may be listened on.
+  // may share an ip if their ports differ or they don't run together (the later one takes over the
+  // address). Any port of the ip may be listened on.
   SimHost* AddHost(const std::string& name, const std::string& zone, const std::string& ip,
                    uint16_t internal_port = kDefaultInternalPort,
                    uint16_t http_port = kDefaultHttpPort);
@@ -57,7 +57,7 @@
   void At(runtime::Duration delay, std::function<void()> action);
 
   runtime::Random* random();
-  // Hash over every trace event, message delivery and disk completion so far.
+  // Hash of all trace events, message deliveries and disk completions so far.
   uint64_t trace_hash() const;
   // The same without the text of trace events: unchanged by a renamed event.
   uint64_t behaviour_hash() const;
@@ -65,13 +65,13 @@
   std::vector<std::string> RecentTrace() const;
 
   void SetNetwork(const NetworkBehaviour& behaviour);
-  // Cuts messages and connections from one host to another, in that direction only. Connections
-  // stall; they go on if the cut is healed in time, and break after 8 to 16 s otherwise. Unknown
-  // names end the program: a scenario that names them is wrong.
+  // Partitions one host from another, in this direction only. Connections stall; they continue if
+  // the partition is healed in time, and break after 8 to 16 s otherwise. Unknown names abort the
+  // program: a scenario that names them is wrong.
   void Partition(const std::string& from, const std::string& to);
   void Heal(const std::string& from, const std::string& to);
   void HealAll();
-  // Extra delay on everything from one host to another; zero takes it away.
+  // Extra delay of everything from one host to another; zero removes it.
   void SlowLink(const std::string& from, const std::string& to, runtime::Duration extra_delay);
 
  private:
@@ -86,8 +86,8 @@
 class SimHost {
  public:
   // Builds the host's process on its runtime; the returned object is the process and is destroyed
-  // at a crash. Called anew at each start. The runtime outlives the process and ignores calls after
-  // its end.
+  // at a crash. Called at each start. The runtime outlives the process and ignores calls after its
+  // end.
   using Boot = std::function<std::shared_ptr<void>(runtime::Runtime*)>;
 
   virtual ~SimHost() = default;
@@ -104,17 +104,17 @@
   // Valid while running; for tests that talk to components directly.
   virtual runtime::Runtime* runtime() = 0;
 
-  // The process ends at once; connections break, which peers see, some of them late; the operating
-  // system keeps what was written and refuses new connections. May be called by the process itself;
-  // it then ends when the running callback has returned.
+  // The process ends immediately. Connections break, which some peers see with a delay; the
+  // operating system keeps written files and refuses new connections. May be called by the process
+  // itself; it then ends when the running callback returns.
   virtual void Crash() = 0;
-  // As Crash, but the machine is off: peers see nothing but silence until the next Start, and every
-  // write not synced is lost, file contents and folder entries alike; a file being written may keep
-  // any prefix of its unsynced tail, by seed.
+  // As Crash, but the machine is off: peers get no response until the next Start, and every write
+  // not synced is lost, file contents and folder entries alike; a random prefix of a file's
+  // unsynced tail may remain.
   virtual void PowerLoss() = 0;
   virtual void LoseDisk() = 0;  // only while not running: the data folder is empty at next start
-  // No callback of this host runs until Thaw; its clock goes on; messages wait or are lost as by
-  // a real kernel (streams wait, datagrams beyond a small buffer are lost).
+  // No callback of this host runs until Thaw. Its clock continues; stream messages wait as in a
+  // real kernel, and datagrams beyond a small buffer are lost.
   virtual void Freeze() = 0;
   virtual void Thaw() = 0;
   virtual void JumpWallClock(runtime::Duration delta) = 0;
--- a/src/posthatch/simulation/trace_log.h
+++ b/src/posthatch/simulation/trace_log.h
@@ -11,12 +11,12 @@
 
 namespace posthatch::simulation {
 
-// The world's record: two running XXH3 hashes over all that happened, and the newest trace lines
-// for reading. Owned by WorldCore.
+// Two running XXH3 hashes over all events of the world, and the newest trace lines. Owned by
+// WorldCore.
 class TraceLog {
  public:
-  // Mixes one happening (a delivery, a disk completion) into the hash. `kind` tells happenings
-  // apart, `actor` and `peer` are host numbers.
+  // Mixes one event (a delivery, a disk completion) into the hash. `kind` is the event's type;
+  // `actor` and `peer` are host numbers.
   void Mix(runtime::MonotonicTime time, uint32_t kind, uint32_t actor, uint32_t peer,
            std::string_view data);
   // Mixes a trace event into the hash and keeps its line. The behaviour hash gets its time and
--- a/src/posthatch/simulation/world_core.h
+++ b/src/posthatch/simulation/world_core.h
@@ -9,15 +9,15 @@
 
 namespace posthatch::simulation {
 
-// Kinds of happenings in the trace hash.
+// Types of events in the trace hash.
 enum class TraceKind : uint32_t { kDatagram = 1, kStream = 2, kHttp = 3, kDisk = 4, kProcess = 5 };
 
-// What all simulated objects of one world share. Owned by SimWorld and destroyed last.
+// State shared by all simulated objects of a world. Owned by SimWorld; destroyed last.
 struct WorldCore {
   explicit WorldCore(uint64_t world_seed)
       : seed(world_seed), random(world_seed), network(&random) {}
 
-  // Unique in this world: lives, connections.
+  // Unique in this world: process ids, connection ids.
   uint64_t NextId() { return ++last_id; }
   void Mix(TraceKind kind, uint32_t actor, uint32_t peer, std::string_view data) {
     trace.Mix(queue.now(), static_cast<uint32_t>(kind), actor, peer, data);
