--- a/src/posthatch/control/inventory/inventory_watch-test.cc
+++ b/src/posthatch/control/inventory/inventory_watch-test.cc
@@ -208,7 +208,7 @@
 class InventoryWatchTest : public testing::TestWithParam<uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, InventoryWatchTest, testing::Range<uint64_t>(1, 6));
 
-TEST_P(InventoryWatchTest, ALargeFleetWithoutControllersReadsTheListOnceAZone) {
+TEST_P(InventoryWatchTest, LargeFleetReadsOncePerZone) {
   FleetWithoutControllers fleet(GetParam(), 300, /*calls_per_second=*/100);
   fleet.world.RunFor(seconds(5));
   EXPECT_LT(fleet.TimeUntilAllSeeDraining("w3"), kDrainBound);
--- a/src/posthatch/control/inventory/zone_inventory.cc
+++ b/src/posthatch/control/inventory/zone_inventory.cc
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "posthatch/control/state/fingerprint.h"
+#include "posthatch/control/state/inventory_delta.h"
 #include "posthatch/control/state/inventory_state.h"
-#include "posthatch/control/state/section_deltas.h"
 
 namespace posthatch::control {
 
--- a/src/posthatch/control/state/control_state.cc
+++ b/src/posthatch/control/state/control_state.cc
@@ -4,14 +4,22 @@
 
 #include "absl/status/status.h"
 #include "posthatch/control/state/fingerprint.h"
+#include "posthatch/control/state/inventory_delta.h"
 
 namespace posthatch::control {
 namespace {
 
 constexpr size_t kMaxRequestIdLength = 128;
 
-// Commands whose answers are kept for resends. The others are safe by themselves: a delivery's
-// commands by their attempt, the leader's own by what they say.
+// Names of objects (invalidation.proto).
+std::string ModelObject(const std::string& model) { return "model/" + model; }
+std::string TenantObject(const std::string& tenant) { return "tenant/" + tenant; }
+std::string WorkerObject(const std::string& backend_id) { return "worker/" + backend_id; }
+std::string StoreObject(const std::string& name) { return "store/" + name; }
+std::string DrainObject(const std::string& backend_id) { return "drain/" + backend_id; }
+
+// Whether a resend is recognised by its request id. The other commands are idempotent by
+// themselves: a delivery's by their attempt, the leader's own by their content.
 bool IsDeduplicated(const Command& command) {
   switch (command.command_case()) {
     case Command::kChangeConfiguration:
@@ -24,7 +32,7 @@
   }
 }
 
-// Equal for a resend: everything but the id itself.
+// Equal for a resend: covers everything but the request id.
 std::string ContentHash(const Command& command) {
   Command content = command;
   content.clear_request_id();
@@ -41,12 +49,13 @@
 }  // namespace
 
 std::string ControlState::Apply(uint64_t index, uint64_t /*term*/, const std::string& command) {
-  changed_objects_.clear();
   sections_changed_ = false;
   Command parsed;
-  CommandResult result = parsed.ParseFromString(command) ? ApplyCommand(index, parsed)
-                                                         : Reject("the command can't be read");
-  NotifyListeners();
+  const CommandResult result = parsed.ParseFromString(command)
+                                   ? ApplyCommand(index, parsed)
+                                   : Reject("the command can't be read");
+  objects_.NotifyListeners();
+  if (sections_changed_ && section_listener_) section_listener_();
   return SerializeDeterministically(result);
 }
 
@@ -85,7 +94,7 @@
     case Command::kDeliveryFinish:
       return deliveries_.Finish(command.delivery_finish(), DeliveryWindowMs());
     case Command::kObserveObject:
-      return ApplyObservation(command.observe_object());
+      return objects_.Observe(command.observe_object());
     case Command::kChangeTraffic:
       return ApplyTraffic(index, command.change_traffic());
     case Command::COMMAND_NOT_SET:
@@ -105,7 +114,7 @@
   sections_changed_ = true;
   UpdateIsolation(index);
   for (const Model& model : newest.configuration().models()) {
-    EnsureObject("model/" + model.name());
+    objects_.Ensure(ModelObject(model.name()));
   }
   return result;
 }
@@ -116,19 +125,17 @@
   for (const TrafficTenant& tenant : fleet_.traffic().tenants()) {
     tenants.push_back({tenant.name(), tenant.isolated()});
   }
-  const std::vector<std::string> changed = isolation_.Update(index, tenants);
+  const std::vector<std::string> changed_domains = isolation_.Update(index, tenants);
   FleetState next;
   isolation_.Save(next.mutable_isolation());
   for (const TenantIsolation& domain : next.isolation()) {
-    if (objects_.RaiseEpoch("tenant/" + domain.tenant(), domain.generation())) {
-      changed_objects_.push_back("tenant/" + domain.tenant());
-    }
-  }
-  FleetState before;
-  *before.mutable_isolation() = fleet_.isolation();
-  if (changed.empty() && SerializeDeterministically(before) == SerializeDeterministically(next)) {
-    return;
+    objects_.RaiseEpoch(TenantObject(domain.tenant()), domain.generation());
   }
+  FleetState previous;
+  *previous.mutable_isolation() = fleet_.isolation();
+  const bool same_section =
+      SerializeDeterministically(previous) == SerializeDeterministically(next);
+  if (changed_domains.empty() && same_section) return;
   fleet_.mutable_isolation()->Swap(next.mutable_isolation());
   fleet_.set_isolation_index(index);
 }
@@ -137,55 +144,61 @@
   bool changed = false;
   CommandResult result = traffic_.Apply(change, &changed);
   if (!changed) return result;
+  UpdateTrafficSection(index, change);
+  UpdateIsolation(index);
+  UpdateTrafficObjects(index);
+  return result;
+}
+
+void ControlState::UpdateTrafficSection(uint64_t index, const ChangeTraffic& change) {
   *fleet_.mutable_traffic() = traffic_.newest();
   StripSources(fleet_.mutable_traffic());
   if (change.has_patch()) {
     TrafficPatch patch = change.patch();
     StripSources(patch.mutable_upsert());
     patch.mutable_upsert()->set_version(change.version());
-    deltas_.RecordTrafficDelta(fleet_.traffic_index(), index, patch);
+    deltas_.RecordTrafficDelta(fleet_.traffic_index(), patch);
   } else {
     deltas_.ClearTraffic();
   }
   fleet_.set_traffic_index(index);
   sections_changed_ = true;
-  UpdateIsolation(index);
-  bool new_model = false;
+}
+
+void ControlState::UpdateTrafficObjects(uint64_t index) {
+  bool any_new_model = false;
   for (const TrafficService& service : fleet_.traffic().services()) {
     for (const std::string& model : service.engine().models()) {
       if (!revisions_.EnsureFirstRevision(model)) continue;
-      new_model = true;
-      if (objects_.RaiseEpoch("model/" + model, ModelRevisions::kFirstRevision)) {
-        changed_objects_.push_back("model/" + model);
-      }
+      any_new_model = true;
+      objects_.RaiseEpoch(ModelObject(model), ModelRevisions::kFirstRevision);
     }
-    if (service.has_store()) EnsureObject("store/" + service.name());
+    if (service.has_store()) objects_.Ensure(StoreObject(service.name()));
   }
-  if (new_model) PublishRevisions(index);
-  return result;
+  if (any_new_model) UpdateRevisionsSection(index);
 }
 
 CommandResult ControlState::ApplyRevision(uint64_t index, const Command& command) {
-  const SetModelRevision& order = command.set_model_revision();
+  const SetModelRevision& change = command.set_model_revision();
   CommandResult result =
-      order.revision() > 0 ? revisions_.SetNumberedRevision(command.request_id(), order)
-                           : revisions_.Apply(command.request_id(), order, fleet_.configuration());
+      change.revision() > 0
+          ? revisions_.SetNumberedRevision(command.request_id(), change)
+          : revisions_.Apply(command.request_id(), change, fleet_.configuration());
   if (result.code() != CommandResult::OK) return result;
-  const std::string object = "model/" + order.model();
-  if (objects_.RaiseEpoch(object, result.version())) changed_objects_.push_back(object);
-  PublishRevisions(index);
+  objects_.RaiseEpoch(ModelObject(change.model()), result.version());
+  UpdateRevisionsSection(index);
   return result;
 }
 
-void ControlState::PublishRevisions(uint64_t index) {
+void ControlState::UpdateRevisionsSection(uint64_t index) {
   fleet_.clear_revisions();
   revisions_.Save(fleet_.mutable_revisions());
   fleet_.set_revisions_index(index);
   sections_changed_ = true;
 }
 
-CommandResult ControlState::ApplyEvacuation(uint64_t index, const SetEvacuation& order) {
-  CommandResult result = evacuations_.Apply(order);
+CommandResult ControlState::ApplyEvacuation(uint64_t index, const SetEvacuation& command) {
+  CommandResult result = evacuations_.Apply(command);
   if (result.code() != CommandResult::OK) return result;
   fleet_.clear_evacuations();
   evacuations_.Save(fleet_.mutable_evacuations());
@@ -194,20 +207,12 @@
   return result;
 }
 
-CommandResult ControlState::ApplyInventory(uint64_t index, const SetInventory& reading) {
+CommandResult ControlState::ApplyInventory(uint64_t index, const SetInventory& command) {
   InventoryState::Change change;
-  CommandResult result = inventory_.Apply(reading, &change);
+  CommandResult result = inventory_.Apply(command, &change);
   if (!change.changed) return result;
-  for (const Backend& backend : change.appeared) {
-    if (backend.kind() == BACKEND_KIND_WORKER) EnsureObject("worker/" + backend.id());
-    if (backend.kind() == BACKEND_KIND_STORE) EnsureObject("store/" + backend.id());
-    EnsureObject("drain/" + backend.id());
-  }
-  for (const std::string& backend_id : change.began_drain) {
-    objects_.IncrementEpoch("drain/" + backend_id);
-    changed_objects_.push_back("drain/" + backend_id);
-  }
-  deltas_.RecordInventoryDelta(fleet_.inventory_index(), index,
+  UpdateInventoryObjects(change);
+  deltas_.RecordInventoryDelta(fleet_.inventory_index(),
                                ComputeDelta(fleet_.inventory(), inventory_.inventory()));
   *fleet_.mutable_inventory() = inventory_.inventory();
   fleet_.set_inventory_index(index);
@@ -215,6 +220,17 @@
   return result;
 }
 
+void ControlState::UpdateInventoryObjects(const InventoryState::Change& change) {
+  for (const Backend& backend : change.added) {
+    if (backend.kind() == BACKEND_KIND_WORKER) objects_.Ensure(WorkerObject(backend.id()));
+    if (backend.kind() == BACKEND_KIND_STORE) objects_.Ensure(StoreObject(backend.id()));
+    objects_.Ensure(DrainObject(backend.id()));
+  }
+  for (const std::string& backend_id : change.drain_started) {
+    objects_.IncrementEpoch(DrainObject(backend_id));
+  }
+}
+
 CommandResult ControlState::ApplyWorkerLeases(uint64_t index, const GrantWorkerLeases& command) {
   bool changed = false;
   CommandResult result = leases_.Apply(index, command, &changed);
@@ -226,28 +242,9 @@
   return result;
 }
 
-CommandResult ControlState::ApplyObservation(const ObserveObject& observation) {
-  CommandResult result;
-  if (objects_.Observe(observation, &result)) changed_objects_.push_back(observation.object());
-  return result;
-}
-
-void ControlState::EnsureObject(const std::string& object) {
-  if (objects_.Ensure(object)) changed_objects_.push_back(object);
-}
-
 int64_t ControlState::DeliveryWindowMs() const {
-  const uint32_t window = fleet_.configuration().routing().delivery_window_ms();
-  return window == 0 ? DeliveryRecords::kDefaultWindowMs : window;
-}
-
-void ControlState::NotifyListeners() {
-  for (const std::string& object : changed_objects_) {
-    invalidation::ObjectVersion version;
-    if (!objects_.Find(object, &version)) continue;
-    for (const Listener& listener : object_listeners_) listener(object, version);
-  }
-  if (sections_changed_ && section_listener_) section_listener_();
+  const uint32_t window_ms = fleet_.configuration().routing().delivery_window_ms();
+  return window_ms == 0 ? DeliveryRecords::kDefaultWindowMs : window_ms;
 }
 
 std::string ControlState::TakeSnapshot() const {
--- a/src/posthatch/control/state/control_state.h
+++ b/src/posthatch/control/state/control_state.h
@@ -22,56 +22,64 @@
 
 namespace posthatch::control {
 
-// The replicated control state: what the log's commands (control.proto, Command) add up to. Equal
-// commands at equal log indices give equal states and answers on every controller; time comes only
-// from the commands. One per controller, on its event loop thread; must outlive the log.
+// The replicated control state: the result of all commands of the log (control.proto, Command).
+// Deterministic: equal commands at equal log indices give equal states and results on every
+// controller, and time comes only from the commands. One per controller, on its event loop thread;
+// outlives the log.
+//
+// Each part (configuration history, isolation, revisions, ...) is a class of its own that validates
+// and applies its commands. This class dispatches to them, recognises resent requests, and keeps
+// the sections that gateways receive (FleetState) and the object versions up to date.
 class ControlState : public consensus::StateMachine, public invalidation::ObjectSource {
  public:
   using SectionListener = std::function<void()>;
 
-  // consensus::StateMachine. The answer is a serialized CommandResult.
+  // consensus::StateMachine. `command` is a serialized Command; returns a serialized CommandResult.
   std::string Apply(uint64_t index, uint64_t term, const std::string& command) override;
   std::string TakeSnapshot() const override;
+  // DataLoss if `snapshot` can't be parsed.
   absl::Status RestoreSnapshot(const std::string& snapshot) override;
 
   // invalidation::ObjectSource.
-  std::vector<invalidation::RegisteredObject> Objects() const override { return objects_.All(); }
+  std::vector<invalidation::RegisteredObject> Objects() const override {
+    return objects_.Objects();
+  }
   bool Find(const std::string& object, invalidation::ObjectVersion* version) const override {
     return objects_.Find(object, version);
   }
-  void AddListener(Listener listener) override { object_listeners_.push_back(std::move(listener)); }
+  void AddListener(Listener listener) override { objects_.AddListener(std::move(listener)); }
 
-  // What the gateways decide by, as of the last applied command.
+  // The sections that gateways decide by, as of the last applied command.
   const FleetState& fleet() const { return fleet_; }
   const ConfigurationHistory& history() const { return history_; }
   const WorkerLeaseTable& worker_leases() const { return leases_; }
-  // The traffic configuration in force, with the entries as the operators wrote them.
+  // The traffic configuration in force, including the entries' sources.
   const TrafficConfiguration& traffic() const { return traffic_.newest(); }
-  // What changed last, for messages to gateways.
+  // The latest changes of the inventory and traffic sections, for messages to gateways.
   const SectionDeltas& deltas() const { return deltas_; }
-  // Control time of the last delivery command (see DeliveryRecords).
+  // Control time of the last delivery command, in ms (see DeliveryRecords).
   int64_t delivery_now_ms() const { return deliveries_.now_ms(); }
-  // Called after a command that changed a section of fleet(), or a restore.
+  // Called after a command that changed a section of fleet(), and after a restore.
   void SetSectionListener(SectionListener listener) { section_listener_ = std::move(listener); }
 
  private:
+  // Answers a resent request with its first result.
   CommandResult ApplyCommand(uint64_t index, const Command& command);
   CommandResult Dispatch(uint64_t index, const Command& command);
   CommandResult ApplyConfiguration(uint64_t index, const Command& command);
   CommandResult ApplyTraffic(uint64_t index, const ChangeTraffic& change);
   CommandResult ApplyRevision(uint64_t index, const Command& command);
-  CommandResult ApplyEvacuation(uint64_t index, const SetEvacuation& order);
-  CommandResult ApplyInventory(uint64_t index, const SetInventory& reading);
+  CommandResult ApplyEvacuation(uint64_t index, const SetEvacuation& command);
+  CommandResult ApplyInventory(uint64_t index, const SetInventory& command);
   CommandResult ApplyWorkerLeases(uint64_t index, const GrantWorkerLeases& command);
-  CommandResult ApplyObservation(const ObserveObject& observation);
 
-  void EnsureObject(const std::string& object);
+  // The update functions below bring sections and objects in line with a change at `index`.
   void UpdateIsolation(uint64_t index);
-  // Puts the newest model revisions into the section that gateways get.
-  void PublishRevisions(uint64_t index);
+  void UpdateTrafficSection(uint64_t index, const ChangeTraffic& change);
+  void UpdateTrafficObjects(uint64_t index);
+  void UpdateInventoryObjects(const InventoryState::Change& change);
+  void UpdateRevisionsSection(uint64_t index);
   int64_t DeliveryWindowMs() const;
-  // Tells the listeners what the last command changed.
-  void NotifyListeners();
 
   ConfigurationHistory history_;
   IsolationRegistry isolation_;
@@ -83,14 +91,11 @@
   ObjectVersions objects_;
   RequestRecords requests_;
   TrafficState traffic_;
-  SectionDeltas deltas_;
+  SectionDeltas deltas_;  // not replicated
   FleetState fleet_;
 
-  std::vector<Listener> object_listeners_;
   SectionListener section_listener_;
-  // Collected while a command is applied.
-  std::vector<std::string> changed_objects_;
-  bool sections_changed_ = false;
+  bool sections_changed_ = false;  // by the command that is being applied
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/state/fleet_sections.cc
+++ b/src/posthatch/control/state/fleet_sections.cc
@@ -1,9 +1,6 @@
 #include "posthatch/control/state/fleet_sections.h"
 
 #include <algorithm>
-#include <utility>
-
-#include "posthatch/control/state/configuration_patch.h"
 
 namespace posthatch::control {
 namespace {
@@ -134,28 +131,6 @@
   }
 }
 
-void EncodeConfigurationDelta(const ConfigurationHistory& history, uint64_t acked_index,
-                              FleetState* changed) {
-  if (acked_index == 0 || !changed->has_configuration()) return;
-  const ConfigurationVersion* known = history.FindByLogIndex(acked_index);
-  if (known == nullptr) return;
-  ConfigurationPatch patch = MakePatch(known->configuration(), changed->configuration());
-  if (patch.ByteSizeLong() >= changed->configuration().ByteSizeLong()) return;
-  changed->clear_configuration();
-  *changed->mutable_configuration_patch() = std::move(patch);
-  changed->set_patch_base_index(acked_index);
-}
-
-bool ApplyConfigurationDelta(const FleetState& state, FleetState* changed) {
-  if (changed->patch_base_index() == 0) return true;
-  if (changed->configuration_index() <= state.configuration_index()) return true;  // not newer
-  if (changed->patch_base_index() != state.configuration_index()) return false;
-  std::vector<std::string> errors;
-  *changed->mutable_configuration() =
-      ApplyPatch(state.configuration(), changed->configuration_patch(), &errors);
-  return errors.empty();
-}
-
 const WorkerLease* FindLease(const FleetState& state, std::string_view worker_id) {
   const auto lease = std::lower_bound(
       state.leases().begin(), state.leases().end(), worker_id,
--- a/src/posthatch/control/state/fleet_sections.h
+++ b/src/posthatch/control/state/fleet_sections.h
@@ -4,11 +4,9 @@
 #include <cstdint>
 #include <string>
 #include <string_view>
-#include <vector>
 
 #include "google/protobuf/repeated_ptr_field.h"
 #include "posthatch/control/control.pb.h"
-#include "posthatch/control/state/configuration_history.h"
 
 // The sections of FleetState, each with the log index of its last change. Grants and pushes carry
 // the sections that the receiver doesn't have yet.
@@ -49,15 +47,6 @@
 void CopyNewerSections(const FleetState& state, const SectionIndices& known, FleetState* changed,
                        google::protobuf::RepeatedPtrField<std::string>* names);
 
-// Replaces a whole configuration in `changed` by its difference from the one with index
-// `known_index`, if that is still in `history` and the difference is smaller.
-void EncodeConfigurationDelta(const ConfigurationHistory& history, uint64_t acked_index,
-                              FleetState* changed);
-
-// The other way: makes the configuration whole again from `state`'s. False if the patch is for
-// another configuration than `state` has: the sections can't be used.
-bool ApplyConfigurationDelta(const FleetState& state, FleetState* changed);
-
 // The lease on a worker, or null. Leases are sorted by worker id (WorkerLeaseTable).
 const WorkerLease* FindLease(const FleetState& state, std::string_view worker_id);
 
--- a/src/posthatch/control/state/inventory_state.cc
+++ b/src/posthatch/control/state/inventory_state.cc
@@ -6,7 +6,7 @@
 
 #include "absl/strings/str_cat.h"
 #include "posthatch/control/state/fingerprint.h"
-#include "posthatch/control/state/section_deltas.h"
+#include "posthatch/control/state/inventory_delta.h"
 
 namespace posthatch::control {
 namespace {
@@ -50,9 +50,9 @@
   }
   for (const Backend& backend : next.backends()) {
     const auto before = draining_before.find(backend.id());
-    if (before == draining_before.end()) change->appeared.push_back(backend);
+    if (before == draining_before.end()) change->added.push_back(backend);
     const bool was_draining = before != draining_before.end() && before->second;
-    if (backend.draining() && !was_draining) change->began_drain.push_back(backend.id());
+    if (backend.draining() && !was_draining) change->drain_started.push_back(backend.id());
   }
   change->changed = true;
   next.set_version(inventory_.version() + 1);
--- a/src/posthatch/control/state/inventory_state.h
+++ b/src/posthatch/control/state/inventory_state.h
@@ -15,8 +15,8 @@
   // What a reading brought, for the object versions.
   struct Change {
     bool changed = false;
-    std::vector<Backend> appeared;         // backends that were not in the last reading
-    std::vector<std::string> began_drain;  // ids that are draining now and weren't
+    std::vector<Backend> added;              // backends that were not in the last reading
+    std::vector<std::string> drain_started;  // ids that are draining now and weren't
   };
 
   // OK with the version (the same one if nothing changed), or INVALID.
--- a/src/posthatch/control/state/object_versions.cc
+++ b/src/posthatch/control/state/object_versions.cc
@@ -1,40 +1,52 @@
 #include "posthatch/control/state/object_versions.h"
 
+#include <utility>
+
 namespace posthatch::control {
 
-bool ObjectVersions::Ensure(const std::string& object) {
-  return versions_.try_emplace(object).second;
+void ObjectVersions::Ensure(const std::string& object) {
+  if (versions_.try_emplace(object).second) changed_.push_back(object);
 }
 
-bool ObjectVersions::RaiseEpoch(const std::string& object, uint64_t epoch) {
+void ObjectVersions::RaiseEpoch(const std::string& object, uint64_t epoch) {
   Version& version = versions_[object];
-  if (epoch <= version.epoch) return false;
+  if (epoch <= version.epoch) return;
   version = {epoch, 0};
-  return true;
+  changed_.push_back(object);
 }
 
 void ObjectVersions::IncrementEpoch(const std::string& object) {
-  Version& version = versions_[object];
-  version = {version.epoch + 1, 0};
+  RaiseEpoch(object, versions_[object].epoch + 1);
 }
 
-bool ObjectVersions::Observe(const ObserveObject& observation, CommandResult* result) {
+CommandResult ObjectVersions::Observe(const ObserveObject& observation) {
+  CommandResult result;
   const std::string& object = observation.object();
   if (object.empty() || object.size() > kMaxNameLength || object.find('/') == std::string::npos) {
-    result->set_code(CommandResult::INVALID);
-    result->add_errors("object: a name of at most 256 bytes with a '/'");
-    return false;
+    result.set_code(CommandResult::INVALID);
+    result.add_errors("object: a name of at most 256 bytes with a '/'");
+    return result;
   }
-  result->set_code(CommandResult::OK);
-  bool rose = observation.epoch() != 0 && RaiseEpoch(object, observation.epoch());
   Version& version = versions_[object];
-  const bool current = observation.epoch() == 0 || observation.epoch() == version.epoch;
-  if (observation.lost() && current && !rose) {
+  if (observation.epoch() > version.epoch) {
+    RaiseEpoch(object, observation.epoch());
+  } else if (observation.lost() &&
+             (observation.epoch() == 0 || observation.epoch() == version.epoch)) {
     ++version.sequence;
-    rose = true;
+    changed_.push_back(object);
+  }
+  result.set_code(CommandResult::OK);
+  result.set_version(version.sequence);
+  return result;
+}
+
+void ObjectVersions::NotifyListeners() {
+  const std::vector<std::string> changed = std::exchange(changed_, {});
+  for (const std::string& object : changed) {
+    invalidation::ObjectVersion version;
+    if (!Find(object, &version)) continue;
+    for (const Listener& listener : listeners_) listener(object, version);
   }
-  result->set_version(version.sequence);
-  return rose;
 }
 
 bool ObjectVersions::Find(const std::string& object, invalidation::ObjectVersion* version) const {
@@ -45,7 +57,7 @@
   return true;
 }
 
-std::vector<invalidation::RegisteredObject> ObjectVersions::All() const {
+std::vector<invalidation::RegisteredObject> ObjectVersions::Objects() const {
   std::vector<invalidation::RegisteredObject> objects;
   objects.reserve(versions_.size());
   for (const auto& [name, version] : versions_) {
--- a/src/posthatch/control/state/object_versions.h
+++ b/src/posthatch/control/state/object_versions.h
@@ -7,30 +7,39 @@
 
 #include "google/protobuf/repeated_ptr_field.h"
 #include "posthatch/control/control.pb.h"
-#include "posthatch/invalidation/invalidation.pb.h"
+#include "posthatch/invalidation/object_source.h"
 
 namespace posthatch::control {
 
-// Versions of the objects that index entries rest on (names: invalidation.proto). A version never
-// goes back. Part of the replicated state; owned by ControlState.
-class ObjectVersions {
+// Versions (epoch, sequence) of the objects that index entries depend on; their names are in
+// invalidation.proto. A version never decreases. Part of the replicated state; owned by
+// ControlState.
+//
+// Changes are collected while a command is applied and reported to the listeners by
+// NotifyListeners.
+class ObjectVersions : public invalidation::ObjectSource {
  public:
   static constexpr size_t kMaxNameLength = 256;
 
-  // An object that wasn't known gets version (0, 0); returns whether it wasn't.
-  bool Ensure(const std::string& object);
-  // Sets the version to (epoch, 0) if that is higher; returns whether it rose.
-  bool RaiseEpoch(const std::string& object, uint64_t epoch);
-  // Raises the epoch by one.
+  // Registers an unknown object at version (0, 0).
+  void Ensure(const std::string& object);
+  // Raises the version to (epoch, 0) if that is higher.
+  void RaiseEpoch(const std::string& object, uint64_t epoch);
+  // Raises the version to (epoch + 1, 0).
   void IncrementEpoch(const std::string& object);
-  // Applies an observation; returns whether the version rose. `result` gets OK with the sequence,
-  // or INVALID. An observation of an older epoch changes nothing.
-  bool Observe(const ObserveObject& observation, CommandResult* result);
+  // OK with the sequence, or INVALID. An observation of an older epoch changes nothing.
+  CommandResult Observe(const ObserveObject& observation);
 
-  bool Find(const std::string& object, invalidation::ObjectVersion* version) const;
-  std::vector<invalidation::RegisteredObject> All() const;
+  // Reports each change since the last call, in order.
+  void NotifyListeners();
+
+  // invalidation::ObjectSource.
+  std::vector<invalidation::RegisteredObject> Objects() const override;
+  bool Find(const std::string& object, invalidation::ObjectVersion* version) const override;
+  void AddListener(Listener listener) override { listeners_.push_back(std::move(listener)); }
 
   void Save(google::protobuf::RepeatedPtrField<ObjectRecord>* objects) const;
+  // Doesn't notify: the listeners read all objects after a restore.
   void Restore(const google::protobuf::RepeatedPtrField<ObjectRecord>& objects);
 
  private:
@@ -40,6 +49,8 @@
   };
 
   std::map<std::string, Version> versions_;
+  std::vector<std::string> changed_;  // names, not yet reported
+  std::vector<Listener> listeners_;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/state/section_deltas.cc
+++ b/src/posthatch/control/state/section_deltas.cc
@@ -4,53 +4,30 @@
 #include <set>
 #include <utility>
 
-#include "absl/container/flat_hash_map.h"
-#include "absl/container/flat_hash_set.h"
-#include "posthatch/control/state/fingerprint.h"
-#include "posthatch/control/state/inventory_state.h"
+#include "posthatch/control/state/configuration_patch.h"
+#include "posthatch/control/state/inventory_delta.h"
 #include "posthatch/control/state/traffic_state.h"
 
 namespace posthatch::control {
+namespace {
 
-InventoryDelta ComputeDelta(const Inventory& before, const Inventory& after) {
-  InventoryDelta change;
-  absl::flat_hash_map<std::string, const Backend*> old;
-  for (const Backend& backend : before.backends()) old[backend.id()] = &backend;
-  for (const Backend& backend : after.backends()) {
-    const auto found = old.find(backend.id());
-    const bool same = found != old.end() && SerializeDeterministically(*found->second) ==
-                                                SerializeDeterministically(backend);
-    if (!same) *change.add_changed() = backend;
-    if (found != old.end()) old.erase(found);
-  }
-  std::set<std::string> removed;
-  for (const auto& [id, backend] : old) removed.insert(id);
-  for (const std::string& id : removed) change.add_removed(id);
-  return change;
+// The first of the deltas that lead from the section at `base_index` to the current one.
+template <typename Deltas>
+auto FindBase(const Deltas& deltas, uint64_t base_index) {
+  return std::find_if(deltas.begin(), deltas.end(),
+                      [base_index](const auto& delta) { return delta.base_index == base_index; });
 }
 
-void PatchInventory(const InventoryDelta& change, Inventory* inventory) {
-  absl::flat_hash_set<std::string> replaced(change.removed().begin(), change.removed().end());
-  for (const Backend& backend : change.changed()) replaced.insert(backend.id());
-  Inventory result;
-  for (Backend& backend : *inventory->mutable_backends()) {
-    if (!replaced.contains(backend.id())) *result.add_backends() = std::move(backend);
-  }
-  for (const Backend& backend : change.changed()) *result.add_backends() = backend;
-  SortBackends(&result);
-  inventory->mutable_backends()->Swap(result.mutable_backends());
-}
+}  // namespace
 
-void SectionDeltas::RecordInventoryDelta(uint64_t base_index, uint64_t /*index*/,
-                                         const InventoryDelta& change) {
-  RecordedInventoryDelta step{base_index, {change.removed().begin(), change.removed().end()}};
-  for (const Backend& backend : change.changed()) step.changed_ids.push_back(backend.id());
-  inventory_.push_back(std::move(step));
+void SectionDeltas::RecordInventoryDelta(uint64_t base_index, const InventoryDelta& delta) {
+  RecordedInventoryDelta recorded{base_index, {delta.removed().begin(), delta.removed().end()}};
+  for (const Backend& backend : delta.changed()) recorded.changed_ids.push_back(backend.id());
+  inventory_.push_back(std::move(recorded));
   if (inventory_.size() > kMaxDeltas) inventory_.pop_front();
 }
 
-void SectionDeltas::RecordTrafficDelta(uint64_t base_index, uint64_t /*index*/,
-                                       const TrafficPatch& patch) {
+void SectionDeltas::RecordTrafficDelta(uint64_t base_index, const TrafficPatch& patch) {
   traffic_.push_back({base_index, patch});
   if (traffic_.size() > kMaxDeltas) traffic_.pop_front();
 }
@@ -62,39 +39,58 @@
 
 void SectionDeltas::EncodeInventoryDelta(uint64_t acked_index, FleetState* changed) const {
   if (acked_index == 0 || !changed->has_inventory()) return;
-  const auto first = std::find_if(
-      inventory_.begin(), inventory_.end(),
-      [acked_index](const RecordedInventoryDelta& step) { return step.base_index == acked_index; });
+  const auto first = FindBase(inventory_, acked_index);
   if (first == inventory_.end()) return;
   std::set<std::string> changed_ids;
-  for (auto step = first; step != inventory_.end(); ++step) {
-    changed_ids.insert(step->changed_ids.begin(), step->changed_ids.end());
+  for (auto recorded = first; recorded != inventory_.end(); ++recorded) {
+    changed_ids.insert(recorded->changed_ids.begin(), recorded->changed_ids.end());
   }
-  if (changed_ids.size() * 2 > static_cast<size_t>(changed->inventory().backends_size())) return;
-  InventoryDelta change;
-  change.set_version(changed->inventory().version());
+  const auto backend_count = static_cast<size_t>(changed->inventory().backends_size());
+  if (changed_ids.size() * 2 > backend_count) return;
+  InventoryDelta delta;
+  delta.set_version(changed->inventory().version());
   for (Backend& backend : *changed->mutable_inventory()->mutable_backends()) {
-    if (changed_ids.erase(backend.id()) > 0) *change.add_changed() = std::move(backend);
+    if (changed_ids.erase(backend.id()) > 0) *delta.add_changed() = std::move(backend);
   }
-  for (const std::string& id : changed_ids) change.add_removed(id);
+  for (const std::string& id : changed_ids) delta.add_removed(id);
   changed->clear_inventory();
-  *changed->mutable_inventory_delta() = std::move(change);
+  *changed->mutable_inventory_delta() = std::move(delta);
   changed->set_inventory_base_index(acked_index);
 }
 
 void SectionDeltas::EncodeTrafficDelta(uint64_t acked_index, FleetState* changed) const {
   if (acked_index == 0 || !changed->has_traffic()) return;
-  const auto first = std::find_if(
-      traffic_.begin(), traffic_.end(),
-      [acked_index](const RecordedTrafficDelta& step) { return step.base_index == acked_index; });
+  const auto first = FindBase(traffic_, acked_index);
   if (first == traffic_.end()) return;
-  for (auto step = first; step != traffic_.end(); ++step) {
-    *changed->add_traffic_patches() = step->patch;
+  for (auto recorded = first; recorded != traffic_.end(); ++recorded) {
+    *changed->add_traffic_patches() = recorded->patch;
   }
   changed->clear_traffic();
   changed->set_traffic_base_index(acked_index);
 }
 
+void EncodeConfigurationDelta(const ConfigurationHistory& history, uint64_t acked_index,
+                              FleetState* changed) {
+  if (acked_index == 0 || !changed->has_configuration()) return;
+  const ConfigurationVersion* acked = history.FindByLogIndex(acked_index);
+  if (acked == nullptr) return;
+  ConfigurationPatch patch = MakePatch(acked->configuration(), changed->configuration());
+  if (patch.ByteSizeLong() >= changed->configuration().ByteSizeLong()) return;
+  changed->clear_configuration();
+  *changed->mutable_configuration_patch() = std::move(patch);
+  changed->set_patch_base_index(acked_index);
+}
+
+bool ApplyConfigurationDelta(const FleetState& state, FleetState* changed) {
+  if (changed->patch_base_index() == 0) return true;
+  if (changed->configuration_index() <= state.configuration_index()) return true;  // not newer
+  if (changed->patch_base_index() != state.configuration_index()) return false;
+  std::vector<std::string> errors;
+  *changed->mutable_configuration() =
+      ApplyPatch(state.configuration(), changed->configuration_patch(), &errors);
+  return errors.empty();
+}
+
 bool ApplyInventoryDelta(const FleetState& state, FleetState* changed) {
   if (changed->inventory_base_index() == 0) return true;
   if (changed->inventory_index() <= state.inventory_index()) return true;  // not newer
--- a/src/posthatch/control/state/section_deltas.h
+++ b/src/posthatch/control/state/section_deltas.h
@@ -1,43 +1,43 @@
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <string>
 #include <vector>
 
 #include "posthatch/control/control.pb.h"
+#include "posthatch/control/state/configuration_history.h"
 
+// Deltas of the sections of FleetState. A section is many times larger than a change of it and goes
+// to every gateway, so that grants and pushes carry deltas where the receiver's version is known.
 namespace posthatch::control {
 
-// The difference between two lists of back ends, both sorted by id.
-InventoryDelta ComputeDelta(const Inventory& before, const Inventory& after);
-// `inventory` with `change` put in force; sorted by id.
-void PatchInventory(const InventoryDelta& change, Inventory* inventory);
-
-// What the last changes of the inventory and of the traffic configuration were, so that gateways
-// get differences in place of whole sections: a section is many times larger than a change of it,
-// and goes to every gateway. In memory of each controller, not replicated; after a restart whole
-// sections are sent until changes are known again. Owned by ControlState.
+// The latest changes of the inventory and of the traffic configuration. In memory of each
+// controller, not replicated: after a restart complete sections are sent until changes are known
+// again. Owned by ControlState.
 class SectionDeltas {
  public:
+  // Kept for each section; a gateway that lags further behind gets the complete section.
   static constexpr size_t kMaxDeltas = 512;
 
-  // The section of `base_index` became that of `index`.
-  void RecordInventoryDelta(uint64_t base_index, uint64_t index, const InventoryDelta& change);
-  void RecordTrafficDelta(uint64_t base_index, uint64_t index, const TrafficPatch& patch);
-  // Replaced as a whole: no difference from anything before is known.
+  // Each delta leads from the section at log index `base_index` to the next recorded one, the last
+  // one to the current section.
+  void RecordInventoryDelta(uint64_t base_index, const InventoryDelta& delta);
+  void RecordTrafficDelta(uint64_t base_index, const TrafficPatch& patch);
+  // The traffic configuration was replaced: no delta leads to it.
   void ClearTraffic() { traffic_.clear(); }
   void Clear();
 
-  // Replace whole sections of `changed` by what has changed since the receiver's, where that is
-  // known.
+  // Replaces a complete section in `changed` by the delta from `acked_index`, the log index of the
+  // receiver's section, if that is recorded and the delta is worth it.
   void EncodeInventoryDelta(uint64_t acked_index, FleetState* changed) const;
   void EncodeTrafficDelta(uint64_t acked_index, FleetState* changed) const;
 
  private:
   struct RecordedInventoryDelta {
     uint64_t base_index = 0;
-    std::vector<std::string> changed_ids;  // ids of back ends that changed, came or went
+    std::vector<std::string> changed_ids;  // backends that were added, changed or removed
   };
   struct RecordedTrafficDelta {
     uint64_t base_index = 0;
@@ -48,8 +48,14 @@
   std::deque<RecordedTrafficDelta> traffic_;
 };
 
-// The receiver's side: makes the sections whole again from `state`'s. False if a difference is from
-// another section than `state` has: nothing can be used.
+// Replaces a complete configuration in `changed` by its patch from the version that was accepted at
+// log index `acked_index`, if `history` still has that and the patch is smaller.
+void EncodeConfigurationDelta(const ConfigurationHistory& history, uint64_t acked_index,
+                              FleetState* changed);
+
+// The receiver's side: replace a delta in `changed` by the complete section, made from `state`'s.
+// False if the delta has another base than `state`'s section: `changed` can't be used.
+bool ApplyConfigurationDelta(const FleetState& state, FleetState* changed);
 bool ApplyInventoryDelta(const FleetState& state, FleetState* changed);
 bool ApplyTrafficDelta(const FleetState& state, FleetState* changed);
 
