--- a/src/posthatch/control/client/gateway_session.cc
+++ b/src/posthatch/control/client/gateway_session.cc
@@ -1,30 +1,18 @@
 #include "posthatch/control/client/gateway_session.h"
 
-#include <prometheus/counter.h>
-#include <prometheus/gauge.h>
-
 #include <algorithm>
 #include <utility>
 
-#include "posthatch/control/state/configuration_validator.h"
 #include "posthatch/control/state/fingerprint.h"
 #include "posthatch/control/state/fleet_sections.h"
-#include "posthatch/control/state/section_deltas.h"
 
 namespace posthatch::control {
 namespace {
 
-// Renewals whose answers are still of use.
-constexpr size_t kMaxPendingRenewals = 32;
-// A lease longer than this is a damaged message.
+// A lease longer than this can only come from a damaged message.
 constexpr uint32_t kMaxLeaseMs = 60000;
+// Before a renewal that should go out at once: several reasons for it share one.
 constexpr runtime::Duration kPromptRenewalDelay = std::chrono::milliseconds(5);
-constexpr uint32_t kInventoryNeverRead = UINT32_MAX;
-
-prometheus::Counter* AddCounter(prometheus::Registry* registry, const char* name,
-                                const char* help) {
-  return &prometheus::BuildCounter().Name(name).Help(help).Register(*registry).Add({});
-}
 
 }  // namespace
 
@@ -32,42 +20,27 @@
                                LeaderLocator::Endpoints controllers)
     : runtime_(runtime),
       options_(std::move(options)),
+      metrics_(runtime->metrics),
       locator_(runtime, std::move(controllers)),
       client_(runtime, options_.client, &locator_,
               [this](const std::string& endpoint, const ControlMessage& message) {
                 Send(endpoint, message);
               }),
+      replica_(runtime->trace, &metrics_),
       renew_timer_(runtime->timers) {
-  if (runtime_->metrics != nullptr) {
-    renewals_counter_ = AddCounter(runtime_->metrics, "posthatch_session_renewals_total",
-                                   "Session renewals sent to controllers");
-    grants_counter_ = AddCounter(runtime_->metrics, "posthatch_session_grants_total",
-                                 "Session leases received from the leading controller");
-    rejections_counter_ =
-        AddCounter(runtime_->metrics, "posthatch_session_rejections_total",
-                   "Configurations that this gateway refused to put in force (NACK)");
-    version_gauge_ = &prometheus::BuildGauge()
-                          .Name("posthatch_configuration_version")
-                          .Help("Version of the configuration in force at this gateway")
-                          .Register(*runtime_->metrics)
-                          .Add({});
-  }
   runtime_->transport->SetReceiver(
       runtime::SERVICE_CONTROL,
       [this](const runtime::Envelope& envelope) { OnEnvelope(envelope); });
-  renew_timer_.Start(runtime::Duration::zero(), [this] { Renew(); });
+  ScheduleRenewal(runtime::Duration::zero());
 }
 
 GatewaySession::~GatewaySession() {
   runtime_->transport->SetReceiver(runtime::SERVICE_CONTROL, [](const runtime::Envelope&) {});
 }
 
-bool GatewaySession::LeaseValid() const {
-  return has_lease_ && !has_left_ && runtime_->clock->Now() < lease_expiry_;
-}
-
 runtime::Duration GatewaySession::InventoryAge() const {
-  return inventory_known_ ? runtime_->clock->Now() - inventory_requested_at_ : kUnknownAge;
+  if (!inventory_requested_at_.has_value()) return kUnknownAge;
+  return runtime_->clock->Now() - *inventory_requested_at_;
 }
 
 void GatewaySession::Propose(Command command, runtime::Duration timeout, bool until_in_force,
@@ -82,7 +55,7 @@
 
 bool GatewaySession::HoldsWorker(const std::string& worker_id, uint64_t* fencing_token) const {
   if (!LeaseValid()) return false;
-  const WorkerLease* lease = FindLease(state_, worker_id);
+  const WorkerLease* lease = FindLease(replica_.state(), worker_id);
   if (lease == nullptr || lease->holder() != runtime_->transport->node_id() ||
       lease->holder_incarnation() != runtime_->transport->incarnation()) {
     return false;
@@ -92,48 +65,44 @@
 }
 
 void GatewaySession::Leave() {
-  if (has_left_) return;
-  has_left_ = true;
-  has_lease_ = false;
+  if (lease_.ended()) return;
+  lease_.End();
   renew_timer_.Cancel();
-  ++renewal_;
+  const uint64_t renewal = lease_.StartRenewal(runtime_->clock->Now());
   ControlMessage message;
-  *message.mutable_session_renewal() = MakeRenewal(true);
+  *message.mutable_session_renewal() = MakeRenewal(renewal, /*leaving=*/true);
   const std::string target = locator_.Target();
   if (!target.empty()) Send(target, message);
 }
 
 void GatewaySession::Renew() {
-  if (renewal_ > acked_renewal_) locator_.MarkUnavailable(renewal_target_);
+  if (lease_.AwaitsResponse()) locator_.MarkUnavailable(renewal_target_);
   const std::string target = locator_.Target();
   if (!target.empty()) {
-    pending_renewals_[++renewal_] = runtime_->clock->Now();
-    while (pending_renewals_.size() > kMaxPendingRenewals)
-      pending_renewals_.erase(pending_renewals_.begin());
+    const uint64_t renewal = lease_.StartRenewal(runtime_->clock->Now());
     ControlMessage message;
-    *message.mutable_session_renewal() = MakeRenewal(false);
+    *message.mutable_session_renewal() = MakeRenewal(renewal, /*leaving=*/false);
     renewal_target_ = target;
     Send(target, message);
-    if (renewals_counter_ != nullptr) renewals_counter_->Increment();
+    metrics_.IncrementRenewals();
   }
-  ScheduleRenewal();
+  // Retries until a grant restarts the timer with the renewal interval.
+  ScheduleRenewal(lease_.granted() ? options_.retry_interval : options_.first_retry_interval);
 }
 
-void GatewaySession::ScheduleRenewal() {
-  // Until the answer comes (OnGrant starts the timer anew), it is asked for again sooner.
-  renew_timer_.Start(has_lease_ ? options_.retry_interval : options_.first_retry_interval,
-                     [this] { Renew(); });
+void GatewaySession::ScheduleRenewal(runtime::Duration delay) {
+  renew_timer_.Start(delay, [this] { Renew(); });
 }
 
-SessionRenewal GatewaySession::MakeRenewal(bool leaving) const {
+SessionRenewal GatewaySession::MakeRenewal(uint64_t number, bool leaving) const {
   SessionRenewal renewal;
   renewal.set_gateway(runtime_->transport->node_id());
   renewal.set_incarnation(runtime_->transport->incarnation());
-  renewal.set_renewal(renewal_);
+  renewal.set_renewal(number);
   renewal.set_zone(options_.zone);
-  SetIndices(IndicesOf(state_), &renewal);
+  SetIndices(IndicesOf(replica_.state()), &renewal);
   renewal.set_leaving(leaving);
-  renewal.set_rejection(rejection_);
+  renewal.set_rejection(replica_.rejection());
   renewal.set_granted_term(granted_term_);
   renewal.set_granted_renewal(granted_renewal_);
   return renewal;
@@ -165,56 +134,58 @@
 }
 
 void GatewaySession::OnGrant(const std::string& from_endpoint, const SessionGrant& grant) {
-  if (has_left_) return;
-  const auto sent = pending_renewals_.find(grant.renewal());
-  if (sent == pending_renewals_.end() || grant.incarnation() != runtime_->transport->incarnation())
-    return;
-  if (grant.term() < term_ || grant.lease_ms() > kMaxLeaseMs) return;
-  const runtime::MonotonicTime sent_at = sent->second;
-  pending_renewals_.erase(pending_renewals_.begin(),
-                          std::next(sent));  // older answers are of no more use
+  if (lease_.ended()) return;
+  const std::optional<runtime::MonotonicTime> sent_at = lease_.SentAt(grant.renewal());
+  if (!sent_at.has_value() || !IsAcceptable(grant)) return;
+  lease_.OnResponse(grant.renewal());
   term_ = grant.term();
-  acked_renewal_ = renewal_;
   locator_.OnLeaderResponse(from_endpoint);
-  const UpdateOutcome outcome = ApplyUpdate(grant.changed(), grant.changed_sections());
+  const UpdateOutcome outcome = replica_.Apply(grant.changed(), grant.changed_sections());
   if (outcome == UpdateOutcome::kBaseMismatch) {
-    // A push came in between; the next renewal says what is in force now.
-    renew_timer_.Start(kPromptRenewalDelay, [this] { Renew(); });
+    // A push came in between; the next renewal reports what is in force now.
+    ScheduleRenewal(kPromptRenewalDelay);
+    return;
   }
-  if (outcome == UpdateOutcome::kBaseMismatch || outcome == UpdateOutcome::kRejected) return;
+  if (outcome == UpdateOutcome::kRejected) return;
+  ExtendLease(from_endpoint, grant, *sent_at);
+  if (outcome == UpdateOutcome::kUnchanged) return;
+  Acknowledge(from_endpoint, 0);
+  replica_.NotifyListeners();
+}
+
+bool GatewaySession::IsAcceptable(const SessionGrant& grant) const {
+  return grant.incarnation() == runtime_->transport->incarnation() && grant.term() >= term_ &&
+         grant.lease_ms() <= kMaxLeaseMs;
+}
+
+void GatewaySession::ExtendLease(const std::string& from_endpoint, const SessionGrant& grant,
+                                 runtime::MonotonicTime sent_at) {
   if (grant.inventory_age_ms() != kInventoryNeverRead) {
-    // The leader wrote the age down after the renewal was sent, so the reading is not older.
+    // The leader computed the age after the renewal was sent: the reading isn't older than this.
     inventory_requested_at_ = sent_at - std::chrono::milliseconds(grant.inventory_age_ms());
-    inventory_known_ = true;
   }
-  const bool first_of_leader = granted_term_ != grant.term();
+  const bool first_grant_of_leader = granted_term_ != grant.term();
   granted_term_ = grant.term();
   granted_renewal_ = grant.renewal();
   leader_endpoint_ = from_endpoint;
-  const auto lease = std::chrono::duration_cast<runtime::Duration>(
-      std::chrono::milliseconds(grant.lease_ms()) * (1.0 - options_.clock_rate_margin));
-  lease_expiry_ = std::max(lease_expiry_, sent_at + lease);
-  has_lease_ = true;
-  if (grants_counter_ != nullptr) grants_counter_->Increment();
-  // A leader that hears that its first grant has come knows that earlier lives of this gateway are
-  // over, and needn't wait for their leases.
-  const runtime::Duration passed = runtime_->clock->Now() - sent_at;
-  const runtime::Duration until_renewal = options_.renew_interval - passed;
-  renew_timer_.Start(
-      first_of_leader ? kPromptRenewalDelay : std::max(until_renewal, runtime::Duration::zero()),
-      [this] { Renew(); });
-  if (outcome == UpdateOutcome::kUnchanged) return;
-  Acknowledge(from_endpoint, 0);
-  NotifyListeners();
+  lease_.Extend(sent_at + std::chrono::duration_cast<runtime::Duration>(
+                              std::chrono::milliseconds(grant.lease_ms()) *
+                              (1.0 - options_.clock_rate_margin)));
+  metrics_.IncrementGrants();
+  // Once a leader knows that its first grant arrived, it knows that previous incarnations of this
+  // gateway have ended, and needn't wait for their leases to expire.
+  const runtime::Duration until_due = options_.renew_interval - (runtime_->clock->Now() - sent_at);
+  ScheduleRenewal(first_grant_of_leader ? kPromptRenewalDelay
+                                        : std::max(until_due, runtime::Duration::zero()));
 }
 
 void GatewaySession::OnPush(const std::string& from_endpoint, const StatePush& push) {
-  if (has_left_ || push.term() < term_) return;
-  const UpdateOutcome outcome = ApplyUpdate(push.changed(), push.changed_sections());
+  if (lease_.ended() || push.term() < term_) return;
+  const UpdateOutcome outcome = replica_.Apply(push.changed(), push.changed_sections());
   if (outcome == UpdateOutcome::kRejected) return;
-  // Out of step it tells the leader what to make the next difference from.
+  // After a base mismatch this reports the versions that the next delta must start from.
   Acknowledge(from_endpoint, push.push());
-  if (outcome == UpdateOutcome::kChanged) NotifyListeners();
+  if (outcome == UpdateOutcome::kChanged) replica_.NotifyListeners();
 }
 
 void GatewaySession::OnLeaderHint(const std::string& from_endpoint, const std::string& hint) {
@@ -224,34 +195,8 @@
   }
   if (hint == locator_.Target()) return;
   locator_.FollowHint(hint);
-  if (has_left_) return;
-  if (!LeaseValid() || renewal_ > acked_renewal_) {
-    renew_timer_.Start(kPromptRenewalDelay, [this] { Renew(); });
-  }
-}
-
-GatewaySession::UpdateOutcome GatewaySession::ApplyUpdate(
-    FleetState changed, const google::protobuf::RepeatedPtrField<std::string>& names) {
-  const bool reconstructed = ApplyConfigurationDelta(state_, &changed) &&
-                             ApplyInventoryDelta(state_, &changed) &&
-                             ApplyTrafficDelta(state_, &changed);
-  if (!reconstructed) return UpdateOutcome::kBaseMismatch;
-  const bool new_configuration = changed.configuration_index() > state_.configuration_index();
-  if (new_configuration) {
-    const std::vector<std::string> errors = ValidateConfiguration(changed.configuration());
-    rejection_ = errors.empty() ? "" : errors.front();
-    if (!rejection_.empty()) {
-      if (rejections_counter_ != nullptr) rejections_counter_->Increment();
-      runtime_->trace->Event(runtime::Severity::kError, "ConfigurationRejected",
-                             {{"version", changed.configuration_version()}, {"error", rejection_}});
-      return UpdateOutcome::kRejected;
-    }
-  }
-  const bool any = ApplyNewerSections(changed, names, &state_);
-  if (new_configuration && version_gauge_ != nullptr) {
-    version_gauge_->Set(static_cast<double>(state_.configuration_version()));
-  }
-  return any ? UpdateOutcome::kChanged : UpdateOutcome::kUnchanged;
+  if (lease_.ended()) return;
+  if (!LeaseValid() || lease_.AwaitsResponse()) ScheduleRenewal(kPromptRenewalDelay);
 }
 
 void GatewaySession::Acknowledge(const std::string& endpoint, uint64_t push) {
@@ -260,14 +205,10 @@
   ack->set_push(push);
   ack->set_gateway(runtime_->transport->node_id());
   ack->set_incarnation(runtime_->transport->incarnation());
-  SetIndices(IndicesOf(state_), ack);
+  SetIndices(IndicesOf(replica_.state()), ack);
   Send(endpoint, message);
 }
 
-void GatewaySession::NotifyListeners() {
-  for (const Listener& listener : listeners_) listener(state_);
-}
-
 void GatewaySession::Send(const std::string& endpoint, const ControlMessage& message) {
   runtime_->transport->Send(endpoint, runtime::SERVICE_CONTROL, SerializeDeterministically(message),
                             runtime::Delivery::kStream);
--- a/src/posthatch/control/server/inventory_publisher.cc
+++ b/src/posthatch/control/server/inventory_publisher.cc
@@ -2,6 +2,7 @@
 
 #include <utility>
 
+#include "posthatch/control/state/fleet_sections.h"
 #include "posthatch/control/state/inventory_delta.h"
 #include "posthatch/control/state/inventory_state.h"
 
--- a/src/posthatch/control/server/inventory_publisher.h
+++ b/src/posthatch/control/server/inventory_publisher.h
@@ -11,9 +11,6 @@
 
 namespace posthatch::control {
 
-// Age of the inventory in a message whose sender has not read it.
-inline constexpr uint32_t kInventoryNeverRead = UINT32_MAX;
-
 // On the leader: polls the platform's inventory, annotates each reading, and proposes what differs
 // from the replicated one; one proposal is in flight at a time. Owned by ControllerService; event
 // loop thread only.
--- a/src/posthatch/control/state/fleet_sections.cc
+++ b/src/posthatch/control/state/fleet_sections.cc
@@ -122,15 +122,29 @@
   return *std::max_element(indices.begin(), indices.end());
 }
 
-void CopyNewerSections(const FleetState& state, const SectionIndices& known, FleetState* changed,
+void CopyNewerSections(const FleetState& state, const SectionIndices& acked_versions,
+                       FleetState* changed,
                        google::protobuf::RepeatedPtrField<std::string>* names) {
   for (size_t i = 0; i < kSectionCount; ++i) {
-    if (IndexOf(state, kSections[i]) <= known[i]) continue;
+    if (IndexOf(state, kSections[i]) <= acked_versions[i]) continue;
     CopySection(state, kSections[i], changed);
     names->Add(std::string(SectionName(kSections[i])));
   }
 }
 
+bool ApplyNewerSections(const FleetState& changed,
+                        const google::protobuf::RepeatedPtrField<std::string>& names,
+                        FleetState* state) {
+  bool any_newer = false;
+  for (const Section section : kSections) {
+    const bool named = std::find(names.begin(), names.end(), SectionName(section)) != names.end();
+    if (!named || IndexOf(changed, section) <= IndexOf(*state, section)) continue;
+    CopySection(changed, section, state);
+    any_newer = true;
+  }
+  return any_newer;
+}
+
 const WorkerLease* FindLease(const FleetState& state, std::string_view worker_id) {
   const auto lease = std::lower_bound(
       state.leases().begin(), state.leases().end(), worker_id,
@@ -145,17 +159,4 @@
   return backend == inventory.backends().end() || backend->id() != id ? nullptr : &*backend;
 }
 
-bool ApplyNewerSections(const FleetState& changed,
-                        const google::protobuf::RepeatedPtrField<std::string>& names,
-                        FleetState* state) {
-  bool any = false;
-  for (const Section section : kSections) {
-    const bool named = std::find(names.begin(), names.end(), SectionName(section)) != names.end();
-    if (!named || IndexOf(changed, section) <= IndexOf(*state, section)) continue;
-    CopySection(changed, section, state);
-    any = true;
-  }
-  return any;
-}
-
 }  // namespace posthatch::control
--- a/src/posthatch/control/state/fleet_sections.h
+++ b/src/posthatch/control/state/fleet_sections.h
@@ -8,8 +8,8 @@
 #include "google/protobuf/repeated_ptr_field.h"
 #include "posthatch/control/control.pb.h"
 
-// The sections of FleetState, each with the log index of its last change. Grants and pushes carry
-// the sections that the receiver doesn't have yet.
+// The sections of FleetState, each with the log index of its last change as its version. Grants and
+// pushes carry the sections that are newer than the receiver's.
 namespace posthatch::control {
 
 enum class Section {
@@ -23,8 +23,12 @@
 };
 inline constexpr size_t kSectionCount = 7;
 
+// Versions of all sections, in the order of Section; 0 for one that was never set.
 using SectionIndices = std::array<uint64_t, kSectionCount>;
 
+// `inventory_age_ms` of a leader that hasn't read the platform's inventory in its term.
+inline constexpr uint32_t kInventoryNeverRead = UINT32_MAX;
+
 inline uint64_t IndexOf(const SectionIndices& indices, Section section) {
   return indices[static_cast<size_t>(section)];
 }
@@ -35,28 +39,27 @@
 SectionIndices IndicesOf(const FleetState& state);
 SectionIndices IndicesOf(const SessionRenewal& renewal);
 void SetIndices(const SectionIndices& indices, SessionRenewal* renewal);
-// Zeros if the acknowledgement doesn't name every section.
+// Zeros if the acknowledgement doesn't have an index for every section.
 SectionIndices IndicesOf(const StatePushAck& ack);
 void SetIndices(const SectionIndices& indices, StatePushAck* ack);
 
-// The index up to which a holder of these sections knows every change: sections are always sent
-// complete up to some log index, so this is the highest of them.
+// The log index up to which the owner of these sections has every change: all changed sections are
+// sent together, as of one log index, so this is the highest of them.
 uint64_t HighestIndex(const SectionIndices& indices);
 
-// Copies the sections of `state` that are newer than `known` and adds their names.
-void CopyNewerSections(const FleetState& state, const SectionIndices& known, FleetState* changed,
-                       google::protobuf::RepeatedPtrField<std::string>* names);
+// Copies the sections of `state` that are newer than `acked_versions` and appends their names.
+void CopyNewerSections(const FleetState& state, const SectionIndices& acked_versions,
+                       FleetState* changed, google::protobuf::RepeatedPtrField<std::string>* names);
+
+// Copies the sections `names` of `changed` to `state` where they are newer; true if any was.
+bool ApplyNewerSections(const FleetState& changed,
+                        const google::protobuf::RepeatedPtrField<std::string>& names,
+                        FleetState* state);
 
 // The lease on a worker, or null. Leases are sorted by worker id (WorkerLeaseTable).
 const WorkerLease* FindLease(const FleetState& state, std::string_view worker_id);
 
-// The back end with that id, or null. Inventories are sorted by id (SortBackends).
+// The backend with that id, or null. Inventories are sorted by id (SortBackends).
 const Backend* FindBackend(const Inventory& inventory, std::string_view id);
 
-// Puts the named sections of `changed` into `state` where they are newer: a section never goes
-// back. Returns true if any was.
-bool ApplyNewerSections(const FleetState& changed,
-                        const google::protobuf::RepeatedPtrField<std::string>& names,
-                        FleetState* state);
-
 }  // namespace posthatch::control
