--- a/src/posthatch/compatibility/stored_data-test.cc
+++ b/src/posthatch/compatibility/stored_data-test.cc
@@ -38,9 +38,9 @@
   Command command;
   control::SetInventory* reading = command.mutable_set_inventory();
   reading->set_base_version(1);
-  reading->mutable_change()->set_version(2);
-  reading->mutable_change()->add_removed("w2");
-  control::Backend* backend = reading->mutable_change()->add_changed();
+  reading->mutable_delta()->set_version(2);
+  reading->mutable_delta()->add_removed("w2");
+  control::Backend* backend = reading->mutable_delta()->add_changed();
   backend->set_id("w0");
   backend->set_kind(control::BACKEND_KIND_WORKER);
   backend->set_endpoint("127.0.0.1:2");
--- a/src/posthatch/control/inventory/zone_inventory.cc
+++ b/src/posthatch/control/inventory/zone_inventory.cc
@@ -15,7 +15,7 @@
       options_(std::move(options)),
       view_(view),
       reader_(std::move(reader)),
-      timeout_(runtime->timers) {
+      response_timer_(runtime->timers) {
   runtime_->transport->SetReceiver(
       runtime::SERVICE_INVENTORY,
       [this](const runtime::Envelope& envelope) { OnEnvelope(envelope); });
@@ -34,25 +34,27 @@
   for (ZonePeer& peer : peers) {
     const bool is_local_turn = may_read && runtime_->transport->node_id() < peer.node_id;
     if (is_local_turn || unresponsive >= kMaxConsecutiveTimeouts) break;
-    const auto found = unresponsive_until_.find(peer.node_id);
-    const bool is_unresponsive =
-        found != unresponsive_until_.end() && runtime_->clock->Now() < found->second;
-    if (!is_unresponsive) return std::move(peer);
+    if (!IsUnresponsive(peer)) return std::move(peer);
     ++unresponsive;
   }
   return std::nullopt;
 }
 
+bool ZoneInventory::IsUnresponsive(const ZonePeer& peer) const {
+  const auto until = unresponsive_until_.find(peer.node_id);
+  return until != unresponsive_until_.end() && runtime_->clock->Now() < until->second;
+}
+
 bool ZoneInventory::RequestFromPeer(bool may_read, ReadCallback done) {
-  const std::optional<ZonePeer> reader = SelectPeer(may_read);
-  if (!reader.has_value()) return false;
+  const std::optional<ZonePeer> peer = SelectPeer(may_read);
+  if (!peer.has_value()) return false;
   pending_request_ =
-      PendingRequest{++last_request_id_, reader->node_id, runtime_->clock->Now(), std::move(done)};
-  timeout_.Start(options_.response_timeout, [this] { OnRequestTimeout(); });
+      PendingRequest{++last_request_id_, peer->node_id, runtime_->clock->Now(), std::move(done)};
+  response_timer_.Start(options_.response_timeout, [this] { OnRequestTimeout(); });
   InventoryMessage message;
-  message.mutable_query()->set_query(last_request_id_);
-  message.mutable_query()->set_base_version(view_->state().inventory().version());
-  Send(reader->endpoint, message);
+  message.mutable_request()->set_request_id(last_request_id_);
+  message.mutable_request()->set_base_version(view_->state().inventory().version());
+  Send(peer->endpoint, message);
   return true;
 }
 
@@ -63,7 +65,7 @@
 }
 
 void ZoneInventory::Finish(const std::optional<InventoryReading>& reading) {
-  timeout_.Cancel();
+  response_timer_.Cancel();
   const ReadCallback done = std::move(pending_request_->done);
   pending_request_.reset();
   done(reading);
@@ -72,27 +74,27 @@
 void ZoneInventory::OnEnvelope(const runtime::Envelope& envelope) {
   InventoryMessage message;
   if (!message.ParseFromString(envelope.payload())) return;
-  if (message.has_query()) {
-    OnRequest(envelope.from_endpoint(), message.query());
+  if (message.has_request()) {
+    OnRequest(envelope.from_endpoint(), message.request());
   } else if (message.has_response()) {
     OnResponse(message.response());
   }
 }
 
-void ZoneInventory::OnRequest(const std::string& endpoint, const InventoryRequest& query) {
-  reader_([this, endpoint, query,
+void ZoneInventory::OnRequest(const std::string& endpoint, const InventoryRequest& request) {
+  reader_([this, endpoint, request,
            alive = std::weak_ptr<bool>(alive_)](const std::optional<InventoryReading>& reading) {
     if (alive.expired()) return;
     InventoryMessage message;
-    *message.mutable_response() = MakeResponse(query, reading);
+    *message.mutable_response() = MakeResponse(request, reading);
     Send(endpoint, message);
   });
 }
 
 InventoryResponse ZoneInventory::MakeResponse(
-    const InventoryRequest& query, const std::optional<InventoryReading>& reading) const {
+    const InventoryRequest& request, const std::optional<InventoryReading>& reading) const {
   InventoryResponse response;
-  response.set_query(query.query());
+  response.set_request_id(request.request_id());
   if (!reading.has_value()) {
     response.set_unreachable(true);
     return response;
@@ -100,37 +102,38 @@
   const runtime::Duration age = runtime_->clock->Now() - reading->requested_at;
   response.set_age_ms(static_cast<uint32_t>(std::max(0.0, runtime::ToMilliseconds(age)) + 1));
   const Inventory& base = view_->state().inventory();
-  if (base.version() != query.base_version()) {
-    *response.mutable_whole() = reading->inventory;
+  if (base.version() != request.base_version()) {
+    *response.mutable_snapshot() = reading->inventory;
     return response;
   }
   response.set_base_version(base.version());
-  *response.mutable_change() = ComputeDelta(base, reading->inventory);
+  *response.mutable_delta() = ComputeDelta(base, reading->inventory);
   return response;
 }
 
 std::optional<Inventory> ZoneInventory::Reconstruct(const InventoryResponse& response) const {
-  if (response.has_whole()) {
-    Inventory whole = response.whole();
-    SortBackends(&whole);
-    return whole;
+  if (response.has_snapshot()) {
+    Inventory snapshot = response.snapshot();
+    SortBackends(&snapshot);
+    return snapshot;
   }
   Inventory inventory = view_->state().inventory();
-  if (!response.has_change() || inventory.version() != response.base_version()) return std::nullopt;
-  PatchInventory(response.change(), &inventory);
+  if (!response.has_delta() || inventory.version() != response.base_version()) return std::nullopt;
+  PatchInventory(response.delta(), &inventory);
   return inventory;
 }
 
 void ZoneInventory::OnResponse(const InventoryResponse& response) {
-  if (!pending_request_.has_value() || response.query() != pending_request_->query) return;
+  if (!pending_request_.has_value() || response.request_id() != pending_request_->request_id)
+    return;
   if (response.unreachable()) return OnRequestTimeout();
   unresponsive_until_.erase(pending_request_->node_id);
-  std::optional<Inventory> whole = Reconstruct(response);
-  if (!whole.has_value()) return Finish(std::nullopt);  // the controllers told a newer one
-  // The reader wrote the age down after the question was sent, so the list is not older.
+  std::optional<Inventory> inventory = Reconstruct(response);
+  if (!inventory.has_value()) return Finish(std::nullopt);  // this gateway's base has changed
+  // The peer computed the age after the request was sent: the reading isn't older than this.
   const runtime::MonotonicTime requested_at =
       pending_request_->sent_at - std::chrono::milliseconds(response.age_ms());
-  Finish(InventoryReading{*std::move(whole), requested_at});
+  Finish(InventoryReading{*std::move(inventory), requested_at});
 }
 
 void ZoneInventory::Send(const std::string& endpoint, const InventoryMessage& message) {
--- a/src/posthatch/control/inventory/zone_inventory.h
+++ b/src/posthatch/control/inventory/zone_inventory.h
@@ -15,71 +15,74 @@
 
 namespace posthatch::control {
 
-// The platform's list as somebody read it.
+// The platform's inventory as this or another gateway read it.
 struct InventoryReading {
   Inventory inventory;
-  // When it was asked for, at the latest, by this process's clock.
+  // When it was requested from the platform, at the earliest, by this process's clock.
   runtime::MonotonicTime requested_at;
 };
 
 struct ZoneInventoryOptions {
-  // The other live gateways of the zone, in any order; asked at each question.
+  // The other live gateways of the zone, in any order; called for each request.
   std::function<std::vector<ZonePeer>()> peers;
-  // From a question to the next gateway being asked: a read of a list of a few pages and two ways
-  // within a zone.
+  // From a request until the next peer is tried: a read of an inventory of a few pages, and a round
+  // trip within the zone.
   runtime::Duration response_timeout = std::chrono::milliseconds(300);
-  // For how long a gateway that left a question unanswered isn't asked again: by then the
-  // membership has dropped it, or it answers.
+  // How long a peer is skipped after a timeout: by then it responds again, or the membership has
+  // removed it.
   runtime::Duration unresponsive_period = std::chrono::seconds(5);
 };
 
-// Lets one gateway of a zone read the platform's list for all of them while the controllers are not
-// heard from. The list is capped for the whole fleet, and a fleet in which each gateway reads for
-// itself asks for it in proportion to its size: at some hundred gateways the refusals alone keep
-// the leader from reading it.
+// Lets one gateway of a zone read the platform's inventory for all of them while the controllers
+// are unreachable. The platform's rate limit is for the whole fleet, and gateways that each read
+// for themselves make calls in proportion to their number: at some hundred gateways the rejected
+// calls alone keep the leader from reading the inventory.
 //
-// The gateway with the lowest node id of the zone is asked first; whoever is asked reads. Nobody is
-// elected: gateways that see the zone differently cost a few more reads. Owned by InventoryWatch;
-// event loop thread only; it takes SERVICE_INVENTORY of the runtime's transport.
+// Requests go to the peer with the lowest node id, and whoever receives one reads. There is no
+// election: gateways that see different members cost a few more reads. Owned by InventoryWatch;
+// event loop thread only. Takes SERVICE_INVENTORY of the runtime's transport.
 class ZoneInventory {
  public:
-  // Nothing if the platform couldn't be read there, or there was no answer in time.
+  // Nothing if the platform couldn't be read, or the peer didn't respond in time.
   using ReadCallback = std::function<void(const std::optional<InventoryReading>&)>;
-  // Brings this gateway's own list up to date and hands it over.
+  // Brings this gateway's own reading up to date and hands it over.
   using Reader = std::function<void(ReadCallback)>;
 
+  // `view` outlives this object.
   ZoneInventory(runtime::Runtime* runtime, ZoneInventoryOptions options, const FleetView* view,
                 Reader reader);
   ~ZoneInventory();
   ZoneInventory(const ZoneInventory&) = delete;
   ZoneInventory& operator=(const ZoneInventory&) = delete;
 
-  // Asks the zone's reader; `done` runs once, never within the call. False if this gateway is the
-  // one to read, or too many were silent: nothing was asked. `may_read` is false for a gateway
-  // that can't reach the platform itself: it asks those after it as well.
+  // Requests a reading from the zone's reader; `done` runs once, never within the call. False, with
+  // nothing sent, if this gateway is the one to read, or too many peers are unresponsive.
+  // `may_read` is false for a gateway that can't reach the platform itself: it also requests from
+  // the peers after it. Only one request may be pending.
   bool RequestFromPeer(bool may_read, ReadCallback done);
 
  private:
-  // Gateways that may be silent in a row before this one reads for itself.
+  // Unresponsive peers that are skipped before this gateway reads for itself.
   static constexpr size_t kMaxConsecutiveTimeouts = 3;
 
   struct PendingRequest {
-    uint64_t query = 0;
-    std::string node_id;
+    uint64_t request_id = 0;
+    std::string node_id;  // of the peer
     runtime::MonotonicTime sent_at;
     ReadCallback done;
   };
 
   // Nothing if this gateway is to read.
   std::optional<ZonePeer> SelectPeer(bool may_read) const;
+  bool IsUnresponsive(const ZonePeer& peer) const;
   void OnEnvelope(const runtime::Envelope& envelope);
-  void OnRequest(const std::string& endpoint, const InventoryRequest& query);
+  void OnRequest(const std::string& endpoint, const InventoryRequest& request);
   void OnResponse(const InventoryResponse& response);
   void OnRequestTimeout();
   void Finish(const std::optional<InventoryReading>& reading);
-  InventoryResponse MakeResponse(const InventoryRequest& query,
+  InventoryResponse MakeResponse(const InventoryRequest& request,
                                  const std::optional<InventoryReading>& reading) const;
-  // The list that an answer tells; nothing if it is a difference from another one than ours.
+  // The inventory of a response; nothing if it is a delta from another base than this gateway's.
   std::optional<Inventory> Reconstruct(const InventoryResponse& response) const;
   void Send(const std::string& endpoint, const InventoryMessage& message);
 
@@ -90,7 +93,7 @@
   std::optional<PendingRequest> pending_request_;
   uint64_t last_request_id_ = 0;
   absl::flat_hash_map<std::string, runtime::MonotonicTime> unresponsive_until_;  // by node id
-  runtime::Timer timeout_;
+  runtime::Timer response_timer_;
   // Callbacks that may outlive this object hold a weak pointer to it.
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/posthatch/control/server/inventory_publisher.cc
+++ b/src/posthatch/control/server/inventory_publisher.cc
@@ -69,7 +69,7 @@
   proposal_in_flight_ = true;
   const Inventory& replicated = state_->fleet().inventory();
   Command command;
-  *command.mutable_set_inventory()->mutable_change() = ComputeDelta(replicated, inventory);
+  *command.mutable_set_inventory()->mutable_delta() = ComputeDelta(replicated, inventory);
   command.mutable_set_inventory()->set_base_version(replicated.version());
   proposer_->Propose(command, [this, requested_at](bool applied) {
     proposal_in_flight_ = false;
--- a/src/posthatch/control/state/inventory_state.cc
+++ b/src/posthatch/control/state/inventory_state.cc
@@ -24,14 +24,14 @@
 CommandResult InventoryState::Apply(const SetInventory& reading, Change* change) {
   CommandResult result;
   Inventory next;
-  if (reading.has_change()) {
+  if (reading.has_delta()) {
     if (reading.base_version() != inventory_.version()) {
       result.set_code(CommandResult::VERSION_CONFLICT);
       result.set_version(inventory_.version());
       return result;
     }
     next = inventory_;
-    PatchInventory(reading.change(), &next);
+    PatchInventory(reading.delta(), &next);
   } else {
     next = reading.inventory();
     SortBackends(&next);
--- a/src/posthatch/control/state/traffic_state-test.cc
+++ b/src/posthatch/control/state/traffic_state-test.cc
@@ -240,7 +240,7 @@
   whole.mutable_set_inventory()->mutable_inventory()->add_backends()->set_id("w1");
   Apply(whole);
   Command stale;
-  stale.mutable_set_inventory()->mutable_change()->add_removed("w1");
+  stale.mutable_set_inventory()->mutable_delta()->add_removed("w1");
   stale.mutable_set_inventory()->set_base_version(0);
   EXPECT_EQ(Apply(stale).code(), CommandResult::VERSION_CONFLICT);
   EXPECT_EQ(state_.fleet().inventory().backends_size(), 1);
