--- a/src/posthatch/control/admin/admin_api.h
+++ b/src/posthatch/control/admin/admin_api.h
@@ -12,31 +12,31 @@
 namespace posthatch::control {
 
 struct AdminApiOptions {
-  // SHA-256 of the operators' bearer token, hexadecimal; empty: none is asked for.
+  // SHA-256 of the operators' bearer token, hexadecimal; empty: requests need no token.
   std::string admin_token_sha256;
-  // How long a change is tried for. Longer than a session lease and a leader change together, since
-  // a change is acknowledged only once it is in force.
+  // Until a change is reported as uncertain. Longer than a session lease and a leader election
+  // together, since a change is acknowledged only once it is in force.
   runtime::Duration change_timeout = std::chrono::seconds(20);
   runtime::Duration query_timeout = std::chrono::seconds(5);
-  // Body of GET /admin/v1/members, which each process answers from what it knows itself; may be
-  // empty.
+  // Returns the JSON body of GET /admin/v1/members, which each process answers from its own view of
+  // the membership; may be empty.
   std::function<std::string()> members_view;
 };
 
 // The operators' HTTP interface (docs/API.md), the same on every gateway and controller: changes
-// and reads go to the leading controller. Owned by the process, on its event loop thread; all that
-// it is given outlives it.
+// and reads are forwarded to the leading controller. Owned by the process; event loop thread only.
 class AdminApi {
  public:
+  // All pointers outlive this object.
   AdminApi(runtime::Runtime* runtime, AdminApiOptions options, ControlClient* control_client,
            QueryClient* query_client);
 
-  // Answers a request under /admin/v1/, now or later; false, with nothing done, if the path isn't
-  // one of its own. /admin/v1/log-level and /admin/v1/index are answered elsewhere.
+  // Responds to a request under /admin/v1/, now or later; false, with nothing done, for other
+  // paths. The process handles /admin/v1/log-level and /admin/v1/index itself.
   bool HandleRequest(const http::Request& request, std::shared_ptr<http::ResponseWriter> writer);
 
-  // Whether the request carries the operators' token, if one is asked for; compared in constant
-  // time. For the paths under /admin/ that are answered elsewhere.
+  // Whether the request carries the operators' token, if one is required; compared in constant
+  // time. Also for the paths under /admin/ that the process handles itself.
   bool Authorized(const http::Request& request) const;
 
  private:
--- a/src/posthatch/control/admin/admin_changes.cc
+++ b/src/posthatch/control/admin/admin_changes.cc
@@ -18,7 +18,7 @@
 constexpr int kStatusConflict = 409;
 constexpr int kStatusGone = 410;
 
-// Reads fields of one JSON object and remembers the first error; every field must be known.
+// Reads the fields of a JSON object and keeps the first error; unknown fields are errors.
 class FieldReader {
  public:
   explicit FieldReader(const boost::json::object& object) : object_(object) {}
@@ -47,7 +47,7 @@
     return value->is_bool() && value->get_bool();
   }
 
-  // By way of protobuf's own JSON; false if there is no such field.
+  // In the JSON mapping of protobuf; false if there is no such field.
   bool Message(std::string_view name, google::protobuf::Message* message) {
     const boost::json::value* value = Take(name);
     if (value == nullptr) return false;
@@ -59,8 +59,9 @@
 
   absl::Status Finish() const {
     if (!error_.empty()) return absl::InvalidArgumentError(error_);
-    if (taken_ != object_.size())
+    if (taken_ != object_.size()) {
       return absl::InvalidArgumentError("body: unknown or wrong fields");
+    }
     return absl::OkStatus();
   }
 
@@ -81,10 +82,10 @@
 
 void ReadConfigurationChange(FieldReader* fields, ChangeConfiguration* change) {
   change->set_expected_version(fields->Number("expected_version"));
-  Configuration whole;
+  Configuration configuration;
   ConfigurationPatch patch;
-  if (fields->Message("configuration", &whole)) {
-    *change->mutable_whole() = std::move(whole);
+  if (fields->Message("configuration", &configuration)) {
+    *change->mutable_whole() = std::move(configuration);
   } else if (fields->Message("patch", &patch)) {
     *change->mutable_patch() = std::move(patch);
   } else if (const uint64_t version = fields->Number("roll_back_to"); version != 0) {
@@ -92,16 +93,16 @@
   }
 }
 
-void ReadEvacuation(FieldReader* fields, SetEvacuation* order) {
-  order->mutable_evacuation()->set_name(fields->Text("name"));
-  fields->Message("selector", order->mutable_evacuation()->mutable_selector());
-  order->set_lifted(fields->Flag("lifted"));
+void ReadEvacuation(FieldReader* fields, SetEvacuation* command) {
+  command->mutable_evacuation()->set_name(fields->Text("name"));
+  fields->Message("selector", command->mutable_evacuation()->mutable_selector());
+  command->set_lifted(fields->Flag("lifted"));
 }
 
-void ReadRevision(FieldReader* fields, SetModelRevision* order) {
-  order->set_model(fields->Text("model"));
-  order->set_weights(fields->Text("weights"));
-  order->set_expected_revision(fields->Number("expected_revision"));
+void ReadRevision(FieldReader* fields, SetModelRevision* command) {
+  command->set_model(fields->Text("model"));
+  command->set_weights(fields->Text("weights"));
+  command->set_expected_revision(fields->Number("expected_revision"));
 }
 
 boost::json::array ToArray(const google::protobuf::RepeatedPtrField<std::string>& lines) {
@@ -125,6 +126,27 @@
   return JsonResponse(kStatusOk, body);
 }
 
+// HTTP status and error code of a rejected change.
+struct ErrorStatus {
+  int http_status;
+  std::string_view code;
+};
+
+ErrorStatus StatusOf(CommandResult::Code code) {
+  switch (code) {
+    case CommandResult::VERSION_CONFLICT:
+      return {kStatusConflict, "version_conflict"};
+    case CommandResult::REQUEST_ID_REUSED:
+      return {kStatusConflict, "request_id_reused"};
+    case CommandResult::NOT_FOUND:
+      return {kStatusNotFound, "not_found"};
+    case CommandResult::WINDOW_PASSED:
+      return {kStatusGone, "window_passed"};
+    default:
+      return {kStatusBadRequest, "invalid"};
+  }
+}
+
 }  // namespace
 
 absl::StatusOr<Command> ReadChange(std::string_view name, const std::string& body) {
@@ -154,30 +176,9 @@
 }
 
 http::Response RenderResult(const Command& command, const CommandResult& result) {
-  int status = kStatusBadRequest;
-  std::string code = "invalid";
-  switch (result.code()) {
-    case CommandResult::OK:
-      return RenderAcknowledged(command, result);
-    case CommandResult::VERSION_CONFLICT:
-      status = kStatusConflict;
-      code = "version_conflict";
-      break;
-    case CommandResult::REQUEST_ID_REUSED:
-      status = kStatusConflict;
-      code = "request_id_reused";
-      break;
-    case CommandResult::NOT_FOUND:
-      status = kStatusNotFound;
-      code = "not_found";
-      break;
-    case CommandResult::WINDOW_PASSED:
-      status = kStatusGone;
-      code = "window_passed";
-      break;
-    default:
-      break;
-  }
+  if (result.code() == CommandResult::OK) return RenderAcknowledged(command, result);
+  const ErrorStatus error = StatusOf(result.code());
+  const std::string code(error.code);
   const std::string message =
       result.errors().empty() ? code : absl::StrCat(code, ": ", result.errors(0));
   boost::json::object body{{"error", boost::json::object{{"code", code}, {"message", message}}}};
@@ -187,7 +188,7 @@
     body["request_id"] = result.winner_request_id();
     body["differences"] = ToArray(result.differences());
   }
-  return JsonResponse(status, body);
+  return JsonResponse(error.http_status, body);
 }
 
 http::Response RenderError(int status, std::string_view code, std::string_view message,
--- a/src/posthatch/control/admin/operator_api.cc
+++ b/src/posthatch/control/admin/operator_api.cc
@@ -7,7 +7,7 @@
 namespace posthatch::control {
 namespace {
 
-// An evacuation that is lifted twice has been lifted.
+// Lifting an evacuation twice is no error for the operator.
 bool AlreadyLifted(const Command& command, const CommandResult& result) {
   return command.set_evacuation().lifted() && result.code() == CommandResult::NOT_FOUND;
 }
@@ -43,17 +43,17 @@
 }
 
 void OperatorApi::HandleChange(Command command, std::shared_ptr<http::ResponseWriter> writer) {
-  // Each call is an order of its own: what makes a resend safe is the order's content.
+  // A new request id for each call: resends are recognised by the command's content.
   command.set_request_id(
       absl::StrCat("op-", absl::Hex(runtime_->transport->incarnation()), "-", ++last_change_id_));
   control_client_->Propose(
       command, options_.change_timeout, /*until_in_force=*/false,
-      [this, command, writer = std::move(writer)](const absl::StatusOr<CommandResult>& answer) {
-        if (!answer.ok()) {
+      [this, command, writer = std::move(writer)](const absl::StatusOr<CommandResult>& applied) {
+        if (!applied.ok()) {
           writer->SendResponse(format_->RenderUnavailable());
           return;
         }
-        CommandResult result = *answer;
+        CommandResult result = *applied;
         if (AlreadyLifted(command, result)) result.set_code(CommandResult::OK);
         runtime_->trace->Event(runtime::Severity::kInfo, "OperatorChangeCompleted",
                                {{"request_id", command.request_id()},
--- a/src/posthatch/control/admin/operator_api.h
+++ b/src/posthatch/control/admin/operator_api.h
@@ -12,22 +12,22 @@
 namespace posthatch::control {
 
 struct OperatorApiOptions {
-  // How long a change is tried for. Short, so that an order that was given up by its sender doesn't
-  // come into force after a later one.
+  // Until a change is reported as unavailable. Short, so that a change that its sender has given up
+  // doesn't come into force after a later one.
   runtime::Duration change_timeout = std::chrono::milliseconds(1500);
   runtime::Duration query_timeout = std::chrono::milliseconds(1500);
 };
 
-// The interface of a platform's operators: changes of the traffic configuration, model revisions
-// and evacuations. A change is acknowledged once it is committed: synced by a majority of the
-// controllers. Owned by the controller process, on its event loop thread; all that it is given
-// outlives it.
+// The HTTP interface of a platform's operators: changes of the traffic configuration, model
+// revisions and evacuations. A change is acknowledged once it is committed, that is, synced to disk
+// by a majority of the controllers. Owned by the controller process; event loop thread only.
 class OperatorApi {
  public:
+  // All pointers outlive this object.
   OperatorApi(runtime::Runtime* runtime, OperatorApiOptions options, const OperatorFormat* format,
               ControlClient* control_client, QueryClient* query_client);
 
-  // Answers an operator's call, now or later; false, with nothing done, if it is none.
+  // Responds to an operator's request, now or later; false, with nothing done, for other requests.
   bool HandleRequest(const http::Request& request, std::shared_ptr<http::ResponseWriter> writer);
 
  private:
--- a/src/posthatch/control/admin/operator_format.h
+++ b/src/posthatch/control/admin/operator_format.h
@@ -7,10 +7,10 @@
 
 namespace posthatch::control {
 
-// One call of an operator, read.
+// A parsed request of a platform's operator.
 struct OperatorRequest {
   enum class Kind {
-    kNone,               // not an operator's call
+    kNone,               // not an operator's request
     kMalformed,          // `error` says why
     kChange,             // `command`, without a request id
     kReadConfiguration,  // the traffic configuration in force
@@ -20,7 +20,7 @@
   std::string error;
 };
 
-// How the operators of a platform speak. Stateless; any thread.
+// Requests and responses of a platform's operators. Stateless; any thread.
 class OperatorFormat {
  public:
   virtual ~OperatorFormat() = default;
@@ -29,7 +29,7 @@
   virtual http::Response RenderResult(const Command& command,
                                       const CommandResult& result) const = 0;
   virtual http::Response RenderConfiguration(const TrafficConfiguration& configuration) const = 0;
-  // No clear answer: the order may be sent again, to any controller.
+  // The outcome is unknown: the request may be sent again, to any controller.
   virtual http::Response RenderUnavailable() const = 0;
 };
 
--- a/src/posthatch/control/client/control_client.h
+++ b/src/posthatch/control/client/control_client.h
@@ -10,42 +10,45 @@
 
 namespace posthatch::control {
 
-// What a gateway knows of the fleet, and whether it may decide by it. Event loop thread only.
+// A gateway's replica of the fleet state, and whether it may still decide by it (implementation:
+// GatewaySession). Event loop thread only.
 class FleetView {
  public:
-  // Called after any section changed, with the state already in force.
+  // Called after any section changed, with the new state.
   using Listener = std::function<void(const FleetState&)>;
 
   virtual ~FleetView() = default;
-  // True while the session lease, counted from when its renewal was sent, has not run out. Without
-  // it, nothing may be decided by `state()`.
+  // True until the session lease, counted from when its renewal was sent, has expired. Without it
+  // state() may be out of date, and no decision may be based on it.
   virtual bool LeaseValid() const = 0;
   virtual runtime::MonotonicTime lease_expiry() const = 0;
   virtual const FleetState& state() const = 0;
-  // Age of the inventory reading behind state().inventory(), from when it was asked for.
+  // Time since the inventory in state() was requested from the platform.
   virtual runtime::Duration InventoryAge() const = 0;
   virtual void AddListener(Listener listener) = 0;
 };
 
-// Brings commands to the leading controller: finds it, follows redirections, and sends again (with
-// the same request id) until an answer comes or the time is over.
+// Sends commands to the leading controller: finds it, follows redirects, and retries with the same
+// request id until there is a response or the timeout passes (implementations: LeaderClient,
+// GatewaySession). Event loop thread only.
 class ControlClient {
  public:
-  // Result of the state machine, or DeadlineExceeded / Unavailable: it may still be applied, or
-  // ResourceExhausted: it was not taken and will not be applied.
+  // Result of the state machine; DeadlineExceeded: the command may still be applied;
+  // ResourceExhausted: no controller accepted it, and it will not be applied.
   using ProposeDone = std::function<void(absl::StatusOr<CommandResult>)>;
 
   virtual ~ControlClient() = default;
-  // `command.request_id` must be set. With `until_in_force` the answer comes only once the change
-  // is in force at every gateway that holds a session lease.
+  // `command.request_id` must be set. With `until_in_force`, `done` runs only once the change is in
+  // force at every gateway that holds a session lease.
   virtual void Propose(Command command, runtime::Duration timeout, bool until_in_force,
                        ProposeDone done) = 0;
 };
 
-// Asks the leading controller for a view of the control state (QueryRequest).
+// Requests a view of the control state from the leading controller (QueryRequest). Event loop
+// thread only.
 class QueryClient {
  public:
-  // The answer, or DeadlineExceeded / ResourceExhausted.
+  // The response; DeadlineExceeded, or ResourceExhausted if no controller accepted the query.
   using QueryDone = std::function<void(absl::StatusOr<QueryResponse>)>;
 
   virtual ~QueryClient() = default;
--- a/src/posthatch/control/client/leader_client.cc
+++ b/src/posthatch/control/client/leader_client.cc
@@ -8,9 +8,10 @@
 namespace posthatch::control {
 namespace {
 
-// Pause after a refusal that named another leader, and after one that didn't.
+// After a rejection that named another leader, and after one that didn't.
 constexpr runtime::Duration kRedirectBackoff = std::chrono::milliseconds(5);
 constexpr runtime::Duration kRejectedBackoff = std::chrono::milliseconds(100);
+// Lower bound; up to twice as long.
 constexpr runtime::Duration kOverloadBackoff = std::chrono::milliseconds(200);
 constexpr runtime::Duration kNoControllerBackoff = std::chrono::milliseconds(100);
 
@@ -22,7 +23,7 @@
       options_(options),
       locator_(locator),
       sender_(std::move(sender)),
-      // An answer to an earlier life of this process must not fit a call of this one.
+      // A response to a call of a previous incarnation must not match one of this incarnation.
       last_call_(runtime->transport->incarnation()) {}
 
 void LeaderClient::Propose(Command command, runtime::Duration timeout, bool until_in_force,
@@ -50,8 +51,8 @@
 
 void LeaderClient::Start(std::unique_ptr<Operation> operation, runtime::Duration timeout) {
   operation->deadline = runtime_->clock->Now() + timeout;
-  const uint64_t operation_id = ++last_operation_;
-  const bool overloaded = operations_.size() >= options_.max_calls;
+  const uint64_t operation_id = ++last_operation_id_;
+  const bool overloaded = operations_.size() >= options_.max_operations;
   operations_[operation_id] = std::move(operation);
   if (!overloaded) {
     SendOperation(operation_id);
@@ -72,7 +73,7 @@
   const uint64_t call = ++last_call_;
   operation_by_call_[call] = operation_id;
   operation->outstanding_calls.insert(call);
-  operation->sent_to = target;
+  operation->target = target;
   if (operation->message.has_propose_request()) {
     operation->message.mutable_propose_request()->set_call(call);
   } else {
@@ -86,7 +87,7 @@
 
 void LeaderClient::OnResendTimeout(uint64_t operation_id) {
   Operation* operation = operations_.at(operation_id).get();
-  locator_->MarkUnavailable(operation->sent_to);
+  locator_->MarkUnavailable(operation->target);
   if (runtime_->clock->Now() < operation->deadline) {
     SendOperation(operation_id);
     return;
@@ -124,8 +125,7 @@
       ScheduleSend(operation_id, kRejectedBackoff);
       return;
     case ProposeResponse::OVERLOADED: {
-      operations_.at(operation_id)->outstanding_calls.erase(response.call());
-      operation_by_call_.erase(response.call());
+      ForgetCall(operation_id, response.call());
       const runtime::Duration backoff =
           runtime_->random->Between(kOverloadBackoff, 2 * kOverloadBackoff);
       ScheduleSend(operation_id, backoff);
@@ -152,8 +152,7 @@
 void LeaderClient::OnRejected(uint64_t call, const std::string& from_endpoint,
                               const std::string& hint) {
   const uint64_t operation_id = FindOperationByCall(call);
-  operations_.at(operation_id)->outstanding_calls.erase(call);
-  operation_by_call_.erase(call);
+  ForgetCall(operation_id, call);
   const bool redirected = !hint.empty() && hint != from_endpoint;
   if (redirected) {
     locator_->FollowHint(hint);
@@ -174,6 +173,11 @@
   return owner == operation_by_call_.end() ? 0 : owner->second;
 }
 
+void LeaderClient::ForgetCall(uint64_t operation_id, uint64_t call) {
+  operations_.at(operation_id)->outstanding_calls.erase(call);
+  operation_by_call_.erase(call);
+}
+
 std::unique_ptr<LeaderClient::Operation> LeaderClient::Remove(uint64_t operation_id) {
   auto found = operations_.find(operation_id);
   std::unique_ptr<Operation> operation = std::move(found->second);
--- a/src/posthatch/control/client/leader_client.h
+++ b/src/posthatch/control/client/leader_client.h
@@ -15,22 +15,22 @@
 namespace posthatch::control {
 
 struct LeaderClientOptions {
-  // How long an unanswered sending is waited for. A change that must come into force first takes up
-  // to a session lease, so it is asked for again less often.
+  // From a call until it is sent again if there is no response. With `until_in_force` a response
+  // may take as long as a session lease, so that calls are repeated less often.
   runtime::Duration resend_interval = std::chrono::milliseconds(400);
   runtime::Duration in_force_resend_interval = std::chrono::milliseconds(1500);
-  // Calls under way; beyond, new ones end with ResourceExhausted.
-  size_t max_calls = 4096;
+  // Pending commands and queries; further ones fail with ResourceExhausted.
+  size_t max_operations = 4096;
 };
 
-// Brings commands and queries to the leading controller and sends them again, with the same request
-// id, until they are answered or their time is over. Used by gateways (through GatewaySession) and
-// by controllers for their own operators' interface. Owned by either; event loop thread only.
+// Sends commands and queries to the leading controller, and repeats them with the same request id
+// until there is a response or the timeout passes. Owned by GatewaySession, or by ControllerService
+// for the controller's own operators' interface; event loop thread only.
 class LeaderClient : public ControlClient, public QueryClient {
  public:
   using Sender = std::function<void(const std::string& endpoint, const ControlMessage& message)>;
 
-  // `locator` outlives the client.
+  // Both pointers outlive this object.
   LeaderClient(runtime::Runtime* runtime, LeaderClientOptions options, LeaderLocator* locator,
                Sender sender);
 
@@ -40,14 +40,12 @@
   void Query(std::string name, std::string argument, runtime::Duration timeout,
              QueryDone done) override;
 
-  // Answers that came in; unknown and late ones are ignored.
+  // Handlers of received responses; those to unknown and finished calls are ignored.
   void OnProposeResponse(const std::string& from_endpoint, const ProposeResponse& response);
   void OnQueryResponse(const std::string& from_endpoint, const QueryResponse& response);
 
-  size_t pending_operations() const { return operations_.size(); }
-
  private:
-  // One command or query, over all its sendings.
+  // One command or query; each time that it is sent is a call with its own number.
   struct Operation {
     explicit Operation(runtime::TimerService* timers) : timer(timers) {}
     ControlMessage message;
@@ -55,10 +53,10 @@
     runtime::Duration resend_interval{};
     ProposeDone propose_done;
     QueryDone query_done;
-    // Sendings that nobody has refused: as long as there is one, the command may be applied.
+    // Calls that no controller has rejected: as long as there is one, the command may be applied.
     absl::flat_hash_set<uint64_t> outstanding_calls;
-    bool uncertain = false;
-    std::string sent_to;
+    bool uncertain = false;  // a controller accepted it and lost its leadership
+    std::string target;      // of the last call
     runtime::Timer timer;
   };
 
@@ -66,11 +64,12 @@
   void SendOperation(uint64_t operation_id);
   void OnResendTimeout(uint64_t operation_id);
   void ScheduleSend(uint64_t operation_id, runtime::Duration delay);
-  // A sending was refused: nothing came of it. Sends again after a pause.
+  // A controller that isn't the leader rejected the call; sends again after a backoff.
   void OnRejected(uint64_t call, const std::string& from_endpoint, const std::string& hint);
   void Finish(uint64_t operation_id, const absl::Status& status);
-  // The operation that `call` belongs to, or 0.
+  // The id of the operation that `call` belongs to; 0 if there is none.
   uint64_t FindOperationByCall(uint64_t call) const;
+  void ForgetCall(uint64_t operation_id, uint64_t call);
   std::unique_ptr<Operation> Remove(uint64_t operation_id);
 
   runtime::Runtime* const runtime_;
@@ -79,7 +78,7 @@
   const Sender sender_;
   std::map<uint64_t, std::unique_ptr<Operation>> operations_;
   absl::flat_hash_map<uint64_t, uint64_t> operation_by_call_;  // call -> operation
-  uint64_t last_operation_ = 0;
+  uint64_t last_operation_id_ = 0;
   uint64_t last_call_;
 };
 
--- a/src/posthatch/control/client/leader_locator.h
+++ b/src/posthatch/control/client/leader_locator.h
@@ -8,8 +8,8 @@
 
 namespace posthatch::control {
 
-// Remembers which controller to ask. Follows the hints of controllers, and goes through the known
-// ones when the present one is silent. Event loop thread only.
+// Chooses the controller to call: follows the hints of controllers, and goes through the known ones
+// while the chosen one is unavailable. Owned by the user of a LeaderClient; event loop thread only.
 class LeaderLocator {
  public:
   // Internal endpoints of the controllers believed to exist.
@@ -17,14 +17,14 @@
 
   LeaderLocator(runtime::Runtime* runtime, Endpoints controllers);
 
-  // Where to send now; empty if no controller is known.
+  // The controller to call now; empty if none is known.
   std::string Target();
-  // A controller named the leader. Ignored if empty.
+  // A controller named the leader; ignored if empty.
   void FollowHint(const std::string& leader_endpoint);
-  // The leader at `endpoint` answered.
+  // The leader responded from `endpoint`.
   void OnLeaderResponse(const std::string& endpoint);
-  // `endpoint` didn't answer, or isn't the leader and knows none: goes on to the next controller,
-  // unless it was heard as the leader within the last kLeaderTrustPeriod.
+  // `endpoint` didn't respond, or isn't the leader and knows none: the next controller is chosen,
+  // unless `endpoint` responded as the leader within the last kLeaderTrustPeriod.
   void MarkUnavailable(const std::string& endpoint);
 
   static constexpr runtime::Duration kLeaderTrustPeriod = std::chrono::milliseconds(1100);
--- a/src/posthatch/control/server/controller_metrics.h
+++ b/src/posthatch/control/server/controller_metrics.h
@@ -9,10 +9,10 @@
 
 namespace posthatch::control {
 
-// Metrics of a controller's service; each family's help text says what it counts.
+// Metrics of a ControllerService; each family's help text says what it counts.
 class ControllerMetrics {
  public:
-  // With a null registry the figures are counted and shown nowhere.
+  // With a null registry the metrics are counted but not exposed.
   explicit ControllerMetrics(prometheus::Registry* registry);
 
   prometheus::Gauge& sessions() { return *sessions_; }
--- a/src/posthatch/control/server/in_force_waiters.h
+++ b/src/posthatch/control/server/in_force_waiters.h
@@ -9,17 +9,17 @@
 
 namespace posthatch::control {
 
-// Operators' changes that are committed but not yet acknowledged: they wait until every session has
-// put them in force or has run out. Owned by ControllerService.
+// Committed changes whose proposers wait until every session has acknowledged them or expired.
+// Owned by ProposalServer; event loop thread only.
 class InForceWaiters {
  public:
-  // `in_force` is false if leadership was lost before it could be known.
+  // `in_force` is false if the leadership ended before.
   using Done = std::function<void(bool in_force)>;
 
   void Add(uint64_t log_index, Done done) { waiters_.push_back({log_index, std::move(done)}); }
-  // Ends the waits that are over at `now`.
+  // Ends the waits whose change is in force everywhere at `now`.
   void Check(const SessionTable& sessions, runtime::MonotonicTime now);
-  // Ends all with in_force = false.
+  // Ends all waits with in_force = false.
   void FailAll();
   size_t size() const { return waiters_.size(); }
 
--- a/src/posthatch/control/server/leader_lease_guard.h
+++ b/src/posthatch/control/server/leader_lease_guard.h
@@ -2,9 +2,9 @@
 
 namespace posthatch::control {
 
-// Whether this controller may decide as the leader at this very moment: the replicated log says
-// that it leads, and a majority has answered it within the shortest election timeout, by its clock
-// now. The replicated log's owner implements it.
+// Whether this controller holds the leader lease, so that no other one has been elected: true if
+// the replicated log leads and a majority has responded within the shortest election timeout, by
+// the clock now. Implemented by the owner of the replicated log; event loop thread only.
 class LeaderLeaseGuard {
  public:
   virtual ~LeaderLeaseGuard() = default;
--- a/src/posthatch/control/server/session_table.cc
+++ b/src/posthatch/control/server/session_table.cc
@@ -4,6 +4,13 @@
 
 namespace posthatch::control {
 
+void Session::Acknowledge(const SectionIndices& in_force) {
+  acked_index = std::max(acked_index, HighestIndex(in_force));
+  for (size_t i = 0; i < kSectionCount; ++i) {
+    acked_versions[i] = std::max(acked_versions[i], in_force[i]);
+  }
+}
+
 Session* SessionTable::Renew(const SessionRenewal& renewal, const std::string& endpoint,
                              runtime::MonotonicTime now, runtime::Duration lease,
                              uint64_t applied_index, uint64_t term) {
@@ -17,16 +24,12 @@
   session.expiry = std::max(session.expiry, now + lease);
   session.renewal = renewal.renewal();
   session.last_renewal_at = now;
-  const SectionIndices acked_versions = IndicesOf(renewal);
-  for (size_t i = 0; i < kSectionCount; ++i) {
-    session.acked_versions[i] = std::max(session.acked_versions[i], acked_versions[i]);
-  }
   if (is_new) {
     session.acked_index = applied_index;
     session.first_renewal = renewal.renewal();
     session.first_granted_at = now;
   }
-  session.acked_index = std::max(session.acked_index, HighestIndex(acked_versions));
+  session.Acknowledge(IndicesOf(renewal));
   const bool acks_grant =
       renewal.granted_term() == term && renewal.granted_renewal() >= session.first_renewal;
   if (!is_new && acks_grant && !session.grant_acked) {
@@ -45,7 +48,7 @@
 }
 
 const Session* SessionTable::FindSuccessor(const SessionKey& holder) const {
-  if (sessions_.contains(holder)) return nullptr;  // not known to have ended
+  if (sessions_.contains(holder)) return nullptr;  // it may still be running
   const auto first = sessions_.lower_bound({holder.gateway, 0});
   for (auto entry = first; entry != sessions_.end(); ++entry) {
     if (entry->first.gateway != holder.gateway) break;
@@ -61,11 +64,7 @@
 
 void SessionTable::Acknowledge(const SessionKey& key, const SectionIndices& in_force) {
   Session* session = Find(key);
-  if (session == nullptr) return;
-  session->acked_index = std::max(session->acked_index, HighestIndex(in_force));
-  for (size_t i = 0; i < kSectionCount; ++i) {
-    session->acked_versions[i] = std::max(session->acked_versions[i], in_force[i]);
-  }
+  if (session != nullptr) session->Acknowledge(in_force);
 }
 
 void SessionTable::RemoveExpired(runtime::MonotonicTime now) {
--- a/src/posthatch/control/server/session_table.h
+++ b/src/posthatch/control/server/session_table.h
@@ -3,7 +3,6 @@
 #include <cstdint>
 #include <map>
 #include <string>
-#include <vector>
 
 #include "posthatch/control/control.pb.h"
 #include "posthatch/control/state/fleet_sections.h"
@@ -11,63 +10,72 @@
 
 namespace posthatch::control {
 
-// One life of one gateway process.
+// One incarnation of a gateway process.
 struct SessionKey {
-  std::string gateway;
+  std::string gateway;  // node id
   uint64_t incarnation = 0;
 
   friend auto operator<=>(const SessionKey&, const SessionKey&) = default;
 };
 
+// A gateway's session as the leader knows it.
 struct Session {
   SessionKey key;
   std::string zone;
   std::string endpoint;
-  // Never before the end of the lease as the gateway counts it.
+  // Never before the lease expires by the gateway's own count.
   runtime::MonotonicTime expiry;
-  uint64_t renewal = 0;
-  SectionIndices acked_versions{};  // sections that the gateway has said to be in force
-  uint64_t acked_index = 0;  // every change up to this log index is in force there, or no lease is
-  runtime::MonotonicTime last_renewal_at;  // its last renewal
-  // The first grant: once the gateway has answered it, this life of it is known to have gone on
-  // after `first_granted_at`.
+  uint64_t renewal = 0;  // number of the newest one
+  runtime::MonotonicTime last_renewal_at;
+
+  // Sections that the gateway has reported as being in force.
+  SectionIndices acked_versions{};
+  // Every change up to this log index is in force at the gateway, or it has no lease.
+  uint64_t acked_index = 0;
+
+  // The first grant of this session. Once the gateway acknowledges it, this incarnation is known to
+  // have run after `first_granted_at`.
   uint64_t first_renewal = 0;
   runtime::MonotonicTime first_granted_at;
   bool grant_acked = false;
-  uint64_t sent_index = 0;  // what was last sent to it, and when
+
+  // The state that was last sent to the gateway, by a grant or a push.
+  uint64_t sent_index = 0;
   runtime::MonotonicTime sent_at;
+
+  void Acknowledge(const SectionIndices& in_force);
 };
 
-// The sessions that the leading controller has granted, in its memory only. Times are given by the
-// caller. Owned by ControllerService.
+// The sessions that the leader has granted in its term. In memory only: the next leader waits until
+// they have expired. The caller gives the time. Owned by ControllerService; event loop thread only.
 class SessionTable {
  public:
-  // Renews or begins a session; null if the renewal is an old one that came late. A session that
-  // begins gets its first lease with the state as of `applied_index`. `term` is
-  // the one that this leader grants in. Sessions of earlier lives of the gateway end as soon as
-  // they are known to be over.
+  // Renews or starts a session; null if the renewal is older than the last one. A new session is
+  // sent the state as of `applied_index` with its first lease. `term` is that of this leader. Ends
+  // the sessions of previous incarnations of the gateway as soon as they are known to have ended.
   Session* Renew(const SessionRenewal& renewal, const std::string& endpoint,
                  runtime::MonotonicTime now, runtime::Duration lease, uint64_t applied_index,
                  uint64_t term);
   // Null if there is none.
   Session* Find(const SessionKey& key);
-  // The gateway has the sections of these indices in force.
+  // No effect without a session.
   void Acknowledge(const SessionKey& key, const SectionIndices& in_force);
   void End(const SessionKey& key) { sessions_.erase(key); }
   void Clear() { sessions_.clear(); }
   void RemoveExpired(runtime::MonotonicTime now);
 
-  // The life of the gateway of `holder` that is known to have begun after `holder` ended; null if
-  // there is none. A node runs one process at a time, so one of its lives that went on after
-  // another one had been heard of is the later one.
+  // The incarnation of `holder`'s gateway that is known to have started after `holder` ended; null
+  // if there is none. A node runs one process at a time: of two incarnations, the one that ran
+  // after the other one's last renewal is the later one.
   const Session* FindSuccessor(const SessionKey& holder) const;
 
-  // True if every session that hasn't run out at `now` knows all changes up to `log_index`.
+  // True if every session that is valid at `now` has acknowledged all changes up to `log_index`.
   bool AckedByAllSessions(uint64_t log_index, runtime::MonotonicTime now) const;
   const std::map<SessionKey, Session>& sessions() const { return sessions_; }
   std::map<SessionKey, Session>& mutable_sessions() { return sessions_; }
 
  private:
+  // Requires that `session` has acknowledged a grant.
   void ExpirePreviousIncarnations(const Session& session);
 
   std::map<SessionKey, Session> sessions_;
--- a/src/posthatch/control/server/state_views.cc
+++ b/src/posthatch/control/server/state_views.cc
@@ -16,9 +16,10 @@
 namespace posthatch::control {
 namespace {
 
+constexpr int kStatusOk = 200;
 constexpr int kStatusNotFound = 404;
 
-// By way of protobuf's own JSON, with the field names of the .proto files.
+// The JSON mapping of protobuf, with the field names of the .proto files.
 boost::json::value ToJson(const google::protobuf::Message& message) {
   google::protobuf::util::JsonPrintOptions options;
   options.preserve_proto_field_names = true;
@@ -29,7 +30,7 @@
   return error ? boost::json::value() : value;
 }
 
-View Found(const boost::json::value& value) { return {200, boost::json::serialize(value)}; }
+View Found(const boost::json::value& value) { return {kStatusOk, boost::json::serialize(value)}; }
 View NotFound(std::string_view what) { return {kStatusNotFound, ErrorJson("not_found", what)}; }
 
 const ConfigurationVersion* FindVersion(const ConfigurationHistory& history,
@@ -40,9 +41,9 @@
 }
 
 View ConfigurationView(std::string_view query, const ControlState& state) {
-  const std::string wanted = QueryValue(query, "version");
-  const ConfigurationVersion* version = FindVersion(state.history(), wanted);
-  if (version == nullptr && !wanted.empty()) return NotFound("this version isn't kept");
+  const std::string requested = QueryValue(query, "version");
+  const ConfigurationVersion* version = FindVersion(state.history(), requested);
+  if (version == nullptr && !requested.empty()) return NotFound("this version isn't kept");
   const ConfigurationVersion none;
   if (version == nullptr) version = &none;
   return Found(boost::json::object{{"version", version->version()},
@@ -50,7 +51,7 @@
                                    {"configuration", ToJson(version->configuration())}});
 }
 
-View HistoryView(const ControlState& state) {
+View HistoryView(std::string_view /*query*/, const ControlState& state) {
   boost::json::array versions;
   for (const ConfigurationVersion& version : state.history().versions()) {
     versions.push_back(boost::json::object{{"version", version.version()},
@@ -72,7 +73,7 @@
       {"from", from->version()}, {"to", to->version()}, {"differences", std::move(differences)}});
 }
 
-View EvacuationsView(const ControlState& state) {
+View EvacuationsView(std::string_view /*query*/, const ControlState& state) {
   boost::json::array evacuations;
   for (const Evacuation& evacuation : state.fleet().evacuations()) {
     evacuations.push_back(ToJson(evacuation));
@@ -80,7 +81,7 @@
   return Found(boost::json::object{{"evacuations", std::move(evacuations)}});
 }
 
-View RevisionsView(const ControlState& state) {
+View RevisionsView(std::string_view /*query*/, const ControlState& state) {
   boost::json::array revisions;
   for (const ModelRevision& revision : state.fleet().revisions()) {
     revisions.push_back(boost::json::object{{"model", revision.model()},
@@ -91,7 +92,7 @@
   return Found(boost::json::object{{"revisions", std::move(revisions)}});
 }
 
-View IsolationView(const ControlState& state) {
+View IsolationView(std::string_view /*query*/, const ControlState& state) {
   boost::json::array domains;
   for (const TenantIsolation& domain : state.fleet().isolation()) {
     domains.push_back(boost::json::object{{"tenant", domain.tenant()},
@@ -102,8 +103,8 @@
   return Found(boost::json::object{{"isolation", std::move(domains)}});
 }
 
-// In the form of the platform's own list (docs/BACKENDS.md).
-View InventoryView(const ControlState& state) {
+// In the native format of a platform's inventory (docs/BACKENDS.md).
+View InventoryView(std::string_view /*query*/, const ControlState& state) {
   boost::json::array backends;
   for (const Backend& backend : state.fleet().inventory().backends()) {
     boost::json::object labels;
@@ -125,7 +126,7 @@
                                    {"backends", std::move(backends)}});
 }
 
-View LeasesView(const ControlState& state) {
+View LeasesView(std::string_view /*query*/, const ControlState& state) {
   boost::json::array leases;
   for (const WorkerLease& lease : state.fleet().leases()) {
     leases.push_back(boost::json::object{{"worker_id", lease.worker_id()},
@@ -136,17 +137,24 @@
   return Found(boost::json::object{{"leases", std::move(leases)}});
 }
 
+struct NamedView {
+  std::string_view name;
+  View (*render)(std::string_view query, const ControlState& state);
+};
+
+constexpr NamedView kViews[] = {
+    {"configuration", ConfigurationView}, {"configuration/history", HistoryView},
+    {"configuration/diff", DiffView},     {"evacuations", EvacuationsView},
+    {"model-revisions", RevisionsView},   {"isolation", IsolationView},
+    {"inventory", InventoryView},         {"leases", LeasesView},
+};
+
 }  // namespace
 
 View RenderView(std::string_view name, std::string_view query, const ControlState& state) {
-  if (name == "configuration") return ConfigurationView(query, state);
-  if (name == "configuration/history") return HistoryView(state);
-  if (name == "configuration/diff") return DiffView(query, state);
-  if (name == "evacuations") return EvacuationsView(state);
-  if (name == "model-revisions") return RevisionsView(state);
-  if (name == "isolation") return IsolationView(state);
-  if (name == "inventory") return InventoryView(state);
-  if (name == "leases") return LeasesView(state);
+  for (const NamedView& view : kViews) {
+    if (view.name == name) return view.render(query, state);
+  }
   return NotFound("no such view");
 }
 
--- a/src/posthatch/control/server/state_views.h
+++ b/src/posthatch/control/server/state_views.h
@@ -17,10 +17,10 @@
 // the path after /admin/v1/; `query` the part after '?'. 404 for an unknown name or version.
 View RenderView(std::string_view name, std::string_view query, const ControlState& state);
 
-// The value of `key` in "a=1&b=2"; empty if missing.
+// The value of `key` in a query string like "a=1&b=2"; empty if missing.
 std::string QueryValue(std::string_view query, std::string_view key);
 
-// JSON of one error, as every refusal under /admin/v1 has it.
+// The JSON body of every error response under /admin/v1.
 std::string ErrorJson(std::string_view code, std::string_view message);
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/server/worker_lease_planner.cc
+++ b/src/posthatch/control/server/worker_lease_planner.cc
@@ -9,7 +9,7 @@
 namespace posthatch::control {
 namespace {
 
-// Workers that a gateway may hold beyond an equal share before some are taken from it.
+// Leases that a gateway may hold above its fair share before some are released.
 constexpr size_t kMaxLeasesAboveFairShare = 1;
 
 using Candidates = std::vector<const Session*>;
@@ -42,7 +42,7 @@
     return found == candidates_by_zone_.end() ? all_candidates_ : found->second;
   }
 
-  // How many workers of its zone a gateway may hold.
+  // Leases that each of these gateways may hold.
   size_t Capacity(const Candidates& candidates) const {
     const auto workers = worker_counts_.find(&candidates);
     const size_t count = workers == worker_counts_.end() ? 0 : workers->second;
@@ -84,13 +84,13 @@
     }
   }
 
-  // Rendezvous hashing among those with room; null if there is no gateway at all.
+  // Rendezvous hashing among those with spare capacity; null if there is none.
   const Session* SelectHolder(const std::string& worker_id, const Candidates& candidates) {
-    std::map<SessionKey, size_t>& lease_count = lease_counts_[&candidates];
+    std::map<SessionKey, size_t>& lease_counts = lease_counts_[&candidates];
     const Session* best = nullptr;
     uint64_t best_score = 0;
     for (const Session* session : candidates) {
-      if (lease_count[session->key] >= Capacity(candidates)) continue;
+      if (lease_counts[session->key] >= Capacity(candidates)) continue;
       const uint64_t score = FingerprintOf(absl::StrCat(worker_id, "/", session->key.gateway)).low;
       if (best != nullptr && score <= best_score) continue;
       best = session;
@@ -101,9 +101,10 @@
 
   std::map<std::string, Candidates> candidates_by_zone_;
   Candidates all_candidates_;
-  // Workers that each gateway holds out of those it is a candidate for, by group of candidates.
+  // Leases that each gateway holds, by group of candidates.
   std::map<const Candidates*, std::map<SessionKey, size_t>> lease_counts_;
-  std::map<std::string, std::string> worker_zones_;  // workers without a holder, at last
+  std::map<std::string, std::string>
+      worker_zones_;  // of workers without a holder, once Run has looked at all leases
   std::map<const Candidates*, size_t> worker_counts_;
   GrantWorkerLeases command_;
 };
--- a/src/posthatch/control/state/configuration_history.cc
+++ b/src/posthatch/control/state/configuration_history.cc
@@ -83,14 +83,14 @@
 const ConfigurationVersion* ConfigurationHistory::Find(uint64_t version) const {
   const auto found = std::find_if(
       versions_.rbegin(), versions_.rend(),
-      [version](const ConfigurationVersion& kept) { return kept.version() == version; });
+      [version](const ConfigurationVersion& entry) { return entry.version() == version; });
   return found == versions_.rend() ? nullptr : &*found;
 }
 
 const ConfigurationVersion* ConfigurationHistory::FindByLogIndex(uint64_t log_index) const {
   const auto found = std::lower_bound(
       versions_.begin(), versions_.end(), log_index,
-      [](const ConfigurationVersion& kept, uint64_t index) { return kept.log_index() < index; });
+      [](const ConfigurationVersion& entry, uint64_t index) { return entry.log_index() < index; });
   return found == versions_.end() || found->log_index() != log_index ? nullptr : &*found;
 }
 
--- a/src/posthatch/control/state/configuration_history.h
+++ b/src/posthatch/control/state/configuration_history.h
@@ -9,17 +9,17 @@
 
 namespace posthatch::control {
 
-// The configurations that were accepted, newest last. Decides who wins a version: a change names
-// the version that it was made from, and only the first one for a version is taken. Part of the
-// replicated state: deterministic, no clock. Owned by ControlState.
+// The accepted versions of the operators' configuration, newest last. Optimistic concurrency: a
+// change may name the version that it is based on, and is rejected once that isn't the newest. Part
+// of the replicated state: deterministic, no clock. Owned by ControlState.
 class ConfigurationHistory {
  public:
-  // Whole versions kept for reading and rolling back. The newest is always kept.
+  // Retained for reads and rollbacks; the newest version always is.
   static constexpr size_t kMaxVersions = 1000;
   static constexpr size_t kMaxBytes = size_t{32} * 1024 * 1024;
 
-  // OK (with the new version), INVALID (all errors), VERSION_CONFLICT or NOT_FOUND (roll back to a
-  // version that isn't kept). Nothing is changed unless it is OK.
+  // OK (with the new version), INVALID (all errors), VERSION_CONFLICT or NOT_FOUND (rollback to a
+  // version that isn't retained). Nothing is changed unless it is OK.
   CommandResult Apply(uint64_t log_index, const std::string& request_id,
                       const ChangeConfiguration& change);
 
@@ -27,9 +27,9 @@
   const ConfigurationVersion* newest() const {
     return versions_.empty() ? nullptr : &versions_.back();
   }
-  // Null if the version isn't kept.
+  // Null if the version isn't retained.
   const ConfigurationVersion* Find(uint64_t version) const;
-  // The version that was accepted at `log_index`; null if it isn't kept.
+  // The version that was accepted at `log_index`; null if it isn't retained.
   const ConfigurationVersion* FindByLogIndex(uint64_t log_index) const;
   const std::deque<ConfigurationVersion>& versions() const { return versions_; }
 
@@ -37,7 +37,7 @@
   void Restore(const google::protobuf::RepeatedPtrField<ConfigurationVersion>& history);
 
  private:
-  // The configuration that `change` would put in force; false with `result` set if there is none.
+  // The configuration that `change` results in; false with `result` set if there is none.
   bool MakeCandidate(const ChangeConfiguration& change, Configuration* candidate,
                      CommandResult* result) const;
   void Append(ConfigurationVersion version);
--- a/src/posthatch/control/state/configuration_patch.h
+++ b/src/posthatch/control/state/configuration_patch.h
@@ -7,17 +7,16 @@
 
 namespace posthatch::control {
 
-// `base` with the patch's removals taken out and its entries replaced or added by name, in that
-// order; `routing` is replaced whole if the patch has it. Names to remove that `base` doesn't have
-// are reported in `errors`.
+// `base` after the patch's removals and upserts by name, in that order; `routing` is replaced as a
+// whole if the patch has it. Names to remove that `base` doesn't have are added to `errors`.
 Configuration ApplyPatch(const Configuration& base, const ConfigurationPatch& patch,
                          std::vector<std::string>* errors);
 
-// The patch that makes `to` of `from`, but for the order of entries.
+// The patch that turns `from` into `to`, except for the order of entries.
 ConfigurationPatch MakePatch(const Configuration& from, const Configuration& to);
 
 // What differs between two configurations, entry by entry ("tenant alpha: changed", "model m:
-// added"), at most kMaxDifferences lines. Empty if they are equal but for the order of entries.
+// added"), at most kMaxDifferences lines. Empty if they are equal except for the order of entries.
 std::vector<std::string> DescribeDifferences(const Configuration& from, const Configuration& to);
 
 inline constexpr size_t kMaxDifferences = 100;
--- a/src/posthatch/control/state/configuration_validator.cc
+++ b/src/posthatch/control/state/configuration_validator.cc
@@ -44,7 +44,7 @@
          });
 }
 
-// Walks one configuration and collects its errors.
+// Checks one configuration and collects its errors.
 class Validator {
  public:
   explicit Validator(const Configuration& configuration) : configuration_(configuration) {}
--- a/src/posthatch/control/state/delivery_records.cc
+++ b/src/posthatch/control/state/delivery_records.cc
@@ -8,7 +8,7 @@
 namespace posthatch::control {
 namespace {
 
-// The length keeps ("ab", "c") and ("a", "bc") apart.
+// The length makes ("ab", "c") and ("a", "bc") different.
 std::string RecordKey(const std::string& tenant, const std::string& idempotency_key) {
   return absl::StrCat(tenant.size(), ":", tenant, "/", idempotency_key);
 }
@@ -29,6 +29,20 @@
   *result->mutable_delivery()->mutable_outcome() = record.outcome();
 }
 
+// The status of an existing record for an attempt to begin it.
+void SetStatus(const DeliveryRecord& record, const DeliveryBegin& begin, CommandResult* result) {
+  // A record that was finished before its begin has no request hash.
+  if (!record.request_hash().empty() && record.request_hash() != begin.request_hash()) {
+    result->mutable_delivery()->set_kind(DeliveryStatus::MISMATCH);
+  } else if (record.finished()) {
+    SetFinished(record, result);
+  } else if (record.attempt() == begin.attempt()) {
+    result->mutable_delivery()->set_kind(DeliveryStatus::BEGUN);  // a resend of the same begin
+  } else {
+    result->mutable_delivery()->set_kind(DeliveryStatus::RUNNING);
+  }
+}
+
 }  // namespace
 
 CommandResult DeliveryRecords::Begin(const DeliveryBegin& begin, int64_t window_ms) {
@@ -41,29 +55,15 @@
   if (IsExpired(key, &result)) return result;
   result.set_code(CommandResult::OK);
   const auto found = records_.find(key);
-  if (found == records_.end()) {
-    DeliveryRecord record;
-    record.set_tenant(begin.tenant());
-    record.set_idempotency_key(begin.idempotency_key());
-    record.set_request_hash(begin.request_hash());
-    record.set_gateway(begin.gateway());
-    record.set_attempt(begin.attempt());
-    record.set_begun_ms(now_ms_);
-    Insert(key, std::move(record));
-    result.mutable_delivery()->set_kind(DeliveryStatus::BEGUN);
+  if (found != records_.end()) {
+    SetStatus(found->second, begin, &result);
     return result;
   }
-  const DeliveryRecord& record = found->second;
-  // A record closed before its begin arrived has no request hash.
-  if (!record.request_hash().empty() && record.request_hash() != begin.request_hash()) {
-    result.mutable_delivery()->set_kind(DeliveryStatus::MISMATCH);
-  } else if (record.finished()) {
-    SetFinished(record, &result);
-  } else if (record.attempt() == begin.attempt()) {
-    result.mutable_delivery()->set_kind(DeliveryStatus::BEGUN);  // the same begin, sent again
-  } else {
-    result.mutable_delivery()->set_kind(DeliveryStatus::RUNNING);
-  }
+  DeliveryRecord record = MakeRecord(begin);
+  record.set_request_hash(begin.request_hash());
+  record.set_gateway(begin.gateway());
+  Insert(key, std::move(record));
+  result.mutable_delivery()->set_kind(DeliveryStatus::BEGUN);
   return result;
 }
 
@@ -80,22 +80,15 @@
   AdvanceTime(finish.now_ms(), window_ms);
   const std::string key = RecordKey(finish.tenant(), finish.idempotency_key());
   if (IsExpired(key, &result)) return result;
-  auto found = records_.find(key);
-  if (found == records_.end()) {
+  if (!records_.contains(key)) {
     if (finish.outcome().kind() != DeliveryOutcome::NOT_EXECUTED) {
       result.set_code(CommandResult::NOT_FOUND);
       result.add_errors("no attempt has begun with this key");
       return result;
     }
-    DeliveryRecord closed;
-    closed.set_tenant(finish.tenant());
-    closed.set_idempotency_key(finish.idempotency_key());
-    closed.set_attempt(finish.attempt());
-    closed.set_begun_ms(now_ms_);
-    Insert(key, std::move(closed));
-    found = records_.find(key);
+    Insert(key, MakeRecord(finish));
   }
-  DeliveryRecord& record = found->second;
+  DeliveryRecord& record = records_.at(key);
   if (record.attempt() != finish.attempt()) {
     result.set_code(CommandResult::VERSION_CONFLICT);
     result.add_errors("another attempt holds the record");
@@ -103,21 +96,33 @@
     if (record.finished()) SetFinished(record, &result);
     return result;
   }
-  if (!record.finished()) {
-    record.set_finished(true);
-    *record.mutable_outcome() = finish.outcome();
-    if (finish.outcome().body().size() > kMaxBodyBytes) {
-      record.mutable_outcome()->Clear();
-      record.mutable_outcome()->set_kind(DeliveryOutcome::UNKNOWN);
-    }
-    outcome_bytes_ += record.outcome().body().size();
-  }
+  if (!record.finished()) StoreOutcome(finish.outcome(), &record);
   result.set_code(CommandResult::OK);
   SetFinished(record, &result);
   while (outcome_bytes_ > kMaxOutcomeBytes && eviction_order_.size() > 1) EvictOldest();
   return result;
 }
 
+template <typename Command>
+DeliveryRecord DeliveryRecords::MakeRecord(const Command& command) const {
+  DeliveryRecord record;
+  record.set_tenant(command.tenant());
+  record.set_idempotency_key(command.idempotency_key());
+  record.set_attempt(command.attempt());
+  record.set_begun_ms(now_ms_);
+  return record;
+}
+
+void DeliveryRecords::StoreOutcome(const DeliveryOutcome& outcome, DeliveryRecord* record) {
+  record->set_finished(true);
+  if (outcome.body().size() > kMaxBodyBytes) {
+    record->mutable_outcome()->set_kind(DeliveryOutcome::UNKNOWN);
+  } else {
+    *record->mutable_outcome() = outcome;
+  }
+  outcome_bytes_ += record->outcome().body().size();
+}
+
 void DeliveryRecords::AdvanceTime(int64_t now_ms, int64_t window_ms) {
   now_ms_ = std::max(now_ms_, now_ms);
   while (!eviction_order_.empty() &&
--- a/src/posthatch/control/state/delivery_records.h
+++ b/src/posthatch/control/state/delivery_records.h
@@ -10,15 +10,16 @@
 
 namespace posthatch::control {
 
-// The records of non-repeatable operations, one per (tenant, idempotency key): exactly one attempt
-// ever gets BEGUN, only it may finish the record, and a finished record stays as it is.
+// Delivery records of non-idempotent operations, one per (tenant, idempotency key): exactly one
+// attempt ever gets BEGUN, only that attempt may finish the record, and a finished record never
+// changes.
 //
 // Control time: the commands carry milliseconds that the leader counts by its monotonic clock from
-// where its predecessor left off. Time between two leaders isn't counted, so that a window is never
-// shorter than configured. A record lives for one window, or until there are more than kMaxRecords
-// (or kMaxOutcomeBytes of kept bodies). After that its key is refused (WINDOW_PASSED) for
-// kExpiredWindows more windows, as far as kMaxExpired keys reach; a key older than that would be
-// taken for a new one. Part of the replicated state; owned by ControlState.
+// where the previous leader stopped. Time between two leaders isn't counted, so that a window is
+// never shorter than configured. A record is evicted after one window, or earlier if there are more
+// than kMaxRecords records or kMaxOutcomeBytes of bodies. After that its key is rejected
+// (WINDOW_PASSED) for kExpiredWindows more windows, as long as kMaxExpired keys suffice; an older
+// key would be accepted as new. Part of the replicated state; owned by ControlState.
 class DeliveryRecords {
  public:
   static constexpr int64_t kDefaultWindowMs = 3600000;
@@ -26,13 +27,13 @@
   static constexpr size_t kMaxOutcomeBytes = size_t{64} * 1024 * 1024;
   static constexpr size_t kMaxExpired = 500000;
   static constexpr int64_t kExpiredWindows = 12;
-  // A larger body isn't kept: the record then ends as UNKNOWN, which a resend is told.
+  // A larger body isn't stored: the record ends as UNKNOWN, and that is what a resend gets.
   static constexpr size_t kMaxBodyBytes = size_t{1024} * 1024;
   static constexpr size_t kMaxKeyLength = 512;
 
   CommandResult Begin(const DeliveryBegin& begin, int64_t window_ms);
-  // NOT_EXECUTED for a key without a record closes the key: a begin that is still under way then
-  // finds it closed. Any other outcome needs the record, and the attempt that began it.
+  // NOT_EXECUTED for a key without a record creates a finished one: a begin that is still in flight
+  // will not be granted. Any other outcome needs the record, and the attempt that began it.
   CommandResult Finish(const DeliveryFinish& finish, int64_t window_ms);
 
   int64_t now_ms() const { return now_ms_; }
@@ -43,9 +44,13 @@
 
  private:
   void AdvanceTime(int64_t now_ms, int64_t window_ms);
+  // A record for a DeliveryBegin or DeliveryFinish.
+  template <typename Command>
+  DeliveryRecord MakeRecord(const Command& command) const;
+  void StoreOutcome(const DeliveryOutcome& outcome, DeliveryRecord* record);
   void Insert(const std::string& key, DeliveryRecord record);
   void EvictOldest();
-  // True if `key` has no record but had one.
+  // True, with `result` set, if the record of `key` was evicted.
   bool IsExpired(const std::string& key, CommandResult* result) const;
 
   absl::flat_hash_map<std::string, DeliveryRecord> records_;
--- a/src/posthatch/control/state/evacuation_set.cc
+++ b/src/posthatch/control/state/evacuation_set.cc
@@ -9,15 +9,15 @@
 
 namespace posthatch::control {
 
-CommandResult EvacuationSet::Apply(const SetEvacuation& order) {
+CommandResult EvacuationSet::Apply(const SetEvacuation& command) {
   CommandResult result;
-  const std::string& name = order.evacuation().name();
+  const std::string& name = command.evacuation().name();
   std::vector<std::string> errors;
   if (!IsValidName(name)) {
     errors.emplace_back("name: 1 to 64 letters, digits or ._- and a letter or digit first");
   }
-  if (!order.lifted()) {
-    ValidateSelector(order.evacuation().selector(), "selector", &errors);
+  if (!command.lifted()) {
+    ValidateSelector(command.evacuation().selector(), "selector", &errors);
     if (!evacuations_.contains(name) && evacuations_.size() >= kMaxEvacuations) {
       errors.push_back(absl::StrCat("evacuations: at most ", kMaxEvacuations));
     }
@@ -27,14 +27,14 @@
     for (std::string& error : errors) result.add_errors(std::move(error));
     return result;
   }
-  if (order.lifted()) {
+  if (command.lifted()) {
     if (evacuations_.erase(name) == 0) {
       result.set_code(CommandResult::NOT_FOUND);
       result.add_errors("name: no such evacuation: " + name);
       return result;
     }
   } else {
-    evacuations_[name] = order.evacuation();
+    evacuations_[name] = command.evacuation();
   }
   result.set_code(CommandResult::OK);
   return result;
--- a/src/posthatch/control/state/evacuation_set.h
+++ b/src/posthatch/control/state/evacuation_set.h
@@ -8,14 +8,14 @@
 
 namespace posthatch::control {
 
-// Standing evacuations by name. Part of the replicated state; owned by ControlState.
+// Active evacuations by name. Part of the replicated state; owned by ControlState.
 class EvacuationSet {
  public:
   static constexpr size_t kMaxEvacuations = 1000;
 
-  // OK, INVALID (all errors) or NOT_FOUND (lifting what doesn't stand). A standing evacuation of
-  // the same name is replaced.
-  CommandResult Apply(const SetEvacuation& order);
+  // OK, INVALID (all errors), or NOT_FOUND if there is no evacuation to lift. An active evacuation
+  // of the same name is replaced.
+  CommandResult Apply(const SetEvacuation& command);
 
   void Save(google::protobuf::RepeatedPtrField<Evacuation>* evacuations) const;
   void Restore(const google::protobuf::RepeatedPtrField<Evacuation>& evacuations);
--- a/src/posthatch/control/state/expired_keys.h
+++ b/src/posthatch/control/state/expired_keys.h
@@ -11,15 +11,16 @@
 
 namespace posthatch::control {
 
-// Keys whose records were dropped, as fingerprints, oldest first: a late resend is refused instead
-// of being taken for something new. Bounded by count. Part of the replicated state.
+// Fingerprints of keys whose records were evicted, oldest first, so that a late resend is rejected
+// instead of being accepted as new. Bounded by count. Part of the replicated state; owned by
+// DeliveryRecords or RequestRecords.
 class ExpiredKeys {
  public:
   explicit ExpiredKeys(size_t max_keys) : max_keys_(max_keys) {}
 
   void Add(std::string_view key, int64_t evicted_ms);
   bool Contains(std::string_view key) const { return keys_.contains(FingerprintOf(key)); }
-  // Forgets keys that were dropped before `oldest_ms`.
+  // Evicts keys that were added before `oldest_ms`.
   void EvictBefore(int64_t oldest_ms);
   size_t size() const { return eviction_order_.size(); }
 
--- a/src/posthatch/control/state/fingerprint.h
+++ b/src/posthatch/control/state/fingerprint.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::control {
 
-// XXH3-128 of some bytes: enough to tell keys and commands apart without keeping them.
+// XXH3-128 of a byte string, to compare keys and commands without storing them.
 struct Fingerprint {
   uint64_t high = 0;
   uint64_t low = 0;
--- a/src/posthatch/control/state/inventory_state.cc
+++ b/src/posthatch/control/state/inventory_state.cc
@@ -21,19 +21,19 @@
 
 }  // namespace
 
-CommandResult InventoryState::Apply(const SetInventory& reading, Change* change) {
+CommandResult InventoryState::Apply(const SetInventory& command, Change* change) {
   CommandResult result;
   Inventory next;
-  if (reading.has_delta()) {
-    if (reading.base_version() != inventory_.version()) {
+  if (command.has_delta()) {
+    if (command.base_version() != inventory_.version()) {
       result.set_code(CommandResult::VERSION_CONFLICT);
       result.set_version(inventory_.version());
       return result;
     }
     next = inventory_;
-    PatchInventory(reading.delta(), &next);
+    PatchInventory(command.delta(), &next);
   } else {
-    next = reading.inventory();
+    next = command.inventory();
     SortBackends(&next);
   }
   if (next.backends_size() > kMaxBackends || !IdsAreUnique(next)) {
--- a/src/posthatch/control/state/inventory_state.h
+++ b/src/posthatch/control/state/inventory_state.h
@@ -12,15 +12,17 @@
  public:
   static constexpr int kMaxBackends = 200000;
 
-  // What a reading brought, for the object versions.
+  // What a command changed, for the object versions.
   struct Change {
     bool changed = false;
-    std::vector<Backend> added;              // backends that were not in the last reading
-    std::vector<std::string> drain_started;  // ids that are draining now and weren't
+    std::vector<Backend> added;  // backends that the previous inventory lacks
+    std::vector<std::string>
+        drain_started;  // ids of backends that are draining and were not before
   };
 
-  // OK with the version (the same one if nothing changed), or INVALID.
-  CommandResult Apply(const SetInventory& reading, Change* change);
+  // OK with the version (the same one if nothing changed), VERSION_CONFLICT for a delta from
+  // another version, or INVALID.
+  CommandResult Apply(const SetInventory& command, Change* change);
 
   const Inventory& inventory() const { return inventory_; }
   void Restore(const Inventory& inventory) { inventory_ = inventory; }
@@ -29,7 +31,7 @@
   Inventory inventory_;
 };
 
-// Backends sorted by id: two readings with the same content compare equal.
+// Sorts by id, so that two readings with the same content compare equal.
 void SortBackends(Inventory* inventory);
 // True if both list the same backends; versions are not compared.
 bool SameBackends(const Inventory& first, const Inventory& second);
--- a/src/posthatch/control/state/isolation_registry.h
+++ b/src/posthatch/control/state/isolation_registry.h
@@ -13,9 +13,9 @@
 // Which tenants are isolated, and the generation of each isolation domain (see TenantIsolation). A
 // generation is the log index of the domain's last change. When a tenant enters or leaves isolation
 // both its own domain and the shared one get a new generation: what it put into the shared domain
-// before must not be used by others, nor the other way round. Removed tenants stay known, so that a
-// tenant made again under the same name can't reach the former one's blocks. Part of the replicated
-// state; owned by ControlState.
+// before must not be used by others, nor the other way round. Removed tenants are remembered, so
+// that a new tenant of the same name can't reach the blocks of the removed one. Part of the
+// replicated state; owned by ControlState.
 class IsolationRegistry {
  public:
   struct TenantStatus {
@@ -23,11 +23,11 @@
     bool isolated = false;
   };
 
-  // Follows the tenants that came into force at `log_index`. Returns the names of those whose
-  // domain or generation changed, "" for the shared domain, sorted.
+  // Takes over the tenants in force since `log_index`. Returns the sorted names of those whose
+  // domain or generation changed, "" for the shared domain.
   std::vector<std::string> Update(uint64_t log_index, const std::vector<TenantStatus>& tenants);
 
-  // The tenants of a configuration, each judged by its isolation rules.
+  // The tenants of a configuration with the outcome of its isolation rules.
   static std::vector<TenantStatus> EvaluateTenants(const Configuration& configuration);
 
   void Save(google::protobuf::RepeatedPtrField<TenantIsolation>* isolation) const;
@@ -36,7 +36,7 @@
  private:
   struct Domain {
     bool isolated = false;
-    bool removed = false;  // not in the configuration at the moment
+    bool removed = false;  // not in the current configuration
     uint64_t generation = 0;
   };
 
--- a/src/posthatch/control/state/model_revisions.cc
+++ b/src/posthatch/control/state/model_revisions.cc
@@ -14,34 +14,34 @@
 
 }  // namespace
 
-CommandResult ModelRevisions::Apply(const std::string& request_id, const SetModelRevision& order,
+CommandResult ModelRevisions::Apply(const std::string& request_id, const SetModelRevision& command,
                                     const Configuration& configuration) {
   CommandResult result;
-  if (order.weights().empty() || order.weights().size() > kMaxWeightsNameLength) {
+  if (command.weights().empty() || command.weights().size() > kMaxWeightsNameLength) {
     result.set_code(CommandResult::INVALID);
     result.add_errors("weights: 1 to 256 bytes");
     return result;
   }
-  if (!HasModel(configuration, order.model())) {
+  if (!HasModel(configuration, command.model())) {
     result.set_code(CommandResult::NOT_FOUND);
-    result.add_errors("model: no such model in the configuration: " + order.model());
+    result.add_errors("model: no such model in the configuration: " + command.model());
     return result;
   }
-  const uint64_t current = Current(order.model());
+  const uint64_t current = Current(command.model());
   result.set_version(current);
-  if (order.expected_revision() != 0 && order.expected_revision() != current) {
+  if (command.expected_revision() != 0 && command.expected_revision() != current) {
     result.set_code(CommandResult::VERSION_CONFLICT);
-    const auto newest = revisions_.find(order.model());
+    const auto newest = revisions_.find(command.model());
     if (newest != revisions_.end()) {
       result.set_winner_request_id(newest->second.request_id());
       result.add_differences("weights: newest are " + newest->second.weights());
     }
     return result;
   }
-  ModelRevision& revision = revisions_[order.model()];
-  revision.set_model(order.model());
+  ModelRevision& revision = revisions_[command.model()];
+  revision.set_model(command.model());
   revision.set_revision(current + 1);
-  revision.set_weights(order.weights());
+  revision.set_weights(command.weights());
   revision.set_request_id(request_id);
   result.set_code(CommandResult::OK);
   result.set_version(current + 1);
@@ -49,22 +49,22 @@
 }
 
 CommandResult ModelRevisions::SetNumberedRevision(const std::string& request_id,
-                                                  const SetModelRevision& order) {
+                                                  const SetModelRevision& command) {
   CommandResult result;
-  if (order.model().empty()) {
+  if (command.model().empty()) {
     result.set_code(CommandResult::INVALID);
     result.add_errors("model: missing");
     return result;
   }
   result.set_code(CommandResult::OK);
-  if (order.revision() > Current(order.model())) {
-    ModelRevision& revision = revisions_[order.model()];
-    revision.set_model(order.model());
-    revision.set_revision(order.revision());
-    revision.set_weights(order.weights());
+  if (command.revision() > Current(command.model())) {
+    ModelRevision& revision = revisions_[command.model()];
+    revision.set_model(command.model());
+    revision.set_revision(command.revision());
+    revision.set_weights(command.weights());
     revision.set_request_id(request_id);
   }
-  result.set_version(Current(order.model()));
+  result.set_version(Current(command.model()));
   return result;
 }
 
--- a/src/posthatch/control/state/model_revisions.h
+++ b/src/posthatch/control/state/model_revisions.h
@@ -9,25 +9,25 @@
 
 namespace posthatch::control {
 
-// The newest revision of each model's weights: 1, 2, 3 ... in the order in which orders were
-// accepted. Part of the replicated state; owned by ControlState.
+// The newest revision of each model's weights: 1, 2, 3 ... in the order of the accepted commands,
+// or the operator's own increasing numbers. Part of the replicated state; owned by ControlState.
 class ModelRevisions {
  public:
   // OK with the new revision; NOT_FOUND if `configuration` has no such model; VERSION_CONFLICT if
   // `expected_revision` isn't the newest; INVALID.
-  CommandResult Apply(const std::string& request_id, const SetModelRevision& order,
+  CommandResult Apply(const std::string& request_id, const SetModelRevision& command,
                       const Configuration& configuration);
 
-  // Takes the operator's own number for a revision. One that is not above the newest changes
-  // nothing and is acknowledged, so that an order may be sent again at any time.
-  CommandResult SetNumberedRevision(const std::string& request_id, const SetModelRevision& order);
+  // Sets a revision under the operator's own number: OK with the newest revision, or INVALID. A
+  // number that isn't above the newest changes nothing, so that resends are harmless.
+  CommandResult SetNumberedRevision(const std::string& request_id, const SetModelRevision& command);
 
-  // Gives a model that has no revision yet its first one; returns whether it did.
+  // Sets kFirstRevision for a model without a revision; returns whether it did.
   bool EnsureFirstRevision(const std::string& model);
 
   static constexpr uint64_t kFirstRevision = 1;
 
-  // 0 if there was no order yet.
+  // 0 if the model has no revision.
   uint64_t Current(const std::string& model) const;
 
   void Save(google::protobuf::RepeatedPtrField<ModelRevision>* revisions) const;
--- a/src/posthatch/control/state/request_records.h
+++ b/src/posthatch/control/state/request_records.h
@@ -11,17 +11,18 @@
 
 namespace posthatch::control {
 
-// The answers given to operators' changes and observations, so that a resend gets the first one.
-// The newest kMaxRecords are kept whole; kMaxExpired older ids are refused with WINDOW_PASSED; what
+// The results of operators' changes and observations by request id, so that a resend gets the first
+// result.
+// The newest kMaxRecords are kept; kMaxExpired older ids are refused with WINDOW_PASSED; what
 // is older still can't be told from new. Part of the replicated state; owned by ControlState.
 class RequestRecords {
  public:
-  // At 8,500 changes a day: whole answers for more than a day, refusals for eleven more.
+  // At 8,500 changes a day: results for more than a day, WINDOW_PASSED for eleven more days.
   static constexpr size_t kMaxRecords = 10000;
   static constexpr size_t kMaxExpired = 100000;
 
-  // True if `request_id` was seen before; `result` is then the first answer, REQUEST_ID_REUSED if
-  // the command is another one, or WINDOW_PASSED.
+  // True if `request_id` was seen before; `result` is then the first result, REQUEST_ID_REUSED if
+  // the command differs, or WINDOW_PASSED.
   bool Find(const std::string& request_id, const std::string& command_hash,
             CommandResult* result) const;
   void Record(const std::string& request_id, const std::string& command_hash,
--- a/src/posthatch/control/state/selector.cc
+++ b/src/posthatch/control/state/selector.cc
@@ -45,7 +45,7 @@
   }
 }
 
-// Reads requirements one after another; `position_` is where the rest of the text starts.
+// Recursive-descent parser of the grammar in the header; `position_` is the next character.
 class SelectorParser {
  public:
   explicit SelectorParser(std::string_view text) : text_(text) {}
--- a/src/posthatch/control/state/selector.h
+++ b/src/posthatch/control/state/selector.h
@@ -24,16 +24,16 @@
 
 bool SelectorMatches(const Selector& selector, const LabelMap& labels);
 
-// Labels of an inventory entry: its own, and "id", "zone", "kind" ("worker", "store", "service"),
-// "model" and "service" (where not empty), which own labels can't override.
+// Labels of a backend: those of its inventory entry, and "id", "zone", "kind" ("worker", "store",
+// "service"), "model" and "service" (where not empty), which entry labels can't override.
 LabelMap BackendLabels(const Backend& backend);
-// Labels of a tenant: its own, and "name".
+// Labels of a tenant: those of its entry, and "name".
 LabelMap TenantLabels(const Tenant& tenant);
 
-// Reads the written form. InvalidArgument says what is wrong and where.
+// Parses the written form. InvalidArgument says what is wrong and where.
 absl::StatusOr<Selector> ParseSelector(std::string_view text);
 
-// All that is wrong with a selector, each line starting with `where`; appended to `errors`.
+// Appends all errors of a selector to `errors`, each line starting with `where`.
 void ValidateSelector(const Selector& selector, std::string_view where,
                       std::vector<std::string>* errors);
 
--- a/src/posthatch/control/state/traffic_state.cc
+++ b/src/posthatch/control/state/traffic_state.cc
@@ -15,17 +15,17 @@
 
 using Names = google::protobuf::RepeatedPtrField<std::string>;
 
-// Entries keep their places; new ones come last, in the order of the patch.
+// Entries keep their positions; new ones are appended in the order of the patch.
 template <typename Entry>
-void PatchEntries(const google::protobuf::RepeatedPtrField<Entry>& upserts, const Names& removed,
-                  google::protobuf::RepeatedPtrField<Entry>* entries) {
-  const absl::flat_hash_set<std::string> gone(removed.begin(), removed.end());
+void PatchEntries(const google::protobuf::RepeatedPtrField<Entry>& upserts,
+                  const Names& removed_names, google::protobuf::RepeatedPtrField<Entry>* entries) {
+  const absl::flat_hash_set<std::string> removed(removed_names.begin(), removed_names.end());
   absl::flat_hash_map<std::string, const Entry*> changed;
   for (const Entry& entry : upserts) changed[entry.name()] = &entry;
   absl::flat_hash_set<std::string> present;
   google::protobuf::RepeatedPtrField<Entry> result;
   for (Entry& entry : *entries) {
-    if (gone.contains(entry.name())) continue;
+    if (removed.contains(entry.name())) continue;
     present.insert(entry.name());
     const auto found = changed.find(entry.name());
     *result.Add() = found == changed.end() ? std::move(entry) : *found->second;
--- a/src/posthatch/control/state/traffic_state.h
+++ b/src/posthatch/control/state/traffic_state.h
@@ -8,9 +8,9 @@
 namespace posthatch::control {
 
 // The traffic configuration in force and the changes that led to it. Compare-and-set on versions
-// that operators choose; a change that was accepted before is recognised by its content, whoever
-// sends it again and whatever followed it. Part of the replicated state: deterministic, no clock.
-// Owned by ControlState.
+// that operators choose; an accepted change that is sent again is recognised by its content,
+// whoever sends it and whatever was accepted since. Part of the replicated state: deterministic, no
+// clock. Owned by ControlState.
 class TrafficState {
  public:
   // Accepted changes that are recognised when they are sent again.
@@ -32,10 +32,10 @@
   std::deque<AcceptedTrafficChange> accepted_;
 };
 
-// Takes away the entries as the operators wrote them: gateways don't need them.
+// Clears the entries' sources (the operators' own text), which gateways don't need.
 void StripSources(TrafficConfiguration* configuration);
 
-// The entries of `base` changed as `patch` says.
+// `base` after the removals and upserts of `patch`. The version stays that of `base`.
 TrafficConfiguration ApplyTrafficPatch(const TrafficConfiguration& base, const TrafficPatch& patch);
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/state/traffic_validator.h
+++ b/src/posthatch/control/state/traffic_validator.h
@@ -7,8 +7,8 @@
 
 namespace posthatch::control {
 
-// Everything that is wrong with a traffic configuration, one line an error; empty if it is valid.
-// Pure: the same on every controller.
+// All errors of a traffic configuration, one line each; empty if it is valid. Pure: the same on
+// every controller.
 std::vector<std::string> ValidateTraffic(const TrafficConfiguration& configuration);
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/state/worker_lease_table.h
+++ b/src/posthatch/control/state/worker_lease_table.h
@@ -9,17 +9,17 @@
 
 namespace posthatch::control {
 
-// Which gateway holds each worker, with the fencing token of the grant (its log index). A worker
-// that is held can't be granted to another holder before it was released, in a command of its own
-// log position or earlier in the same one: so a leader that works from old knowledge can't hand a
-// worker over by accident. Part of the replicated state; owned by ControlState.
+// The gateway that holds each worker's lease, with the fencing token of the grant (its log index).
+// A lease can only be granted to another holder after a release, in an earlier command or earlier
+// in the same one: a leader with an outdated view can't move a worker by mistake. Part of the
+// replicated state; owned by ControlState.
 class WorkerLeaseTable {
  public:
   // Releases first, then grants. OK if all grants were made; VERSION_CONFLICT with an error for
-  // each that was refused, the others being made. `changed` tells whether any lease changed.
+  // each that was rejected, the others being made. `changed` tells whether any lease changed.
   CommandResult Apply(uint64_t log_index, const GrantWorkerLeases& command, bool* changed);
 
-  // Null if nobody holds the worker.
+  // Null if there is no lease on the worker.
   const WorkerLease* Find(const std::string& worker_id) const;
   const std::map<std::string, WorkerLease>& leases() const { return leases_; }
 
