--- a/src/posthatch/compatibility/stored_data-test.cc
+++ b/src/posthatch/compatibility/stored_data-test.cc
@@ -80,7 +80,7 @@
 
 // Every kind of replicated command, each of them accepted.
 std::vector<Command> EveryCommand() {
-  return {control::WholeChange("c1", 0, control::SmallConfiguration()),
+  return {control::FullChange("c1", 0, control::SmallConfiguration()),
           control::PatchChange("c2", 1, "gamma", 4),
           control::EvacuationChange("e1", "rack-9", "z1", /*lifted=*/false),
           control::RevisionChange("m1", "m"),
--- a/src/posthatch/control/admin/admin_api-test.cc
+++ b/src/posthatch/control/admin/admin_api-test.cc
@@ -15,7 +15,7 @@
 constexpr const char* kTokenHash =
     "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
 
-class KeepingWriter : public http::ResponseWriter {
+class RecordingWriter : public http::ResponseWriter {
  public:
   void SendResponse(http::Response whole) override { response = std::move(whole); }
   void StartStream(http::Response) override {}
@@ -35,13 +35,13 @@
              std::initializer_list<runtime::TraceField>) override {}
 };
 
-// Answers at once with what the test set.
+// Responds at once with the result that the test set.
 class FixedClient : public ControlClient, public QueryClient {
  public:
   void Propose(Command command, runtime::Duration, bool until_in_force, ProposeDone done) override {
     EXPECT_TRUE(until_in_force);
     commands.push_back(std::move(command));
-    done(answer);
+    done(result);
   }
   void Query(std::string name, std::string argument, runtime::Duration, QueryDone done) override {
     queries.push_back(name + "?" + argument);
@@ -51,7 +51,7 @@
     done(response);
   }
 
-  absl::StatusOr<CommandResult> answer = CommandResult();
+  absl::StatusOr<CommandResult> result = CommandResult();
   std::vector<Command> commands;
   std::vector<std::string> queries;
 };
@@ -66,7 +66,7 @@
                  &client_);
     http::Request request{method, target, {}, body, 0};
     if (!token.empty()) request.headers.Add("Authorization", "Bearer " + token);
-    auto writer = std::make_shared<KeepingWriter>();
+    auto writer = std::make_shared<RecordingWriter>();
     EXPECT_TRUE(api.HandleRequest(request, writer));
     EXPECT_TRUE(writer->response.has_value());
     return writer->response.value_or(http::Response{});
@@ -77,7 +77,7 @@
   FixedClient client_;
 };
 
-TEST_F(AdminApiTest, WithoutTheTokenNothingIsDone) {
+TEST_F(AdminApiTest, RejectsRequestsWithoutToken) {
   for (const char* token : {"", "wrong", "secret2"}) {
     EXPECT_EQ(Call("POST", "/admin/v1/evacuations", R"({"request_id":"r"})", token).status, 401);
     EXPECT_EQ(Call("GET", "/admin/v1/leases", "", token).status, 401);
@@ -88,7 +88,7 @@
   EXPECT_EQ(client_.queries, std::vector<std::string>{"leases?x=1"});
 }
 
-TEST_F(AdminApiTest, WhatCannotBeReadIsRefusedAndNotProposed) {
+TEST_F(AdminApiTest, RejectsMalformedChangesWithoutProposing) {
   const std::string deep = std::string(10000, '[') + std::string(10000, ']');
   for (const std::string& body :
        {std::string(), std::string("[]"), std::string("{\"request_id\":"), deep,
@@ -108,10 +108,10 @@
   EXPECT_TRUE(client_.commands.empty());
 }
 
-TEST_F(AdminApiTest, ResultsBecomeTheDocumentedStatuses) {
+TEST_F(AdminApiTest, MapsResultsToHttpStatuses) {
   const std::string body = R"({"request_id":"r","expected_version":3,"patch":{}})";
-  const auto status = [this, &body](absl::StatusOr<CommandResult> answer) {
-    client_.answer = std::move(answer);
+  const auto status = [this, &body](absl::StatusOr<CommandResult> result) {
+    client_.result = std::move(result);
     return Call("POST", "/admin/v1/configuration", body).status;
   };
   const auto with_code = [](CommandResult::Code code) {
@@ -129,21 +129,22 @@
   EXPECT_NE(Call("POST", "/admin/v1/configuration", body).body.find("uncertain"),
             std::string::npos);
   EXPECT_EQ(status(absl::ResourceExhaustedError("")), 503);
-  const http::Response refused = Call("POST", "/admin/v1/configuration", body);
-  EXPECT_NE(refused.body.find("unavailable"), std::string::npos);
-  EXPECT_EQ(refused.headers.Get("Retry-After"), "1");
+  const http::Response rejected = Call("POST", "/admin/v1/configuration", body);
+  EXPECT_NE(rejected.body.find("unavailable"), std::string::npos);
+  EXPECT_EQ(rejected.headers.Get("Retry-After"), "1");
   EXPECT_EQ(client_.commands.back().change_configuration().expected_version(), 3);
 }
 
-TEST_F(AdminApiTest, OtherPathsAreLeftToOthers) {
+TEST_F(AdminApiTest, IgnoresOtherPaths) {
   AdminApi api(&runtime_, {}, &client_, &client_);
   for (const char* target : {"/v1/completions", "/admin/v1/log-level", "/admin/v1/index",
                              "/admin/v1/", "/admin/v2/configuration", "/admin/v1/leases/x"}) {
-    EXPECT_FALSE(api.HandleRequest({"GET", target, {}, "", 0}, std::make_shared<KeepingWriter>()));
+    EXPECT_FALSE(
+        api.HandleRequest({"GET", target, {}, "", 0}, std::make_shared<RecordingWriter>()));
   }
 }
 
-TEST(StateViewsTest, AnInventoryThatIsShownCanBeReadAgain) {
+TEST(StateViewsTest, InventoryViewRoundTrips) {
   ControlState state;
   Command command;
   Backend* backend = command.mutable_set_inventory()->mutable_inventory()->add_backends();
@@ -154,9 +155,9 @@
   (*backend->mutable_labels())["rack"] = "7";
   state.Apply(1, 1, command.SerializeAsString());
   const View view = RenderView("inventory", "", state);
-  const absl::StatusOr<Inventory> read = ParseInventory(view.json);
-  ASSERT_TRUE(read.ok()) << read.status();
-  EXPECT_TRUE(SameBackends(*read, state.fleet().inventory()));
+  const absl::StatusOr<Inventory> parsed = ParseInventory(view.json);
+  ASSERT_TRUE(parsed.ok()) << parsed.status();
+  EXPECT_TRUE(SameBackends(*parsed, state.fleet().inventory()));
   for (const char* damaged : {"", "{}", R"({"backends":7})", R"({"backends":[{"id":"x"}]})"}) {
     EXPECT_FALSE(ParseInventory(damaged).ok());
   }
--- a/src/posthatch/control/client/fleet_state_replica.h
+++ b/src/posthatch/control/client/fleet_state_replica.h
@@ -1,6 +1,7 @@
 #pragma once
 
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "google/protobuf/repeated_ptr_field.h"
--- a/src/posthatch/control/client/gateway_session.h
+++ b/src/posthatch/control/client/gateway_session.h
@@ -3,6 +3,7 @@
 #include <cstdint>
 #include <optional>
 #include <string>
+#include <utility>
 
 #include "posthatch/control/client/control_client.h"
 #include "posthatch/control/client/fleet_state_replica.h"
--- a/src/posthatch/control/client/session_lease.h
+++ b/src/posthatch/control/client/session_lease.h
@@ -1,5 +1,6 @@
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
--- a/src/posthatch/control/control-bench.cc
+++ b/src/posthatch/control/control-bench.cc
@@ -168,7 +168,7 @@
     cluster_.Elect("10.0.0.1:7000");
     world_.RunFor(std::chrono::seconds(10));
     if (workers > 0) Change(InventoryReading(workers, 0), false);
-    Change(WholeChange("first", 0, MakeConfiguration(tenants)), true);
+    Change(FullChange("first", 0, MakeConfiguration(tenants)), true);
     world_.RunFor(std::chrono::seconds(30));
   }
 
--- a/src/posthatch/control/inventory/inventory_watch-test.cc
+++ b/src/posthatch/control/inventory/inventory_watch-test.cc
@@ -86,14 +86,14 @@
                       double calls_per_second)
       : runtime_(runtime), calls_per_second_(calls_per_second) {
     server_ = *runtime->http_servers->Listen(
-        endpoint, {}, [this](const http::Request&, auto writer) { Answer(writer.get()); });
+        endpoint, {}, [this](const http::Request&, auto writer) { Respond(writer.get()); });
   }
   uint64_t calls = 0;
   uint64_t rate_limited = 0;
   std::set<std::string> draining;
 
  private:
-  void Answer(http::ResponseWriter* writer) {
+  void Respond(http::ResponseWriter* writer) {
     ++calls;
     const runtime::MonotonicTime now = runtime_->clock->Now();
     if (now - second_ >= seconds(1)) {
--- a/src/posthatch/control/server/control_history-test.cc
+++ b/src/posthatch/control/server/control_history-test.cc
@@ -9,62 +9,62 @@
   return runtime::MonotonicTime(std::chrono::milliseconds(ms));
 }
 
-// A history without fault, which each test then breaks in one way.
-ControlHistory GoodHistory() {
+// A history without violations, which each test then breaks in one way.
+ControlHistory FaultlessHistory() {
   ControlHistory history;
-  history.Decide({At(0), "g1", 1, 1});
-  history.Decide({At(100), "g1", 1, 2});
-  history.GiveOrder({At(50), "w1", "g1", 10});
-  history.GiveOrder({At(5000), "w1", "g2", 12});
-  history.Acknowledge({At(100), "change", 2});
+  history.RecordDecision({At(0), "g1", 1, 1});
+  history.RecordDecision({At(100), "g1", 1, 2});
+  history.RecordWorkerCommand({At(50), "w1", "g1", 10});
+  history.RecordWorkerCommand({At(5000), "w1", "g2", 12});
+  history.RecordAcknowledgement({At(100), "change", 2});
   history.SetFinalHistory({{1, "first"}, {2, "change"}});
   return history;
 }
 
-TEST(ControlHistoryTest, AGoodHistoryPasses) {
-  EXPECT_TRUE(GoodHistory().Violations(runtime::Duration::zero()).empty());
+TEST(ControlHistoryTest, AcceptsFaultlessHistory) {
+  EXPECT_TRUE(FaultlessHistory().Violations(runtime::Duration::zero()).empty());
 }
 
-TEST(ControlHistoryTest, DecidingByAnOlderVersionAfterTheAcknowledgementIsFound) {
-  ControlHistory history = GoodHistory();
-  history.Decide({At(2200), "g2", 1, 1});
+TEST(ControlHistoryTest, DetectsStaleDecision) {
+  ControlHistory history = FaultlessHistory();
+  history.RecordDecision({At(2200), "g2", 1, 1});
   EXPECT_EQ(history.Violations(std::chrono::seconds(2)).size(), 1);
   EXPECT_EQ(history.Violations(std::chrono::seconds(3)).size(), 0);
 }
 
-TEST(ControlHistoryTest, GoingBackIsFound) {
-  ControlHistory history = GoodHistory();
-  history.Decide({At(110), "g1", 1, 1});
+TEST(ControlHistoryTest, DetectsVersionRegression) {
+  ControlHistory history = FaultlessHistory();
+  history.RecordDecision({At(110), "g1", 1, 1});
   EXPECT_EQ(history.Violations(std::chrono::seconds(2)).size(), 1);
 }
 
-TEST(ControlHistoryTest, TwoWinnersAndChangedAnswersAreFound) {
-  ControlHistory two_winners = GoodHistory();
-  two_winners.Acknowledge({At(200), "rival", 2});
+TEST(ControlHistoryTest, DetectsTwoWinnersAndChangedResults) {
+  ControlHistory two_winners = FaultlessHistory();
+  two_winners.RecordAcknowledgement({At(200), "rival", 2});
   EXPECT_EQ(two_winners.Violations({}).size(), 2);  // the rival is also missing in the end
-  ControlHistory changed_answer = GoodHistory();
-  changed_answer.Acknowledge({At(200), "change", 1});
-  EXPECT_FALSE(changed_answer.Violations({}).empty());
+  ControlHistory changed_result = FaultlessHistory();
+  changed_result.RecordAcknowledgement({At(200), "change", 1});
+  EXPECT_FALSE(changed_result.Violations({}).empty());
 }
 
-TEST(ControlHistoryTest, LostAndDoubledChangesAreFound) {
-  ControlHistory lost = GoodHistory();
+TEST(ControlHistoryTest, DetectsLostAndDuplicatedChanges) {
+  ControlHistory lost = FaultlessHistory();
   lost.SetFinalHistory({{1, "first"}});
   EXPECT_EQ(lost.Violations({}).size(), 1);
-  ControlHistory doubled = GoodHistory();
+  ControlHistory doubled = FaultlessHistory();
   doubled.SetFinalHistory({{1, "first"}, {2, "change"}, {3, "change"}});
   EXPECT_EQ(doubled.Violations({}).size(), 1);
 }
 
-TEST(ControlHistoryTest, ARefusedChangeThatWasAppliedIsFound) {
-  ControlHistory history = GoodHistory();
-  history.Refuse("change");
+TEST(ControlHistoryTest, DetectsAppliedChangeReportedAsRejected) {
+  ControlHistory history = FaultlessHistory();
+  history.RecordRejection("change");
   EXPECT_EQ(history.Violations({}).size(), 1);
 }
 
-TEST(ControlHistoryTest, AnOlderTokenAfterANewerOneIsFound) {
-  ControlHistory history = GoodHistory();
-  history.GiveOrder({At(5001), "w1", "g1", 10});
+TEST(ControlHistoryTest, DetectsFencingTokenRegression) {
+  ControlHistory history = FaultlessHistory();
+  history.RecordWorkerCommand({At(5001), "w1", "g1", 10});
   EXPECT_EQ(history.Violations({}).size(), 1);
 }
 
--- a/src/posthatch/control/server/control_history-test.h
+++ b/src/posthatch/control/server/control_history-test.h
@@ -12,9 +12,9 @@
 
 namespace posthatch::control {
 
-// What happened, seen from outside: by which version gateways decided, with which token they
-// ordered workers, what operators sent and were told. `Violations` is the ground on which the
-// simulated runs are judged, and is itself tested with histories that break each rule.
+// Events of a run as observed from outside: the versions that gateways decided by, the fencing
+// tokens of their commands to workers, and the operators' changes with their results. Simulated
+// runs are checked by Violations, which is itself tested with histories that break each rule.
 class ControlHistory {
  public:
   struct Decision {
@@ -23,7 +23,7 @@
     uint64_t incarnation;
     uint64_t version;
   };
-  struct Order {
+  struct WorkerCommand {
     runtime::MonotonicTime at;
     std::string worker;
     std::string gateway;
@@ -35,26 +35,28 @@
     uint64_t version;
   };
 
-  void Decide(Decision decision) { decisions_.push_back(std::move(decision)); }
-  void GiveOrder(Order order) { orders_.push_back(std::move(order)); }
-  void Acknowledge(Acknowledgement ack) { acks_.push_back(std::move(ack)); }
-  // An operator was told that the change lost.
-  void Refuse(std::string request_id) { refused_.insert(std::move(request_id)); }
-  // The accepted versions with their request ids, as read at the end.
+  void RecordDecision(Decision decision) { decisions_.push_back(std::move(decision)); }
+  void RecordWorkerCommand(WorkerCommand command) {
+    worker_commands_.push_back(std::move(command));
+  }
+  void RecordAcknowledgement(Acknowledgement ack) { acks_.push_back(std::move(ack)); }
+  // An operator received a rejection.
+  void RecordRejection(std::string request_id) { rejected_.insert(std::move(request_id)); }
+  // The accepted versions with their request ids, as read at the end of the run.
   void SetFinalHistory(std::vector<std::pair<uint64_t, std::string>> history) {
     final_history_ = std::move(history);
   }
 
   size_t decisions() const { return decisions_.size(); }
-  size_t orders() const { return orders_.size(); }
+  size_t worker_commands() const { return worker_commands_.size(); }
   size_t acknowledgements() const { return acks_.size(); }
 
-  // `tolerance`: how long after an acknowledgement an older version may still be decided by.
+  // `tolerance`: how long after an acknowledgement decisions may still use an older version.
   std::vector<std::string> Violations(runtime::Duration tolerance) const {
     std::vector<std::string> violations;
     CheckDecisions(tolerance, &violations);
     CheckWinners(&violations);
-    CheckOrders(&violations);
+    CheckWorkerCommands(&violations);
     return violations;
   }
 
@@ -80,12 +82,12 @@
   }
 
   void CheckWinners(std::vector<std::string>* violations) const {
-    std::map<std::string, uint64_t> answers;
+    std::map<std::string, uint64_t> results;
     std::map<uint64_t, std::string> winners;
     for (const Acknowledgement& ack : acks_) {
-      const auto [answer, first] = answers.try_emplace(ack.request_id, ack.version);
-      if (!first && answer->second != ack.version) {
-        violations->push_back("N8: another answer for a resend of " + ack.request_id);
+      const auto [result, first] = results.try_emplace(ack.request_id, ack.version);
+      if (!first && result->second != ack.version) {
+        violations->push_back("N8: another result for a resend of " + ack.request_id);
       }
       const auto [winner, alone] = winners.try_emplace(ack.version, ack.request_id);
       if (!alone && winner->second != ack.request_id) {
@@ -93,43 +95,43 @@
       }
     }
     std::set<std::string> seen;
-    std::map<uint64_t, std::string> kept;
+    std::map<uint64_t, std::string> accepted;
     for (const auto& [version, request_id] : final_history_) {
       if (!seen.insert(request_id).second) {
         violations->push_back("N8: applied twice: " + request_id);
       }
-      kept[version] = request_id;
-      if (refused_.contains(request_id)) {
-        violations->push_back("N8: refused, though it was applied: " + request_id);
+      accepted[version] = request_id;
+      if (rejected_.contains(request_id)) {
+        violations->push_back("N8: rejected, though it was applied: " + request_id);
       }
     }
     for (const Acknowledgement& ack : acks_) {
-      const auto found = kept.find(ack.version);
-      if (found == kept.end() || found->second != ack.request_id) {
+      const auto found = accepted.find(ack.version);
+      if (found == accepted.end() || found->second != ack.request_id) {
         violations->push_back("N9: acknowledged and missing: " + ack.request_id);
       }
     }
   }
 
-  void CheckOrders(std::vector<std::string>* violations) const {
-    std::map<std::string, Order> last;
-    for (const Order& order : orders_) {
-      const auto before = last.find(order.worker);
+  void CheckWorkerCommands(std::vector<std::string>* violations) const {
+    std::map<std::string, WorkerCommand> last;
+    for (const WorkerCommand& command : worker_commands_) {
+      const auto before = last.find(command.worker);
       if (before != last.end() &&
-          (order.token < before->second.token ||
-           (order.token == before->second.token && order.gateway != before->second.gateway))) {
-        violations->push_back(absl::StrCat("N6: ", order.gateway, " ordered ", order.worker,
-                                           " with token ", order.token, " after token ",
-                                           before->second.token));
+          (command.token < before->second.token ||
+           (command.token == before->second.token && command.gateway != before->second.gateway))) {
+        violations->push_back(absl::StrCat("N6: ", command.gateway, " sent a command to ",
+                                           command.worker, " with token ", command.token,
+                                           " after token ", before->second.token));
       }
-      last[order.worker] = order;
+      last[command.worker] = command;
     }
   }
 
-  std::vector<Decision> decisions_;  // in order of time, as are the others
-  std::vector<Order> orders_;
+  std::vector<Decision> decisions_;  // by time, as are the others
+  std::vector<WorkerCommand> worker_commands_;
   std::vector<Acknowledgement> acks_;
-  std::set<std::string> refused_;
+  std::set<std::string> rejected_;
   std::vector<std::pair<uint64_t, std::string>> final_history_;
 };
 
--- a/src/posthatch/control/server/control_plane-test.cc
+++ b/src/posthatch/control/server/control_plane-test.cc
@@ -1,4 +1,4 @@
-// N8 and N9 by seed: real replicated logs, and faults at any moment.
+// N8 and N9 by seed: real replicated logs under random faults.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -41,7 +41,7 @@
   LogParts MakeLog(runtime::Runtime* runtime, ControlState* state) const {
     consensus::ReplicaOptions options;
     options.bootstrap_expect = controllers_;
-    options.snapshot_every_entries = 60;  // so that compaction and restores take place
+    options.snapshot_every_entries = 60;  // provokes compaction and restores
     options.retained_entries = 20;
     options.peers = [this] {
       std::vector<std::string> endpoints;
@@ -62,7 +62,7 @@
     return leader != nullptr ? leader : AnyController();
   }
 
-  // One change or a race, again and again, while the run lasts.
+  // A change or a race of two, repeatedly until the end of the run.
   void ScheduleChanges() {
     fleet_.world.At(random().Between(milliseconds(50), milliseconds(500)), [this] {
       if (fleet_.world.Now() > end_) return;
@@ -95,16 +95,16 @@
         return FreezeFor(LeaderOrAny(), seconds(25));
       case 2:
         return FreezeFor(AnyGateway(), random().Chance(0.5) ? seconds(25) : seconds(3));
-      case 3:  // its pushes and grants are lost, renewals arrive
-        return CutFor(LeaderOrAny(), {AnyGateway()}, /*both=*/false);
+      case 3:  // pushes and grants are lost, renewals arrive
+        return PartitionFor(LeaderOrAny(), {AnyGateway()}, /*both=*/false);
       case 4: {
-        return CutFor(AnyGateway(), fleet_.controller_hosts, /*both=*/random().Chance(0.5));
+        return PartitionFor(AnyGateway(), fleet_.controller_hosts, /*both=*/random().Chance(0.5));
       }
-      case 5:  // the leader alone on its side, with all gateways reaching it
-        return CutFor(LeaderOrAny(), fleet_.controller_hosts, /*both=*/random().Chance(0.5));
+      case 5:  // the leader in a minority partition that all gateways reach
+        return PartitionFor(LeaderOrAny(), fleet_.controller_hosts, /*both=*/random().Chance(0.5));
       case 6:
         return Restart(AnyGateway(), false);
-      case 7:  // power is lost everywhere, right after whatever was acknowledged last
+      case 7:  // power loss of all controllers
         for (SimHost* host : fleet_.controller_hosts) Restart(host, true);
         return;
       default:
@@ -134,7 +134,7 @@
     });
   }
 
-  void CutFor(SimHost* from, const std::vector<SimHost*>& others, bool both) {
+  void PartitionFor(SimHost* from, const std::vector<SimHost*>& others, bool both) {
     for (SimHost* other : others) {
       if (other == from) continue;
       fleet_.world.Partition(from->name(), other->name());
@@ -146,7 +146,7 @@
     }
   }
 
-  // Each controller, in touch with the others or not, is asked for the configuration all the time.
+  // Queries random controllers, partitioned or not, for the configuration.
   void ScheduleReads() {
     fleet_.world.At(milliseconds(60), [this] {
       if (fleet_.world.Now() > end_) return;
@@ -160,14 +160,14 @@
             if (!response.ok()) return;
             const boost::json::value body = boost::json::parse(response->json());
             const uint64_t version = body.at("version").to_number<uint64_t>();
-            ++answered_reads_;
+            ++successful_reads_;
             if (version < acknowledged) ++stale_reads_;
           });
     });
   }
 
   const size_t controllers_;
-  int answered_reads_ = 0;
+  int successful_reads_ = 0;
   int stale_reads_ = 0;
   FleetHarness fleet_;
   runtime::MonotonicTime end_;
@@ -189,7 +189,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ControlPlaneTest, Seeds());
 
-TEST_P(ControlPlaneTest, AcknowledgedChangesStayInForceUnderAnyFault) {
+TEST_P(ControlPlaneTest, AcknowledgedChangesSurviveFaults) {
   fleet_.operator_process->Change(0);
   ASSERT_TRUE(
       fleet_.world.RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(40)));
@@ -200,7 +200,7 @@
   fleet_.world.HealAll();
   ASSERT_TRUE(
       fleet_.world.RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(60)))
-      << fleet_.operator_process->open() << " changes without a final answer";
+      << fleet_.operator_process->open() << " changes without a final result";
   SimHost* leader = nullptr;
   ASSERT_TRUE(
       fleet_.world.RunUntil([&] { return (leader = fleet_.Leader()) != nullptr; }, seconds(20)));
@@ -211,17 +211,17 @@
   }
   fleet_.history.SetFinalHistory(std::move(versions));
   EXPECT_GT(fleet_.history.acknowledgements(), 50);
-  EXPECT_GT(fleet_.operator_process->refused(), 5);
+  EXPECT_GT(fleet_.operator_process->rejected(), 5);
   EXPECT_GT(fleet_.history.decisions(), 3000);
-  EXPECT_GT(fleet_.history.orders(), 3000);
+  EXPECT_GT(fleet_.history.worker_commands(), 3000);
   const std::vector<std::string> violations = fleet_.history.Violations(runtime::Duration::zero());
   EXPECT_TRUE(violations.empty()) << violations.size()
                                   << " violations, the first: " << violations.front();
 }
 
-// A read that was sent after an acknowledgement never tells an older version, at whatever
-// controller and behind whatever cut; a controller that can't be sure refuses.
-TEST_P(ControlPlaneTest, ReadsAtAnyControllerAreNeverOlderThanWhatWasAcknowledged) {
+// A read that starts after an acknowledgement never returns an older version, at any controller and
+// in any partition; a controller without a quorum rejects it.
+TEST_P(ControlPlaneTest, ReadsAreLinearizableAtAnyController) {
   fleet_.operator_process->Change(0);
   ASSERT_TRUE(
       fleet_.world.RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(40)));
@@ -231,21 +231,21 @@
   ScheduleReads();
   fleet_.world.RunFor(seconds(65));
   EXPECT_EQ(stale_reads_, 0);
-  EXPECT_GT(answered_reads_, 100);
-  // One that is cut off from the others can't be sure. Earlier cuts heal by then.
+  EXPECT_GT(successful_reads_, 100);
+  // A leader in a minority partition has no quorum. Earlier partitions heal by then.
   fleet_.world.RunFor(seconds(15));
   fleet_.world.HealAll();
   SimHost* leader = nullptr;
   ASSERT_TRUE(
       fleet_.world.RunUntil([&] { return (leader = fleet_.Leader()) != nullptr; }, seconds(40)));
-  CutFor(leader, fleet_.controller_hosts, /*both=*/true);
+  PartitionFor(leader, fleet_.controller_hosts, /*both=*/true);
   fleet_.world.RunFor(seconds(2));
-  absl::Status answer;
+  absl::Status status;
   fleet_.Controller(leader)->service.client()->Query(
       "configuration", "", milliseconds(1500),
-      [&answer](const absl::StatusOr<QueryResponse>& response) { answer = response.status(); });
+      [&status](const absl::StatusOr<QueryResponse>& response) { status = response.status(); });
   fleet_.world.RunFor(seconds(3));
-  EXPECT_FALSE(answer.ok());
+  EXPECT_FALSE(status.ok());
 }
 
 }  // namespace
--- a/src/posthatch/control/server/controller_service-test.cc
+++ b/src/posthatch/control/server/controller_service-test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Controllers over a log that never fails: what the service does by itself.
+// Controllers on a log that never fails.
 class ControllerServiceTest : public testing::TestWithParam<uint64_t> {
  protected:
   ControllerServiceTest()
@@ -22,7 +22,7 @@
         }) {
     Elect(0);
     EXPECT_TRUE(RunUntil([this] { return AllGatewaysHaveLeases(); }, seconds(3)));
-    // A first configuration, and past the wait of a new leader.
+    // Sets a first configuration, and outlasts the wait of a new leader.
     fleet_.operator_process->Change(0);
     EXPECT_TRUE(RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(12)));
   }
@@ -48,7 +48,7 @@
     EXPECT_TRUE(RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(15)));
     return fleet_.world.Now() - start;
   }
-  // Everything is recorded until the end, and judged.
+  // Checks all that was recorded since the start.
   void ExpectNoViolation() {
     std::vector<std::pair<uint64_t, std::string>> versions;
     const ControllerProcess* leader = fleet_.Controller(fleet_.Leader());
@@ -68,10 +68,10 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ControllerServiceTest, testing::Range<uint64_t>(1, 6));
 
-TEST_P(ControllerServiceTest, AChangeIsInForceEverywhereWhenItIsAcknowledged) {
+TEST_P(ControllerServiceTest, AcknowledgedChangeIsInForceEverywhere) {
   for (int i = 0; i < 20; ++i) fleet_.operator_process->Race();
   ASSERT_TRUE(RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(20)));
-  EXPECT_GT(fleet_.operator_process->refused(), 0);
+  EXPECT_GT(fleet_.operator_process->rejected(), 0);
   for (int i = 0; i < 4; ++i) {
     EXPECT_EQ(Session(i).state().configuration_version(),
               fleet_.operator_process->newest_version());
@@ -79,7 +79,7 @@
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, AFrozenGatewayDelaysAnAcknowledgementByAtMostItsLease) {
+TEST_P(ControllerServiceTest, FrozenGatewayDelaysAcknowledgementByAtMostItsLease) {
   EXPECT_LT(TimeOfOneChange(), milliseconds(700));
   fleet_.gateway_hosts[0]->Freeze();
   fleet_.operator_process->avoid = fleet_.gateway_hosts[0]->http_endpoint();
@@ -93,8 +93,8 @@
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, ANewLeaderWaitsForTheLeasesThatItsPredecessorGranted) {
-  // g0 is cut off from the new leader and still holds a lease of the former one.
+TEST_P(ControllerServiceTest, NewLeaderWaitsForPreviousSessionLeases) {
+  // g0 is partitioned from the new leader and still holds a lease of the previous one.
   fleet_.world.Partition("g0", "c1");
   fleet_.world.Partition("c1", "g0");
   RunUntil([this] { return Session(0).lease_expiry() - fleet_.world.Now() > seconds(3); },
@@ -106,10 +106,10 @@
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, ALateGrantIsCountedFromWhenItsRenewalWasSent) {
+TEST_P(ControllerServiceTest, LeaseIsCountedFromRenewalNotGrant) {
   fleet_.world.SlowLink("c0", "g0", milliseconds(2500));
   fleet_.world.RunFor(seconds(6));
-  // No more renewals arrive; grants that are under way do.
+  // No more renewals arrive; grants in flight do.
   fleet_.world.Partition("g0", "c0");
   fleet_.world.Partition("g0", "c1");
   fleet_.operator_process->avoid = fleet_.gateway_hosts[0]->http_endpoint();
@@ -120,8 +120,8 @@
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, ALeaderThatLostItsMajorityGrantsNothing) {
-  cluster_.Elect("10.0.9.9:7000");  // someone whom nobody reaches
+TEST_P(ControllerServiceTest, LeaderWithoutQuorumGrantsNoLeases) {
+  cluster_.Elect("10.0.9.9:7000");  // unreachable
   fleet_.world.RunFor(seconds(6));
   for (int i = 0; i < 4; ++i) EXPECT_FALSE(Session(i).LeaseValid());
   Elect(0);
@@ -129,8 +129,8 @@
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, AFormerLeaderThatStillBelievesToLeadGrantsNothing) {
-  cluster_.deaf_endpoint = fleet_.controller_hosts[0]->internal_endpoint();
+TEST_P(ControllerServiceTest, DeposedLeaderGrantsNoLeases) {
+  cluster_.partitioned_endpoint = fleet_.controller_hosts[0]->internal_endpoint();
   Elect(1);
   fleet_.operator_process->avoid = fleet_.controller_hosts[0]->http_endpoint();
   TimeOfOneChange();
@@ -139,8 +139,8 @@
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, AWorkerTakenFromALiveHolderWaitsUntilTheHolderKnows) {
-  fleet_.gateway_hosts[2]->Crash();  // its zone's workers go to the others
+TEST_P(ControllerServiceTest, ReassignedWorkerWaitsForPreviousHolderAck) {
+  fleet_.gateway_hosts[2]->Crash();  // its zone's workers are reassigned
   ASSERT_TRUE(RunUntil([this] { return Session(1).state().leases_size() == 6; }, seconds(5)));
   fleet_.world.RunFor(seconds(10));
   ASSERT_EQ(Session(1).state().leases_size(), 6);
@@ -148,16 +148,16 @@
     fleet_.world.SlowLink("c0", gateway, milliseconds(1500));
   }
   fleet_.gateway_hosts[2]->Start();
-  const auto holds_again = [this] {
+  const auto regained = [this] {
     uint64_t token = 0;
     return Session(2).HoldsWorker("w2", &token) && Session(2).HoldsWorker("w5", &token);
   };
-  EXPECT_TRUE(RunUntil(holds_again, seconds(20)));
+  EXPECT_TRUE(RunUntil(regained, seconds(20)));
   fleet_.world.RunFor(seconds(3));
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, AGatewayThatRejectsTheConfigurationGetsItWithoutALease) {
+TEST_P(ControllerServiceTest, NackGetsSectionsWithoutLease) {
   runtime::Transport* transport = fleet_.world.FindHost("operator")->runtime()->transport;
   std::vector<SessionGrant> grants;
   transport->SetReceiver(runtime::SERVICE_CONTROL, [&grants](const runtime::Envelope& envelope) {
@@ -178,7 +178,7 @@
   EXPECT_EQ(fleet_.Controller(fleet_.controller_hosts[0])->service.session_count(), 4);
 }
 
-TEST_P(ControllerServiceTest, AGrantForAnEarlierLifeOfTheGatewayIsNoLease) {
+TEST_P(ControllerServiceTest, IgnoresGrantForAnotherIncarnation) {
   for (const char* controller : {"c0", "c1"}) fleet_.world.Partition(controller, "g0");
   fleet_.world.RunFor(seconds(5));
   ASSERT_FALSE(Session(0).LeaseValid());
@@ -197,8 +197,8 @@
   EXPECT_FALSE(Session(0).LeaseValid());
 }
 
-TEST_P(ControllerServiceTest, EachWorkerHasOneHolderOfItsZoneAndIsHandedOverWithoutOverlap) {
-  const auto all_held_in_zone = [this] {
+TEST_P(ControllerServiceTest, WorkerLeasesFollowZonesWithoutOverlap) {
+  const auto all_leased_in_zone = [this] {
     const FleetState& state = Session(1).state();
     if (state.leases_size() != 6) return false;
     for (const WorkerLease& lease : state.leases()) {
@@ -208,39 +208,39 @@
     }
     return true;
   };
-  ASSERT_TRUE(RunUntil(all_held_in_zone, seconds(10)));
-  const size_t orders = fleet_.history.orders();
+  ASSERT_TRUE(RunUntil(all_leased_in_zone, seconds(10)));
+  const size_t commands = fleet_.history.worker_commands();
   fleet_.gateway_hosts[2]->Freeze();  // the only one of its zone
   fleet_.world.RunFor(seconds(12));
   for (const WorkerLease& lease : Session(1).state().leases()) EXPECT_NE(lease.holder(), "g2");
   EXPECT_EQ(Session(1).state().leases_size(), 6);
   fleet_.gateway_hosts[2]->Thaw();
-  ASSERT_TRUE(RunUntil(all_held_in_zone, seconds(10)));
-  EXPECT_GT(fleet_.history.orders(), orders);
+  ASSERT_TRUE(RunUntil(all_leased_in_zone, seconds(10)));
+  EXPECT_GT(fleet_.history.worker_commands(), commands);
   ExpectNoViolation();
 }
 
-// As in a roll-out of a large fleet: the inventory changes faster than pushes are acknowledged.
-TEST_P(ControllerServiceTest, AChangeIsInForceSoonWhileTheInventoryKeepsChanging) {
+// As in a rollout of a large fleet: the inventory changes faster than pushes are acknowledged.
+TEST_P(ControllerServiceTest, ChangePropagatesDuringInventoryChurn) {
   for (int i = 0; i < 4; ++i) {
     fleet_.world.SlowLink(absl::StrCat("g", i), "c0", milliseconds(60));
     fleet_.world.SlowLink("c0", absl::StrCat("g", i), milliseconds(60));
   }
   ControllerProcess* leader = fleet_.Controller(fleet_.controller_hosts[0]);
-  uint64_t rounds = 0;
+  uint64_t readings = 0;
   std::function<void()> change_inventory = [&] {
     Command command;
-    command.set_request_id(absl::StrCat("reading-", ++rounds));
+    command.set_request_id(absl::StrCat("reading-", ++readings));
     Inventory* inventory = command.mutable_set_inventory()->mutable_inventory();
     *inventory = leader->state.fleet().inventory();
-    inventory->mutable_backends(0)->set_slots(static_cast<uint32_t>(rounds));
+    inventory->mutable_backends(0)->set_slots(static_cast<uint32_t>(readings));
     leader->service.client()->Propose(command, seconds(1), false, [](const auto&) {});
-    if (rounds < 200) fleet_.world.At(milliseconds(20), change_inventory);
+    if (readings < 200) fleet_.world.At(milliseconds(20), change_inventory);
   };
   change_inventory();
   fleet_.world.RunFor(seconds(1));
   const uint64_t before = leader->state.fleet().configuration_version();
-  Command change = PatchChange("change-in-a-roll-out", 0, "beta", 5);
+  Command change = PatchChange("change-during-churn", 0, "beta", 5);
   leader->service.client()->Propose(change, seconds(1), false, [](const auto&) {});
   const auto in_force_everywhere = [this, before] {
     for (int i = 0; i < 4; ++i) {
@@ -256,29 +256,29 @@
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, AfterARestartOfAllWorkersHaveReadersBeforeFormerLeasesRunOut) {
+TEST_P(ControllerServiceTest, FullRestartReassignsWorkersBeforeLeaseExpiry) {
   ASSERT_TRUE(RunUntil([this] { return Session(1).state().leases_size() == 6; }, seconds(10)));
   for (simulation::SimHost* host : fleet_.gateway_hosts) host->Crash();
   fleet_.world.RunFor(milliseconds(300));
   Elect(1);
   for (simulation::SimHost* host : fleet_.gateway_hosts) host->Start();
-  const auto every_worker_is_held = [this] {
+  const auto every_worker_leased = [this] {
     for (int worker = 0; worker < 6; ++worker) {
       uint64_t token = 0;
-      bool held = false;
+      bool leased = false;
       for (int i = 0; i < 4; ++i) {
-        held = held || Session(i).HoldsWorker(absl::StrCat("w", worker), &token);
+        leased = leased || Session(i).HoldsWorker(absl::StrCat("w", worker), &token);
       }
-      if (!held) return false;
+      if (!leased) return false;
     }
     return true;
   };
-  EXPECT_TRUE(RunUntil(every_worker_is_held, milliseconds(1200)));
+  EXPECT_TRUE(RunUntil(every_worker_leased, milliseconds(1200)));
   fleet_.world.RunFor(seconds(6));
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, WorkersOfAFrozenGatewayAreNotGivenAwayWhenOthersRestart) {
+TEST_P(ControllerServiceTest, FrozenGatewayKeepsWorkersWhileOthersRestart) {
   ASSERT_TRUE(RunUntil([this] { return Session(1).state().leases_size() == 6; }, seconds(10)));
   ASSERT_TRUE(RunUntil(
       [this] { return Session(2).lease_expiry() - fleet_.world.Now() > milliseconds(3800); },
@@ -298,14 +298,14 @@
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, ALeavingGatewayIsNotWaitedFor) {
+TEST_P(ControllerServiceTest, LeavingGatewayIsNotWaitedFor) {
   Session(0).Leave();
   EXPECT_FALSE(Session(0).LeaseValid());
   EXPECT_LT(TimeOfOneChange(), milliseconds(900));
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, TheInventoryAndItsAgeReachTheGateways) {
+TEST_P(ControllerServiceTest, GatewaysReceiveInventoryAndItsAge) {
   EXPECT_EQ(Session(0).state().inventory().backends_size(), 6);
   EXPECT_LT(Session(0).InventoryAge(), seconds(4));
   fleet_.world.FindHost("inventory")->Crash();
@@ -314,18 +314,18 @@
   EXPECT_TRUE(Session(0).LeaseValid());
 }
 
-TEST_P(ControllerServiceTest, BeyondTheLimitProposalsAreRefusedAsNotTaken) {
-  int refused = 0;
+TEST_P(ControllerServiceTest, RejectsProposalsBeyondLimit) {
+  int rejected = 0;
   int done = 0;
   for (int i = 0; i < 10000; ++i) {
     Session(0).Propose(Begin(absl::StrCat("k", i), "a", "hash", 0), seconds(1), false,
                        [&](const absl::StatusOr<CommandResult>& result) {
                          if (result.ok()) ++done;
-                         if (absl::IsResourceExhausted(result.status())) ++refused;
+                         if (absl::IsResourceExhausted(result.status())) ++rejected;
                        });
   }
-  EXPECT_TRUE(RunUntil([&] { return done + refused == 10000; }, seconds(10)));
-  EXPECT_GE(refused, 5000);
+  EXPECT_TRUE(RunUntil([&] { return done + rejected == 10000; }, seconds(10)));
+  EXPECT_GE(rejected, 5000);
   EXPECT_GT(done, 1000);
 }
 
--- a/src/posthatch/control/server/fleet_harness-test.h
+++ b/src/posthatch/control/server/fleet_harness-test.h
@@ -17,12 +17,11 @@
 #include "posthatch/control/server/static_controller_host-test.h"
 #include "posthatch/simulation/sim_world.h"
 
-// A simulated control plane: controllers, gateways that "decide" and "order" all the time, a
-// platform inventory, and an operator who sends changes over HTTP, races with himself and sends
-// again.
+// A simulated control plane: controllers, gateways that decide and command workers all the time, a
+// platform inventory, and an operator that sends, races and resends changes over HTTP.
 namespace posthatch::control {
 
-// A controller's log and what belongs to it; made by the test.
+// A controller's log, its lease guard and their owner; made by the test.
 struct LogParts {
   std::shared_ptr<void> owner;
   consensus::ReplicatedLog* log = nullptr;
@@ -30,9 +29,9 @@
 };
 using LogFactory = std::function<LogParts(runtime::Runtime*, ControlState*)>;
 
-class OperatorsPort {
+class AdminEndpoint {
  public:
-  OperatorsPort(runtime::Runtime* runtime, const std::string& endpoint, ControlClient* client,
+  AdminEndpoint(runtime::Runtime* runtime, const std::string& endpoint, ControlClient* client,
                 QueryClient* queries)
       : api_(runtime, {}, client, queries) {
     auto server = runtime->http_servers->Listen(
@@ -59,7 +58,7 @@
   ControlState state;
   LogParts log;
   ControllerService service;
-  OperatorsPort port;
+  AdminEndpoint port;
 };
 
 struct GatewayProcess {
@@ -77,23 +76,23 @@
     if (!session.LeaseValid()) return;
     const runtime::MonotonicTime now = runtime->clock->Now();
     const std::string& id = runtime->transport->node_id();
-    history->Decide(
+    history->RecordDecision(
         {now, id, runtime->transport->incarnation(), session.state().configuration_version()});
     for (const Backend& worker : session.state().inventory().backends()) {
       uint64_t token = 0;
       if (!session.HoldsWorker(worker.id(), &token)) continue;
-      history->GiveOrder({now, worker.id(), id, token});
+      history->RecordWorkerCommand({now, worker.id(), id, token});
     }
   }
 
   runtime::Runtime* runtime;
   ControlHistory* history;
   GatewaySession session;
-  OperatorsPort port;
+  AdminEndpoint port;
   runtime::Timer timer;
 };
 
-// Changes one tenant's priority at a time; each change is sent until it has a final answer.
+// Changes one tenant at a time; each change is sent until it has a final result.
 class OperatorProcess {
  public:
   OperatorProcess(runtime::Runtime* runtime, std::vector<std::string> nodes,
@@ -107,7 +106,7 @@
                      R"(,"patch":{"upsert":{"tenants":[{"name":"t)", changes_ % 7, R"("}]}}})");
     Send(id);
   }
-  // Two changes of the same version, to different nodes at the same time.
+  // Two concurrent changes of the same version, to random nodes.
   void Race() {
     const uint64_t version = newest_version_;
     Change(version);
@@ -122,9 +121,9 @@
   }
   size_t open() const { return open_.size(); }
   uint64_t newest_version() const { return newest_version_; }
-  size_t refused() const { return refused_; }
+  size_t rejected() const { return rejected_; }
 
-  std::string avoid;  // a node that the operator knows to be out of order
+  std::string avoid;  // a node that the operator knows to be faulty
 
  private:
   void Send(const std::string& id) {
@@ -132,11 +131,11 @@
     request.method = "POST";
     request.target = id[0] == 'e' ? "/admin/v1/evacuations" : "/admin/v1/configuration";
     request.body = open_.at(id);
-    auto answer = std::make_shared<http::Response>();
+    auto response = std::make_shared<http::Response>();
     http::CallObserver observer;
-    observer.on_head = [answer](const http::Response& head) { answer->status = head.status; };
-    observer.on_chunk = [answer](const std::string& piece) { answer->body += piece; };
-    observer.on_end = [this, id, answer] { OnAnswer(id, *answer); };
+    observer.on_head = [response](const http::Response& head) { response->status = head.status; };
+    observer.on_chunk = [response](const std::string& piece) { response->body += piece; };
+    observer.on_end = [this, id, response] { OnResponse(id, *response); };
     observer.on_error = [this, id](const http::CallError&) { SendLater(id); };
     http::CallOptions options;
     options.head_timeout = std::chrono::seconds(5);
@@ -147,27 +146,27 @@
   void SendLater(const std::string& id) {
     runtime_->timers->Schedule(std::chrono::milliseconds(200), [this, id] { Send(id); });
   }
-  void OnAnswer(const std::string& id, const http::Response& answer) {
-    if (answer.status == 503) {
+  void OnResponse(const std::string& id, const http::Response& response) {
+    if (response.status == 503) {
       SendLater(id);
       return;
     }
     boost::json::error_code error;
-    const boost::json::value body = boost::json::parse(answer.body, error);
+    const boost::json::value body = boost::json::parse(response.body, error);
     const boost::json::value* field =
         error || !body.is_object() ? nullptr : body.get_object().if_contains("version");
     const uint64_t version = field == nullptr ? 0 : field->to_number<uint64_t>(error);
     newest_version_ = std::max(newest_version_, version);
-    if (answer.status == 200) {
-      if (version > 0) history_->Acknowledge({runtime_->clock->Now(), id, version});
-      if (!repeated_.contains(id) && runtime_->random->Chance(0.3)) {
-        repeated_.insert(id);  // as if the answer had been lost
+    if (response.status == 200) {
+      if (version > 0) history_->RecordAcknowledgement({runtime_->clock->Now(), id, version});
+      if (!resent_.contains(id) && runtime_->random->Chance(0.3)) {
+        resent_.insert(id);  // as if the response had been lost
         SendLater(id);
         return;
       }
     } else {
-      ++refused_;
-      history_->Refuse(id);
+      ++rejected_;
+      history_->RecordRejection(id);
     }
     open_.erase(id);
   }
@@ -176,25 +175,24 @@
   const std::vector<std::string> nodes_;
   ControlHistory* const history_;
   std::map<std::string, std::string> open_;
-  std::set<std::string> repeated_;
+  std::set<std::string> resent_;
   std::map<std::string, std::unique_ptr<http::Call>> calls_;
   uint64_t changes_ = 0;
   uint64_t newest_version_ = 0;
-  size_t refused_ = 0;
+  size_t rejected_ = 0;
 };
 
-// The platform's inventory: `workers` of them, some draining now and then, 429 when asked too
-// often.
+// The platform's inventory: `workers` of them, each draining at random, with random 429 responses.
 class InventoryProcess {
  public:
   InventoryProcess(runtime::Runtime* runtime, const std::string& endpoint, int workers)
       : runtime_(runtime), workers_(workers) {
     server_ = *runtime->http_servers->Listen(
-        endpoint, {}, [this](const http::Request&, auto writer) { Answer(writer.get()); });
+        endpoint, {}, [this](const http::Request&, auto writer) { Respond(writer.get()); });
   }
 
  private:
-  void Answer(http::ResponseWriter* writer) {
+  void Respond(http::ResponseWriter* writer) {
     http::Response response;
     if (runtime_->random->Chance(0.2)) {
       response.status = 429;
@@ -248,7 +246,7 @@
     const auto found = gateways_.find(host);
     return found == gateways_.end() || !host->running() ? nullptr : found->second.lock().get();
   }
-  // The controller that leads with a majority just now, or null.
+  // The controller that holds the leader lease, or null.
   simulation::SimHost* Leader() const {
     for (simulation::SimHost* host : controller_hosts) {
       const ControllerProcess* process = Controller(host);
--- a/src/posthatch/control/server/memory_log-test.h
+++ b/src/posthatch/control/server/memory_log-test.h
@@ -13,7 +13,7 @@
 
 namespace posthatch::control {
 
-// Entries and leadership of a whole cluster, in one place: never lost, agreed on at once.
+// Log and leadership of a cluster in one place: entries are never lost, and commit at once.
 struct MemoryCluster {
   struct Entry {
     uint64_t term;
@@ -22,8 +22,8 @@
   std::vector<Entry> entries;
   std::string leader_endpoint;
   uint64_t term = 0;
-  // A controller that hears of nothing, and so goes on believing what it believed.
-  std::string deaf_endpoint;
+  // A controller that receives neither entries nor leader changes.
+  std::string partitioned_endpoint;
 
   void Elect(const std::string& endpoint) {
     ++term;
@@ -32,12 +32,12 @@
   }
 };
 
-// One controller's view of a MemoryCluster: hears of new entries and leaders after a delay, so that
-// a former leader goes on believing for a while. Commits take kCommitTime.
+// One controller's replica of a MemoryCluster: receives entries and leader changes with a delay, so
+// that a deposed leader goes on believing that it leads. Proposals commit after kCommitTime.
 class MemoryLog : public consensus::ReplicatedLog, public LeaderLeaseGuard {
  public:
   static constexpr runtime::Duration kCommitTime = std::chrono::milliseconds(2);
-  static constexpr runtime::Duration kHearInterval = std::chrono::milliseconds(5);
+  static constexpr runtime::Duration kSyncInterval = std::chrono::milliseconds(5);
 
   MemoryLog(runtime::Runtime* runtime, MemoryCluster* cluster,
             consensus::StateMachine* state_machine)
@@ -45,7 +45,7 @@
         cluster_(cluster),
         state_machine_(state_machine),
         timer_(runtime->timers) {
-    Hear();
+    Sync();
   }
 
   void Propose(std::string command, ProposeDone done) override {
@@ -61,7 +61,7 @@
     runtime_->timers->Schedule(kCommitTime,
                                [this, index = cluster_->entries.size(), done = std::move(done)] {
                                  if (applied_ < index) ApplyUpTo(index);
-                                 done(std::move(answers_[index - 1]));
+                                 done(std::move(results_[index - 1]));
                                });
   }
   void ReadBarrier(ReadDone done) override {
@@ -82,9 +82,9 @@
   }
 
  private:
-  void Hear() {
-    timer_.Start(kHearInterval, [this] { Hear(); });
-    if (cluster_->deaf_endpoint == runtime_->transport->endpoint()) return;
+  void Sync() {
+    timer_.Start(kSyncInterval, [this] { Sync(); });
+    if (cluster_->partitioned_endpoint == runtime_->transport->endpoint()) return;
     ApplyUpTo(cluster_->entries.size());
     const bool leads = cluster_->leader_endpoint == runtime_->transport->endpoint();
     const bool changed = leads != leading_ || (leads && term_ != cluster_->term);
@@ -96,7 +96,7 @@
     while (applied_ < index) {
       const MemoryCluster::Entry entry = cluster_->entries[applied_];
       ++applied_;
-      answers_.push_back(entry.command.empty()
+      results_.push_back(entry.command.empty()
                              ? std::string()
                              : state_machine_->Apply(applied_, entry.term, entry.command));
     }
@@ -107,7 +107,7 @@
   consensus::StateMachine* const state_machine_;
   runtime::Timer timer_;
   LeadershipListener listener_;
-  std::vector<std::string> answers_;
+  std::vector<std::string> results_;
   uint64_t applied_ = 0;
   uint64_t term_ = 0;
   bool leading_ = false;
--- a/src/posthatch/control/server/state_views.cc
+++ b/src/posthatch/control/server/state_views.cc
@@ -2,6 +2,7 @@
 
 #include <google/protobuf/util/json_util.h>
 
+#include <array>
 #include <boost/json.hpp>
 #include <map>
 #include <vector>
@@ -142,12 +143,16 @@
   View (*render)(std::string_view query, const ControlState& state);
 };
 
-constexpr NamedView kViews[] = {
-    {"configuration", ConfigurationView}, {"configuration/history", HistoryView},
-    {"configuration/diff", DiffView},     {"evacuations", EvacuationsView},
-    {"model-revisions", RevisionsView},   {"isolation", IsolationView},
-    {"inventory", InventoryView},         {"leases", LeasesView},
-};
+constexpr std::array<NamedView, 8> kViews = {{
+    {"configuration", ConfigurationView},
+    {"configuration/history", HistoryView},
+    {"configuration/diff", DiffView},
+    {"evacuations", EvacuationsView},
+    {"model-revisions", RevisionsView},
+    {"isolation", IsolationView},
+    {"inventory", InventoryView},
+    {"leases", LeasesView},
+}};
 
 }  // namespace
 
--- a/src/posthatch/control/server/worker_lease_planner-test.cc
+++ b/src/posthatch/control/server/worker_lease_planner-test.cc
@@ -23,7 +23,8 @@
       lease->set_holder_incarnation(100);
     }
   }
-  // A renewal of one life of a gateway, `granted` being the last renewal whose grant it has.
+  // A renewal of an incarnation of a gateway; `granted` is the last renewal whose grant it
+  // received.
   void Renew(const std::string& gateway, uint64_t incarnation, uint64_t number, uint64_t granted,
              uint64_t granted_term = kTerm) {
     now_ += milliseconds(10);
@@ -44,9 +45,9 @@
   runtime::MonotonicTime now_{std::chrono::hours(1)};
 };
 
-TEST_F(RestartedGatewayPlanTest, ARestartedGatewayGetsItsWorkersAgainOnceItHasAnsweredAGrant) {
+TEST_F(RestartedGatewayPlanTest, RestartedGatewayRegainsWorkersAfterAckingGrant) {
   Renew("g1", 7, 1, 0, 0);
-  EXPECT_EQ(Plan().grants_size(), 0) << "its first renewal may have waited behind a cut";
+  EXPECT_EQ(Plan().grants_size(), 0) << "its first renewal may have been delayed by a partition";
   Renew("g1", 7, 2, 1);
   const GrantWorkerLeases plan = Plan();
   ASSERT_EQ(plan.grants_size(), 1);
@@ -57,23 +58,23 @@
   EXPECT_EQ(plan.released(0), "w1");
 }
 
-TEST_F(RestartedGatewayPlanTest, ALifeThatIsHeardOfKeepsItsLeases) {
+TEST_F(RestartedGatewayPlanTest, RenewingIncarnationKeepsLeases) {
   Renew("g1", 100, 1, 0, 0);
   Renew("g1", 100, 2, 1);
   EXPECT_EQ(Plan().grants_size(), 0);
 }
 
-TEST_F(RestartedGatewayPlanTest, AnEarlierLifeWhoseRenewalsComeLateTakesNothingFromTheLaterOne) {
+TEST_F(RestartedGatewayPlanTest, DelayedRenewalsOfPreviousIncarnationTakeNoLeases) {
   Renew("g1", 100, 1, 0, 0);
   Renew("g1", 100, 2, 1);
-  // Of the life before: it has had no grant of this leader, or of another term.
+  // Of the previous incarnation, with no grant of this leader, or one of another term.
   Renew("g1", 3, 1, 0, 0);
   Renew("g1", 3, 2, 1, kTerm - 1);
   EXPECT_EQ(Plan().grants_size(), 0);
   EXPECT_NE(sessions_.Find({"g1", 100}), nullptr);
 }
 
-TEST_F(RestartedGatewayPlanTest, SessionsOfEarlierLivesEndAndAreNotWaitedFor) {
+TEST_F(RestartedGatewayPlanTest, PreviousIncarnationSessionsExpire) {
   Renew("g1", 100, 1, 0, 0);
   Renew("g1", 7, 1, 0, 0);
   EXPECT_FALSE(sessions_.AckedByAllSessions(9, now_));
@@ -83,9 +84,9 @@
   EXPECT_NE(sessions_.Find({"g1", 7}), nullptr);
 }
 
-TEST_F(RestartedGatewayPlanTest, ALifeThatWasHeardOfAfterTheOthersFirstGrantIsWaitedFor) {
+TEST_F(RestartedGatewayPlanTest, IncarnationsOfUnknownOrderAreBothKept) {
   Renew("g1", 7, 1, 0, 0);
-  Renew("g1", 100, 1, 0, 0);  // which of the two is the later one is not known
+  Renew("g1", 100, 1, 0, 0);  // it is unknown which of the two is the later one
   Renew("g1", 7, 2, 1);
   EXPECT_NE(sessions_.Find({"g1", 100}), nullptr);
   EXPECT_EQ(Plan().grants_size(), 0);
--- a/src/posthatch/control/state/commands-test.h
+++ b/src/posthatch/control/state/commands-test.h
@@ -23,8 +23,8 @@
   return configuration;
 }
 
-inline Command WholeChange(const std::string& request_id, uint64_t expected_version,
-                           const Configuration& configuration) {
+inline Command FullChange(const std::string& request_id, uint64_t expected_version,
+                          const Configuration& configuration) {
   Command command;
   command.set_request_id(request_id);
   command.mutable_change_configuration()->set_expected_version(expected_version);
@@ -48,10 +48,10 @@
                                 const std::string& zone, bool lifted) {
   Command command;
   command.set_request_id(request_id);
-  SetEvacuation* order = command.mutable_set_evacuation();
-  order->mutable_evacuation()->set_name(name);
-  *order->mutable_evacuation()->mutable_selector() = *ParseSelector("zone=" + zone);
-  order->set_lifted(lifted);
+  SetEvacuation* evacuation = command.mutable_set_evacuation();
+  evacuation->mutable_evacuation()->set_name(name);
+  *evacuation->mutable_evacuation()->mutable_selector() = *ParseSelector("zone=" + zone);
+  evacuation->set_lifted(lifted);
   return command;
 }
 
@@ -121,7 +121,7 @@
   return command;
 }
 
-// Any command, valid or not; `number` makes its request id.
+// A random command, valid or not, with the request id of `number`.
 inline Command RandomCommand(runtime::Random* random, uint64_t number) {
   const std::string id = absl::StrCat("r", number);
   const std::string key = absl::StrCat("k", random->Uniform(20));
@@ -136,7 +136,7 @@
         *rule->mutable_isolated() = *ParseSelector(random->Chance(0.5) ? "*" : "name=alpha");
       }
       if (random->Chance(0.3)) configuration.mutable_tenants()->RemoveLast();
-      return WholeChange(id, random->Uniform(4), configuration);
+      return FullChange(id, random->Uniform(4), configuration);
     }
     case 1:
       return PatchChange(id, random->Uniform(30), absl::StrCat("t", random->Uniform(5)),
--- a/src/posthatch/control/state/control_state-test.cc
+++ b/src/posthatch/control/state/control_state-test.cc
@@ -35,8 +35,8 @@
   uint64_t index_ = 0;
 };
 
-TEST_F(ControlStateTest, OfTwoRacersExactlyOneWinsAndTheOtherLearnsTheWinner) {
-  ASSERT_EQ(Apply(WholeChange("first", 0, SmallConfiguration())).code(), CommandResult::OK);
+TEST_F(ControlStateTest, ConcurrentChangeGetsVersionConflictWithWinner) {
+  ASSERT_EQ(Apply(FullChange("first", 0, SmallConfiguration())).code(), CommandResult::OK);
   const CommandResult winner = Apply(PatchChange("winner", 1, "alpha", 5));
   const CommandResult loser = Apply(PatchChange("loser", 1, "alpha", 7));
   EXPECT_EQ(winner.code(), CommandResult::OK);
@@ -49,10 +49,10 @@
   EXPECT_EQ(state_.fleet().configuration().tenants(0).priority(), 5);
 }
 
-TEST_F(ControlStateTest, AResendGetsTheFirstAnswerAfterHundredsOfChangesAndARestore) {
-  Apply(WholeChange("first", 0, SmallConfiguration()));
+TEST_F(ControlStateTest, ResendGetsFirstResultAfterManyChangesAndRestore) {
+  Apply(FullChange("first", 0, SmallConfiguration()));
   const CommandResult accepted = Apply(PatchChange("accepted", 1, "alpha", 3));
-  const CommandResult refused = Apply(PatchChange("refused", 1, "alpha", 4));
+  const CommandResult rejected = Apply(PatchChange("rejected", 1, "alpha", 4));
   for (int i = 0; i < 500; ++i) Apply(PatchChange(absl::StrCat("c", i), 0, "beta", i % 10));
   ControlState restored;
   ASSERT_TRUE(restored.RestoreSnapshot(state_.TakeSnapshot()).ok());
@@ -61,15 +61,15 @@
     const Command resent = PatchChange("accepted", 1, "alpha", 3);
     EXPECT_EQ(control::Apply(state, 1000, resent).SerializeAsString(),
               accepted.SerializeAsString());
-    EXPECT_EQ(control::Apply(state, 1001, PatchChange("refused", 1, "alpha", 4)).code(),
-              refused.code());
+    EXPECT_EQ(control::Apply(state, 1001, PatchChange("rejected", 1, "alpha", 4)).code(),
+              rejected.code());
     EXPECT_EQ(control::Apply(state, 1002, PatchChange("accepted", 1, "alpha", 8)).code(),
               CommandResult::REQUEST_ID_REUSED);
     EXPECT_EQ(state->fleet().configuration_version(), version);
   }
 }
 
-TEST_F(ControlStateTest, ARequestIdBeyondTheWindowIsRefusedAndNotAppliedAgain) {
+TEST_F(ControlStateTest, RejectsExpiredRequestId) {
   Apply(EvacuationChange("old", "e", "eu-1a", false));
   for (size_t i = 0; i <= RequestRecords::kMaxRecords; ++i) {
     Apply(EvacuationChange(absl::StrCat("c", i), "e", "eu-1a", false));
@@ -78,8 +78,8 @@
             CommandResult::WINDOW_PASSED);
 }
 
-TEST_F(ControlStateTest, RollBackMakesANewVersionAndUnknownVersionsAreRefused) {
-  Apply(WholeChange("first", 0, SmallConfiguration()));
+TEST_F(ControlStateTest, RollbackCreatesNewVersionAndRejectsUnknownVersion) {
+  Apply(FullChange("first", 0, SmallConfiguration()));
   Apply(PatchChange("second", 1, "alpha", 9));
   Command command;
   command.set_request_id("back");
@@ -93,7 +93,7 @@
   EXPECT_EQ(Apply(command).code(), CommandResult::NOT_FOUND);
 }
 
-TEST_F(ControlStateTest, AllErrorsOfAConfigurationAreReportedAtOnce) {
+TEST_F(ControlStateTest, ReportsAllConfigurationErrors) {
   Configuration configuration = SmallConfiguration();
   configuration.mutable_tenants(0)->set_priority(10);
   configuration.mutable_tenants(1)->set_name("alpha");           // twice
@@ -102,45 +102,45 @@
   configuration.mutable_routing()->set_retry_budget_ratio(0.5);  // more than a fifth
   configuration.add_isolation_rules()->set_name("-bad");         // and no selector
   configuration.add_services()->set_name("empty");               // no operation
-  const CommandResult result = Apply(WholeChange("bad", 0, configuration));
+  const CommandResult result = Apply(FullChange("bad", 0, configuration));
   ASSERT_EQ(result.code(), CommandResult::INVALID);
   EXPECT_EQ(result.errors_size(), 8) << result.DebugString();
   EXPECT_EQ(state_.fleet().configuration_version(), 0);
   Configuration large = SmallConfiguration();
   large.mutable_tenants(0)->mutable_key_sha256()->Clear();
   (*large.mutable_tenants(0)->mutable_labels())["filler"] = std::string(3 << 20, 'x');
-  EXPECT_EQ(Apply(WholeChange("large", 0, large)).code(), CommandResult::INVALID);
+  EXPECT_EQ(Apply(FullChange("large", 0, large)).code(), CommandResult::INVALID);
 }
 
-TEST_F(ControlStateTest, EnteringAndLeavingIsolationStartsNewDomains) {
+TEST_F(ControlStateTest, IsolationChangesStartNewGenerations) {
   Configuration configuration = SmallConfiguration();
-  Apply(WholeChange("c1", 0, configuration));
+  Apply(FullChange("c1", 0, configuration));
   const uint64_t shared = Generation("");
   EXPECT_EQ(Generation("alpha"), shared);
   IsolationRule* rule = configuration.add_isolation_rules();
   rule->set_name("keep-apart");
   *rule->mutable_isolated() = *ParseSelector("name=alpha");
-  Apply(WholeChange("c2", 0, configuration));
-  // What alpha put into the shared domain before must not be used by beta any more.
+  Apply(FullChange("c2", 0, configuration));
+  // beta must no longer use the blocks that alpha put into the shared domain.
   const uint64_t shared_after = Generation("");
   EXPECT_GT(shared_after, shared);
   EXPECT_EQ(Generation("beta"), shared_after);
   const uint64_t isolated = Generation("alpha");
-  // Removed and made again, it must not reach its former blocks.
+  // A new tenant of the same name must not reach the blocks of the removed one.
   Configuration without = configuration;
   without.mutable_tenants()->erase(without.mutable_tenants()->begin());
-  Apply(WholeChange("c3", 0, without));
-  Apply(WholeChange("c4", 0, configuration));
+  Apply(FullChange("c3", 0, without));
+  Apply(FullChange("c4", 0, configuration));
   EXPECT_GT(Generation("alpha"), isolated);
   configuration.clear_isolation_rules();
-  Apply(WholeChange("c5", 0, configuration));
+  Apply(FullChange("c5", 0, configuration));
   EXPECT_GT(Generation(""), shared_after);
   invalidation::ObjectVersion version;
   ASSERT_TRUE(state_.Find("tenant/alpha", &version));
   EXPECT_EQ(version.epoch(), Generation("alpha"));
 }
 
-TEST_F(ControlStateTest, ExactlyOneAttemptBeginsAndOnlyItFinishes) {
+TEST_F(ControlStateTest, OnlyOneDeliveryAttemptBeginsAndFinishes) {
   EXPECT_EQ(Apply(Begin("k", "a", "hash", 0)).delivery().kind(), DeliveryStatus::BEGUN);
   EXPECT_EQ(Apply(Begin("k", "b", "hash", 0)).delivery().kind(), DeliveryStatus::RUNNING);
   EXPECT_EQ(Apply(Begin("k", "a", "hash", 0)).delivery().kind(), DeliveryStatus::BEGUN);
@@ -148,13 +148,13 @@
   EXPECT_EQ(Apply(Finish("k", "b", DeliveryOutcome::NOT_EXECUTED, 0)).code(),
             CommandResult::VERSION_CONFLICT);
   EXPECT_EQ(Apply(Finish("k", "a", DeliveryOutcome::UNKNOWN, 0)).code(), CommandResult::OK);
-  // The first outcome stays.
+  // The first outcome is final.
   EXPECT_EQ(Apply(Finish("k", "a", DeliveryOutcome::RESPONDED, 0)).delivery().outcome().kind(),
             DeliveryOutcome::UNKNOWN);
   EXPECT_EQ(Apply(Begin("k", "b", "hash", 0)).delivery().kind(), DeliveryStatus::FINISHED);
 }
 
-TEST_F(ControlStateTest, AKeyClosedBeforeItsBeginArrivesStaysClosed) {
+TEST_F(ControlStateTest, KeyFinishedBeforeItsBeginStaysFinished) {
   EXPECT_EQ(Apply(Finish("k", "a", DeliveryOutcome::NOT_EXECUTED, 0)).code(), CommandResult::OK);
   for (const char* attempt : {"a", "b"}) {
     const CommandResult late = Apply(Begin("k", attempt, "hash", 0));
@@ -165,7 +165,7 @@
             CommandResult::NOT_FOUND);
 }
 
-TEST_F(ControlStateTest, AKeyWhoseRecordIsGoneIsRefusedAlsoAfterARestore) {
+TEST_F(ControlStateTest, RejectsExpiredDeliveryKeyAfterRestore) {
   const int64_t window = DeliveryRecords::kDefaultWindowMs;
   Apply(Begin("k", "a", "hash", 1000));
   EXPECT_EQ(Apply(Begin("k", "b", "hash", 1000 + window)).delivery().kind(),
@@ -180,7 +180,7 @@
   EXPECT_EQ(restored.delivery_now_ms(), 1001 + window);
 }
 
-TEST_F(ControlStateTest, AHeldWorkerIsNotGrantedToAnotherHolder) {
+TEST_F(ControlStateTest, LeasedWorkerIsNotGrantedToAnotherHolder) {
   EXPECT_EQ(Apply(Grant("w1", "g1")).code(), CommandResult::OK);
   const uint64_t token = state_.worker_leases().Find("w1")->fencing_token();
   EXPECT_EQ(Apply(Grant("w1", "g2")).code(), CommandResult::VERSION_CONFLICT);
@@ -192,14 +192,14 @@
   EXPECT_GT(state_.worker_leases().Find("w1")->fencing_token(), token);
 }
 
-TEST_F(ControlStateTest, DamagedCommandsAndSnapshotsAreRefused) {
+TEST_F(ControlStateTest, RejectsMalformedCommandAndSnapshot) {
   CommandResult result;
   ASSERT_TRUE(result.ParseFromString(state_.Apply(1, 1, "\xff\xff")));
   EXPECT_EQ(result.code(), CommandResult::INVALID);
   EXPECT_FALSE(state_.RestoreSnapshot("\xff\xff").ok());
 }
 
-TEST(FleetSectionsTest, ASectionNeverGoesBack) {
+TEST(FleetSectionsTest, KeepsNewerSection) {
   FleetState state;
   state.set_configuration_index(9);
   state.set_configuration_version(3);
@@ -216,7 +216,7 @@
   EXPECT_EQ(state.leases_index(), 10);
 }
 
-TEST(FleetSectionsTest, ADifferenceForAnotherConfigurationIsNotUsed) {
+TEST(FleetSectionsTest, RejectsDeltaWithOtherBase) {
   FleetState state;
   state.set_configuration_index(5);
   FleetState changed;
@@ -227,10 +227,10 @@
   EXPECT_TRUE(ApplyConfigurationDelta(state, &changed));
 }
 
-// By seed: random commands with resends and races.
+// Random commands with resends and races.
 class ControlStateSeedTest : public testing::TestWithParam<uint64_t> {};
 
-TEST_P(ControlStateSeedTest, EqualCommandsGiveEqualStatesAndARestoreEqualsAReplay) {
+TEST_P(ControlStateSeedTest, ApplyIsDeterministicAndRestoreEqualsReplay) {
   runtime::Random random(GetParam());
   ControlState first;
   ControlState second;
@@ -243,28 +243,28 @@
     const Command command =
         resend ? sent[random.Uniform(sent.size())] : RandomCommand(&random, index);
     sent.push_back(command);
-    const std::string answer = first.Apply(index, 1, command.SerializeAsString());
-    EXPECT_EQ(second.Apply(index, 1, command.SerializeAsString()), answer);
+    const std::string result = first.Apply(index, 1, command.SerializeAsString());
+    EXPECT_EQ(second.Apply(index, 1, command.SerializeAsString()), result);
     if (index > restore_at) {
-      EXPECT_EQ(restored.Apply(index, 1, command.SerializeAsString()), answer);
+      EXPECT_EQ(restored.Apply(index, 1, command.SerializeAsString()), result);
     }
     if (index == restore_at) {
       ASSERT_TRUE(restored.RestoreSnapshot(first.TakeSnapshot()).ok());
     }
     for (const invalidation::RegisteredObject& object : first.Objects()) {
-      invalidation::ObjectVersion& known = versions[object.object()];
+      invalidation::ObjectVersion& previous = versions[object.object()];
       const auto pair = [](const invalidation::ObjectVersion& version) {
         return std::make_pair(version.epoch(), version.sequence());
       };
-      EXPECT_GE(pair(object.version()), pair(known)) << object.object() << " went back";
-      known = object.version();
+      EXPECT_GE(pair(object.version()), pair(previous)) << object.object() << " decreased";
+      previous = object.version();
     }
   }
   EXPECT_EQ(second.TakeSnapshot(), first.TakeSnapshot());
   EXPECT_EQ(restored.TakeSnapshot(), first.TakeSnapshot());
 }
 
-TEST_P(ControlStateSeedTest, ADifferenceMakesTheNewConfigurationOfTheOldOne) {
+TEST_P(ControlStateSeedTest, PatchRoundTrips) {
   runtime::Random random(GetParam());
   const auto random_configuration = [&random] {
     Configuration configuration;
@@ -282,8 +282,8 @@
     const Configuration from = random_configuration();
     const Configuration to = random_configuration();
     std::vector<std::string> errors;
-    const Configuration made = ApplyPatch(from, MakePatch(from, to), &errors);
-    EXPECT_EQ(DescribeDifferences(made, to), std::vector<std::string>());
+    const Configuration patched = ApplyPatch(from, MakePatch(from, to), &errors);
+    EXPECT_EQ(DescribeDifferences(patched, to), std::vector<std::string>());
     EXPECT_EQ(errors, std::vector<std::string>());
   }
 }
--- a/src/posthatch/control/state/control_state.h
+++ b/src/posthatch/control/state/control_state.h
@@ -3,6 +3,7 @@
 #include <cstdint>
 #include <functional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "posthatch/consensus/replicated_log.h"
--- a/src/posthatch/control/state/delivery_records.cc
+++ b/src/posthatch/control/state/delivery_records.cc
@@ -103,8 +103,8 @@
   return result;
 }
 
-template <typename Command>
-DeliveryRecord DeliveryRecords::MakeRecord(const Command& command) const {
+template <typename DeliveryCommand>
+DeliveryRecord DeliveryRecords::MakeRecord(const DeliveryCommand& command) const {
   DeliveryRecord record;
   record.set_tenant(command.tenant());
   record.set_idempotency_key(command.idempotency_key());
--- a/src/posthatch/control/state/delivery_records.h
+++ b/src/posthatch/control/state/delivery_records.h
@@ -45,8 +45,8 @@
  private:
   void AdvanceTime(int64_t now_ms, int64_t window_ms);
   // A record for a DeliveryBegin or DeliveryFinish.
-  template <typename Command>
-  DeliveryRecord MakeRecord(const Command& command) const;
+  template <typename DeliveryCommand>
+  DeliveryRecord MakeRecord(const DeliveryCommand& command) const;
   void StoreOutcome(const DeliveryOutcome& outcome, DeliveryRecord* record);
   void Insert(const std::string& key, DeliveryRecord record);
   void EvictOldest();
--- a/src/posthatch/control/state/object_versions.h
+++ b/src/posthatch/control/state/object_versions.h
@@ -3,6 +3,7 @@
 #include <cstdint>
 #include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "google/protobuf/repeated_ptr_field.h"
--- a/src/posthatch/control/state/selector-test.cc
+++ b/src/posthatch/control/state/selector-test.cc
@@ -11,7 +11,7 @@
   return selector.ok() && SelectorMatches(*selector, labels);
 }
 
-TEST(SelectorTest, RequirementsAllHaveToHold) {
+TEST(SelectorTest, AllRequirementsMustHold) {
   const LabelMap labels = {{"zone", "eu-1a"}, {"model", "a"}, {"rack", "7"}};
   EXPECT_TRUE(Matches("zone=eu-1a,model in (a, b),!canary", labels));
   EXPECT_FALSE(Matches("zone=eu-1a,model in (b),!canary", labels));
@@ -23,14 +23,14 @@
   EXPECT_TRUE(Matches("*", {}));
 }
 
-TEST(SelectorTest, WithoutRequirementsNothingMatches) {
+TEST(SelectorTest, EmptySelectorMatchesNothing) {
   EXPECT_FALSE(SelectorMatches(Selector(), {{"zone", "a"}}));
   std::vector<std::string> errors;
   ValidateSelector(Selector(), "selector", &errors);
   EXPECT_EQ(errors.size(), 1);
 }
 
-TEST(SelectorTest, WhatCannotBeReadIsRefusedWithItsPlace) {
+TEST(SelectorTest, ReportsPositionOfSyntaxError) {
   for (const char* text :
        {"", ",", "zone=", "zone in a", "zone in (a", "*,zone", "a b", "!", "=x"}) {
     const absl::StatusOr<Selector> selector = ParseSelector(text);
@@ -39,7 +39,7 @@
   }
 }
 
-TEST(SelectorTest, OwnLabelsCannotPretendToBeAnotherZone) {
+TEST(SelectorTest, EntryLabelsCannotOverrideZone) {
   Backend backend;
   backend.set_id("w1");
   backend.set_zone("eu-1a");
--- a/src/posthatch/control/state/traffic_state-test.cc
+++ b/src/posthatch/control/state/traffic_state-test.cc
@@ -32,7 +32,8 @@
   return configuration;
 }
 
-ChangeTraffic Whole(uint64_t base, uint64_t version, const TrafficConfiguration& configuration) {
+ChangeTraffic FullChange(uint64_t base, uint64_t version,
+                         const TrafficConfiguration& configuration) {
   ChangeTraffic change;
   change.set_base_version(base);
   change.set_version(version);
@@ -60,16 +61,15 @@
   bool changed_ = false;
 };
 
-TEST_F(TrafficStateTest, OfTwoChangesOfOneVersionOneWinsEvenWithTheSameNumber) {
-  ASSERT_EQ(Apply(Whole(0, 3, SmallTraffic())), CommandResult::OK);
+TEST_F(TrafficStateTest, OnlyOneChangePerBaseVersionWins) {
+  ASSERT_EQ(Apply(FullChange(0, 3, SmallTraffic())), CommandResult::OK);
   EXPECT_EQ(Apply(TimeoutPatch(3, 7, 200)), CommandResult::OK);
   EXPECT_EQ(Apply(TimeoutPatch(3, 7, 300)), CommandResult::VERSION_CONFLICT);
   EXPECT_EQ(state_.newest().routes(0).timeout_ms(), 200U);
 }
 
-TEST_F(TrafficStateTest,
-       AcceptedChangeSentAgainIsAcknowledgedAgainWhateverFollowedAndAfterARestore) {
-  const ChangeTraffic first = Whole(0, 3, SmallTraffic());
+TEST_F(TrafficStateTest, AcknowledgesResendAfterLaterChangesAndRestore) {
+  const ChangeTraffic first = FullChange(0, 3, SmallTraffic());
   Apply(first);
   const ChangeTraffic second = TimeoutPatch(3, 7, 200);
   Apply(second);
@@ -87,23 +87,23 @@
   }
 }
 
-TEST_F(TrafficStateTest, RefusedChangeMayComeAgainAndBeTaken) {
-  Apply(Whole(0, 3, SmallTraffic()));
+TEST_F(TrafficStateTest, RejectedChangeMayBeRetried) {
+  Apply(FullChange(0, 3, SmallTraffic()));
   const ChangeTraffic early = TimeoutPatch(5, 7, 200);
   EXPECT_EQ(Apply(early), CommandResult::VERSION_CONFLICT);
   Apply(TimeoutPatch(3, 5, 150));
   EXPECT_EQ(Apply(early), CommandResult::OK);
 }
 
-TEST_F(TrafficStateTest, VersionsMustRise) {
-  Apply(Whole(0, 3, SmallTraffic()));
+TEST_F(TrafficStateTest, VersionsMustIncrease) {
+  Apply(FullChange(0, 3, SmallTraffic()));
   EXPECT_EQ(Apply(TimeoutPatch(3, 3, 200)), CommandResult::INVALID);
   EXPECT_EQ(Apply(TimeoutPatch(3, 2, 200)), CommandResult::INVALID);
   EXPECT_EQ(state_.newest().version(), 3U);
 }
 
-TEST_F(TrafficStateTest, PatchRemovesReplacesAndAdds) {
-  Apply(Whole(0, 1, SmallTraffic()));
+TEST_F(TrafficStateTest, PatchRemovesAndUpserts) {
+  Apply(FullChange(0, 1, SmallTraffic()));
   ChangeTraffic change;
   change.set_base_version(1);
   change.set_version(2);
@@ -117,7 +117,7 @@
   EXPECT_EQ(state_.newest().routes(0).name(), "new");
 }
 
-TEST(TrafficValidatorTest, EachRuleIsToldWithItsEntry) {
+TEST(TrafficValidatorTest, ReportsEachViolation) {
   EXPECT_TRUE(ValidateTraffic(SmallTraffic()).empty());
   const auto broken = [](auto change) {
     TrafficConfiguration configuration = SmallTraffic();
@@ -157,7 +157,7 @@
     *command.mutable_change_traffic() = change;
     return Apply(command);
   }
-  CommandResult NameRevision(uint64_t revision) {
+  CommandResult SetRevision(uint64_t revision) {
     Command command;
     command.mutable_set_model_revision()->set_model("m");
     command.mutable_set_model_revision()->set_revision(revision);
@@ -168,41 +168,40 @@
   uint64_t index_ = 0;
 };
 
-TEST_F(TrafficControlTest, GatewaysGetNoSourcesAndReadersGetThemUnchanged) {
-  ApplyTraffic(Whole(0, 1, SmallTraffic()));
+TEST_F(TrafficControlTest, OnlyReadersGetSources) {
+  ApplyTraffic(FullChange(0, 1, SmallTraffic()));
   EXPECT_EQ(state_.fleet().traffic().services(0).source(), "");
   EXPECT_EQ(state_.traffic().services(0).source(), "{\"name\":\"llm\"}");
 }
 
-TEST_F(TrafficControlTest, RevisionsTakeTheOperatorsNumbersAndNeverFall) {
-  ApplyTraffic(Whole(0, 1, SmallTraffic()));
+TEST_F(TrafficControlTest, NumberedRevisionsNeverDecrease) {
+  ApplyTraffic(FullChange(0, 1, SmallTraffic()));
   ASSERT_EQ(state_.fleet().revisions_size(), 1);
   EXPECT_EQ(state_.fleet().revisions(0).revision(), 1U);
-  EXPECT_EQ(NameRevision(4).version(), 4U);
-  EXPECT_EQ(NameRevision(4).code(), CommandResult::OK);
-  EXPECT_EQ(NameRevision(2).code(), CommandResult::OK);
+  EXPECT_EQ(SetRevision(4).version(), 4U);
+  EXPECT_EQ(SetRevision(4).code(), CommandResult::OK);
+  EXPECT_EQ(SetRevision(2).code(), CommandResult::OK);
   EXPECT_EQ(state_.fleet().revisions(0).revision(), 4U);
 }
 
-TEST_F(TrafficControlTest, IsolatedTenantGetsADomainOfItsOwn) {
-  ApplyTraffic(Whole(0, 1, SmallTraffic()));
+TEST_F(TrafficControlTest, IsolatedTenantGetsOwnDomain) {
+  ApplyTraffic(FullChange(0, 1, SmallTraffic()));
   TrafficConfiguration isolated = SmallTraffic();
   isolated.mutable_tenants(0)->set_isolated(true);
-  ApplyTraffic(Whole(1, 2, isolated));
+  ApplyTraffic(FullChange(1, 2, isolated));
   for (const TenantIsolation& domain : state_.fleet().isolation()) {
     EXPECT_EQ(domain.generation(), index_) << domain.tenant();
     EXPECT_EQ(domain.isolated(), domain.tenant() == "t");
   }
 }
 
-// Whatever a gateway has, what it is sent makes it equal to the leader's state, or tells it that it
-// is out of step.
-TEST_F(TrafficControlTest, DifferencesMakeTheSameSectionsAsWholeOnes) {
-  ApplyTraffic(Whole(0, 1, SmallTraffic()));
+// Gateways at any earlier version become equal to the leader's state.
+TEST_F(TrafficControlTest, DeltasEqualCompleteSections) {
+  ApplyTraffic(FullChange(0, 1, SmallTraffic()));
   std::vector<FleetState> gateways = {state_.fleet()};
   for (uint32_t step = 1; step <= 6; ++step) {
     if (step == 4) {
-      ApplyTraffic(Whole(step, step + 1, SmallTraffic()));
+      ApplyTraffic(FullChange(step, step + 1, SmallTraffic()));
     } else {
       ApplyTraffic(TimeoutPatch(step, step + 1, 100 * step));
     }
@@ -216,10 +215,10 @@
     for (FleetState& gateway : gateways) {
       FleetState changed;
       google::protobuf::RepeatedPtrField<std::string> names;
-      const SectionIndices known = IndicesOf(gateway);
-      CopyNewerSections(state_.fleet(), known, &changed, &names);
-      state_.deltas().EncodeInventoryDelta(IndexOf(known, Section::kInventory), &changed);
-      state_.deltas().EncodeTrafficDelta(IndexOf(known, Section::kTraffic), &changed);
+      const SectionIndices acked_versions = IndicesOf(gateway);
+      CopyNewerSections(state_.fleet(), acked_versions, &changed, &names);
+      state_.deltas().EncodeInventoryDelta(IndexOf(acked_versions, Section::kInventory), &changed);
+      state_.deltas().EncodeTrafficDelta(IndexOf(acked_versions, Section::kTraffic), &changed);
       FleetState behind;
       EXPECT_EQ(ApplyTrafficDelta(behind, &changed), changed.traffic_base_index() == 0);
       ASSERT_TRUE(ApplyInventoryDelta(gateway, &changed));
@@ -235,10 +234,10 @@
   }
 }
 
-TEST_F(TrafficControlTest, InventoryDifferenceFromAnOlderListIsNotTaken) {
-  Command whole;
-  whole.mutable_set_inventory()->mutable_inventory()->add_backends()->set_id("w1");
-  Apply(whole);
+TEST_F(TrafficControlTest, RejectsInventoryDeltaFromOldVersion) {
+  Command full;
+  full.mutable_set_inventory()->mutable_inventory()->add_backends()->set_id("w1");
+  Apply(full);
   Command stale;
   stale.mutable_set_inventory()->mutable_delta()->add_removed("w1");
   stale.mutable_set_inventory()->set_base_version(0);
