--- a/src/posthatch/control/inventory/zone_inventory.cc
+++ b/src/posthatch/control/inventory/zone_inventory.cc
@@ -82,13 +82,12 @@
 }
 
 void ZoneInventory::OnRequest(const std::string& endpoint, const InventoryRequest& request) {
-  reader_([this, endpoint, request,
-           alive = std::weak_ptr<bool>(alive_)](const std::optional<InventoryReading>& reading) {
-    if (alive.expired()) return;
-    InventoryMessage message;
-    *message.mutable_response() = MakeResponse(request, reading);
-    Send(endpoint, message);
-  });
+  reader_(
+      lifetime_.Guard([this, endpoint, request](const std::optional<InventoryReading>& reading) {
+        InventoryMessage message;
+        *message.mutable_response() = MakeResponse(request, reading);
+        Send(endpoint, message);
+      }));
 }
 
 InventoryResponse ZoneInventory::MakeResponse(
--- a/src/posthatch/control/inventory/zone_inventory.h
+++ b/src/posthatch/control/inventory/zone_inventory.h
@@ -2,7 +2,6 @@
 
 #include <cstdint>
 #include <functional>
-#include <memory>
 #include <optional>
 #include <string>
 #include <vector>
@@ -12,6 +11,7 @@
 #include "posthatch/control/control.pb.h"
 #include "posthatch/control/inventory/zone_peer.h"
 #include "posthatch/runtime/runtime.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::control {
 
@@ -94,8 +94,7 @@
   uint64_t last_request_id_ = 0;
   absl::flat_hash_map<std::string, runtime::MonotonicTime> unresponsive_until_;  // by node id
   runtime::Timer response_timer_;
-  // Callbacks that may outlive this object hold a weak pointer to it.
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  util::Lifetime lifetime_;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/server/control_messenger.cc
+++ b/src/posthatch/control/server/control_messenger.cc
@@ -26,11 +26,9 @@
                               SerializeDeterministically(message), runtime::Delivery::kStream);
     return;
   }
-  runtime_->timers->Schedule(
-      runtime::Duration::zero(), [this, message, alive = std::weak_ptr<bool>(alive_)] {
-        if (alive.expired()) return;
-        receiver_({runtime_->transport->endpoint(), runtime_->transport->incarnation()}, message);
-      });
+  runtime_->timers->Schedule(runtime::Duration::zero(), lifetime_.Guard([this, message] {
+    receiver_({runtime_->transport->endpoint(), runtime_->transport->incarnation()}, message);
+  }));
 }
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/server/control_messenger.h
+++ b/src/posthatch/control/server/control_messenger.h
@@ -2,11 +2,11 @@
 
 #include <cstdint>
 #include <functional>
-#include <memory>
 #include <string>
 
 #include "posthatch/control/control.pb.h"
 #include "posthatch/runtime/runtime.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::control {
 
@@ -34,8 +34,7 @@
  private:
   runtime::Runtime* const runtime_;
   const Receiver receiver_;
-  // Callbacks that may outlive this object hold a weak pointer to it.
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  util::Lifetime lifetime_;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/server/controller_metrics.cc
+++ b/src/posthatch/control/server/controller_metrics.cc
@@ -1,36 +1,27 @@
 #include "posthatch/control/server/controller_metrics.h"
 
-namespace posthatch::control {
-namespace {
-
-prometheus::Counter* AddCounter(prometheus::Registry* registry, const char* name,
-                                const char* help) {
-  return &prometheus::BuildCounter().Name(name).Help(help).Register(*registry).Add({});
-}
+#include "posthatch/util/metrics.h"
 
-prometheus::Gauge* AddGauge(prometheus::Registry* registry, const char* name, const char* help) {
-  return &prometheus::BuildGauge().Name(name).Help(help).Register(*registry).Add({});
-}
-
-}  // namespace
+namespace posthatch::control {
 
 ControllerMetrics::ControllerMetrics(prometheus::Registry* registry) {
   if (registry == nullptr) {
     unexposed_registry_ = std::make_unique<prometheus::Registry>();
     registry = unexposed_registry_.get();
   }
-  sessions_ = AddGauge(registry, "posthatch_controller_sessions",
-                       "Gateway sessions at this controller; 0 unless it leads");
-  leading_ = AddGauge(registry, "posthatch_controller_leading",
-                      "1 while this controller leads and may serve, else 0");
-  grants_ = AddCounter(registry, "posthatch_controller_grants_total", "Session leases granted");
-  pushes_ = AddCounter(registry, "posthatch_controller_pushes_total",
-                       "Changed sections sent to gateways outside of grants");
-  overloaded_ = AddCounter(registry, "posthatch_controller_overloaded_total",
-                           "Proposals and queries refused because too many were under way");
+  sessions_ = &util::AddGauge(registry, "posthatch_controller_sessions",
+                              "Gateway sessions at this controller; 0 unless it leads");
+  leading_ = &util::AddGauge(registry, "posthatch_controller_leading",
+                             "1 while this controller leads and may serve, else 0");
+  grants_ =
+      &util::AddCounter(registry, "posthatch_controller_grants_total", "Session leases granted");
+  pushes_ = &util::AddCounter(registry, "posthatch_controller_pushes_total",
+                              "Changed sections sent to gateways outside of grants");
+  overloaded_ = &util::AddCounter(registry, "posthatch_controller_overloaded_total",
+                                  "Proposals and queries refused because too many were under way");
   grants_denied_no_lease_ =
-      AddCounter(registry, "posthatch_controller_grants_withheld_total",
-                 "Renewals left unanswered because no majority had answered in time");
+      &util::AddCounter(registry, "posthatch_controller_grants_withheld_total",
+                        "Renewals left unanswered because no majority had answered in time");
   in_force_seconds_ =
       &prometheus::BuildHistogram()
            .Name("posthatch_controller_in_force_seconds")
--- a/src/posthatch/control/server/internal_proposer.cc
+++ b/src/posthatch/control/server/internal_proposer.cc
@@ -9,15 +9,14 @@
 namespace posthatch::control {
 
 void InternalProposer::Propose(const Command& command, Done done) {
-  log_->Propose(
-      SerializeDeterministically(command),
-      [this, term = leadership_->term(), done = std::move(done),
-       alive = std::weak_ptr<bool>(alive_)](const absl::StatusOr<std::string>& serialized_result) {
-        if (alive.expired() || !leadership_->active() || term != leadership_->term()) return;
-        CommandResult result;
-        done(serialized_result.ok() && result.ParseFromString(*serialized_result) &&
-             result.code() == CommandResult::OK);
-      });
+  log_->Propose(SerializeDeterministically(command),
+                lifetime_.Guard([this, term = leadership_->term(), done = std::move(done)](
+                                    const absl::StatusOr<std::string>& serialized_result) {
+                  if (!leadership_->active() || term != leadership_->term()) return;
+                  CommandResult result;
+                  done(serialized_result.ok() && result.ParseFromString(*serialized_result) &&
+                       result.code() == CommandResult::OK);
+                }));
 }
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/server/internal_proposer.h
+++ b/src/posthatch/control/server/internal_proposer.h
@@ -1,11 +1,11 @@
 #pragma once
 
 #include <functional>
-#include <memory>
 
 #include "posthatch/consensus/replicated_log.h"
 #include "posthatch/control/control.pb.h"
 #include "posthatch/control/server/leadership.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::control {
 
@@ -26,8 +26,7 @@
  private:
   consensus::ReplicatedLog* const log_;
   const Leadership* const leadership_;
-  // Callbacks that may outlive this object hold a weak pointer to it.
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  util::Lifetime lifetime_;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/server/proposal_server.cc
+++ b/src/posthatch/control/server/proposal_server.cc
@@ -45,11 +45,10 @@
   pending_[key] = request.call();
   Command command = request.command();
   StampControlTime(&command);
-  log_->Propose(
-      SerializeDeterministically(command),
-      [this, key, alive = std::weak_ptr<bool>(alive_)](const absl::StatusOr<std::string>& applied) {
-        if (!alive.expired()) OnProposalDone(key, applied);
-      });
+  log_->Propose(SerializeDeterministically(command),
+                lifetime_.Guard([this, key](const absl::StatusOr<std::string>& applied) {
+                  OnProposalDone(key, applied);
+                }));
 }
 
 ProposalServer::ProposalKey ProposalServer::MakeKey(const ControlPeer& sender,
--- a/src/posthatch/control/server/proposal_server.h
+++ b/src/posthatch/control/server/proposal_server.h
@@ -3,7 +3,6 @@
 #include <compare>
 #include <cstdint>
 #include <map>
-#include <memory>
 #include <string>
 
 #include "absl/status/statusor.h"
@@ -16,6 +15,7 @@
 #include "posthatch/control/server/session_table.h"
 #include "posthatch/control/state/control_state.h"
 #include "posthatch/runtime/runtime.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::control {
 
@@ -82,8 +82,7 @@
   uint64_t anonymous_proposal_count_ = 0;    // tells apart proposals without request id
   int64_t control_time_base_ms_ = 0;
   runtime::Timer check_timer_;
-  // Callbacks that may outlive this object hold a weak pointer to it.
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  util::Lifetime lifetime_;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/server/query_server.cc
+++ b/src/posthatch/control/server/query_server.cc
@@ -32,16 +32,15 @@
     return;
   }
   ++pending_queries_;
-  log_->ReadBarrier([this, endpoint = sender.endpoint, request,
-                     alive = std::weak_ptr<bool>(alive_)](const absl::Status& status) {
-    if (alive.expired()) return;
-    --pending_queries_;
-    if (status.ok()) {
-      Respond(endpoint, request);
-    } else {
-      Reject(endpoint, request.call());
-    }
-  });
+  log_->ReadBarrier(
+      lifetime_.Guard([this, endpoint = sender.endpoint, request](const absl::Status& status) {
+        --pending_queries_;
+        if (status.ok()) {
+          Respond(endpoint, request);
+        } else {
+          Reject(endpoint, request.call());
+        }
+      }));
 }
 
 void QueryServer::Respond(const std::string& endpoint, const QueryRequest& request) {
--- a/src/posthatch/control/server/query_server.h
+++ b/src/posthatch/control/server/query_server.h
@@ -1,7 +1,6 @@
 #pragma once
 
 #include <cstdint>
-#include <memory>
 #include <string>
 
 #include "posthatch/consensus/replicated_log.h"
@@ -11,6 +10,7 @@
 #include "posthatch/control/server/leadership.h"
 #include "posthatch/control/server/state_views.h"
 #include "posthatch/control/state/control_state.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::control {
 
@@ -41,8 +41,7 @@
   ControllerMetrics* const metrics_;
 
   size_t pending_queries_ = 0;
-  // Callbacks that may outlive this object hold a weak pointer to it.
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  util::Lifetime lifetime_;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/server/controller_node.cc
+++ b/src/posthatch/server/controller_node.cc
@@ -148,8 +148,4 @@
   writer->SendResponse(std::move(response));
 }
 
-std::optional<std::string> ControllerNode::ControllersView() const {
-  return server::ControllersView(replica_.Status());
-}
-
 }  // namespace posthatch::server
