--- a/src/posthatch/control/client/gateway_session.h
+++ b/src/posthatch/control/client/gateway_session.h
@@ -72,7 +72,7 @@
 
   void Renew();
   void ScheduleRenewal(runtime::Duration delay);
-  SessionRenewal MakeRenewal(uint64_t renewal, bool leaving) const;
+  SessionRenewal MakeRenewal(uint64_t number, bool leaving) const;
   void OnEnvelope(const runtime::Envelope& envelope);
   void OnGrant(const std::string& from_endpoint, const SessionGrant& grant);
   // Whether the grant is for this incarnation, plausible, and not from a deposed leader.
--- a/src/posthatch/control/inventory/inventory_watch-test.cc
+++ b/src/posthatch/control/inventory/inventory_watch-test.cc
@@ -29,19 +29,19 @@
 class StaleFleetView : public FleetView {
  public:
   StaleFleetView(const runtime::Clock* clock, const Inventory& inventory) : clock_(clock) {
-    *state_.mutable_inventory() = inventory;
-    inventory_requested_at_ = clock->Now();
+    *fleet.mutable_inventory() = inventory;
+    inventory_requested_at = clock->Now();
   }
   bool LeaseValid() const override { return false; }
   runtime::MonotonicTime lease_expiry() const override { return {}; }
-  const FleetState& state() const override { return state_; }
+  const FleetState& state() const override { return fleet; }
   runtime::Duration InventoryAge() const override {
-    return clock_->Now() - inventory_requested_at_;
+    return clock_->Now() - inventory_requested_at;
   }
   void AddListener(Listener) override {}
 
-  FleetState state_;
-  runtime::MonotonicTime inventory_requested_at_;
+  FleetState fleet;
+  runtime::MonotonicTime inventory_requested_at;
 
  private:
   const runtime::Clock* const clock_;
@@ -234,8 +234,8 @@
   FleetWithoutControllers fleet(GetParam(), 24, /*calls_per_second=*/100);
   for (size_t i = 0; i < fleet.hosts.size(); i += 2) {
     StaleFleetView& view = fleet.Gateway(fleet.hosts[i])->view;
-    view.state_.mutable_inventory()->mutable_backends()->DeleteSubrange(0, 5);
-    view.state_.mutable_inventory()->set_version(i);
+    view.fleet.mutable_inventory()->mutable_backends()->DeleteSubrange(0, 5);
+    view.fleet.mutable_inventory()->set_version(i);
   }
   fleet.world.RunFor(seconds(5));
   EXPECT_LT(fleet.TimeUntilAllSeeDraining("w0"), kDrainBound);
@@ -259,7 +259,7 @@
   fleet.world.RunFor(seconds(5));
   for (const simulation::SimHost* host : fleet.hosts) {
     StaleFleetView& view = fleet.Gateway(host)->view;
-    view.inventory_requested_at_ = fleet.world.Now() + seconds(60);  // stays fresh
+    view.inventory_requested_at = fleet.world.Now() + seconds(60);  // stays fresh
   }
   fleet.world.RunFor(seconds(1));
   const uint64_t before = fleet.server->calls;
