--- a/src/posthatch/index/index-bench.cc
+++ b/src/posthatch/index/index-bench.cc
@@ -43,7 +43,7 @@
 
 bool Any(PrefixIndex::GenerationId /*generation*/) { return true; }
 
-// Whole chains of 32 blocks, in random order.
+// Complete chains of 32 blocks, in random order.
 void BM_LookUpHit(benchmark::State& state) {
   FilledIndex filled(state.range(0), 18);
   runtime::Random random(3);
@@ -72,7 +72,7 @@
 }
 BENCHMARK(BM_LookUpHitWithGaps)->Arg(100'000)->Arg(1'000'000)->Arg(10'000'000);
 
-// Chains whose first half is kept.
+// Chains whose first half is cached.
 void BM_LookUpHalf(benchmark::State& state) {
   FilledIndex filled(state.range(0), 18);
   for (Chain& chain : filled.chains) chain[kChainBlocks / 2] ^= 1;
@@ -85,7 +85,7 @@
 }
 BENCHMARK(BM_LookUpHalf)->Arg(10'000'000);
 
-// Chains that nobody keeps.
+// Chains without a holder.
 void BM_LookUpMiss(benchmark::State& state) {
   FilledIndex filled(state.range(0), 18);
   const std::vector<Chain> others = MakeChains(1'000'000, 9);
--- a/src/posthatch/rollout/rollout_coordinator.h
+++ b/src/posthatch/rollout/rollout_coordinator.h
@@ -57,8 +57,8 @@
 
   // This controller has become the leader of `term`, or is leader no more. Resets everything.
   void OnLeadership(bool is_leader, uint64_t term);
-  // Adds to an inventory as it was read what this coordinator knows: newest revisions, and the
-  // marks of workers that load or are about to.
+  // Adds to an inventory, as read from the platform, what this coordinator knows: revisions, and
+  // the marks of workers that load or are about to.
   void Annotate(control::Inventory* inventory) const;
 
   size_t workers_in_progress() const { return active_.size(); }
@@ -95,7 +95,7 @@
     std::vector<const control::Backend*> outdated;  // workers that may be started, in its order
   };
 
-  // Also takes up which revisions are proven.
+  // Also records which revisions are proven.
   Survey SurveyFleet();
   // How many of a model's workers may be in progress at one time.
   size_t MaxConcurrentWorkers(const std::string& model, const ModelSurvey& survey) const;
--- a/src/posthatch/routing/load_aggregator.h
+++ b/src/posthatch/routing/load_aggregator.h
@@ -41,9 +41,9 @@
   bool running() const { return timer_.running(); }
   // The next reports tell everything, not just changes.
   void RequestFullReport() { full_report_due_ = true; }
-  // Passes on prefill starts of this gateway.
+  // Forwards prefill starts of this gateway.
   void ForwardLocalPrefills(const std::vector<PrefillStart>& starts);
-  // Passes on a prefill start of another gateway of `zone`. Dropped while it doesn't run, and where
+  // Forwards a prefill start of another gateway of `zone`. Dropped while it doesn't run, and where
   // too many wait.
   void ForwardPrefill(const std::string& zone, PrefillStart start);
 
--- a/src/posthatch/routing/load_report_sender.h
+++ b/src/posthatch/routing/load_report_sender.h
@@ -10,7 +10,7 @@
 
 namespace posthatch::routing {
 
-// Whether the report tells anything.
+// Whether the report carries anything.
 bool HasEntries(const LoadReport& report);
 
 // Moves prefill starts into a report; those beyond `max_starts` in the report are dropped, since
--- a/src/posthatch/routing/placement.h
+++ b/src/posthatch/routing/placement.h
@@ -10,7 +10,7 @@
 #include "posthatch/routing/prefix_stores.h"
 #include "posthatch/routing/worker_pool.h"
 
-// What the choice of a worker is made from and what comes of it (Placer).
+// Input and result of the choice of a worker (Placer).
 namespace posthatch::routing {
 
 // Fewer tokens are prefilled sooner than fetched.
@@ -56,7 +56,7 @@
 struct PlacementCandidate {
   WorkerPointer worker;
   uint64_t cached_tokens = 0;         // by the index, or being prefilled there now
-  uint64_t likely_cached_tokens = 0;  // a guess by its rank, where no holder is known
+  uint64_t likely_cached_tokens = 0;  // estimated by its rank, where no holder is known
 };
 
 // Whether some holder has all shared segments under that model revision, as far as the index knows.
--- a/src/posthatch/routing/placement_cost.h
+++ b/src/posthatch/routing/placement_cost.h
@@ -34,17 +34,18 @@
   bool NeedsNewConnection(const PlacementQuery& query, const Worker& worker) const;
 
  private:
-  // How a candidate comes by the prompt: what it prefills, and what it fetches first.
+  // What a candidate fetches of a prompt before it prefills the rest.
   struct PrefillPlan {
     double ms = 0;              // both together
-    uint64_t fetch_tokens = 0;  // 0 with a store, of which it isn't known what it has
+    uint64_t fetch_tokens = 0;  // 0 with a store, whose contents are not known
     std::string fetch_endpoint;
   };
 
   // The quickest plan.
   PrefillPlan PlanPrefill(const PlacementQuery& query, const PlacementCandidate& candidate) const;
-  // Each takes its way in place of `plan` where it is quicker: from workers that have cached the
-  // prompt's beginning; from one that has just prefilled the shared segments; from the store.
+  // Each replaces `plan` by its own where that is quicker: with a fetch from workers that have
+  // cached the prompt's beginning; from one that has just prefilled the shared segments; from the
+  // store.
   void ConsiderHolders(const PlacementQuery& query, const PlacementCandidate& candidate,
                        PrefillPlan* plan) const;
   void ConsiderFinishedPrefills(const PlacementQuery& query, const PlacementCandidate& candidate,
--- a/src/posthatch/routing/placer.cc
+++ b/src/posthatch/routing/placer.cc
@@ -181,7 +181,7 @@
     all.push_back(i);
     if (usable[i]->backend.zone() == zone_) in_zone.push_back(i);
   }
-  // What is known of the load elsewhere is too old to find a free worker by.
+  // Load reports of other zones are too old to find an idle worker by.
   const bool only_in_zone = switches_.near_candidates && pool_->RemoteZoneLoadIsDelayed() &&
                             in_zone.size() >= kRandomCandidates;
   return only_in_zone ? in_zone : all;
--- a/src/posthatch/routing/placer.h
+++ b/src/posthatch/routing/placer.h
@@ -62,9 +62,9 @@
 
   // Tokens of the prompt that the worker has cached, or is prefilling already.
   static uint64_t CachedTokens(const PlacementQuery& query, const Worker& worker);
-  // Lets the worker ask for the shared segments where they may be cached though the index knows no
-  // holder: at the worker that all gateways rank first among those of the same revision. A miss
-  // there costs next to nothing.
+  // Names as fetch source where the shared segments may be cached though the index knows no holder:
+  // at the worker that all gateways rank first among those of the same revision. A miss there costs
+  // next to nothing.
   void GuessFetchSource(const PlacementQuery& query, const Workers& usable,
                         Placement* placement) const;
 
--- a/src/posthatch/routing/remote_load_table.h
+++ b/src/posthatch/routing/remote_load_table.h
@@ -17,7 +17,7 @@
   RemoteLoadTable(const runtime::Clock* clock, runtime::Duration entry_ttl)
       : clock_(clock), entry_ttl_(entry_ttl) {}
 
-  // Takes in a report of gateway `from_node`, of its own load or of a zone's. Reports that are not
+  // Applies a report of gateway `from_node`, of its own load or of a zone's. Reports that are not
   // newer than the last one of the same incarnation are ignored; a new incarnation replaces all.
   void Apply(const std::string& from_node, const LoadReport& report);
   // Drops senders that have expired.
--- a/src/posthatch/routing/request_prompt.h
+++ b/src/posthatch/routing/request_prompt.h
@@ -29,7 +29,7 @@
   // `worker_id`, which serves `revision`, has it cached now. Ignored if the worker's epoch is not
   // known.
   void RecordCached(const std::string& worker_id, uint64_t revision);
-  // What a worker of `revision` is told to make the blocks' names with.
+  // The salt that a worker of `revision` must name the blocks with.
   std::string CacheSalt(uint64_t revision) const;
 
  private:
--- a/src/posthatch/routing/retry_state.h
+++ b/src/posthatch/routing/retry_state.h
@@ -36,7 +36,7 @@
 
   // Dispatches that may have run.
   uint32_t possible_executions() const { return possible_executions_; }
-  // Whether a dispatch has got as far as a worker.
+  // Whether a dispatch has reached a worker.
   bool HasReachedWorker() const { return possible_executions_ + unexecuted_attempts_ > 0; }
   // Worker ids of the failed dispatches, in order; a worker may stand there twice.
   const std::vector<std::string>& attempted_workers() const { return attempted_workers_; }
--- a/src/posthatch/routing/traffic_request.cc
+++ b/src/posthatch/routing/traffic_request.cc
@@ -193,7 +193,8 @@
       MakeCallObserver());
 }
 
-// Tells all gateways that the worker is about to cache the shared segments, unless it has them.
+// Announces to all gateways that the worker is about to cache the shared segments, unless it has
+// them already.
 void TrafficRequest::AnnouncePrefill() {
   const PromptShape& shape = prompt_.shape();
   const uint64_t unshared_tokens = shape.total_tokens() - shape.shared_tokens;
@@ -269,7 +270,7 @@
   }
   context_->stores->RecordFetch(placement.fetch_endpoint, excess_ms > kDelayedFetchMs);
   trace_.FirstEvent(placement, elapsed);
-  // With a fetch the time tells nothing of how fast the worker prefills.
+  // The time of a fetch says nothing about the prefill rate.
   if (fetched) return;
   context_->placer->prefill_rate()->Record(placement.uncached_tokens - placement.fetch_tokens,
                                            elapsed);
