--- a/src/posthatch/emulator/emulator_world.h
+++ b/src/posthatch/emulator/emulator_world.h
@@ -14,7 +14,7 @@
 #include "posthatch/fleettest/history/recorders.h"
 #include "posthatch/simulation/sim_world.h"
 
-// Shared by the tests of this folder: a simulated network with stand-ins on hosts of their own and
+// Shared by the tests of this folder: a simulated network with emulators on hosts of their own and
 // one client host that calls them.
 namespace posthatch::emulator {
 
@@ -32,8 +32,8 @@
     return world.AddHost(name, "zone-1", "10.0.0." + std::to_string(++hosts_));
   }
 
-  // Starts `StandIn` on a host of its own; `settings.listen` is filled in. The pointer holds until
-  // the host stops.
+  // Starts an `Emulator` on a host of its own; `settings.listen` is filled in. The pointer holds
+  // until the host stops.
   template <typename Emulator, typename Settings>
   Emulator* Boot(const std::string& name, Settings settings, simulation::SimHost** host = nullptr) {
     simulation::SimHost* const own_host = AddHost(name);
--- a/src/posthatch/emulator/fault_route.h
+++ b/src/posthatch/emulator/fault_route.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::emulator {
 
-// Servers that also answer PUT /debug/faults (asio/fault_injection.h), before the stand-in's own
+// Servers that also answer PUT /debug/faults (net/fault_injection.h), before the emulator's own
 // routes, if the process was started with --enable-fault-injection. Event loop thread only.
 class FaultRoute : public http::HttpServerFactory {
  public:
--- a/src/posthatch/emulator/inventory_emulator.h
+++ b/src/posthatch/emulator/inventory_emulator.h
@@ -34,7 +34,7 @@
   double reads_per_second = 10;
 };
 
-// Stand-in for the platform's inventory (docs/BACKENDS.md). PUT /debug/backends
+// Emulates the platform's inventory (docs/BACKENDS.md). PUT /debug/backends
 // {"backends": [...]} replaces the list, PUT /debug/draining {"id", "draining"} sets a mark.
 // Records DrainingShown when a mark can first be read. Event loop thread only.
 class InventoryEmulator {
--- a/src/posthatch/emulator/json_body.h
+++ b/src/posthatch/emulator/json_body.h
@@ -10,7 +10,7 @@
 #include "absl/status/statusor.h"
 #include "posthatch/http/http.h"
 
-// JSON bodies and refusals, as all stand-ins read and write them. No function throws.
+// JSON bodies and rejections, as all emulators read and write them. No function throws.
 namespace posthatch::emulator {
 
 // Parses a body that must be one JSON object. Errors: InvalidArgument.
@@ -26,7 +26,7 @@
 const boost::json::array* ArrayField(const boost::json::object& object, std::string_view key);
 const boost::json::object* ObjectField(const boost::json::object& object, std::string_view key);
 
-// A whole answer with a JSON body.
+// A complete response with a JSON body.
 http::Response JsonResponse(int status, const boost::json::value& body);
 // {"error": {"code", "message", "executed": "no"}}: proves that nothing ran.
 http::Response NotExecuted(int status, std::string_view code, std::string_view message);
--- a/src/posthatch/emulator/routed_server.h
+++ b/src/posthatch/emulator/routed_server.h
@@ -24,7 +24,7 @@
 
 using RouteHandler = std::function<void(RoutedRequest, std::shared_ptr<http::ResponseWriter>)>;
 
-// The HTTP server of a stand-in: routes by method and path, answers /healthz and /readyz with 200,
+// The HTTP server of an emulator: routes by method and path, answers /healthz and /readyz with 200,
 // 404 for other paths. Event loop thread only.
 class RoutedServer {
  public:
--- a/src/posthatch/emulator/service_emulator.h
+++ b/src/posthatch/emulator/service_emulator.h
@@ -36,7 +36,7 @@
   double slow_factor = 1;                 // of `execution`
 };
 
-// Stand-in for an application service (docs/BACKENDS.md): records each start (RunStarted) and
+// Emulates an application service (docs/BACKENDS.md): records each start (RunStarted) and
 // removes no duplicates. An execution continues when its caller disconnects. Event loop thread
 // only.
 class ServiceEmulator {
--- a/src/posthatch/emulator/store_emulator.h
+++ b/src/posthatch/emulator/store_emulator.h
@@ -19,7 +19,7 @@
   uint64_t link_bytes_per_second = 1024ull * 1024 * 1024;
 };
 
-// Stand-in for the store of kept KV blocks (docs/BACKENDS.md). It forgets everything when it is
+// Emulates the store of KV blocks (docs/BACKENDS.md). It forgets everything when it is
 // destroyed and begins a new epoch at each start. Checks neither tenant nor version. Event loop
 // thread only.
 class StoreEmulator {
--- a/src/posthatch/emulator/worker_emulator.h
+++ b/src/posthatch/emulator/worker_emulator.h
@@ -11,13 +11,13 @@
 
 namespace posthatch::emulator {
 
-// Stand-in for a language-model worker (docs/BACKENDS.md, "Worker"): a prefix cache in blocks,
+// Emulates a language-model worker (docs/BACKENDS.md, "Worker"): a prefix cache in blocks,
 // prefill and decoding by a stated timing model, KV events, weight loading under fencing tokens.
 // Records RunStarted, RunEnded, OrderSeen and RevisionServed. Owned by its process; event loop
 // thread only. Destroying it ends every run and connection at once.
 class WorkerEmulator {
  public:
-  // `runtime` and `recorder` outlive the stand-in.
+  // `runtime` and `recorder` outlive it.
   WorkerEmulator(runtime::Runtime* runtime, WorkerSettings settings,
                  fleettest::HistoryRecorder* recorder);
   ~WorkerEmulator();
