--- a/src/posthatch/compatibility/stored_data-test.cc
+++ b/src/posthatch/compatibility/stored_data-test.cc
@@ -15,6 +15,7 @@
 #include "posthatch/control/state/control_state.h"
 #include "posthatch/net/envelope_codec.h"
 #include "posthatch/simulation/sim_world.h"
+#include "posthatch/storage/file_names.h"
 #include "posthatch/storage/log_recovery.h"
 #include "posthatch/storage/record_format.h"
 #include "posthatch/storage/snapshot_file.h"
@@ -38,9 +39,9 @@
   Command command;
   control::SetInventory* reading = command.mutable_set_inventory();
   reading->set_base_version(1);
-  reading->mutable_change()->set_version(2);
-  reading->mutable_change()->add_removed("w2");
-  control::Backend* backend = reading->mutable_change()->add_changed();
+  reading->mutable_delta()->set_version(2);
+  reading->mutable_delta()->add_removed("w2");
+  control::Backend* backend = reading->mutable_delta()->add_changed();
   backend->set_id("w0");
   backend->set_kind(control::BACKEND_KIND_WORKER);
   backend->set_endpoint("127.0.0.1:2");
@@ -80,7 +81,7 @@
 
 // Every kind of replicated command, each of them accepted.
 std::vector<Command> EveryCommand() {
-  return {control::WholeChange("c1", 0, control::SmallConfiguration()),
+  return {control::FullChange("c1", 0, control::SmallConfiguration()),
           control::PatchChange("c2", 1, "gamma", 4),
           control::EvacuationChange("e1", "rack-9", "z1", /*lifted=*/false),
           control::RevisionChange("m1", "m"),
--- a/src/posthatch/consensus/raft_membership.cc
+++ b/src/posthatch/consensus/raft_membership.cc
@@ -1,6 +1,7 @@
 // Membership: single-server changes (dissertation, section 4.1), learners, automatic replacement.
-// At most one change is under way, and none before the leader has committed an entry of its own
-// term. The order of a replacement and why it loses nothing: docs/design-docs/consensus.md.
+// At most one change is in flight, and none before the leader has committed an entry of its
+// term. The order of a replacement and why no committed entry is lost:
+// docs/design-docs/consensus.md.
 #include <algorithm>
 
 #include "posthatch/consensus/cluster_configuration.h"
@@ -11,29 +12,17 @@
 using runtime::MonotonicTime;
 
 void RaftCore::AdoptConfiguration(uint64_t index, const ClusterConfiguration& configuration) {
-  configurations_.emplace_back(index, configuration);
+  configurations_.push_back({index, configuration});
   for (const Member& member : configuration.members()) {
     if (member.replica_id() == replica_id()) continue;
-    const auto found = addresses_.find(member.replica_id());
-    if (found == addresses_.end() || found->second.boot_count < member.boot_count()) {
-      SetAddress(member.replica_id(), {member.endpoint(), member.boot_count()});
+    const ReplicaAddress* known = addresses_.Find(member.replica_id());
+    if (known == nullptr || known->boot_count < member.boot_count()) {
+      addresses_.Set(member.replica_id(), {member.endpoint(), member.boot_count()});
     }
   }
 }
 
-// One replica lives at an endpoint: whoever was there before has moved or has lost its disk.
-// Members that were added later stand later in the configuration.
-void RaftCore::SetAddress(uint64_t replica_id, Address address) {
-  if (address.endpoint == endpoint_) address.endpoint.clear();
-  for (auto& [id, other] : addresses_) {
-    if (id == replica_id || other.endpoint.empty() || other.endpoint != address.endpoint) continue;
-    other.endpoint.clear();
-    successors_[id] = replica_id;
-  }
-  addresses_[replica_id] = std::move(address);
-}
-
-// Brings the progress table in line with the configuration in force.
+// Makes the progress table match the configuration in force.
 void RaftCore::RefreshProgress(MonotonicTime now) {
   for (const Member& member : configuration().members()) {
     if (member.replica_id() == replica_id() || progress_.count(member.replica_id()) > 0) continue;
@@ -66,13 +55,13 @@
 
 void RaftCore::RunMembershipPolicy(MonotonicTime now) {
   if (!CurrentTermCommitted() || IsTransferring() || !HasQuorum(now)) return;
-  if (configurations_.back().first > commit_index_) return;
-  // The first that has something to do.
+  if (configurations_.back().index > commit_index_) return;
+  // The first step that applies proposes its change; only one may be in flight.
   static_cast<void>(DropReplacedVoter(now) || DropExcessVoter(now) || PromoteLearner(now) ||
                     RemoveUnresponsiveLearner(now) || AdmitLearner(now) || RefreshEndpoints(now));
 }
 
-// Silent for long, or its machine has come back under another identity (its disk was lost).
+// Unresponsive for long, or its machine has come back with another replica id (its disk was lost).
 bool RaftCore::IsPresumedLost(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
   if (found == progress_.end()) return false;  // this replica itself
@@ -89,9 +78,9 @@
 }
 
 bool RaftCore::HasSuccessor(const Member& member) const {
-  const auto successor = successors_.find(member.replica_id());
-  return successor != successors_.end() && EndpointOf(member.replica_id()).empty() &&
-         IsVoter(configuration(), successor->second);
+  const uint64_t successor = addresses_.SuccessorOf(member.replica_id());
+  return successor != 0 && EndpointOf(member.replica_id()).empty() &&
+         IsVoter(configuration(), successor);
 }
 
 uint64_t RaftCore::LongestUnresponsiveVoter(MonotonicTime now) const {
@@ -112,11 +101,11 @@
   return longest == nullptr ? 0 : longest->replica_id();
 }
 
-// A voter whose place another one has taken counts in the quorum and can't answer any more: it goes
-// at once, whatever the number of voters aimed for. Either its own machine is back under another
-// identity, or it fell silent before a new replica was promoted and has stayed so. A silent one of
-// an even number goes too, as after a planned replacement: without it one more may be lost, with it
-// not. One that was only away joins again.
+// A voter that another one has replaced counts in the quorum but can't respond any more: it is
+// removed at once, whatever `target_voters` is. Either its machine is back with another replica id,
+// or it was unresponsive when a new replica was promoted and still is. An unresponsive one of an
+// even number is removed too, as after a planned replacement: that lowers the majority by one and
+// so tolerates one more failure. A voter that was only unreachable joins again.
 bool RaftCore::DropReplacedVoter(MonotonicTime now) {
   for (const Member& member : configuration().members()) {
     if (!member.voter() || member.replica_id() == replica_id()) continue;
@@ -136,15 +125,15 @@
   return false;
 }
 
-// Has answered a message of the last shortest election timeout.
+// Has responded to a message that was sent within the shortest election timeout.
 bool RaftCore::IsLive(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
   return found != progress_.end() && found->second.last_contact.has_value() &&
          now - *found->second.last_contact < options_.election_timeout_min;
 }
 
-// Has within the last round trip confirmed, durably, all that was committed before it, and lacks
-// little of the rest.
+// Has acknowledged, since the last heartbeat, everything that was committed before it, and is at
+// most `max_promotion_lag` entries behind.
 bool RaftCore::IsCaughtUp(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
   if (found == progress_.end()) return false;
@@ -183,14 +172,12 @@
   const size_t voters = VoterCount(configuration());
   const bool wanted =
       voters < options_.target_voters || (voters == options_.target_voters && presumed_lost > 0);
-  // The promotion itself, and the removal after it, must find a majority.
+  // Both the promotion and the removal after it need a majority of responding voters.
   const bool will_commit = voters + 1 - presumed_lost > (voters + 1) / 2;
   if (candidate == nullptr || !wanted || !will_commit) return false;
   Member promoted = *candidate;
   promoted.set_voter(true);
-  const bool takes_over_endpoint =
-      std::any_of(successors_.begin(), successors_.end(),
-                  [&](const auto& entry) { return entry.second == promoted.replica_id(); });
+  const bool takes_over_endpoint = addresses_.IsSuccessor(promoted.replica_id());
   const uint64_t unresponsive = takes_over_endpoint ? 0 : LongestUnresponsiveVoter(now);
   if (unresponsive != 0) replaced_while_unresponsive_.insert(unresponsive);
   ProposeConfiguration(WithMember(configuration(), promoted), now);
@@ -213,7 +200,7 @@
     };
     if (excess == nullptr || lag_of(member) > lag_of(*excess)) excess = &member;
   }
-  // The voter to be replaced came back: whoever is furthest behind becomes a learner.
+  // The voter to be replaced came back: the one furthest behind becomes a learner.
   if (excess == nullptr || !all_live) return false;
   Member demoted = *excess;
   demoted.set_voter(false);
@@ -230,16 +217,20 @@
   return false;
 }
 
-// Writes newer endpoints into the configuration, for replicas that start when all have moved.
+// Commits newer endpoints to the configuration, for replicas that start after all others have
+// moved.
 bool RaftCore::RefreshEndpoints(MonotonicTime now) {
   ClusterConfiguration refreshed = configuration();
   bool changed = false;
   for (Member& member : *refreshed.mutable_members()) {
-    Address known{endpoint_, boot_count()};
-    if (member.replica_id() != replica_id()) known = addresses_[member.replica_id()];
-    if (known.endpoint.empty() || known.endpoint == member.endpoint()) continue;
-    member.set_endpoint(known.endpoint);
-    member.set_boot_count(known.boot_count);
+    const ReplicaAddress self{addresses_.self_endpoint(), boot_count()};
+    const ReplicaAddress* known =
+        member.replica_id() == replica_id() ? &self : addresses_.Find(member.replica_id());
+    if (known == nullptr || known->endpoint.empty() || known->endpoint == member.endpoint()) {
+      continue;
+    }
+    member.set_endpoint(known->endpoint);
+    member.set_boot_count(known->boot_count);
     changed = true;
   }
   if (changed) ProposeConfiguration(refreshed, now);
--- a/src/posthatch/control/server/fleet_harness-test.h
+++ b/src/posthatch/control/server/fleet_harness-test.h
@@ -14,6 +14,7 @@
 #include "posthatch/control/client/gateway_session.h"
 #include "posthatch/control/server/control_history-test.h"
 #include "posthatch/control/server/controller_service.h"
+#include "posthatch/control/server/static_controller_host-test.h"
 #include "posthatch/simulation/sim_world.h"
 
 // A simulated control plane: controllers, gateways that "decide" and "order" all the time, a
@@ -47,11 +48,14 @@
 
 struct ControllerProcess {
   ControllerProcess(runtime::Runtime* runtime, const simulation::SimHost& host,
-                    const ControllerServiceOptions& options, const LogFactory& make_log)
-      : log(make_log(runtime, &state)),
-        service(runtime, options, log.log, log.guard, &state),
+                    const ControllerServiceOptions& options, LeaderLocator::Endpoints controllers,
+                    const LogFactory& make_log)
+      : controller_host(std::move(controllers)),
+        log(make_log(runtime, &state)),
+        service(runtime, options, &controller_host, log.log, log.guard, &state),
         port(runtime, host.http_endpoint(), service.client(), service.client()) {}
 
+  StaticControllerHost controller_host;
   ControlState state;
   LogParts log;
   ControllerService service;
@@ -278,8 +282,8 @@
     host->SetBoot([this, host](runtime::Runtime* runtime) {
       ControllerServiceOptions options;
       options.inventory.endpoint = "10.0.3.1:8080";
-      options.controllers = [this] { return ControllerEndpoints(); };
-      auto process = std::make_shared<ControllerProcess>(runtime, *host, options, make_log_);
+      auto process = std::make_shared<ControllerProcess>(
+          runtime, *host, options, [this] { return ControllerEndpoints(); }, make_log_);
       controllers_[host] = process;
       return process;
     });
--- a/src/posthatch/emulator/inventory_standin.h
+++ b/src/posthatch/emulator/inventory_emulator.h
@@ -12,7 +12,7 @@
 
 namespace posthatch::emulator {
 
-// One line of the platform's list.
+// One entry of the platform's inventory.
 struct InventoryBackend {
   std::string id;
   std::string kind;  // "worker", "store" or "service"
@@ -27,23 +27,23 @@
 struct InventorySettings {
   std::string listen = "127.0.0.1:0";  // "ip:port"; port 0: chosen by the system
   std::vector<InventoryBackend> backends;
-  // A change can be read between half of this and all of it later. Changed by
+  // A change becomes visible after between half of this and all of it. Changed by
   // PUT /debug/behaviour {"lateness_ms", "reads_per_second"}.
   runtime::Duration lateness = std::chrono::seconds(1);
-  // Reads by all callers together; beyond: 429 with Retry-After-Ms.
+  // Rate limit of reads by all callers together; beyond it: 429 with Retry-After-Ms.
   double reads_per_second = 10;
 };
 
 // Stand-in for the platform's inventory (docs/BACKENDS.md). PUT /debug/backends
 // {"backends": [...]} replaces the list, PUT /debug/draining {"id", "draining"} sets a mark.
 // Records DrainingShown when a mark can first be read. Event loop thread only.
-class InventoryStandIn {
+class InventoryEmulator {
  public:
-  InventoryStandIn(runtime::Runtime* runtime, InventorySettings settings,
-                   fleettest::HistoryRecorder* recorder);
-  ~InventoryStandIn();
-  InventoryStandIn(const InventoryStandIn&) = delete;
-  InventoryStandIn& operator=(const InventoryStandIn&) = delete;
+  InventoryEmulator(runtime::Runtime* runtime, InventorySettings settings,
+                    fleettest::HistoryRecorder* recorder);
+  ~InventoryEmulator();
+  InventoryEmulator(const InventoryEmulator&) = delete;
+  InventoryEmulator& operator=(const InventoryEmulator&) = delete;
 
   // Listens and serves. Errors: those of HttpServerFactory::Listen.
   absl::Status Start();
--- a/src/posthatch/emulator/recorded_call.h
+++ b/src/posthatch/emulator/recorded_call.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "posthatch/emulator/answer_reader.h"
+#include "posthatch/emulator/response_reader.h"
 #include "posthatch/fleettest/history/history_recorder.h"
 #include "posthatch/http/http.h"
 #include "posthatch/runtime/runtime.h"
@@ -20,15 +20,15 @@
   std::string target;
   std::string body;
   http::CallOptions options;
-  // The caller gives up this long after sending; zero: it stays.
+  // The caller disconnects this long after sending; zero: never.
   runtime::Duration leave_after = runtime::Duration::zero();
-  // Pause after each piece, as a slow reader makes; zero: none.
+  // Pause after each chunk, as a slow reader makes; zero: none.
   runtime::Duration reading_pause = runtime::Duration::zero();
 };
 
-// Sends one call, reads its answer strictly, records CallSent and CallEnded. Owned by its load;
+// Sends one call, reads its response strictly, records CallSent and CallEnded. Owned by its load;
 // `done` runs once, from the event loop, after CallEnded was recorded; the owner may release the
-// call then with ReleaseLater.
+// call then with ReleaseLater. Event loop thread only.
 class RecordedCall {
  public:
   using Done = std::function<void(const fleettest::CallEnded&)>;
@@ -37,18 +37,18 @@
                Done done);
 
   void Start();
-  // The caller gives up: the connection is closed, CallEnded says `caller_left`.
+  // The caller disconnects: closes the connection; CallEnded says `caller_left`.
   void Leave();
 
  private:
   http::Request BuildRequest() const;
-  void TakeHead(const http::Response& head);
-  void TakeBytes(const std::string& bytes);
-  void NoteTokens(uint32_t pieces);
+  void OnHead(const http::Response& head);
+  void OnBodyBytes(const std::string& bytes);
+  void RecordTokens(uint32_t pieces);
   void StopReading();
-  void EndProperly();
-  void EndBroken(const http::CallError& error);
-  void TakeFindings(const AnswerFindings& findings);
+  void OnEnd();
+  void OnError(const http::CallError& error);
+  void CopyFindings(const ResponseFindings& findings);
   void Finish();
 
   runtime::Runtime* const runtime_;
@@ -56,7 +56,7 @@
   const CallPlan plan_;
   const Done done_;
   StreamReader stream_reader_;
-  std::string whole_body_;
+  std::string complete_body_;
   bool streamed_ = false;
   fleettest::CallEnded ended_;
   runtime::MonotonicTime sent_at_;
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -21,18 +21,18 @@
 struct WorkerEventReaderStats {
   uint64_t stored_blocks = 0;
   uint64_t removed_blocks = 0;
-  uint64_t unattributed_blocks = 0;  // given up: never trusted
+  uint64_t unattributed_blocks = 0;  // dropped without being added
   uint64_t losses = 0;
   uint64_t epochs = 0;
 };
 
 // Reads the events of every worker whose lease this gateway holds, reports epochs and losses to the
-// controllers, and adds and publishes what can be attributed to a dispatch. Events name neither
-// model revision nor tenant: a block whose seed is not known from a dispatch is never added. Owned
-// by IndexNode, which outlives it. Event loop thread only.
-class WorkerEventReader {
+// controllers, and adds to the index and publishes what can be attributed to a seed. Events name
+// neither model revision nor tenant: a block whose seed is not known is never added. Owned by
+// IndexNode; event loop thread only.
+class WorkerEventReader : private WorkerEventFeedOwner {
  public:
-  struct Parts {
+  struct Dependencies {
     control::FleetView* fleet = nullptr;
     const invalidation::ObjectTrust* trust = nullptr;
     ObservationReporter* reporter = nullptr;
@@ -41,13 +41,14 @@
     TrustedPrefixLocator* locator = nullptr;
   };
 
-  WorkerEventReader(runtime::Runtime* runtime, WorkerEventFeed::Options options, Parts parts);
+  WorkerEventReader(runtime::Runtime* runtime, WorkerEventFeed::Options options,
+                    Dependencies dependencies);
   WorkerEventReader(const WorkerEventReader&) = delete;
   WorkerEventReader& operator=(const WorkerEventReader&) = delete;
 
-  // Follows the leases and addresses of `state`.
+  // Starts and stops feeds by the leases and endpoints of `state`.
   void FollowFleet(const control::FleetState& state);
-  // New attributions have come: looks at the events that wait for one.
+  // Attributes the events that wait for their seed, and drops those that have waited too long.
   void RetryUnattributed();
 
   size_t feed_count() const { return feeds_.size(); }
@@ -65,15 +66,16 @@
     runtime::MonotonicTime expires_at;
   };
 
-  bool HoldsLease(const std::string& worker, uint64_t fencing_token) const;
   void StartFeed(const std::string& worker, const std::string& endpoint, uint64_t fencing_token);
-  void OnEpoch(const std::string& worker, uint64_t fencing_token, uint64_t epoch);
-  void OnLost(const std::string& worker, uint64_t epoch, const std::string& reason);
+  // Whether this gateway still holds the lease that the worker's feed was started under.
+  bool MayRead(const std::string& worker) const override;
+  void OnEpoch(const std::string& worker, uint64_t epoch) override;
+  void OnLost(const std::string& worker, uint64_t epoch, EventLoss loss) override;
   void OnEvent(const std::string& worker, const invalidation::ObjectVersion& version,
-               KvEvent event);
-  // What `worker` has removed must not be added when its attribution comes.
+               KvEvent event) override;
+  // What `worker` has evicted must not be added when its attribution comes.
   void DropUnattributed(const std::string& worker, const std::vector<BlockHash>& removed);
-  // The blocks of `event` whose seed is known, and the seed.
+  // The blocks of `event` whose seed is known, and that seed.
   std::vector<BlockHash> Attribute(const KvEvent& event, BlockSeed* seed) const;
   // False if the event's seed is not known yet.
   bool ApplyStored(const std::string& worker, const invalidation::ObjectVersion& version,
@@ -81,7 +83,7 @@
 
   runtime::Runtime* const runtime_;
   const WorkerEventFeed::Options options_;
-  const Parts parts_;
+  const Dependencies dependencies_;
   absl::btree_map<std::string, Feed> feeds_;
   std::deque<Unattributed> unattributed_;
   runtime::Timer retry_timer_;
--- a/src/posthatch/invalidation/invalidation_relay.cc
+++ b/src/posthatch/invalidation/invalidation_relay.cc
@@ -9,7 +9,7 @@
 
 InvalidationRelay::InvalidationRelay(runtime::Runtime* runtime, PublisherOptions options,
                                      InvalidationSubscriber* upstream)
-    : runtime_(runtime), upstream_(upstream), publisher_(runtime, options, this) {
+    : PublishingSource(runtime, options), upstream_(upstream) {
   for (const std::string& channel : upstream_->Channels()) {
     const ChannelSubscription* subscription = upstream_->Find(channel);
     if (subscription->IsLive()) relayed_[channel] = subscription->proven();
@@ -37,7 +37,7 @@
   const auto found = relayed_.find(channel);
   if (found == relayed_.end()) return proof;
   const ChannelSubscription* subscription = upstream_->Find(channel);
-  // Asked by the clock at this moment: after a freeze the loss may not have been noticed yet.
+  // Checked against the clock at this moment: after a freeze the loss may not be detected yet.
   proof.live = subscription->IsLive();
   proof.proven = found->second;
   return proof;
@@ -87,8 +87,8 @@
 
 void InvalidationRelay::OnSynchronized(const std::string& channel) {
   relayed_[channel] = upstream_->Find(channel)->proven();
-  // What changed while nothing was heard is not known, so everything is said again. It waits in the
-  // publisher and goes out before anything that carries the new proof.
+  // What changed while the channel was lost is not known, so everything is published again. It is
+  // pending in the publisher and goes out before anything that carries the new proof.
   for (const std::string& object : upstream_->Find(channel)->KnownObjectNames()) {
     publisher_.ObjectChanged(object);
   }
--- a/src/posthatch/invalidation/invalidation_server.cc
+++ b/src/posthatch/invalidation/invalidation_server.cc
@@ -8,16 +8,14 @@
 
 InvalidationServer::InvalidationServer(runtime::Runtime* runtime, InvalidationServerOptions options,
                                        ObjectSource* objects, std::function<ServingState()> serving)
-    : runtime_(runtime),
+    : PublishingSource(runtime, options.publisher),
       objects_(objects),
       serving_(std::move(serving)),
-      publisher_(runtime, options.publisher, this),
       metrics_(runtime) {
   ExportMetrics();
-  const std::weak_ptr<bool> alive = alive_;
-  objects_->AddListener([this, alive](const std::string& object, const ObjectVersion&) {
-    if (!alive.expired()) publisher_.ObjectChanged(object);
-  });
+  objects_->AddListener(lifetime_.Guard([this](const std::string& object, const ObjectVersion&) {
+    publisher_.ObjectChanged(object);
+  }));
   runtime_->transport->SetReceiver(
       runtime::SERVICE_CHANNELS, [this](const runtime::Envelope& envelope) { Receive(envelope); });
 }
--- a/src/posthatch/invalidation/invalidation_server.h
+++ b/src/posthatch/invalidation/invalidation_server.h
@@ -1,14 +1,14 @@
 #pragma once
 
 #include <functional>
-#include <memory>
 #include <string>
 #include <vector>
 
-#include "posthatch/invalidation/invalidation_publisher.h"
 #include "posthatch/invalidation/metrics_export.h"
 #include "posthatch/invalidation/object_source.h"
+#include "posthatch/invalidation/publishing_source.h"
 #include "posthatch/runtime/runtime.h"
+#include "posthatch/util/lifetime.h"
 
 namespace posthatch::invalidation {
 
@@ -16,21 +16,16 @@
   PublisherOptions publisher;
 };
 
-// The invalidation server of every channel (WCIP 2, 5), on each controller; it answers and sends
+// The invalidation server of every channel (WCIP 2, 5), on each controller; it responds and sends
 // only while this process leads. Takes the process's SERVICE_CHANNELS messages. Owned by the
 // controller's assembly; must not outlive `objects`. Event loop thread only.
-class InvalidationServer : private PublisherSource {
+class InvalidationServer : public PublishingSource {
  public:
-  // `serving` is asked at each moment of sending, after the time to be proved has been read: it
-  // must check its right to serve against the clock (lease, quorum), not against a cached flag.
+  // `serving` is called before everything that is sent, after the time to be proved has been read:
+  // it must check the right to serve against the clock (lease, quorum), not against a cached flag.
   InvalidationServer(runtime::Runtime* runtime, InvalidationServerOptions options,
                      ObjectSource* objects, std::function<ServingState()> serving);
   ~InvalidationServer() override;
-  InvalidationServer(const InvalidationServer&) = delete;
-  InvalidationServer& operator=(const InvalidationServer&) = delete;
-
-  size_t registration_count() const { return publisher_.registration_count(); }
-  const PublisherStats& stats() const { return publisher_.stats(); }
 
  private:
   PublisherProof CurrentProof(const std::string& channel) override;
@@ -40,13 +35,11 @@
   void Receive(const runtime::Envelope& envelope);
   void ExportMetrics();
 
-  runtime::Runtime* const runtime_;
   ObjectSource* const objects_;
   const std::function<ServingState()> serving_;
-  InvalidationPublisher publisher_;
   MetricsExport metrics_;
-  // Guards the listener left with `objects_`, which can't be taken back.
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  // Guards the listener registered with `objects_`, which can't be removed.
+  util::Lifetime lifetime_;
 };
 
 }  // namespace posthatch::invalidation
--- a/src/posthatch/invalidation/invalidation_subscriber.h
+++ b/src/posthatch/invalidation/invalidation_subscriber.h
@@ -8,35 +8,29 @@
 #include "absl/container/btree_map.h"
 #include "posthatch/invalidation/channel_subscription.h"
 #include "posthatch/invalidation/object_trust.h"
+#include "posthatch/invalidation/subscription_observer.h"
 #include "posthatch/runtime/runtime.h"
 
 namespace posthatch::invalidation {
 
 struct InvalidationSubscriberOptions {
   SubscriptionOptions subscription;
-  // One registration on the aggregate channel instead of one per class; for subscribers that stand
-  // behind relay points.
+  // One registration on the aggregate channel instead of one per class; for subscribers that are
+  // served by relay points.
   bool aggregate = false;
 };
 
-// All registrations of one process, and its answer to "may this be trusted now?". Takes the
-// process's SERVICE_CHANNELS messages; requests from further subscribers go to the relay point, if
-// one is set. Owned by index::IndexNode. Event loop thread only.
-class InvalidationSubscriber : public ObjectTrust {
+// All channel subscriptions of one process, and its judgement whether an object may be trusted now.
+// Receives the process's SERVICE_CHANNELS messages; requests from downstream subscribers go to the
+// request handler (a relay point), if one is set, and are refused otherwise. Owned by
+// index::IndexNode. Event loop thread only.
+class InvalidationSubscriber : public ObjectTrust, private SubscriptionObserver {
  public:
-  // Hears of everything that happens to the channels, after the set has taken it in.
-  class Listener {
-   public:
-    virtual ~Listener() = default;
-    virtual void OnObjects(const std::string& channel, const std::vector<std::string>& objects) = 0;
-    virtual void OnSynchronized(const std::string& channel) = 0;
-    virtual void OnRenewed(const std::string& channel) = 0;
-    virtual void OnLost(const std::string& channel) = 0;
-  };
+  using Listener = SubscriptionObserver;
   using RequestHandler =
       std::function<void(const runtime::Envelope& envelope, const ChannelEnvelope& content)>;
 
-  // `endpoints`: internal endpoints of the controllers; asked at each registration.
+  // `endpoints`: internal endpoints of the controllers; called at each registration.
   InvalidationSubscriber(runtime::Runtime* runtime, InvalidationSubscriberOptions options,
                          const ChannelSubscription::Endpoints& endpoints);
   ~InvalidationSubscriber() override;
@@ -44,7 +38,7 @@
   InvalidationSubscriber& operator=(const InvalidationSubscriber&) = delete;
 
   void Start();
-  // Listeners must outlive the set, or be removed.
+  // Listeners must outlive this object, or be removed.
   void AddListener(Listener* listener);
   void RemoveListener(Listener* listener);
   void SetRequestHandler(RequestHandler handler) { request_handler_ = std::move(handler); }
@@ -64,6 +58,12 @@
   SubscriptionStats TotalStats() const;
 
  private:
+  // SubscriptionObserver: passes everything on to the listeners.
+  void OnObjects(const std::string& channel, const std::vector<std::string>& objects) override;
+  void OnSynchronized(const std::string& channel) override;
+  void OnRenewed(const std::string& channel) override;
+  void OnLost(const std::string& channel) override;
+
   ChannelSubscription* FindFor(const std::string& object) const;
   void AddChannel(const std::string& channel, const ChannelSubscription::Endpoints& endpoints);
   void Receive(const runtime::Envelope& envelope);
--- a/src/posthatch/membership/failure_detector.cc
+++ b/src/posthatch/membership/failure_detector.cc
@@ -6,17 +6,19 @@
 namespace posthatch::membership {
 namespace {
 
-// Pings for others that run at a time; more are not taken.
+// Maximum of concurrent pings on request of others; further requests are ignored.
 constexpr size_t kMaxRelays = 256;
 
 }  // namespace
 
 FailureDetector::FailureDetector(runtime::Runtime* runtime, const GossipOptions* options,
-                                 MemberTable* table, MessageSender* sender, Observer* observer)
+                                 MemberTable* table, MessageSender* sender,
+                                 PauseDetector* pause_detector, Observer* observer)
     : runtime_(runtime),
       options_(options),
       table_(table),
       sender_(sender),
+      pause_detector_(pause_detector),
       observer_(observer),
       last_response_at_(runtime->clock->Now()) {}
 
@@ -51,7 +53,7 @@
 }
 
 void FailureDetector::Retry(uint64_t sequence) {
-  observer_->OnActivity();
+  pause_detector_->OnActivity();
   const auto found = probes_.find(sequence);
   if (found == probes_.end()) return;
   ActiveProbe& probe = found->second;
@@ -71,11 +73,11 @@
 }
 
 void FailureDetector::Expire(uint64_t sequence) {
-  observer_->OnActivity();
+  pause_detector_->OnActivity();
   const auto found = probes_.find(sequence);
   if (found == probes_.end()) return;
   const std::string node_id = found->second.node_id;
-  // Helpers that didn't even say that they got no answer: the fault may be here.
+  // A proxy that sent not even a nack: the fault may be this process's own.
   if (found->second.nacks < found->second.requests) AdjustHealthScore(1);
   probes_.erase(found);
   probe_by_node_.erase(node_id);
@@ -127,7 +129,7 @@
 }
 
 void FailureDetector::ExpireRelay(uint64_t sequence) {
-  observer_->OnActivity();
+  pause_detector_->OnActivity();
   const auto relay = relays_.find(sequence);
   if (relay == relays_.end()) return;
   MembershipMessage message;
--- a/src/posthatch/membership/record_merger.h
+++ b/src/posthatch/membership/record_merger.h
@@ -4,6 +4,7 @@
 #include <string>
 
 #include "posthatch/membership/broadcast_queue.h"
+#include "posthatch/membership/flap_damper.h"
 #include "posthatch/membership/gossip_metrics.h"
 #include "posthatch/membership/gossip_options.h"
 #include "posthatch/membership/member_table.h"
@@ -13,19 +14,25 @@
 
 namespace posthatch::membership {
 
-// Decides what a record changes: in the table, the suspicions, the updates passed on, and the view
-// reported to listeners, where flapping is damped. Owned by GossipMembership.
+// Whether an update that a record brings is passed on to others. Not if it came by a large pull:
+// the others have it, and queueing it would displace newer updates.
+enum class Dissemination { kRebroadcast, kLocalOnly };
+
+// Decides what a record changes: the table, the suspicions, the queued updates, and the view
+// reported to listeners, where flapping is damped. Owned by GossipMembership; event loop thread
+// only.
 class RecordMerger {
  public:
-  // What it asks of its owner.
+  // What RecordMerger needs from its owner.
   class Owner {
    public:
     virtual ~Owner() = default;
     // The reported view of a member has changed.
     virtual void Notify(const Member& member) = 0;
-    // Others say (in `record`) what contradicts a live `entry`: the member itself should be asked.
+    // `record` (serialized), from others, contradicts a live `entry`: the member itself should be
+    // probed with it, so that it can refute it.
     virtual void Verify(MemberEntry* entry, const std::string& record) = 0;
-    // This process was suspected, wrongly.
+    // This process has refuted a false suspicion of itself.
     virtual void OnRefuted() = 0;
   };
 
@@ -33,18 +40,18 @@
                SuspicionList* suspicions, BroadcastQueue* queue, GossipMetrics* metrics,
                Owner* owner);
 
-  // Enters this process itself and tells the others.
+  // Adds this process itself and notifies the others.
   void Join(const Member& self);
-  // Tells the others that this process leaves.
+  // Notifies the others that this process leaves.
   void Leave();
 
-  // Takes a record in. News is passed on if `rebroadcast`.
-  void Apply(const MemberRecord& record, bool rebroadcast);
-  // This process's own finding: starts or confirms a suspicion.
+  // Applies a record received from another process, or made by this one about another.
+  void Apply(const MemberRecord& record, Dissemination dissemination);
+  // This process's probes of the member failed: starts or confirms a suspicion.
   void Suspect(MemberEntry* entry);
-  // A suspicion's time has run out.
+  // The suspicion of the member has expired.
   void DeclareDead(const std::string& node_id);
-  // Reports returned members whose time of being held back is over.
+  // Reports the members whose damping is over.
   void ReleaseDamped();
 
   // Whether a member is to be reported as live.
@@ -53,14 +60,13 @@
  private:
   void ApplyToSelf(const MemberRecord& record);
   bool MayOverrideNow(const MemberRecord& record);
-  void AddNew(const MemberRecord& record, bool rebroadcast);
-  void ApplyAlive(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
-  void ApplySuspect(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
-  void ApplyDeadOrLeft(MemberEntry* entry, const MemberRecord& record, bool rebroadcast);
-  void ConfirmSuspicion(const MemberRecord& record, bool rebroadcast);
-  void EnqueueBroadcast(const MemberRecord& record, bool rebroadcast);
-  void CountFlap(MemberEntry* entry);
-  double FlapsNow(const MemberEntry& entry) const;
+  void AddNew(const MemberRecord& record, Dissemination dissemination);
+  void ApplyAlive(MemberEntry* entry, const MemberRecord& record, Dissemination dissemination);
+  void ApplySuspect(MemberEntry* entry, const MemberRecord& record, Dissemination dissemination);
+  void ApplyDeadOrLeft(MemberEntry* entry, const MemberRecord& record, Dissemination dissemination);
+  void ConfirmSuspicion(const MemberRecord& record, Dissemination dissemination);
+  void Broadcast(const MemberRecord& record);
+  void Disseminate(const MemberRecord& record, Dissemination dissemination);
   void DampIfFlapping(MemberEntry* entry);
   void Report(const MemberEntry& entry);
 
@@ -71,8 +77,8 @@
   BroadcastQueue* const queue_;
   GossipMetrics* const metrics_;
   Owner* const owner_;
+  FlapDamper flap_damper_;
   MemberEntry* self_ = nullptr;
-  size_t damped_count_ = 0;
   runtime::MonotonicTime next_override_{};
 };
 
--- a/src/posthatch/routing/store_health_checker.cc
+++ b/src/posthatch/routing/store_health_checker.cc
@@ -8,18 +8,21 @@
 
 constexpr int kStatusOk = 200;
 constexpr size_t kMaxBodyBytes = size_t{4} << 20;
-// While this gateway watches nothing.
+// While this gateway checks nothing.
 constexpr runtime::Duration kIdleInterval = std::chrono::milliseconds(500);
 
 }  // namespace
 
 StoreHealthChecker::StoreHealthChecker(runtime::Runtime* runtime, StoreHealthCheckerOptions options,
-                                       Parts parts)
-    : runtime_(runtime), options_(options), parts_(std::move(parts)), timer_(runtime->timers) {}
+                                       Dependencies dependencies)
+    : runtime_(runtime),
+      options_(options),
+      dependencies_(std::move(dependencies)),
+      timer_(runtime->timers) {}
 
 void StoreHealthChecker::Tick() {
-  const std::vector<std::string> stores = parts_.stores();
-  const bool checks = !stores.empty() && parts_.is_responsible();
+  const std::vector<std::string> stores = dependencies_.stores();
+  const bool checks = !stores.empty() && dependencies_.is_responsible();
   timer_.Start(checks ? options_.poll_interval : kIdleInterval, [this] { Tick(); });
   std::erase_if(polls_, [&](const auto& entry) {
     return !checks || std::find(stores.begin(), stores.end(), entry.first) == stores.end();
@@ -27,12 +30,12 @@
   if (!checks) return;
   for (const std::string& endpoint : stores) {
     Poll& poll = polls_[endpoint];
-    if (!poll.running) SendPoll(endpoint, &poll);
+    if (!poll.in_flight) SendPoll(endpoint, &poll);
   }
 }
 
 void StoreHealthChecker::SendPoll(const std::string& endpoint, Poll* poll) {
-  poll->running = true;
+  poll->in_flight = true;
   poll->status = 0;
   poll->body.clear();
   http::CallOptions options;
@@ -52,7 +55,7 @@
 
 void StoreHealthChecker::OnPollResponse(const std::string& endpoint) {
   Poll& poll = polls_.at(endpoint);
-  poll.running = false;
+  poll.in_flight = false;
   if (poll.status == kStatusOk) {
     const absl::StatusOr<index::KvEventBatch> batch = options_.format->ReadBatch(poll.body);
     if (batch.ok()) {
@@ -60,12 +63,12 @@
       poll.after = batch->next;
     }
   }
-  parts_.report(endpoint, true);
+  dependencies_.report(endpoint, true);
 }
 
 void StoreHealthChecker::OnFailure(const std::string& endpoint) {
-  polls_.at(endpoint).running = false;
-  parts_.report(endpoint, false);
+  polls_.at(endpoint).in_flight = false;
+  dependencies_.report(endpoint, false);
 }
 
 }  // namespace posthatch::routing
--- a/src/posthatch/routing/worker_pool.cc
+++ b/src/posthatch/routing/worker_pool.cc
@@ -9,24 +9,23 @@
 namespace posthatch::routing {
 namespace {
 
-constexpr double kWaitWeight = 0.3;       // of a new measurement
-constexpr double kWaitHalfLifeMs = 1500;  // an old one fades
-constexpr double kFailureDecay = 0.6;
-constexpr double kFailuresToEject = 2.0;
-constexpr runtime::Duration kFirstEjection = std::chrono::milliseconds(1000);
-constexpr uint32_t kMaxEjectionDoublings = 3;
-constexpr runtime::Duration kInitialOverloadBackoff = std::chrono::milliseconds(150);
-constexpr uint32_t kMaxOverloadDoublings = 2;
+// Tunables of the measured wait.
+constexpr double kWaitWeight = 0.3;  // of a new measurement in the average
+constexpr double kWaitHalfLifeMs = 1500;
 constexpr runtime::Duration kSlowTransferBackoff = std::chrono::seconds(2);
-// So long before a revision must have reached all workers, older ones get nothing more: this
-// gateway heard of it later than its sender was told, by one renewal of its session at the most.
+// Workers of an older revision get no new work from so long before the deadline on: this gateway
+// may have learnt of the revision one session renewal later than its sender was acknowledged.
 constexpr runtime::Duration kRevisionSafetyMargin = std::chrono::milliseconds(1300);
 
 }  // namespace
 
 WorkerPool::WorkerPool(runtime::Runtime* runtime, WorkerPoolOptions options,
                        SlowStartLimiter* limiter, LoadReporter* loads)
-    : runtime_(runtime), options_(options), limiter_(limiter), load_reporter_(loads) {}
+    : runtime_(runtime),
+      options_(options),
+      limiter_(limiter),
+      load_reporter_(loads),
+      outlier_detector_(runtime) {}
 
 void WorkerPool::PublishLoad(const Worker& worker) {
   load_reporter_->SetLocalLoad(worker.backend.id(), {worker.in_flight, worker.pending_tokens});
@@ -41,7 +40,7 @@
 }
 
 void WorkerPool::Update(const control::FleetState& state, const control::Inventory* local_inventory,
-                        runtime::Duration leader_inventory_age, const RouteTable& /*routes*/) {
+                        runtime::Duration leader_inventory_age) {
   UpdateTargetRevisions(state);
   slow_starts_.clear();
   for (const control::TrafficService& service : state.traffic().services()) {
@@ -85,7 +84,7 @@
   worker->draining = draining;
   worker->revision = std::max(worker->revision, backend.model_revision());
   const SlowStart* slow_start = SlowStartOf(*worker);
-  // One that appears while this gateway serves has just started.
+  // A worker that appears while this gateway serves has just started.
   const bool just_started = is_new && inventory_known_;
   if (slow_start != nullptr && just_started) worker->slow_start_until = now + slow_start->duration;
 }
@@ -110,7 +109,7 @@
                     [&labels](const control::Evacuation& evacuation) {
                       return control::SelectorMatches(evacuation.selector(), labels);
                     });
-    // It may have lost what it kept and started anew while it got nothing.
+    // It may have restarted while it got no work, with an empty cache.
     const SlowStart* slow_start = SlowStartOf(*worker);
     if (worker->evacuated && !evacuated && slow_start != nullptr) {
       worker->slow_start_until = now + slow_start->duration;
@@ -184,8 +183,7 @@
 }
 
 bool WorkerPool::IsEligible(const Worker& worker) const {
-  const runtime::MonotonicTime now = runtime_->clock->Now();
-  return now >= worker.ejected_until && now >= worker.overloaded_until && AcceptsNewWork(worker);
+  return outlier_detector_.IsHealthy(worker) && AcceptsNewWork(worker);
 }
 
 bool WorkerPool::IsEligibleAsLastResort(const Worker& worker) const {
@@ -237,29 +235,13 @@
   return runtime_->clock->Now() >= worker.no_transfers_until;
 }
 
-void WorkerPool::OnSuccess(Worker* worker) {
-  worker->failure_score *= kFailureDecay;
-  worker->rejections = 0;
-  worker->ejections = 0;
-}
+void WorkerPool::OnSuccess(Worker* worker) { outlier_detector_.RecordSuccess(worker); }
 
-void WorkerPool::OnFailure(Worker* worker, bool unreachable) {
-  if (!options_.switches.ejection) return;
-  worker->failure_score += 1;
-  if (!unreachable && worker->failure_score < kFailuresToEject) return;
-  const uint32_t doublings = std::min(worker->ejections, kMaxEjectionDoublings);
-  worker->ejected_until = runtime_->clock->Now() + kFirstEjection * (1U << doublings);
-  ++worker->ejections;
-  worker->failure_score = 0;
-  runtime_->trace->Event(runtime::Severity::kInfo, "WorkerEjected",
-                         {{"worker", worker->backend.id()}, {"unreachable", unreachable}});
+void WorkerPool::OnFailure(Worker* worker, WorkerFailure failure) {
+  if (options_.switches.ejection) outlier_detector_.RecordFailure(worker, failure);
 }
 
-void WorkerPool::OnRejected(Worker* worker) {
-  const uint32_t doublings = std::min(worker->rejections, kMaxOverloadDoublings);
-  worker->overloaded_until = runtime_->clock->Now() + kInitialOverloadBackoff * (1U << doublings);
-  ++worker->rejections;
-}
+void WorkerPool::OnRejected(Worker* worker) { outlier_detector_.RecordRejection(worker); }
 
 void WorkerPool::OnRevisionSeen(Worker* worker, uint64_t revision) {
   worker->revision = std::max(worker->revision, revision);
--- a/src/posthatch/server/controller_node.cc
+++ b/src/posthatch/server/controller_node.cc
@@ -35,7 +35,7 @@
                                  runtime->transport->incarnation()),
                   settings_.node.seeds, membership::GossipOptions{}),
       replica_(runtime, MakeReplicaOptions(settings_, &membership_), &state_),
-      service_(runtime, ServiceOptions(), &replica_, this, &state_),
+      service_(runtime, ServiceOptions(), this, &replica_, this, &state_),
       invalidation_server_(runtime, invalidation::InvalidationServerOptions{}, &state_,
                            [this] { return Serving(); }),
       admin_api_(runtime, MakeAdminOptions(settings_.node, &membership_), service_.client(),
@@ -45,8 +45,8 @@
   operator_api_ = std::make_unique<control::OperatorApi>(runtime, control::OperatorApiOptions{},
                                                          formats_->operators, service_.client(),
                                                          service_.client());
-  rollouts_ =
-      std::make_unique<rollout::RolloutCoordinator>(runtime, RolloutSettings(), RolloutParts());
+  rollouts_ = std::make_unique<rollout::RolloutCoordinator>(runtime, RolloutSettings(),
+                                                            MakeRolloutDependencies());
 }
 
 rollout::RolloutOptions ControllerNode::RolloutSettings() const {
@@ -56,13 +56,13 @@
   return options;
 }
 
-rollout::RolloutCoordinator::Parts ControllerNode::RolloutParts() {
-  rollout::RolloutCoordinator::Parts parts;
-  parts.format = formats_->orders;
-  parts.fleet = [this]() -> const control::FleetState& { return state_.fleet(); };
-  parts.may_command = [this] { return service_.leading() && replica_.HasQuorumNow(); };
-  parts.publish = [this] { service_.RefreshInventory(); };
-  return parts;
+rollout::RolloutCoordinator::Dependencies ControllerNode::MakeRolloutDependencies() {
+  rollout::RolloutCoordinator::Dependencies dependencies;
+  dependencies.format = formats_->orders;
+  dependencies.fleet = [this]() -> const control::FleetState& { return state_.fleet(); };
+  dependencies.may_command = [this] { return service_.leading() && replica_.HasQuorumNow(); };
+  dependencies.publish = [this] { service_.RefreshInventory(); };
+  return dependencies;
 }
 
 void ControllerNode::OnSeedsChanged(const std::vector<std::string>& seeds) {
@@ -70,27 +70,31 @@
   membership_.SetSeeds(seeds);
 }
 
-control::ControllerServiceOptions ControllerNode::ServiceOptions() {
+control::ControllerServiceOptions ControllerNode::ServiceOptions() const {
   control::ControllerServiceOptions options;
   options.session_lease = settings_.session_lease;
   options.inventory.endpoint = settings_.node.inventory_endpoint;
   options.inventory.poll_interval = settings_.inventory_poll_interval;
-  if (formats_ != nullptr) {
-    options.inventory.format = formats_->inventory;
-    options.annotate_inventory = [this](control::Inventory* inventory) {
-      if (rollouts_ != nullptr) rollouts_->Annotate(inventory);
-    };
-    options.on_leadership = [this](bool is_leader, uint64_t term) {
-      if (rollouts_ != nullptr) rollouts_->OnLeadership(is_leader, term);
-    };
-  }
-  options.controllers = [this] {
-    return LiveEndpoints(membership_, membership::MemberRole::kController, settings_.node.seeds);
-  };
-  options.controllers_view = [this] { return ControllersView(replica_.Status()); };
+  if (formats_ != nullptr) options.inventory.format = formats_->inventory;
   return options;
 }
 
+std::vector<std::string> ControllerNode::ControllerEndpoints() const {
+  return LiveEndpoints(membership_, membership::MemberRole::kController, settings_.node.seeds);
+}
+
+std::optional<std::string> ControllerNode::ControllersView() const {
+  return server::ControllersView(replica_.Status());
+}
+
+void ControllerNode::AnnotateInventory(control::Inventory* inventory) {
+  if (rollouts_ != nullptr) rollouts_->Annotate(inventory);
+}
+
+void ControllerNode::OnLeadershipChange(bool is_leader, uint64_t term) {
+  if (rollouts_ != nullptr) rollouts_->OnLeadership(is_leader, term);
+}
+
 absl::Status ControllerNode::Start() {
   replica_.SetFailureListener([this](const absl::Status& status) {
     // The replica has stopped permanently: this process forwards reads to the leader and is not
--- a/src/posthatch/server/controller_node.h
+++ b/src/posthatch/server/controller_node.h
@@ -1,10 +1,15 @@
 #pragma once
 
+#include <cstdint>
 #include <memory>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "posthatch/consensus/raft_replica.h"
 #include "posthatch/control/admin/admin_api.h"
 #include "posthatch/control/admin/operator_api.h"
+#include "posthatch/control/server/controller_host.h"
 #include "posthatch/control/server/controller_service.h"
 #include "posthatch/control/server/leader_lease_guard.h"
 #include "posthatch/control/state/control_state.h"
@@ -20,7 +25,9 @@
 // A controller: one replica of the log with the control state, the invalidation server, and the
 // services that the leader offers to gateways and operators. The same in real processes and in the
 // simulator. Owned by the process runner; event loop thread only.
-class ControllerNode : public Process, public control::LeaderLeaseGuard {
+class ControllerNode : public Process,
+                       public control::LeaderLeaseGuard,
+                       private control::ControllerHost {
  public:
   // `formats`: the formats of the platform, for a fleet with routed traffic; null for a fleet that
   // serves only the product's own interface.
@@ -44,9 +51,15 @@
 
  private:
   invalidation::ServingState Serving() const;
-  control::ControllerServiceOptions ServiceOptions();
+  // control::ControllerHost.
+  std::vector<std::string> ControllerEndpoints() const override;
+  std::optional<std::string> ControllersView() const override;
+  void AnnotateInventory(control::Inventory* inventory) override;
+  void OnLeadershipChange(bool is_leader, uint64_t term) override;
+
+  control::ControllerServiceOptions ServiceOptions() const;
   rollout::RolloutOptions RolloutSettings() const;
-  rollout::RolloutCoordinator::Parts RolloutParts();
+  rollout::RolloutCoordinator::Dependencies MakeRolloutDependencies();
   void LeaveFleet(std::function<void()> done);
 
   runtime::Runtime* const runtime_;
