--- a/src/posthatch/routing/load_aggregator.cc
+++ b/src/posthatch/routing/load_aggregator.cc
@@ -5,9 +5,9 @@
 
 namespace posthatch::routing {
 
-LoadAggregator::LoadAggregator(runtime::Runtime* runtime, const LoadReporterOptions* options,
+LoadAggregator::LoadAggregator(runtime::TimerService* timers, const LoadReporterOptions* options,
                                Sources sources)
-    : runtime_(runtime), options_(options), sources_(std::move(sources)), timer_(runtime->timers) {}
+    : options_(options), sources_(std::move(sources)), timer_(timers) {}
 
 void LoadAggregator::Start() {
   if (timer_.running()) return;
--- a/src/posthatch/routing/load_aggregator.h
+++ b/src/posthatch/routing/load_aggregator.h
@@ -34,7 +34,8 @@
     std::function<LoadTopology()> topology;
   };
 
-  LoadAggregator(runtime::Runtime* runtime, const LoadReporterOptions* options, Sources sources);
+  LoadAggregator(runtime::TimerService* timers, const LoadReporterOptions* options,
+                 Sources sources);
 
   // This gateway is the aggregator. No effect while it runs.
   void Start();
@@ -56,7 +57,6 @@
   // Whether gateways of other zones must know the difference.
   bool DiffersForRemoteZones(const Load& current, const Load& reported) const;
 
-  runtime::Runtime* const runtime_;
   const LoadReporterOptions* const options_;
   const Sources sources_;
   absl::flat_hash_map<std::string, ReportedLoads> reported_;           // by zone
--- a/src/posthatch/routing/load_reporter.cc
+++ b/src/posthatch/routing/load_reporter.cc
@@ -12,7 +12,7 @@
       sender_(runtime->transport),
       remote_loads_(runtime->clock, options_.entry_ttl),
       store_health_(runtime->clock),
-      aggregator_(runtime, &options_,
+      aggregator_(runtime->timers, &options_,
                   {.local_loads = &local_loads_,
                    .remote_loads = &remote_loads_,
                    .store_health = &store_health_,
