--- a/src/posthatch/ctl/ctl-test.cc
+++ b/src/posthatch/ctl/ctl-test.cc
@@ -17,7 +17,7 @@
   return ParseCommandLine(static_cast<int>(arguments.size()), arguments.data());
 }
 
-TEST(CommandLineTest, CommandsBecomeRequestsOfTheAdminInterface) {
+TEST(CommandLineTest, CommandsMapToAdminRequests) {
   const auto target = [](const std::vector<const char*>& arguments) {
     ParseOutcome outcome = Parse(arguments);
     EXPECT_TRUE(outcome.invocation.has_value()) << outcome.message;
@@ -42,7 +42,7 @@
   EXPECT_EQ(target({"index", "stats"}), "GET /admin/v1/index ");
 }
 
-TEST(CommandLineTest, WhatCannotBeUnderstoodEndsWithTheUsageCode) {
+TEST(CommandLineTest, InvalidCommandLineExitsWithUsageCode) {
   for (const std::vector<const char*>& arguments : {std::vector<const char*>{"config"},
                                                     {"explode"},
                                                     {"config", "apply", "/no/such/file"},
@@ -57,7 +57,7 @@
   EXPECT_EQ(Parse({"--help"}).exit_code, ExitCode::kOk);
 }
 
-TEST(OutputTest, ListsBecomeColumns) {
+TEST(OutputTest, RendersListsAsColumns) {
   EXPECT_EQ(
       RenderOutput(R"({"version":2,"leases":[{"worker":"w1","token":7},{"worker":"worker2"}]})",
                    OutputFormat::kTable),
@@ -108,7 +108,7 @@
   std::vector<std::string> bodies_;
 };
 
-TEST_F(CommandRunnerTest, ALostAnswerIsAskedForAtTheNextTargetWithTheSameRequestId) {
+TEST_F(CommandRunnerTest, RetriesAtNextTargetWithSameRequestId) {
   Answer("10.0.0.1", "POST", 503, R"({"error":{"code":"uncertain"}})");
   Answer("10.0.0.2", "POST", 200, R"({"acknowledged":true,"version":2})");
   const RunResult result = Run({"config", "rollback", "1"});
@@ -119,13 +119,13 @@
   EXPECT_EQ(result.output, "acknowledged: true\nversion: 2\n");
 }
 
-TEST_F(CommandRunnerTest, ARefusalIsFinalAndNothingIsTriedAgain) {
+TEST_F(CommandRunnerTest, RejectionIsNotRetried) {
   Answer("10.0.0.1", "POST", 409, R"({"error":{"code":"version_conflict"},"version":5})");
   EXPECT_EQ(Run({"config", "rollback", "1"}).exit_code, ExitCode::kRefused);
   EXPECT_EQ(bodies_.size(), 1);
 }
 
-TEST_F(CommandRunnerTest, WithoutAFinalAnswerItSaysHowToSendItAgain) {
+TEST_F(CommandRunnerTest, UncertainResultPrintsRequestIdForResend) {
   Answer("10.0.0.1", "POST", 503, R"({"error":{"code":"uncertain"}})");
   world_.FindHost("10.0.0.2")->Crash();
   const RunResult result = Run({"--request-id", "mine", "config", "rollback", "1"});
@@ -133,7 +133,7 @@
   EXPECT_NE(result.notes.find("--request-id mine"), std::string::npos);
 }
 
-TEST_F(CommandRunnerTest, ASelectorThatMatchesNothingOrEverythingMustBeConfirmed) {
+TEST_F(CommandRunnerTest, SelectorMatchingNothingOrAllNeedsConfirmation) {
   Answer("10.0.0.1", "GET", 200,
          R"({"version":1,"backends":[{"id":"a","kind":"worker","endpoint":"x","zone":"z1"},)"
          R"({"id":"b","kind":"worker","endpoint":"x","zone":"z2"}]})");
--- a/src/posthatch/gateway/delivery-test.cc
+++ b/src/posthatch/gateway/delivery-test.cc
@@ -27,7 +27,7 @@
   std::unique_ptr<Gateway> other_;
 };
 
-TEST_F(DeliveryTest, ResendElsewhereGetsTheKeptOutcome) {
+TEST_F(DeliveryTest, ResendAtOtherGatewayGetsStoredOutcome) {
   StartGateway();
   Place("k");
   EXPECT_EQ(PlaceElsewhere("k")->whole.status, 409);  // still running
@@ -48,7 +48,7 @@
   EXPECT_EQ(client.calls.size(), 1u);
 }
 
-TEST_F(DeliveryTest, LostAnswerIsUnknownAndNotSentAgain) {
+TEST_F(DeliveryTest, LostResponseIsUnknownAndNotRetried) {
   StartGateway();
   const auto writer = Place("k");
   LastCall().Error(http::CallProgress::kSent);
@@ -59,7 +59,7 @@
   EXPECT_EQ(client.calls.size(), 1u);
 }
 
-TEST_F(DeliveryTest, CrossedAnswerIsUnknown) {
+TEST_F(DeliveryTest, MismatchedResponseIsUnknown) {
   StartGateway();
   const auto writer = Place("k");
   LastCall().HeadFor("another attempt");
@@ -67,7 +67,7 @@
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::UNKNOWN);
 }
 
-TEST_F(DeliveryTest, FreezeBetweenBeginAndDispatchSendsNothing) {
+TEST_F(DeliveryTest, NoDispatchAfterFreezeFollowingBegin) {
   StartGateway();
   control.hold = true;
   const auto writer = Place("k");
@@ -81,7 +81,7 @@
   EXPECT_TRUE(client.calls.empty());
 }
 
-TEST_F(DeliveryTest, LeaseThatEndsBeforeDispatchSendsNothing) {
+TEST_F(DeliveryTest, NoDispatchAfterLeaseExpiry) {
   StartGateway();
   control.hold = true;
   Place("k");
@@ -90,7 +90,7 @@
   EXPECT_TRUE(client.calls.empty());
 }
 
-TEST_F(DeliveryTest, KeyRevokedBeforeDispatchSendsNothing) {
+TEST_F(DeliveryTest, NoDispatchAfterKeyRevocation) {
   StartGateway();
   control.hold = true;
   const auto writer = Place("k");
@@ -102,7 +102,7 @@
   EXPECT_EQ(writer->whole.status, 401);
 }
 
-TEST_F(DeliveryTest, BeginWithoutAnswerIsUnknownAndClosedLater) {
+TEST_F(DeliveryTest, BeginTimeoutIsUnknownAndClosedLater) {
   StartGateway();
   control.lost_answers = 1;
   const auto writer = Place("k");
@@ -112,7 +112,7 @@
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::NOT_EXECUTED);
 }
 
-TEST_F(DeliveryTest, OutcomeThatIsNotCommittedIsUnknown) {
+TEST_F(DeliveryTest, UncommittedOutcomeIsUnknown) {
   StartGateway();
   control.fail_finish = true;
   const auto writer = Place("k");
@@ -121,7 +121,7 @@
   EXPECT_TRUE(writer->Says(R"("executed":"unknown")"));
 }
 
-TEST_F(DeliveryTest, OtherBodyUnderTheSameKeyIsRefused) {
+TEST_F(DeliveryTest, RejectsKeyReuseWithOtherBody) {
   StartGateway();
   Place("k");
   const auto writer = Send("/v1/services/lobby/place", R"({"seat":2})", "k");
@@ -130,7 +130,7 @@
   EXPECT_EQ(client.calls.size(), 1u);
 }
 
-TEST_F(DeliveryTest, KeyStaysFreeWhenNoBackendCouldTakeIt) {
+TEST_F(DeliveryTest, KeyStaysUnusedWithoutEligibleBackend) {
   StartGateway();
   for (int backend : {4, 5}) {
     view.fleet.mutable_inventory()->mutable_backends(backend)->set_draining(true);
@@ -146,20 +146,20 @@
   EXPECT_EQ(writer->whole.status, 200);
 }
 
-TEST_F(DeliveryTest, RefusalBeforeTheRecordSaysUnknown) {
+TEST_F(DeliveryTest, RejectionBeforeRecordIsUnknown) {
   StartGateway();
   view.expiry = clock.now;
   EXPECT_TRUE(Place("k")->Says(R"("executed":"unknown")"));
   EXPECT_TRUE(Complete()->Says(R"("executed":"no")"));
 }
 
-TEST_F(DeliveryTest, KeyIsRequired) {
+TEST_F(DeliveryTest, IdempotencyKeyIsRequired) {
   StartGateway();
   EXPECT_EQ(Place("")->whole.status, 400);
   EXPECT_EQ(control.proposals, 0);
 }
 
-TEST_F(DeliveryTest, LongAnswerIsNotKept) {
+TEST_F(DeliveryTest, OversizedResponseIsNotStored) {
   StartGateway();
   const auto writer = Place("k");
   EXPECT_EQ(LastCall().options.max_body_bytes, 64u * 1024);
@@ -168,7 +168,7 @@
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::UNKNOWN);
 }
 
-TEST_F(DeliveryTest, UnreachableBackendIsClosedAsNeverRun) {
+TEST_F(DeliveryTest, UnreachableBackendClosesRecordAsNotExecuted) {
   StartGateway();
   const auto writer = Place("k");
   LastCall().Error(http::CallProgress::kNotSent);
--- a/src/posthatch/gateway/gateway-test.cc
+++ b/src/posthatch/gateway/gateway-test.cc
@@ -7,7 +7,7 @@
 namespace posthatch::gateway {
 namespace {
 
-TEST_F(GatewayTest, WholeAnswerGoesThrough) {
+TEST_F(GatewayTest, RelaysCompleteResponse) {
   StartGateway();
   EXPECT_TRUE(gateway->Ready());
   const auto writer = Complete();
@@ -21,7 +21,7 @@
   ASSERT_EQ(locator.recorded.size(), 1u);
 }
 
-TEST_F(GatewayTest, StreamGoesThrough) {
+TEST_F(GatewayTest, RelaysStream) {
   StartGateway();
   const auto writer = Complete(true);
   LastCall().Head();
@@ -34,7 +34,7 @@
   EXPECT_EQ(writer->written, LastCall().Event(0) + LastCall().Event(1) + "data: [DONE]\n\n");
 }
 
-TEST_F(GatewayTest, OperationIsRecordedAroundItsRun) {
+TEST_F(GatewayTest, OperationIsRecordedBeforeAndAfterDispatch) {
   StartGateway();
   const auto writer = Place("k");
   ASSERT_EQ(client.calls.size(), 1u);
--- a/src/posthatch/gateway/gateway_world-test.cc
+++ b/src/posthatch/gateway/gateway_world-test.cc
@@ -157,7 +157,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, GatewayWorldTest, testing::Range<uint64_t>(1, 7));
 
-TEST_P(GatewayWorldTest, HoldsWhatMustNeverHappen) {
+TEST_P(GatewayWorldTest, InvariantsHoldUnderFaults) {
   RunLoad();
   std::map<std::string, int> starts_by_key;
   std::set<std::string> started;
--- a/src/posthatch/gateway/limits-test.cc
+++ b/src/posthatch/gateway/limits-test.cc
@@ -8,7 +8,7 @@
 
 using LimitsTest = GatewayTest;
 
-TEST_F(LimitsTest, RevokedKeyDiesAtOnce) {
+TEST_F(LimitsTest, RevokedKeyIsRejectedImmediately) {
   StartGateway();
   Complete();
   LastCall().GoodCompletion();
@@ -33,7 +33,7 @@
   EXPECT_EQ(Complete()->responses, 1);
 }
 
-TEST_F(LimitsTest, ConcurrencyIsSharedOutAmongGateways) {
+TEST_F(LimitsTest, ConcurrencyLimitIsDividedAmongGateways) {
   view.fleet.mutable_configuration()->mutable_tenants(0)->set_max_concurrency(4);
   options.live_gateways = [] { return 2u; };
   StartGateway();
@@ -57,7 +57,7 @@
   EXPECT_TRUE(Complete(false, "key-two")->Says("overloaded"));
 }
 
-TEST_F(LimitsTest, NothingIsDecidedWithoutALease) {
+TEST_F(LimitsTest, RejectsRequestsWithoutLease) {
   StartGateway();
   view.expiry = clock.now;
   const auto writer = Complete();
@@ -66,7 +66,7 @@
   EXPECT_TRUE(client.calls.empty());
 }
 
-TEST_F(LimitsTest, LeaseIsAskedAgainBeforeARetry) {
+TEST_F(LimitsTest, LeaseIsCheckedBeforeRetry) {
   StartGateway();
   for (int request = 0; request < 10; ++request) Complete();
   const auto writer = Complete();
@@ -77,7 +77,7 @@
   EXPECT_EQ(client.calls.size(), 11u);
 }
 
-TEST_F(LimitsTest, DrainedAndEvacuatedWorkersGetNothing) {
+TEST_F(LimitsTest, DrainingAndEvacuatedWorkersGetNoWork) {
   StartGateway();
   locator.holders = {{"w1", 1, 4}};  // whatever the index says
   Complete();
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_F(LimitsTest, RetryStormStaysInTheBudget) {
+TEST_F(LimitsTest, RetryStormStaysWithinBudget) {
   StartGateway();
   for (int request = 0; request < 500; ++request) {
     Complete();
@@ -116,7 +116,7 @@
   EXPECT_LE(retries, firsts / 5);
 }
 
-TEST_F(LimitsTest, FirstAttemptsThatWereNotSentEarnNoRetries) {
+TEST_F(LimitsTest, UnsentFirstAttemptsAddNoRetryBudget) {
   FakeClock fake;
   RetryBudget budget(&fake);
   for (int request = 0; request < 10; ++request) budget.RecordFirstAttempt();
@@ -143,7 +143,7 @@
   }
 };
 
-TEST_F(ShareTest, NewWorkerIsNotFlooded) {
+TEST_F(ShareTest, NewWorkerIsInSlowStart) {
   StartGateway();
   AddBackend("w5", control::BACKEND_KIND_WORKER, "a");
   view.Changed();
@@ -152,7 +152,7 @@
   EXPECT_GE(Share("w5:80", 60), 12);
 }
 
-TEST_F(ShareTest, WorkerThatLostItsCacheStartsSlowly) {
+TEST_F(ShareTest, WorkerWithLostCacheIsInSlowStart) {
   StartGateway();
   locator.holders = {{"w1", 1, 4}};
   for (uint64_t epoch : {1, 2}) {
@@ -177,7 +177,7 @@
   EXPECT_EQ(to_failed, 3);
 }
 
-TEST_F(LimitsTest, FullHolderSendsItsPrefixElsewhereInsteadOfSheddingIt) {
+TEST_F(LimitsTest, FullHolderOverflowsInsteadOfShedding) {
   view.fleet.mutable_configuration()->mutable_routing()->set_max_requests_per_worker(10);
   StartGateway();
   // So long a prefix that the holder is worth waiting for.
@@ -192,7 +192,7 @@
   EXPECT_EQ(at_holder, 7);  // 70% of the limit for the lowest priority
 }
 
-TEST_F(LimitsTest, MeasuredWaitTurnsWorkAway) {
+TEST_F(LimitsTest, MeasuredWaitShiftsLoad) {
   StartGateway();
   locator.holders = {{"w1", 1, 100}};
   const std::string body =
@@ -210,7 +210,7 @@
   EXPECT_EQ(LastCall().endpoint, "w1:80");
 }
 
-TEST_F(LimitsTest, UnreachableWorkerIsEjectedAtOnce) {
+TEST_F(LimitsTest, UnreachableWorkerIsEjectedImmediately) {
   StartGateway();
   locator.holders = {{"w1", 1, 4}};
   Complete();
@@ -219,7 +219,7 @@
   EXPECT_NE(LastCall().endpoint, "w1:80");
 }
 
-TEST_F(LimitsTest, SelfReadListAddsDrainingMarks) {
+TEST_F(LimitsTest, LocalInventoryAddsDrainingMarks) {
   options.inventory_endpoint = "inventory:80";
   StartGateway();
   EXPECT_TRUE(client.calls.empty());
@@ -237,7 +237,7 @@
   }
 }
 
-TEST_F(LimitsTest, UnreachableListLeavesTheLastOneInUse) {
+TEST_F(LimitsTest, UnreachableInventoryKeepsLastOne) {
   options.inventory_endpoint = "inventory:80";
   StartGateway();
   view.inventory_age = std::chrono::seconds(10);
@@ -247,7 +247,7 @@
   EXPECT_NE(LastCall().endpoint, "inventory:80");
 }
 
-TEST_F(LimitsTest, FetchIsPlannedOnlyOverAGoodLink) {
+TEST_F(LimitsTest, FetchIsPlannedOnlyOverFastLink) {
   StartGateway();
   // The holder is busy: the request goes elsewhere and takes the blocks along.
   view.fleet.mutable_configuration()->mutable_routing()->set_max_requests_per_worker(1);
@@ -267,7 +267,7 @@
   EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w2"));  // tried again
 }
 
-TEST_F(LimitsTest, SeedFollowsRevisionAndIsolation) {
+TEST_F(LimitsTest, BlockSeedDependsOnRevisionAndIsolation) {
   StartGateway();
   Complete();
   const std::string shared = LastCall().Field("X-Posthatch-Cache-Salt");
@@ -291,7 +291,7 @@
   EXPECT_EQ(LastCall().Field("X-Posthatch-Model-Revision"), "3");
 }
 
-TEST_F(LimitsTest, DrainLetsRunningAnswersEnd) {
+TEST_F(LimitsTest, DrainWaitsForRequestsInProgress) {
   StartGateway();
   const auto running = Complete();
   bool drained = false;
@@ -303,7 +303,7 @@
   EXPECT_TRUE(drained);
 }
 
-TEST_F(LimitsTest, GarbageIsRefused) {
+TEST_F(LimitsTest, RejectsMalformedRequests) {
   StartGateway();
   for (const char* body : {"", "{", "[]", R"({"model":"m"})", R"({"model":1,"prompt":"x"})",
                            R"({"model":"m","prompt":"x","stream":1})"}) {
--- a/src/posthatch/gateway/stream-test.cc
+++ b/src/posthatch/gateway/stream-test.cc
@@ -21,7 +21,7 @@
   }
 };
 
-TEST_F(RetryingTest, LostAnswerIsAskedForElsewhere) {
+TEST_F(RetryingTest, LostResponseIsRetriedElsewhere) {
   Prepare();
   const auto writer = Complete();
   const std::string first = LastCall().endpoint;
@@ -32,7 +32,7 @@
   EXPECT_EQ(writer->whole.status, 200);
 }
 
-TEST_F(RetryingTest, AttemptsAreBounded) {
+TEST_F(RetryingTest, AttemptsAreLimited) {
   Prepare();
   const auto writer = Complete();
   for (int attempt = 1; attempt <= 3; ++attempt) LastCall().Error(http::CallProgress::kSent);
@@ -41,7 +41,7 @@
   EXPECT_EQ(client.calls.size(), 23u);
 }
 
-TEST_F(RetryingTest, CrossedAnswerIsDropped) {
+TEST_F(RetryingTest, MismatchedResponseIsDropped) {
   Prepare();
   const auto writer = Complete();
   const auto crossed = client.calls.back();
@@ -55,7 +55,7 @@
   EXPECT_EQ(writer->responses, 1);
 }
 
-TEST_F(RetryingTest, BodyOfAnotherRequestIsDropped) {
+TEST_F(RetryingTest, BodyOfOtherRequestIsDropped) {
   Prepare();
   const auto writer = Complete();
   LastCall().Whole(200, R"({"id":"r","request_id":"other","choices":[{"text":"T"}]})");
@@ -72,7 +72,7 @@
   EXPECT_EQ(writer->responses, 0);
 }
 
-TEST_F(RetryingTest, RefusalBeforeRunningIsProvedNotExecuted) {
+TEST_F(RetryingTest, RejectionBeforeRunIsNotExecuted) {
   Prepare();
   const auto writer = Complete();
   for (int attempt = 1; attempt <= 3; ++attempt) {
@@ -82,7 +82,7 @@
   EXPECT_TRUE(writer->Says(R"("executed":"no")"));
 }
 
-TEST_F(RetryingTest, StreamIsTriedElsewhereOnlyWhileNothingWasShown) {
+TEST_F(RetryingTest, StreamIsRetriedOnlyBeforeFirstByte) {
   Prepare();
   const auto writer = Complete(true);
   LastCall().Head();
@@ -97,7 +97,7 @@
   EXPECT_NE(writer->written.find("event: error"), std::string::npos);
 }
 
-TEST_F(AnswerTest, StreamWithoutItsEndIsCut) {
+TEST_F(AnswerTest, StreamWithoutDoneIsIncomplete) {
   StartGateway();
   const auto writer = Complete(true);
   LastCall().Head();
@@ -107,7 +107,7 @@
   EXPECT_FALSE(writer->finished);
 }
 
-TEST_F(AnswerTest, CallerThatLeavesCancelsTheRun) {
+TEST_F(AnswerTest, CallerDisconnectCancelsAttempt) {
   StartGateway();
   const auto writer = Complete(true);
   LastCall().Head();
@@ -117,7 +117,7 @@
   EXPECT_TRUE(LastCall().cancelled);
 }
 
-TEST_F(AnswerTest, SlowReaderIsBoundedInMemory) {
+TEST_F(AnswerTest, SlowReaderBufferIsLimited) {
   options.max_stream_buffer_bytes = 1000;
   StartGateway();
   const auto writer = Complete(true);
@@ -132,7 +132,7 @@
   EXPECT_FALSE(LastCall().paused);
 }
 
-TEST_F(AnswerTest, ReaderThatStopsIsCutOff) {
+TEST_F(AnswerTest, StalledReaderIsAborted) {
   options.max_stream_buffer_bytes = 10;
   StartGateway();
   const auto writer = Complete(true);
@@ -149,7 +149,7 @@
          ",\"choices\":[]}\n\n";
 }
 
-TEST(SseStreamCheckerTest, TakesAnyChunking) {
+TEST(SseStreamCheckerTest, AcceptsAnyChunking) {
   std::string stream;
   for (int piece = 0; piece < 20; ++piece) stream += Piece("r", "q", std::to_string(piece));
   for (size_t length = 1; length < 200; ++length) {
@@ -166,7 +166,7 @@
   }
 }
 
-TEST(SseStreamCheckerTest, RefusesWhatIsNotOneWholeRun) {
+TEST(SseStreamCheckerTest, RejectsIncompleteOrMixedRuns) {
   const std::string good = Piece("r", "q", "0") + Piece("r", "q", "1");
   const std::string bad[] = {
       good + Piece("r", "q", "3"),          // one is missing
@@ -193,7 +193,7 @@
   EXPECT_FALSE(SseStreamChecker("q").Feed(std::string(2UL * 1024 * 1024, 'x')).ok());
 }
 
-TEST(SseStreamCheckerTest, KeyOfTheSameNameElsewhereMisleadsNobody) {
+TEST(SseStreamCheckerTest, IgnoresPieceKeyInNestedObjects) {
   const auto event = [](int number, const std::string& run) {
     return "data: {\"choices\":[{\"piece\":" + std::to_string(number) + "}],\"id\":\"" + run +
            "\",\"request_id\":\"q\",\"piece\":" + std::to_string(number) + "}\n\n";
--- a/src/posthatch/net/asio_file_system-test.cc
+++ b/src/posthatch/net/asio_file_system-test.cc
@@ -60,7 +60,7 @@
   std::unique_ptr<AsioRuntime> runtime_;
 };
 
-TEST_F(AsioFileSystemTest, RunsEveryOperationAndKeepsItOverARestart) {
+TEST_F(AsioFileSystemTest, OperationsPersistAcrossRestart) {
   ASSERT_TRUE(Run({On(Kind::kCreateDirectory, "log/old"),
                    Append("log/1", "abc"),
                    Append("log/1", "def"),
@@ -100,7 +100,7 @@
   EXPECT_EQ(files()->ReadFile("f").value(), expected);
 }
 
-TEST_F(AsioFileSystemTest, StopsAtTheFirstErrorAndMapsIt) {
+TEST_F(AsioFileSystemTest, StopsAtFirstErrorAndMapsIt) {
   absl::Status missing = Run({On(Kind::kSync, "missing"), Append("after", "x")});
   EXPECT_EQ(missing.code(), absl::StatusCode::kNotFound);
   EXPECT_EQ(files()->ReadFile("after").status().code(), absl::StatusCode::kNotFound);
@@ -115,7 +115,7 @@
   EXPECT_TRUE(Run({Append("goes on", "x")}).ok());
 }
 
-TEST_F(AsioFileSystemTest, DataFolderBelongsToOneProcess) {
+TEST_F(AsioFileSystemTest, DataFolderIsLocked) {
   AsioRuntimeOptions options;
   options.node_id = "second";
   options.data_folder = folder_;
@@ -125,7 +125,7 @@
   EXPECT_TRUE(AsioRuntime::Create(options).ok());
 }
 
-TEST_F(AsioFileSystemTest, InjectedFullDiskAndSlowSync) {
+TEST_F(AsioFileSystemTest, InjectsFullDiskAndSlowSync) {
   FaultRules rules;
   rules.disk_full = true;
   runtime_->faults()->SetRules(rules);
@@ -148,7 +148,7 @@
   EXPECT_EQ(Run({Append("f", "x")}).code(), absl::StatusCode::kInternal);
 }
 
-TEST_F(AsioFileSystemTest, AppendThatFailsHalfWayIsCutOffAgain) {
+TEST_F(AsioFileSystemTest, PartialAppendIsTruncated) {
   ASSERT_TRUE(Run({Append("f", std::string(1000, 'a'))}).ok());
   rlimit former{};
   getrlimit(RLIMIT_FSIZE, &former);
--- a/src/posthatch/net/asio_runtime-test.cc
+++ b/src/posthatch/net/asio_runtime-test.cc
@@ -17,7 +17,7 @@
 
 using std::chrono::milliseconds;
 
-TEST(AsioTimerServiceTest, FiresInOrderOfTimeNotBeforeItsDelay) {
+TEST(AsioTimerServiceTest, FiresInOrderAndNotEarly) {
   const auto asio_runtime = MakeTestRuntime();
   runtime::Runtime* const runtime = asio_runtime->runtime();
   const auto start = runtime->clock->Now();
@@ -35,7 +35,7 @@
   EXPECT_EQ(fired, (std::vector<int>{10, 20, 30}));
 }
 
-TEST(AsioTimerServiceTest, TimerCancelledByAnotherOfTheSameTurnDoesNotFire) {
+TEST(AsioTimerServiceTest, TimerCancelledInSameTurnDoesNotFire) {
   const auto asio_runtime = MakeTestRuntime();
   runtime::TimerService* const timers = asio_runtime->runtime()->timers;
   int fired = 0;
@@ -50,7 +50,7 @@
   EXPECT_EQ(fired, 1);
 }
 
-TEST(LazyDeadlineTest, CountsFromTheLastSetting) {
+TEST(LazyDeadlineTest, FiresByLatestSetting) {
   boost::asio::io_context io_context;
   int expired = 0;
   LazyDeadline deadline(&io_context, [&expired] { ++expired; });
@@ -68,7 +68,7 @@
   EXPECT_EQ(expired, 1);
 }
 
-TEST(JsonTraceSinkTest, WritesOneJsonObjectALineFromTheLevelOn) {
+TEST(JsonTraceSinkTest, WritesJsonLinesFromLevelOn) {
   const std::string path =
       ::testing::TempDir() + "json_trace_sink_" + std::to_string(getpid()) + ".log";
   std::filesystem::remove(path);
@@ -117,7 +117,7 @@
 }
 
 // Calls, answers and messages that still run must not outlive the runtime's parts.
-TEST(AsioRuntimeTest, EndsCleanlyWithWorkUnderWay) {
+TEST(AsioRuntimeTest, DestroysCleanlyWithPendingWork) {
   AsioRuntimeOptions options;
   options.internal_endpoint = "127.0.0.1:0";
   options.enable_fault_injection = true;
--- a/src/posthatch/net/asio_transport-test.cc
+++ b/src/posthatch/net/asio_transport-test.cc
@@ -71,7 +71,7 @@
       a, b, [] { return false; }, time);
 }
 
-TEST(AsioTransportTest, StreamKeepsOrderAndNamesTheSender) {
+TEST(AsioTransportTest, StreamIsOrderedAndIdentifiesSender) {
   Node a("a");
   Node b("b");
   std::vector<std::string> sent;
@@ -87,7 +87,7 @@
   EXPECT_EQ(b.last.from_incarnation(), a.transport()->incarnation());
 }
 
-TEST(AsioTransportTest, DatagramsArriveAndLongOnesAreDropped) {
+TEST(AsioTransportTest, DropsOversizedDatagrams) {
   Node a("a");
   Node b("b");
   a.Send(&b, "hello", Delivery::kDatagram);
@@ -98,7 +98,7 @@
   EXPECT_EQ(a.Dropped("too_long"), 1);
 }
 
-TEST(AsioTransportTest, ConnectsAnewAfterThePeerRestarted) {
+TEST(AsioTransportTest, ReconnectsAfterPeerRestart) {
   Node a("a");
   auto b = std::make_unique<Node>("b");
   const std::string endpoint = b->endpoint();
@@ -123,7 +123,7 @@
       std::chrono::seconds(5)));
 }
 
-TEST(AsioTransportTest, QueueIsBoundedInBytes) {
+TEST(AsioTransportTest, QueueIsLimitedInBytes) {
   AsioRuntimeOptions options;
   options.transport.max_queue_bytes = 100'000;
   Node a("a", options);
@@ -137,7 +137,7 @@
       &a, &b, [&] { return b.received.back() == "room again"; }, std::chrono::seconds(5)));
 }
 
-TEST(AsioTransportTest, MessageOverTheLimitIsDroppedBySender) {
+TEST(AsioTransportTest, OversizedMessageIsDroppedBySender) {
   AsioRuntimeOptions options;
   options.transport.max_message_bytes = 1000;
   Node a("a", options);
@@ -159,7 +159,7 @@
   return envelope;
 }
 
-TEST(AsioTransportTest, GarbageOnTheStreamPortEndsThatConnectionOnly) {
+TEST(AsioTransportTest, MalformedStreamClosesOnlyThatConnection) {
   AsioRuntimeOptions options;
   options.transport.max_message_bytes = 100'000;
   Node b("b", options);
@@ -198,7 +198,7 @@
       b.runtime()->RunUntil([&] { return b.received.size() == 2; }, std::chrono::seconds(5)));
 }
 
-TEST(AsioTransportTest, RandomDamageOnBothPortsIsBorne) {
+TEST(AsioTransportTest, SurvivesRandomInputOnBothPorts) {
   Node a("a");
   Node b("b");
   const int datagrams = socket(AF_INET, SOCK_DGRAM, 0);
@@ -231,7 +231,7 @@
       std::chrono::seconds(5)));
 }
 
-TEST(FrameDecoderTest, AnyCutOfTheStreamGivesTheSameEnvelopes) {
+TEST(FrameDecoderTest, AnyChunkingGivesSameEnvelopes) {
   std::string stream;
   for (int k = 0; k < 20; ++k) {
     runtime::Envelope envelope = GoodEnvelope();
@@ -261,7 +261,7 @@
 
 // --- Faults ---
 
-TEST(TransportFaultTest, CutSendingGoesSilentAndHeals) {
+TEST(TransportFaultTest, OutboundPartitionStallsAndHeals) {
   Node a("a");
   Node b("b");
   a.Send(&b, "one");
@@ -283,7 +283,7 @@
   EXPECT_EQ(b.received.back(), "two");
 }
 
-TEST(TransportFaultTest, CutReceivingHoldsOpenAndNewConnections) {
+TEST(TransportFaultTest, InboundPartitionBlocksOpenAndNewConnections) {
   Node a("a");
   Node b("b");
   a.Send(&b, "one");
@@ -315,7 +315,7 @@
   EXPECT_EQ(b.received.size(), 3u);
 }
 
-TEST(TransportFaultTest, LongCutDropsTheQueueAndThePeerSeesNoEndBeforeItHeals) {
+TEST(TransportFaultTest, LongPartitionDropsQueueAndHidesClose) {
   AsioRuntimeOptions options;
   options.transport.stall_timeout = milliseconds(100);
   RawListener listener;
@@ -337,7 +337,7 @@
   EXPECT_EQ(peer.ReadToEnd(a.runtime()).find("two"), std::string::npos);
 }
 
-TEST(TransportFaultTest, DelayHoldsMessagesBackInOrder) {
+TEST(TransportFaultTest, DelayKeepsOrder) {
   Node a("a");
   Node b("b");
   a.Send(&b, "0");
--- a/src/posthatch/net/beast_http_client-test.cc
+++ b/src/posthatch/net/beast_http_client-test.cc
@@ -105,13 +105,13 @@
   ExpectError(split, absl::StatusCode::kInvalidArgument, http::CallProgress::kNotSent);
 }
 
-TEST_F(HttpClientTest, ConnectionClosedWithoutAnswerMayHaveRun) {
+TEST_F(HttpClientTest, ConnectionClosedWithoutResponseMayHaveExecuted) {
   ExpectError(CallAnswered(""), absl::StatusCode::kUnavailable, http::CallProgress::kSent);
   ExpectError(CallAnswered("HTTP/1.1 200 O"), absl::StatusCode::kUnavailable,
               http::CallProgress::kSent);
 }
 
-TEST_F(HttpClientTest, CutOrMalformedAnswersAreNeverComplete) {
+TEST_F(HttpClientTest, TruncatedOrMalformedResponsesAreNeverComplete) {
   const std::string ok = "HTTP/1.1 200 OK\r\n";
   const std::vector<std::string> cut = {
       ok + "Content-Length: 10\r\n\r\nabc",
@@ -130,7 +130,7 @@
               http::CallProgress::kSent);
 }
 
-TEST_F(HttpClientTest, WholeAnswersAreComplete) {
+TEST_F(HttpClientTest, CompleteResponsesAreReported) {
   const Outcome sized = CallAnswered("HTTP/1.1 201 OK\r\nA: b\r\nContent-Length: 3\r\n\r\nabc");
   EXPECT_TRUE(sized.ended);
   EXPECT_EQ(sized.head->status, 201);
@@ -145,7 +145,7 @@
   EXPECT_FALSE(chunked.head->headers.Has("X-Trailer"));
 }
 
-TEST_F(HttpClientTest, AnswerWithoutLengthEndsWithItsConnectionWhereThatIsAllowed) {
+TEST_F(HttpClientTest, CloseDelimitedResponseNeedsOption) {
   options_.accept_close_delimited = true;
   const Outcome outcome = CallAnswered("HTTP/1.1 200 OK\r\n\r\nuntil the end");
   EXPECT_TRUE(outcome.ended);
@@ -154,7 +154,7 @@
               absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
 }
 
-TEST_F(HttpClientTest, ConnectionIsNotKeptBeyondTheShareOfTheTimeThatItsServerStated) {
+TEST_F(HttpClientTest, ReusesConnectionOnlyWithinIdleFraction) {
   std::vector<uint64_t> connections;
   auto server = runtime_->runtime()->http_servers->Listen(
       "127.0.0.1:0", {},
@@ -188,7 +188,7 @@
   ExpectError(outcome, absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
 }
 
-TEST_F(HttpClientTest, SilenceRunsIntoTheTimeouts) {
+TEST_F(HttpClientTest, UnresponsiveServerHitsTimeouts) {
   RawListener listener;
   Outcome before_head;
   const auto first = Start(listener.endpoint(), &before_head);
@@ -204,7 +204,7 @@
   ExpectError(in_body, absl::StatusCode::kDeadlineExceeded, http::CallProgress::kHeadReceived);
 }
 
-TEST_F(HttpClientTest, KeptConnectionIsUsedAgainUnlessFreshIsAsked) {
+TEST_F(HttpClientTest, ReusesConnectionUnlessFreshIsRequested) {
   std::vector<uint64_t> connections;
   auto server = runtime_->runtime()->http_servers->Listen(
       "127.0.0.1:0", {},
@@ -225,7 +225,7 @@
   EXPECT_EQ(connections[0], connections[3]);
 }
 
-TEST_F(HttpClientTest, KeptConnectionThatTheServerClosedIsNotUsed) {
+TEST_F(HttpClientTest, DoesNotReuseConnectionClosedByServer) {
   RawListener listener;
   Outcome first;
   const auto call = Start(listener.endpoint(), &first);
@@ -245,7 +245,7 @@
   EXPECT_TRUE(second.ended);
 }
 
-TEST_F(HttpClientTest, BytesNobodyAskedForEndTheConnection) {
+TEST_F(HttpClientTest, UnsolicitedBytesCloseConnection) {
   RawListener listener;
   Outcome first;
   const auto call = Start(listener.endpoint(), &first);
@@ -259,7 +259,7 @@
   EXPECT_TRUE(server.ended());
 }
 
-TEST_F(HttpClientTest, PausedReadingHoldsTheServerBackAndSpendsNoTimeout) {
+TEST_F(HttpClientTest, StoppedReadingAppliesBackpressureWithoutTimeout) {
   constexpr size_t kBody = 32UL * 1024 * 1024;
   RawListener listener;
   Outcome outcome;
@@ -281,7 +281,7 @@
   EXPECT_EQ(outcome.body.size(), kBody);
 }
 
-TEST_F(HttpClientTest, DestroyedHandleClosesTheConnectionAndNothingIsCalled) {
+TEST_F(HttpClientTest, DestroyedHandleClosesConnectionWithoutCallback) {
   bool gone = false;
   auto server = runtime_->runtime()->http_servers->Listen(
       "127.0.0.1:0", {},
@@ -298,7 +298,7 @@
 }
 
 // Bytes that wait in the kernel behind a cut must not reach the server after the call was given up.
-TEST_F(HttpClientTest, CallThatIsGivenUpResetsItsConnection) {
+TEST_F(HttpClientTest, CancelledCallResetsConnection) {
   RawListener listener;
   Outcome outcome;
   auto call = Start(listener.endpoint(), &outcome);
@@ -309,7 +309,7 @@
   EXPECT_TRUE(server.was_reset());
 }
 
-TEST_F(HttpClientTest, CallThatRunsIntoItsTimeoutResetsItsConnection) {
+TEST_F(HttpClientTest, TimedOutCallResetsConnection) {
   RawListener listener;
   Outcome outcome;
   const auto call = Start(listener.endpoint(), &outcome);
@@ -321,7 +321,7 @@
 }
 
 // A kept connection whose server is behind a cut now.
-TEST_F(HttpClientTest, CallOfWhichNothingIsDeliveredEndsSoonAndNeverArrives) {
+TEST_F(HttpClientTest, UndeliveredCallFailsEarlyAndNeverArrives) {
   AsioRuntimeOptions with_faults;
   with_faults.enable_fault_injection = true;
   runtime_ = MakeTestRuntime(with_faults);
@@ -346,7 +346,7 @@
   EXPECT_TRUE(server.was_reset());
 }
 
-TEST_F(HttpClientTest, SlowServerThatHasTheRequestIsWaitedFor) {
+TEST_F(HttpClientTest, WaitsForSlowServerWithDeliveredRequest) {
   options_.head_timeout = std::chrono::seconds(5);
   RawListener listener;
   Outcome outcome;
@@ -360,7 +360,7 @@
   EXPECT_TRUE(outcome.ended);
 }
 
-TEST_F(HttpClientTest, HandleMayBeDestroyedInACallback) {
+TEST_F(HttpClientTest, HandleMayBeDestroyedInCallback) {
   RawListener listener;
   std::unique_ptr<http::Call> call;
   Outcome outcome;
@@ -376,7 +376,7 @@
   EXPECT_FALSE(outcome.over());
 }
 
-TEST_F(HttpClientTest, AnswerOverTheLimitIsRefused) {
+TEST_F(HttpClientTest, RejectsOversizedResponse) {
   options_.max_body_bytes = 5;
   ExpectError(CallAnswered("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabcdef"),
               absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
--- a/src/posthatch/net/beast_http_server-test.cc
+++ b/src/posthatch/net/beast_http_server-test.cc
@@ -69,7 +69,7 @@
   std::string status;  // empty: closed without an answer
 };
 
-TEST_F(HttpServerTest, GarbageGetsAClearErrorOrACloseAndServingGoesOn) {
+TEST_F(HttpServerTest, MalformedRequestGetsErrorAndServingContinues) {
   Listen();
   const std::string big_field = "X: " + std::string(10UL * 1024 * 1024, 'a');
   const std::vector<Garbage> cases = {
@@ -118,7 +118,7 @@
                                  std::chrono::seconds(5)));
 }
 
-TEST_F(HttpServerTest, RandomDamageNeverStopsTheServer) {
+TEST_F(HttpServerTest, SurvivesRandomInput) {
   Listen();
   const std::string whole =
       "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
@@ -141,7 +141,7 @@
 }
 
 // An unread head may name an idempotency key whose earlier send has run.
-TEST_F(HttpServerTest, RefusalProvesNotExecutedOnlyWithoutIdempotencyKey) {
+TEST_F(HttpServerTest, RejectionIsNotExecutedOnlyWithoutIdempotencyKey) {
   Listen();
   EXPECT_THAT(Exchange("POST / HTTP/1.1\r\nContent-Length: 99999\r\n\r\n"),
               HasSubstr(R"("executed":"no")"));
@@ -150,7 +150,7 @@
   EXPECT_THAT(Exchange("POST / HTTP/1.1\r\nIdempotency-K"), HasSubstr(R"("executed":"unknown")"));
 }
 
-TEST_F(HttpServerTest, HalfClosedCallerGetsItsAnswer) {
+TEST_F(HttpServerTest, HalfClosedCallerGetsResponse) {
   Listen();
   RawSocket socket = Connect();
   socket.Send(runtime_.get(), "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc");
@@ -159,7 +159,7 @@
   EXPECT_TRUE(socket.ended());
 }
 
-TEST_F(HttpServerTest, HalfClosedCallerGetsALateAnswer) {
+TEST_F(HttpServerTest, HalfClosedCallerGetsDelayedResponse) {
   std::shared_ptr<http::ResponseWriter> kept;
   handler_ = [&kept](const http::Request&, std::shared_ptr<http::ResponseWriter> writer) {
     kept = std::move(writer);
@@ -174,7 +174,7 @@
   EXPECT_THAT(socket.ReadToEnd(runtime_.get()), HasSubstr("late"));
 }
 
-TEST_F(HttpServerTest, KeptConnectionServesPipelinedRequestsInOrder) {
+TEST_F(HttpServerTest, ServesPipelinedRequestsInOrder) {
   std::vector<uint64_t> connections;
   handler_ = [&connections](const http::Request& request,
                             const std::shared_ptr<http::ResponseWriter>& writer) {
@@ -198,7 +198,7 @@
   EXPECT_EQ(connections.front(), connections.back());
 }
 
-TEST_F(HttpServerTest, AbortLeavesTheChunkedBodyUnterminated) {
+TEST_F(HttpServerTest, AbortLeavesChunkedBodyUnterminated) {
   handler_ = [](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
     writer->StartStream({});
     writer->WriteChunk("piece");
@@ -213,14 +213,14 @@
   EXPECT_THAT(answer, Not(HasSubstr("\r\n0\r\n")));
 }
 
-TEST_F(HttpServerTest, WriterDroppedUnansweredClosesTheConnection) {
+TEST_F(HttpServerTest, DroppedWriterClosesConnection) {
   handler_ = [](const http::Request&, const std::shared_ptr<http::ResponseWriter>&) {};
   Listen();
   EXPECT_EQ(Exchange(kGoodRequest), "");
   EXPECT_EQ(handled_, 1);
 }
 
-TEST_F(HttpServerTest, PiecesOfOneTurnAndTheEndArriveWhole) {
+TEST_F(HttpServerTest, ChunksOfOneTurnArriveComplete) {
   handler_ = [](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
     writer->StartStream({});
     for (int k = 0; k < 3; ++k) writer->WriteChunk("p" + std::to_string(k));
@@ -235,7 +235,7 @@
               HasSubstr("2\r\np0\r\n2\r\np1\r\n2\r\np2\r\n2\r\np3\r\n0\r\n\r\n"));
 }
 
-TEST_F(HttpServerTest, SlowReaderHoldsBackTheWriterUntilItReads) {
+TEST_F(HttpServerTest, SlowReaderAppliesBackpressure) {
   constexpr size_t kPiece = 64UL * 1024;
   limits_.max_buffered_bytes = 4 * kPiece;
   limits_.body_timeout = std::chrono::seconds(10);
@@ -268,7 +268,7 @@
   EXPECT_GT(socket.ReadUntil(runtime_.get(), "\r\n0\r\n\r\n").size(), written);
 }
 
-TEST_F(HttpServerTest, CallerThatTakesNothingIsCut) {
+TEST_F(HttpServerTest, StalledCallerIsDisconnected) {
   bool gone = false;
   handler_ = [&gone](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
     writer->OnCallerDisconnected([&gone, writer] { gone = true; });
@@ -282,7 +282,7 @@
   EXPECT_EQ(server_->open_connections(), 0u);
 }
 
-TEST_F(HttpServerTest, CallerGoneWhileStreamingIsNoticed) {
+TEST_F(HttpServerTest, DisconnectWhileStreamingIsReported) {
   bool gone = false;
   std::weak_ptr<http::ResponseWriter> held;
   handler_ = [&](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
@@ -302,7 +302,7 @@
   EXPECT_EQ(server_->open_connections(), 0u);
 }
 
-TEST_F(HttpServerTest, CallbackHoldingTheWriterIsReleasedWhenTheAnswerEnds) {
+TEST_F(HttpServerTest, DisconnectCallbackIsReleasedAfterResponse) {
   std::weak_ptr<http::ResponseWriter> held;
   handler_ = [&](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
     held = writer;
@@ -316,7 +316,7 @@
   EXPECT_TRUE(held.expired());
 }
 
-TEST_F(HttpServerTest, ConnectionsOverTheLimitAreClosed) {
+TEST_F(HttpServerTest, ClosesConnectionsOverLimit) {
   limits_.max_connections = 2;
   limits_.header_timeout = std::chrono::seconds(10);
   Listen();
@@ -328,7 +328,7 @@
   EXPECT_EQ(server_->open_connections(), 2u);
 }
 
-TEST_F(HttpServerTest, FieldThatWouldSplitTheAnswerIsNotSent) {
+TEST_F(HttpServerTest, RejectsResponseSplittingField) {
   handler_ = [](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
     http::Response response;
     response.headers.Add("X-Note", "a\r\nX-Injected: b");
@@ -340,7 +340,7 @@
   EXPECT_THAT(answer, Not(HasSubstr("X-Injected")));
 }
 
-TEST_F(HttpServerTest, DrainEndsRunningAnswersAndClosesIdleConnections) {
+TEST_F(HttpServerTest, DrainCompletesResponsesAndClosesIdleConnections) {
   std::shared_ptr<http::ResponseWriter> running;
   handler_ = [&](const http::Request& request, std::shared_ptr<http::ResponseWriter> writer) {
     if (request.target == "/wait") {
@@ -368,7 +368,7 @@
                                  std::chrono::seconds(5)));
 }
 
-TEST_F(HttpServerTest, ExpectContinueIsAnsweredBeforeTheBody) {
+TEST_F(HttpServerTest, SendsContinueBeforeBody) {
   Listen();
   RawSocket socket = Connect();
   socket.Send(runtime_.get(),
--- a/src/posthatch/net/fault_injection-test.cc
+++ b/src/posthatch/net/fault_injection-test.cc
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-TEST(FaultRulesTest, ReadsEveryRule) {
+TEST(FaultRulesTest, ParsesEveryRule) {
   const auto rules = ParseFaultRules(
       R"({"drop_to": ["10.0.0.1:1"], "drop_from": ["10.0.0.2"],
           "delay_to": [{"endpoint": "10.0.0.3:3", "ms": 20}],
@@ -29,7 +29,7 @@
   EXPECT_FALSE(faults.disk_full());
 }
 
-TEST(FaultRulesTest, RefusesEverythingElse) {
+TEST(FaultRulesTest, RejectsEverythingElse) {
   for (const char* text :
        {"", "[]", "{", R"({"drop": []})", R"({"drop_to": "x"})", R"({"drop_to": [1]})",
         R"({"delay_to": [{"endpoint": "x"}]})", R"({"delay_to": [{"endpoint": "x", "ms": -1}]})",
@@ -93,7 +93,7 @@
   runtime::Duration took_;
 };
 
-TEST_F(HttpFaultTest, ConnectHangsUntilItsTimeout) {
+TEST_F(HttpFaultTest, PartitionedConnectTimesOut) {
   for (const bool to : {true, false}) {
     Partition(to, !to);
     const http::CallError error = Call();
@@ -106,7 +106,7 @@
   EXPECT_TRUE(Call().status.ok());
 }
 
-TEST_F(HttpFaultTest, KeptConnectionGoesSilent) {
+TEST_F(HttpFaultTest, PartitionedPooledConnectionTimesOut) {
   ASSERT_TRUE(Call().status.ok());
   Partition(true, false);  // the request is lost on its way
   EXPECT_EQ(Call().status.code(), absl::StatusCode::kDeadlineExceeded);
--- a/src/posthatch/server/command_line-test.cc
+++ b/src/posthatch/server/command_line-test.cc
@@ -145,7 +145,7 @@
   return request;
 }
 
-TEST_F(CommandLineTest, BadSettingsExitWithTwoAndStartNothing) {
+TEST_F(CommandLineTest, InvalidSettingsExitWithTwo) {
   std::filesystem::create_directories(folder_ + "/data");
   EXPECT_EQ(RunGateway({"--zone", "not a zone"}), kExitBadSettings);
   EXPECT_EQ(RunGateway({"--data-folder", folder_}), kExitBadSettings);  // of controllers
@@ -161,7 +161,7 @@
   EXPECT_EQ(script_.started, 0);
 }
 
-TEST_F(CommandLineTest, CheckConfigStartsNothing) {
+TEST_F(CommandLineTest, CheckConfigStartsNoProcess) {
   EXPECT_EQ(RunGateway({"--check-config"}), kExitOk);
   EXPECT_EQ(Run({"settings-table"}), kExitOk);
   EXPECT_EQ(script_.started, 0);
@@ -172,7 +172,7 @@
   EXPECT_EQ(RunGateway(), kExitStartFailed);
 }
 
-TEST_F(CommandLineTest, CommonEndpointsAnswerAndTheRestGoesToTheProcess) {
+TEST_F(CommandLineTest, ServesCommonEndpointsAndDelegatesOthers) {
   // SHA-256 of "secret".
   constexpr const char* kSecret =
       "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
@@ -200,7 +200,7 @@
   EXPECT_EQ(answers_[9], "404 the process");
 }
 
-TEST_F(CommandLineTest, FaultsAreInjectedInARehearsalOnly) {
+TEST_F(CommandLineTest, FaultInjectionNeedsFlag) {
   script_.ready = false;
   script_.on_start = [this](runtime::Runtime* runtime, const std::string& endpoint) {
     SendAll(runtime, endpoint,
@@ -220,7 +220,7 @@
   EXPECT_THAT(answers_[2], StartsWith("200"));
 }
 
-TEST_F(CommandLineTest, DrainWaitsForRunningAnswers) {
+TEST_F(CommandLineTest, DrainWaitsForResponsesInProgress) {
   runtime::MonotonicTime signalled;
   runtime::Clock* clock = nullptr;
   script_.on_start = [&](runtime::Runtime* runtime, const std::string& endpoint) {
--- a/src/posthatch/server/platform_fleet-test.cc
+++ b/src/posthatch/server/platform_fleet-test.cc
@@ -47,14 +47,14 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, PlatformFleetTest, testing::Range<uint64_t>(1, 4));
 
-TEST_P(PlatformFleetTest, ChangesComeIntoForceDuringARollOut) {
+TEST_P(PlatformFleetTest, ChangesComeIntoForceDuringRollout) {
   fleet_.NameRevision(2);
   ChangeRepeatedly(2, 9, milliseconds(400));
   fleet_.RunAndWatch(seconds(4));
   ExpectAllInForce(9);
 }
 
-TEST_P(PlatformFleetTest, ChangesComeIntoForceAfterTheLeaderIsKilledAndTheCoreIsCut) {
+TEST_P(PlatformFleetTest, ChangesComeIntoForceAfterLeaderKillAndPartition) {
   fleet_.NameRevision(2);
   ChangeRepeatedly(2, 3, milliseconds(300));
   simulation::SimHost* leader = fleet_.Leader();
@@ -76,7 +76,7 @@
   ExpectAllInForce(11);
 }
 
-TEST_P(PlatformFleetTest, TheListIsReadByFewWhileTheCoreIsCutOff) {
+TEST_P(PlatformFleetTest, FewGatewaysReadInventoryWhileControllersArePartitioned) {
   for (const simulation::SimHost* controller : fleet_.controller_hosts) {
     fleet_.world.Partition(controller->name(), "list");
   }
--- a/src/posthatch/server/settings/settings_loader-test.cc
+++ b/src/posthatch/server/settings/settings_loader-test.cc
@@ -37,7 +37,7 @@
   return Texts(LoadGatewaySettings({"g.toml", text, std::move(flags)}, settings));
 }
 
-TEST(SettingsLoaderTest, FillsWhatIsGivenAndKeepsDefaultsOfTheRest) {
+TEST(SettingsLoaderTest, SetsGivenValuesAndKeepsDefaults) {
   GatewaySettings settings;
   ASSERT_THAT(LoadGateway(std::string(kGateway) +
                               "drain_deadline_ms = 1500\nlog_level = \"debug\"\n"
@@ -56,7 +56,7 @@
   EXPECT_EQ(settings.session_renew_interval, GatewaySettings().session_renew_interval);
 }
 
-TEST(SettingsLoaderTest, FlagsOverrideTheFile) {
+TEST(SettingsLoaderTest, FlagsOverrideFile) {
   GatewaySettings settings;
   ASSERT_THAT(LoadGateway(kGateway, &settings,
                           {{"node.zone", "eu-1b"},
@@ -68,7 +68,7 @@
   EXPECT_EQ(settings.limits.max_connections, 7u);
 }
 
-TEST(SettingsLoaderTest, TellsEveryErrorWithFileLineKeyAndRange) {
+TEST(SettingsLoaderTest, ReportsEveryErrorWithFileLineKeyAndRange) {
   GatewaySettings settings;
   settings.node.zone = "untouched";
   const auto errors = LoadGateway(R"([node]
@@ -106,7 +106,7 @@
   EXPECT_EQ(settings.node.zone, "untouched");
 }
 
-TEST(SettingsLoaderTest, SwitchesAreOnOrOffAndOnUnlessSaid) {
+TEST(SettingsLoaderTest, SwitchesAreOnByDefault) {
   GatewaySettings settings;
   EXPECT_THAT(LoadGateway(kGateway, &settings), ElementsAre());
   EXPECT_TRUE(settings.routing.index);
@@ -121,7 +121,7 @@
               ElementsAre(HasSubstr("routing.magic: unknown setting")));
 }
 
-TEST(SettingsLoaderTest, TellsWhereTheFileIsNoToml) {
+TEST(SettingsLoaderTest, ReportsPositionOfTomlError) {
   GatewaySettings settings;
   EXPECT_THAT(LoadGateway("[node]\nzone = \n", &settings),
               ElementsAre(StartsWith("g.toml:2: not TOML: ")));
@@ -134,7 +134,7 @@
                           "node.internal_endpoint"));
 }
 
-TEST(SettingsLoaderTest, ControllerNeedsADataFolder) {
+TEST(SettingsLoaderTest, ControllerNeedsDataFolder) {
   ControllerSettings settings;
   EXPECT_THAT(Texts(LoadControllerSettings({"c.toml", kGateway, {}}, &settings)),
               ElementsAre(StartsWith("c.toml: node.data_folder: missing")));
@@ -145,7 +145,7 @@
 }
 
 // Each number of the table takes its bounds and nothing beyond them, and its default lies within.
-TEST(SettingsTableTest, BoundsOfEveryNumberHold) {
+TEST(SettingsTableTest, EnforcesBoundsOfEveryNumber) {
   int numbers = 0;
   for (const SettingDescription& setting : SettingsTable()) {
     if (setting.maximum == 0) continue;
@@ -169,7 +169,7 @@
   EXPECT_GE(numbers, 14);
 }
 
-TEST(SettingsTableTest, NamesAreUniqueSinceTheyAreFlags) {
+TEST(SettingsTableTest, NamesAreUnique) {
   absl::flat_hash_set<std::string> flags;
   for (const SettingDescription& setting : SettingsTable()) {
     EXPECT_TRUE(flags.insert(setting.Flag()).second) << setting.Flag();
--- a/src/posthatch/simulation/sim_disk-test.cc
+++ b/src/posthatch/simulation/sim_disk-test.cc
@@ -28,7 +28,7 @@
   SimDisk disk_{&random_};
 };
 
-TEST_F(SimDiskTest, OnlySyncedContentAndSyncedEntriesOutliveAPowerLoss) {
+TEST_F(SimDiskTest, OnlySyncedDataSurvivesPowerLoss) {
   Apply(Kind::kCreateDirectory, "log/a");
   Apply(Kind::kAppend, "log/a/1", "one");
   Apply(Kind::kSync, "log/a/1");
@@ -49,7 +49,7 @@
   EXPECT_EQ(Content("log/2"), "missing") << "content synced, entry not";
 }
 
-TEST_F(SimDiskTest, UnsyncedTailMayKeepAnyPrefix) {
+TEST_F(SimDiskTest, UnsyncedTailKeepsRandomPrefix) {
   std::set<std::string> seen;
   for (int round = 0; round < 100; ++round) {
     disk_.Wipe();
@@ -63,7 +63,7 @@
   EXPECT_EQ(seen, (std::set<std::string>{"ab", "abc", "abcd"}));
 }
 
-TEST_F(SimDiskTest, UnsyncedRenameAndRemoveAreUndone) {
+TEST_F(SimDiskTest, PowerLossUndoesUnsyncedRenameAndRemove) {
   Apply(Kind::kAppend, "old", "old");
   Apply(Kind::kAppend, "gone", "kept");
   Apply(Kind::kSync, "old");
@@ -92,7 +92,7 @@
   EXPECT_EQ(disk_.ListDirectory("").value(), (std::vector<std::string>{"a", "b"}));
 }
 
-TEST_F(SimDiskTest, FullDiskRefusesGrowth) {
+TEST_F(SimDiskTest, FullDiskRejectsGrowth) {
   Apply(Kind::kAppend, "f", "data");
   disk_.set_full(true);
   EXPECT_TRUE(absl::IsResourceExhausted(disk_.Apply(Operation(Kind::kAppend, "f", "more"))));
@@ -104,7 +104,7 @@
 class SimFileSystemTest : public testing::TestWithParam<uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, SimFileSystemTest, testing::Range<uint64_t>(1, 21));
 
-TEST_P(SimFileSystemTest, BatchesCompleteInOrderAndACrashLeavesAPrefix) {
+TEST_P(SimFileSystemTest, CrashLeavesPrefixOfBatch) {
   SimWorld world(GetParam());
   SimHost* host = world.AddHost("a", "z", "10.0.0.1");
   host->SetBoot([](runtime::Runtime*) { return std::make_shared<int>(0); });
--- a/src/posthatch/simulation/sim_http-test.cc
+++ b/src/posthatch/simulation/sim_http-test.cc
@@ -81,7 +81,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SimHttpTest, testing::Range<uint64_t>(1, 21));
 
-TEST_P(SimHttpTest, KeptConnectionsAreReusedUnlessAFreshOneIsAsked) {
+TEST_P(SimHttpTest, ReusesConnectionUnlessFreshIsRequested) {
   for (int i = 0; i < 3; ++i) {
     Observed observed;
     http::CallOptions options;
@@ -95,7 +95,7 @@
   EXPECT_NE(connections_[1], connections_[2]);
 }
 
-TEST_P(SimHttpTest, StreamedAnswerEndsProperlyOrIsSeenCut) {
+TEST_P(SimHttpTest, StreamIsCompleteOrReportedTruncated) {
   for (const bool abort : {false, true}) {
     Observed observed;
     const auto call = Call(&observed, "/stream");
@@ -119,7 +119,7 @@
   }
 }
 
-TEST_P(SimHttpTest, RefusedWhenNothingListensAndTimedOutWhenDeadOrCut) {
+TEST_P(SimHttpTest, RefusedWithoutListenerAndTimesOutWhenUnreachable) {
   server_->Crash();
   Observed refused;
   const auto first = Call(&refused, "/echo");
@@ -147,7 +147,7 @@
   EXPECT_TRUE(requests_.empty());
 }
 
-TEST_P(SimHttpTest, CrashOfTheServerIsSeenByTheCaller) {
+TEST_P(SimHttpTest, ServerCrashIsReported) {
   Observed before_head;
   Observed in_stream;
   const auto first = Call(&before_head, "/wait");
@@ -167,7 +167,7 @@
   EXPECT_TRUE(absl::IsDataLoss(in_stream.error->status));
 }
 
-TEST_P(SimHttpTest, SilenceRunsIntoHeadAndPieceTimeouts) {
+TEST_P(SimHttpTest, UnresponsiveServerHitsHeadAndBodyTimeouts) {
   http::CallOptions options;
   options.head_timeout = seconds(2);
   options.body_idle_timeout = seconds(1);
@@ -193,7 +193,7 @@
   EXPECT_TRUE(gone) << "the close travels the other way";
 }
 
-TEST_P(SimHttpTest, CancelTellsTheServerAndSilencesTheCall) {
+TEST_P(SimHttpTest, CancelNotifiesServerAndStopsCallbacks) {
   Observed observed;
   auto call = Call(&observed, "/wait");
   world_.RunFor(milliseconds(100));
@@ -207,7 +207,7 @@
   EXPECT_EQ(observed.events, "");
 }
 
-TEST_P(SimHttpTest, FrozenServerAcceptsAndAnswersAfterWaking) {
+TEST_P(SimHttpTest, FrozenServerAcceptsAndRespondsAfterThaw) {
   server_->Freeze();
   Observed observed;
   const auto call = Call(&observed, "/echo");
@@ -219,7 +219,7 @@
   EXPECT_EQ(observed.events, "h200 body end");
 }
 
-TEST_P(SimHttpTest, FrozenClientFindsItsTimeoutOrItsAnswerOnWaking) {
+TEST_P(SimHttpTest, FrozenClientGetsTimeoutOrResponseAfterThaw) {
   Observed observed;
   const auto call = Call(&observed, "/wait");
   world_.RunFor(milliseconds(100));
@@ -232,7 +232,7 @@
   EXPECT_TRUE(observed.ended || absl::IsDeadlineExceeded(observed.error->status));
 }
 
-TEST_P(SimHttpTest, PausedReaderPushesBack) {
+TEST_P(SimHttpTest, StoppedReaderAppliesBackpressure) {
   Observed observed;
   const auto call = Call(&observed, "/stream");
   world_.RunFor(milliseconds(100));
@@ -258,7 +258,7 @@
   EXPECT_EQ(observed.events.size(), std::string("h200 end").size() + 32 * (chunk.size() + 1));
 }
 
-TEST_P(SimHttpTest, DrainingServerEndsRunningAnswersAndRefusesNewConnections) {
+TEST_P(SimHttpTest, DrainCompletesResponsesAndRefusesConnections) {
   Observed running;
   const auto first = Call(&running, "/wait");
   world_.RunFor(milliseconds(100));
--- a/src/posthatch/simulation/sim_world-test.cc
+++ b/src/posthatch/simulation/sim_world-test.cc
@@ -61,7 +61,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SimWorldTest, testing::Range<uint64_t>(1, 21));
 
-TEST_P(SimWorldTest, StreamsKeepOrderAndDatagramsNeedNot) {
+TEST_P(SimWorldTest, StreamsAreOrderedAndDatagramsAreNot) {
   for (int i = 0; i < 200; ++i) {
     Send("a", "b", std::to_string(i), Delivery::kStream);
     Send("a", "c", std::to_string(i), Delivery::kDatagram);
@@ -73,7 +73,7 @@
   EXPECT_FALSE(std::is_sorted(RecorderOf("c")->received.begin(), RecorderOf("c")->received.end()));
 }
 
-TEST_P(SimWorldTest, LossAndDuplicationHitDatagrams) {
+TEST_P(SimWorldTest, DatagramsAreLostAndDuplicated) {
   NetworkBehaviour behaviour;
   behaviour.loss = 0.2;
   behaviour.duplication = 0.1;
@@ -86,7 +86,7 @@
   EXPECT_GT(received.size(), distinct + 30);
 }
 
-TEST_P(SimWorldTest, CutIsOneWayAndAHealedStreamGoesOn) {
+TEST_P(SimWorldTest, PartitionIsOneWayAndStreamContinuesAfterHeal) {
   world_.Partition("a", "b");
   Send("a", "b", "datagram", Delivery::kDatagram);
   Send("a", "b", "stream", Delivery::kStream);
@@ -99,7 +99,7 @@
   EXPECT_EQ(RecorderOf("b")->received, std::vector<std::string>{"stream"});
 }
 
-TEST_P(SimWorldTest, StreamBreaksWhenACutLastsAndIsRemade) {
+TEST_P(SimWorldTest, LongPartitionBreaksStreamAndItReconnects) {
   world_.Partition("a", "b");
   Send("a", "b", "lost", Delivery::kStream);
   world_.RunFor(seconds(20));
@@ -121,7 +121,7 @@
   EXPECT_EQ(RecorderOf("b")->received.size(), 1u);
 }
 
-TEST_P(SimWorldTest, CrashDestroysTheProcessAndTheNextLifeHearsNothingOld) {
+TEST_P(SimWorldTest, NewProcessGetsNoCallbacksOfCrashedOne) {
   const uint64_t first_incarnation = Host("b")->runtime()->transport->incarnation();
   Send("a", "b", "before", Delivery::kStream);
   world_.RunFor(seconds(1));
@@ -140,7 +140,7 @@
   EXPECT_EQ(RecorderOf("b")->received, std::vector<std::string>{"after"});
 }
 
-TEST_P(SimWorldTest, FrozenHostRunsNothingAndWakesLate) {
+TEST_P(SimWorldTest, FrozenHostRunsCallbacksAfterThaw) {
   world_.RunFor(milliseconds(250));
   Host("b")->Freeze();
   const size_t ticks = RecorderOf("b")->ticks.size();
@@ -161,7 +161,7 @@
   EXPECT_GT(RecorderOf("b")->received.size(), 10u);
 }
 
-TEST_P(SimWorldTest, TimerCancelledOnWakingDoesNotRun) {
+TEST_P(SimWorldTest, TimerCancelledAfterThawDoesNotRun) {
   int runs = 0;
   runtime::Runtime* runtime = Host("a")->runtime();
   runtime::Timer first(runtime->timers);
@@ -178,7 +178,7 @@
   EXPECT_EQ(runs, 1);
 }
 
-TEST_P(SimWorldTest, WallClockJumpLeavesTheMonotonicClock) {
+TEST_P(SimWorldTest, WallClockJumpKeepsMonotonicClock) {
   runtime::Runtime* runtime = Host("a")->runtime();
   const int64_t wall = runtime->clock->WallNanoseconds();
   const runtime::MonotonicTime now = runtime->clock->Now();
@@ -194,7 +194,7 @@
   EXPECT_FALSE(Host("a")->running());
 }
 
-TEST_P(SimWorldTest, AnotherHostTakesAnAddressOver) {
+TEST_P(SimWorldTest, LaterHostTakesOverAddress) {
   SimHost* successor = world_.AddHost("d", "zone", Host("b")->ip());
   successor->SetBoot([this](runtime::Runtime* runtime) {
     auto recorder = std::make_shared<Recorder>(runtime);
@@ -264,7 +264,7 @@
   EXPECT_NE(original.second, later.second);
 }
 
-TEST(TraceHashTest, EqualSeedsGiveEqualRunsAndOthersDiffer) {
+TEST(TraceHashTest, TraceHashDependsOnSeed) {
   std::set<uint64_t> hashes;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     const uint64_t hash = HashOfScenario(seed);
