--- a/src/posthatch/ctl/ctl-test.cc
+++ b/src/posthatch/ctl/ctl-test.cc
@@ -66,7 +66,7 @@
   EXPECT_EQ(RenderOutput("not json", OutputFormat::kTable), "not json\n");
 }
 
-// Two nodes that answer as the test says, and the tool on a third machine.
+// Two nodes with responses set by the test, and the tool on a third machine.
 class CommandRunnerTest : public testing::Test {
  protected:
   CommandRunnerTest() : world_(1) {
--- a/src/posthatch/gateway/delivery-test.cc
+++ b/src/posthatch/gateway/delivery-test.cc
@@ -2,7 +2,7 @@
 
 #include "posthatch/gateway/gateway_fixture-test.h"
 
-// Non-repeatable operations: one run at most, and honest answers (invariants N1, N2, N10).
+// Non-idempotent operations: at most one run, and correct `executed` values (N1, N2, N10).
 namespace posthatch::gateway {
 namespace {
 
@@ -71,7 +71,7 @@
   StartGateway();
   control.hold = true;
   const auto writer = Place("k");
-  clock.now += std::chrono::seconds(20);  // no timer runs while frozen
+  clock.now += std::chrono::seconds(20);  // timers don't run during a freeze
   control.hold = false;
   control.Release();
   EXPECT_TRUE(client.calls.empty());
--- a/src/posthatch/gateway/gateway-bench.cc
+++ b/src/posthatch/gateway/gateway-bench.cc
@@ -4,7 +4,7 @@
 #include "posthatch/gateway/sse_stream_checker.h"
 #include "posthatch/gateway/stream_relay.h"
 
-// Processor time of the data plane without the network: decisions, relaying, and whole requests.
+// CPU time of the request path without the network: decisions, relaying, complete requests.
 namespace posthatch::gateway {
 namespace {
 
@@ -36,7 +36,7 @@
 }
 BENCHMARK(BM_Route)->Arg(18)->Arg(100)->Arg(1000)->Arg(10000);
 
-// Checking and forwarding one streamed piece; items are pieces.
+// Validating and forwarding one streamed event; items are events.
 void BM_RelayPiece(benchmark::State& state) {
   FakeCall call;
   call.request.headers.Add("X-Request-Id", "id-1");
@@ -52,7 +52,7 @@
 }
 BENCHMARK(BM_RelayPiece);
 
-// A whole completion from the caller's request to its answer, with fakes for both connections.
+// A completion from the caller's request to its response, with fakes for both connections.
 void BM_WholeRequest(benchmark::State& state) {
   FakeFleet fleet;
   fleet.view.fleet.mutable_configuration()->mutable_routing()->set_max_requests_per_worker(1000);
@@ -68,7 +68,7 @@
 }
 BENCHMARK(BM_WholeRequest);
 
-// Putting a changed list in force, with one evacuation.
+// Applying a changed inventory, with one evacuation.
 void BM_UpdateDirectory(benchmark::State& state) {
   FakeFleet fleet;
   for (int64_t number = 5; number <= state.range(0); ++number) {
--- a/src/posthatch/gateway/gateway_fakes-test.h
+++ b/src/posthatch/gateway/gateway_fakes-test.h
@@ -14,7 +14,7 @@
 #include "posthatch/gateway/gateway.h"
 #include "posthatch/gateway/key_digest.h"
 
-// Fakes of everything that a Gateway touches, driven by the test or benchmark.
+// Fakes of everything that a Gateway depends on, driven by the test or benchmark.
 namespace posthatch::gateway {
 
 class FakeClock : public runtime::Clock {
@@ -34,7 +34,7 @@
   void Cancel(runtime::TimerId id) override {
     std::erase_if(timers_, [id](const auto& timer) { return timer.first.second == id; });
   }
-  // Runs what falls due while `duration` passes.
+  // Advances the clock by `duration` and runs the timers that are due.
   void Advance(runtime::Duration duration) {
     const runtime::MonotonicTime until = clock_->now + duration;
     while (!timers_.empty() && timers_.begin()->first.first <= until) {
@@ -51,7 +51,7 @@
   std::map<std::pair<runtime::MonotonicTime, runtime::TimerId>, std::function<void()>> timers_;
 };
 
-// One call of the gateway to a back end, answered by the test.
+// One call of the gateway to a back end; the test sends the response.
 struct FakeCall {
   std::string endpoint;
   http::Request request;
@@ -59,7 +59,7 @@
   http::CallObserver observer;
   bool cancelled = false;
   bool paused = false;
-  int cached_blocks = 0;  // of the heads
+  int cached_blocks = 0;  // X-Worker-Cached-Blocks of its heads
 
   std::string Field(std::string_view name) const { return std::string(request.headers.Get(name)); }
   void Head(int status = 200, uint64_t epoch = 1) const {
@@ -177,7 +177,7 @@
   const control::FleetState& state() const override { return fleet; }
   runtime::Duration InventoryAge() const override { return inventory_age; }
   void AddListener(Listener listener) override { listeners_.push_back(std::move(listener)); }
-  // Every section has changed.
+  // Notifies the listeners that every section has changed.
   void Changed() {
     ++index_;
     fleet.set_configuration_index(index_);
@@ -197,7 +197,7 @@
   std::vector<Listener> listeners_;
 };
 
-// The delivery records as the log keeps them. With `hold` the answers wait for Release().
+// The delivery records as in the log. With `hold`, results wait for Release().
 class FakeControl : public control::ControlClient {
  public:
   void Propose(control::Command command, runtime::Duration, bool, ProposeDone done) override {
@@ -230,7 +230,7 @@
   std::map<std::string, control::DeliveryRecord> records;  // by idempotency key
   int proposals = 0;
   bool hold = false;
-  int lost_answers = 0;  // of the next proposals, which are applied all the same
+  int lost_answers = 0;  // the next proposals are applied, but their results are lost
   bool fail_finish = false;
 
  private:
@@ -278,8 +278,8 @@
 };
 
 // A gateway in zone "a" with tenants "one" (key "key-one") and "two", model "m", service "lobby"
-// with the non-repeatable operation "place" and the repeatable "ask", four workers, two in each
-// zone, and two service back ends. All are past their slow start.
+// with the non-idempotent operation "place" and the idempotent "ask", two workers in each of two
+// zones, and two service back ends. All are past their slow start.
 struct FakeFleet {
   FakeFleet() : timers(&clock), view(&clock) {
     runtime.clock = &clock;
--- a/src/posthatch/gateway/gateway_world-test.cc
+++ b/src/posthatch/gateway/gateway_world-test.cc
@@ -8,8 +8,8 @@
 #include "posthatch/emulator/service_emulator.h"
 #include "posthatch/gateway/gateway_fakes-test.h"
 
-// Two gateways before stand-ins that do everything wrong, under the load of a deployment, in the
-// simulator by seed. The log is a fake that answers after a random time; everything else is real.
+// Two gateways in front of emulators that inject every fault, under the load of a deployment, in
+// the simulator. The log is a fake with random delays; everything else is real.
 namespace posthatch::gateway {
 namespace {
 
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Applies at the far end of a link: the answer of a process that ends or freezes is lost or late.
+// Applied after a link delay: results for an ended or frozen process are lost or delayed.
 class DelayedControl : public control::ControlClient {
  public:
   DelayedControl(runtime::Runtime* runtime, FakeControl* log) : runtime_(runtime), log_(log) {}
@@ -81,7 +81,7 @@
     worker.answers_late_ms = 200;
     worker.answers_late_share = worker.answers_twice_share = worker.answers_crossed_share = 0.02;
     worker.answers_crossed_body_share = worker.cut_share = worker.cut_clean_share = 0.02;
-    // A left out last piece can't be seen: nothing in a stream says how many there are.
+    // A missing last piece is undetectable: streams don't state their length.
     worker.repeated_piece_share = 0.02;
     worker.cut_at_piece = 2;
     for (int number = 1; number <= 4; ++number) {
@@ -123,7 +123,7 @@
     return host;
   }
 
-  // Faults of a gateway and of back ends, and the load through all of it.
+  // Faults of a gateway and of back ends, under continuous load.
   void RunLoad() {
     StartBackends();
     simulation::SimHost* const first = StartGateway("gateway-1");
--- a/src/posthatch/gateway/limits-test.cc
+++ b/src/posthatch/gateway/limits-test.cc
@@ -2,7 +2,7 @@
 
 #include "posthatch/gateway/gateway_fixture-test.h"
 
-// Who is let in, where work may go, and how often it may be tried again.
+// Admission, eligibility of back ends, and retries.
 namespace posthatch::gateway {
 namespace {
 
@@ -79,7 +79,7 @@
 
 TEST_F(LimitsTest, DrainingAndEvacuatedWorkersGetNoWork) {
   StartGateway();
-  locator.holders = {{"w1", 1, 4}};  // whatever the index says
+  locator.holders = {{"w1", 1, 4}};  // although the index has holders
   Complete();
   EXPECT_EQ(LastCall().endpoint, "w1:80");
   view.fleet.mutable_inventory()->mutable_backends(0)->set_draining(true);
@@ -128,7 +128,7 @@
   EXPECT_FALSE(budget.TryRetry(0.2));
 }
 
-// Sends `count` requests, 20 a second, that are answered at once; how many went to `endpoint`.
+// Sends `count` requests at 20/s with immediate responses; returns how many got to `endpoint`.
 class ShareTest : public GatewayTest {
  protected:
   int Share(const std::string& endpoint, int count) {
@@ -158,7 +158,7 @@
   for (uint64_t epoch : {1, 2}) {
     Complete();
     ASSERT_EQ(LastCall().endpoint, "w1:80");
-    LastCall().Head(200, epoch);  // the second one is new: the worker is cold
+    LastCall().Head(200, epoch);  // a new epoch: the worker has lost its cache
     LastCall().Error(http::CallProgress::kHeadReceived);
   }
   locator.holders.clear();
@@ -180,7 +180,7 @@
 TEST_F(LimitsTest, FullHolderOverflowsInsteadOfShedding) {
   view.fleet.mutable_configuration()->mutable_routing()->set_max_requests_per_worker(10);
   StartGateway();
-  // So long a prefix that the holder is worth waiting for.
+  // A prefix long enough that queueing at the holder is cheaper than prefill.
   locator.holders = {{"w1", 1, 100}};
   const std::string body =
       absl::StrCat(R"({"model":"m","prompt":")", std::string(1600, 'p'), "\"}");
@@ -199,7 +199,7 @@
       absl::StrCat(R"({"model":"m","stream":true,"prompt":")", std::string(1600, 'p'), "\"}");
   Send("/v1/completions", body);
   ASSERT_EQ(LastCall().endpoint, "w1:80");
-  timers.Advance(std::chrono::seconds(2));  // others fill it
+  timers.Advance(std::chrono::seconds(2));  // other gateways use its capacity
   LastCall().cached_blocks = 100;
   LastCall().Head();
   LastCall().Piece(LastCall().Event(0));
@@ -224,7 +224,7 @@
   StartGateway();
   EXPECT_TRUE(client.calls.empty());
   view.inventory_age = std::chrono::seconds(3);
-  EXPECT_TRUE(Complete()->Says("no_lease"));  // too old, and not asked for yet
+  EXPECT_TRUE(Complete()->Says("no_lease"));  // too old, and no new reading yet
   timers.Advance(std::chrono::milliseconds(700));
   ASSERT_FALSE(client.calls.empty());
   ASSERT_EQ(LastCall().endpoint, "inventory:80");
@@ -249,7 +249,7 @@
 
 TEST_F(LimitsTest, FetchIsPlannedOnlyOverFastLink) {
   StartGateway();
-  // The holder is busy: the request goes elsewhere and takes the blocks along.
+  // The holder is busy: another worker gets the request and fetches the blocks.
   view.fleet.mutable_configuration()->mutable_routing()->set_max_requests_per_worker(1);
   view.Changed();
   locator.holders = {{"w1", 1, 4}};
@@ -264,7 +264,7 @@
   EXPECT_FALSE(links.FetchIsWorthwhile("w1", "w2"));
   EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w3"));
   clock.now += std::chrono::minutes(1);
-  EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w2"));  // tried again
+  EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w2"));  // measured again
 }
 
 TEST_F(LimitsTest, BlockSeedDependsOnRevisionAndIsolation) {
@@ -279,7 +279,7 @@
   Complete();
   const std::string own = LastCall().Field("X-Posthatch-Cache-Salt");
   Complete(false, "key-two");
-  // Neither the isolated tenant's blocks nor what it left in the shared domain can be named.
+  // Neither the isolated tenant's blocks nor its former shared blocks are reachable.
   EXPECT_NE(LastCall().Field("X-Posthatch-Cache-Salt"), own);
   EXPECT_NE(LastCall().Field("X-Posthatch-Cache-Salt"), shared);
   control::ModelRevision* revision = view.fleet.add_revisions();
--- a/src/posthatch/gateway/sse_stream_checker-fuzz.cc
+++ b/src/posthatch/gateway/sse_stream_checker-fuzz.cc
@@ -5,8 +5,8 @@
 
 #include "posthatch/gateway/sse_stream_checker.h"
 
-// What is shown of a stream must not depend on how its bytes are cut into chunks, and is always a
-// part from its beginning.
+// The forwarded bytes must not depend on how the stream is split into chunks, and must always be a
+// prefix of the stream.
 namespace {
 
 struct Outcome {
--- a/src/posthatch/gateway/stream-test.cc
+++ b/src/posthatch/gateway/stream-test.cc
@@ -3,13 +3,13 @@
 #include "posthatch/gateway/gateway_fixture-test.h"
 #include "posthatch/gateway/sse_stream_checker.h"
 
-// Whole answers and streams: nothing of another request, of another run, or incomplete.
+// Responses and streams: nothing of another request or run, and nothing incomplete.
 namespace posthatch::gateway {
 namespace {
 
 using AnswerTest = GatewayTest;
 
-// With first attempts enough in the window of the retry budget.
+// With enough first attempts in the retry budget's window.
 class RetryingTest : public GatewayTest {
  protected:
   void Prepare() {
@@ -47,7 +47,7 @@
   const auto crossed = client.calls.back();
   crossed->HeadFor("another attempt");
   EXPECT_EQ(client.calls.size(), 22u);
-  crossed->GoodCompletion();  // what follows, and a second answer, are dropped too
+  crossed->GoodCompletion();  // later events and a second response are dropped too
   EXPECT_EQ(writer->responses, 0);
   timers.Advance(std::chrono::milliseconds(1));
   EXPECT_TRUE(crossed->cancelled);
@@ -178,10 +178,10 @@
       Piece("r", "p", "0"),                 // all of another request
       Piece("r", "q", "1"),                 // the first one is missing
       good + "event: error\ndata: {}\n\n",  // an error of the worker
-      good + "data: {\"id\":\"r\"\n\n",     // cut inside
+      good + "data: {\"id\":\"r\"\n\n",     // truncated
       good + "data: [DONE]\n\ndata: [DONE]\n\n",
       good + "data: [DONE]\n\nx",
-      "data: [DONE]\n\n",  // nothing at all
+      "data: [DONE]\n\n",  // no event
   };
   for (const std::string& stream : bad) {
     SseStreamChecker checker("q");
--- a/src/posthatch/net/asio_file_system-test.cc
+++ b/src/posthatch/net/asio_file_system-test.cc
@@ -143,7 +143,7 @@
   EXPECT_EQ(Run({{.kind = Kind::kFullWrite, .path = "full", .data = "x", .target = {}}}).code(),
             absl::StatusCode::kResourceExhausted);
   EXPECT_TRUE(Run({Append("f", "goes on")}).ok());
-  // An append that can't be cut off again leaves the file uncertain: nothing goes on.
+  // An append that can't be truncated leaves the file uncertain: all later batches fail.
   EXPECT_EQ(Run({Append("full", "x")}).code(), absl::StatusCode::kResourceExhausted);
   EXPECT_EQ(Run({Append("f", "x")}).code(), absl::StatusCode::kInternal);
 }
--- a/src/posthatch/net/asio_runtime-test.cc
+++ b/src/posthatch/net/asio_runtime-test.cc
@@ -116,7 +116,7 @@
   }
 }
 
-// Calls, answers and messages that still run must not outlive the runtime's parts.
+// Pending calls, responses and messages must not outlive the runtime's parts.
 TEST(AsioRuntimeTest, DestroysCleanlyWithPendingWork) {
   AsioRuntimeOptions options;
   options.internal_endpoint = "127.0.0.1:0";
--- a/src/posthatch/net/asio_transport-test.cc
+++ b/src/posthatch/net/asio_transport-test.cc
@@ -18,7 +18,7 @@
 using runtime::Delivery;
 using std::chrono::milliseconds;
 
-// A process with a transport; both of a test run in its thread, by turns.
+// A process with a transport; the two of a test run alternately in its thread.
 class Node {
  public:
   explicit Node(const std::string& node_id, AsioRuntimeOptions options = {}) {
@@ -107,7 +107,7 @@
       &a, b.get(), [&] { return !b->received.empty(); }, std::chrono::seconds(5)));
   const uint64_t first_incarnation = b->transport()->incarnation();
   b.reset();
-  for (int k = 0; k < 5; ++k) {  // into the void: lost, and counted
+  for (int k = 0; k < 5; ++k) {  // no listener: lost and counted
     a.transport()->Send(endpoint, runtime::SERVICE_CONTROL, "lost", Delivery::kStream);
     RunFor(a.runtime(), milliseconds(100));
   }
@@ -116,7 +116,7 @@
   same_endpoint.internal_endpoint = endpoint;
   b = std::make_unique<Node>("b", same_endpoint);
   EXPECT_NE(b->transport()->incarnation(), first_incarnation);
-  RunFor(a.runtime(), milliseconds(1100));  // the longest back-off
+  RunFor(a.runtime(), milliseconds(1100));  // the maximum backoff
   a.Send(b.get(), "after");
   ASSERT_TRUE(RunBoth(
       &a, b.get(), [&] { return !b->received.empty() && b->received.back() == "after"; },
@@ -277,7 +277,7 @@
   EXPECT_EQ(b.received.size(), 1u);
   EXPECT_EQ(a.received, std::vector<std::string>{"other direction"});
   a.faults()->SetRules({});
-  // The connection has lived through the short cut, as a real one does; datagrams are gone.
+  // The connection survives a short partition, as a real one does; datagrams are lost.
   ASSERT_TRUE(RunBoth(
       &a, &b, [&] { return b.received.size() == 2; }, std::chrono::seconds(5)));
   EXPECT_EQ(b.received.back(), "two");
@@ -300,7 +300,7 @@
   ASSERT_TRUE(RunBoth(
       &a, &b, [&] { return b.received.size() == 2; }, std::chrono::seconds(5)));
 
-  // A connection made during the cut loses its messages, and breaks when the cut heals.
+  // A connection opened during the partition loses its messages and breaks on healing.
   Node c("c");
   cut.drop_from.insert(c.endpoint());
   b.faults()->SetRules(cut);
--- a/src/posthatch/net/beast_http_client-test.cc
+++ b/src/posthatch/net/beast_http_client-test.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-// What the callbacks of one call have told.
+// Results of the callbacks of one call.
 struct Outcome {
   std::optional<http::Response> head;
   std::string body;
@@ -51,7 +51,7 @@
     EXPECT_TRUE(runtime_->RunUntil([&outcome] { return outcome.over(); }, std::chrono::seconds(5)));
   }
 
-  // Runs a call against a server that answers `answer` and then closes.
+  // Runs a call against a server that sends `answer` and then closes.
   Outcome CallAnswered(const std::string& answer) {
     RawListener listener;
     Outcome outcome;
@@ -252,7 +252,8 @@
   RawSocket server = listener.Accept(runtime_.get());
   server.ReadUntil(runtime_.get(), "body");
   const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-  server.Send(runtime_.get(), answer + answer);  // a second answer must not go to another call
+  server.Send(runtime_.get(),
+              answer + answer);  // a second response must not be delivered to another call
   Finish(first);
   EXPECT_TRUE(first.ended);
   server.ReadToEnd(runtime_.get());
@@ -271,7 +272,7 @@
   runtime_->RunUntil([&] { return outcome.body == "abc"; }, std::chrono::seconds(5));
   call->StopReading();
   server.Send(runtime_.get(), "def");
-  RunFor(runtime_.get(), milliseconds(300));  // longer than the piece timeout
+  RunFor(runtime_.get(), milliseconds(300));  // longer than body_idle_timeout
   EXPECT_EQ(outcome.body, "abc");
   EXPECT_FALSE(outcome.over());
   call->ResumeReading();
@@ -297,7 +298,7 @@
   EXPECT_FALSE(outcome.over());
 }
 
-// Bytes that wait in the kernel behind a cut must not reach the server after the call was given up.
+// Bytes buffered by the kernel during a partition must not reach the server after the call failed.
 TEST_F(HttpClientTest, CancelledCallResetsConnection) {
   RawListener listener;
   Outcome outcome;
@@ -320,7 +321,7 @@
   EXPECT_TRUE(server.was_reset());
 }
 
-// A kept connection whose server is behind a cut now.
+// A pooled connection whose server is partitioned now.
 TEST_F(HttpClientTest, UndeliveredCallFailsEarlyAndNeverArrives) {
   AsioRuntimeOptions with_faults;
   with_faults.enable_fault_injection = true;
--- a/src/posthatch/net/beast_http_server-test.cc
+++ b/src/posthatch/net/beast_http_server-test.cc
@@ -43,7 +43,7 @@
 
   RawSocket Connect() { return RawSocket::Connect(server_->endpoint()); }
 
-  // What the server answers to `bytes` until it closes or nothing more comes.
+  // The server's response to `bytes`, until it closes or stops sending.
   std::string Exchange(const std::string& bytes) {
     RawSocket socket = Connect();
     socket.Send(runtime_.get(), bytes);
@@ -66,7 +66,7 @@
 struct Garbage {
   std::string name;
   std::string bytes;
-  std::string status;  // empty: closed without an answer
+  std::string status;  // empty: closed without a response
 };
 
 TEST_F(HttpServerTest, MalformedRequestGetsErrorAndServingContinues) {
@@ -256,7 +256,7 @@
       RunFor(runtime_.get(), std::chrono::milliseconds(2));
     }
   };
-  fill();  // what the kernel takes, and then the limit
+  fill();  // the kernel's buffer, and then the limit
   bool writable = false;
   writer->OnWritable([&writable] { writable = true; });
   RunFor(runtime_.get(), std::chrono::milliseconds(50));
--- a/src/posthatch/net/envelope_codec-fuzz.cc
+++ b/src/posthatch/net/envelope_codec-fuzz.cc
@@ -1,4 +1,4 @@
-// Any bytes on the internal port: the same envelopes however the stream is cut, and no buffer
+// Any bytes on the internal port: the same envelopes however the stream is split, and no buffer
 // beyond the limit.
 #include <cstddef>
 #include <cstdint>
--- a/src/posthatch/net/fault_injection-test.cc
+++ b/src/posthatch/net/fault_injection-test.cc
@@ -38,7 +38,7 @@
   }
 }
 
-// HTTP calls through a cut, as seen by the caller.
+// HTTP calls through a partition, as seen by the caller.
 class HttpFaultTest : public ::testing::Test {
  protected:
   HttpFaultTest() {
@@ -108,12 +108,12 @@
 
 TEST_F(HttpFaultTest, PartitionedPooledConnectionTimesOut) {
   ASSERT_TRUE(Call().status.ok());
-  Partition(true, false);  // the request is lost on its way
+  Partition(true, false);  // the request is lost
   EXPECT_EQ(Call().status.code(), absl::StatusCode::kDeadlineExceeded);
   EXPECT_EQ(handled_, 1);
   Partition(false, false);
   ASSERT_TRUE(Call().status.ok());
-  Partition(false, true);  // the answer is lost: it has run
+  Partition(false, true);  // the response is lost: the request was executed
   const http::CallError error = Call();
   EXPECT_EQ(error.status.code(), absl::StatusCode::kDeadlineExceeded);
   EXPECT_EQ(error.progress, http::CallProgress::kSent);
--- a/src/posthatch/net/net-bench.cc
+++ b/src/posthatch/net/net-bench.cc
@@ -17,7 +17,7 @@
   return AsioRuntime::Create(options).value();
 }
 
-// Keeps `concurrency` calls running until `total` have ended.
+// Keeps `concurrency` calls in flight until `total` have ended.
 class Load {
  public:
   Load(runtime::Runtime* runtime, std::string endpoint, int64_t total)
--- a/src/posthatch/net/raw_socket-test.h
+++ b/src/posthatch/net/raw_socket-test.h
@@ -8,24 +8,24 @@
 
 namespace posthatch::net {
 
-// A bare TCP socket on loopback for tests, that can misbehave as no library lets one. Reading runs
-// the event loop under test, in the same thread.
+// A plain TCP socket on loopback that can violate protocols as no library allows. Reading runs the
+// event loop under test, in the same thread.
 class RawSocket {
  public:
-  // Connects to "127.0.0.1:port"; the kernel accepts at once.
+  // Connects to "127.0.0.1:port"; the kernel accepts immediately.
   static RawSocket Connect(const std::string& endpoint);
   explicit RawSocket(int descriptor) : descriptor_(descriptor) {}
   ~RawSocket() { Close(); }
   RawSocket(RawSocket&& other) noexcept : descriptor_(other.descriptor_) { other.descriptor_ = -1; }
   RawSocket& operator=(RawSocket&&) = delete;
 
-  // Sends all of `bytes`, running `runtime` while the peer takes none; stops when the peer has cut
-  // the connection.
+  // Sends all of `bytes`, running `runtime` while the peer reads none; stops when the peer has
+  // closed the connection.
   void Send(AsioRuntime* runtime, std::string_view bytes);
   void ShutdownSend();
   void Close();
 
-  // Runs `runtime` until `text` has come, the connection ends or `limit` has passed; returns
+  // Runs `runtime` until `text` is received, the connection ends or `limit` has passed; returns
   // everything received so far.
   const std::string& ReadUntil(AsioRuntime* runtime, std::string_view text,
                                runtime::Duration limit = std::chrono::seconds(5));
@@ -33,7 +33,7 @@
   const std::string& ReadToEnd(AsioRuntime* runtime,
                                runtime::Duration limit = std::chrono::seconds(5));
   bool ended() const { return ended_; }
-  // The peer ended the connection with a reset: what it had not delivered by then is lost.
+  // Whether the peer reset the connection; undelivered bytes are lost.
   bool was_reset() const { return reset_; }
   void ForgetReceived() { received_.clear(); }
 
@@ -55,9 +55,9 @@
   RawListener& operator=(const RawListener&) = delete;
 
   const std::string& endpoint() const { return endpoint_; }
-  // Runs `runtime` until a connection has come.
+  // Runs `runtime` until a connection is accepted.
   RawSocket Accept(AsioRuntime* runtime);
-  // Whether a connection waits to be accepted, after running `runtime` for `time`.
+  // Whether a connection is pending after running `runtime` for `time`.
   bool ConnectionCame(AsioRuntime* runtime, runtime::Duration time);
 
  private:
--- a/src/posthatch/server/command_line-test.cc
+++ b/src/posthatch/server/command_line-test.cc
@@ -16,7 +16,7 @@
 using ::testing::HasSubstr;
 using ::testing::StartsWith;
 
-// What the process of a test does once it runs, and what it has seen.
+// Script and observations of the process under test.
 struct Script {
   std::function<void(runtime::Runtime*, const std::string& http_endpoint)> on_start;
   absl::Status start_status;
@@ -34,7 +34,7 @@
       : runtime_(runtime), http_endpoint_(std::move(http_endpoint)), script_(script) {}
 
   ~ScriptedProcess() override {
-    // As every component: nothing that hangs on the runtime may outlive it.
+    // As in every component, nothing may outlive the runtime.
     script_->held.clear();
     script_->call.reset();
   }
@@ -108,7 +108,7 @@
     return Run(std::move(arguments));
   }
 
-  // Sends requests one after another, each answered before the next, and then runs `then`.
+  // Sends requests one after another, each after the previous response, and then runs `then`.
   void SendAll(runtime::Runtime* runtime, const std::string& endpoint,
                std::vector<http::Request> requests, const std::function<void()>& then) {
     if (requests.empty()) return then();
@@ -196,7 +196,7 @@
   EXPECT_THAT(answers_[5], StartsWith("400"));
   EXPECT_THAT(answers_[6], StartsWith("400"));
   EXPECT_THAT(answers_[7], StartsWith("405"));
-  EXPECT_EQ(answers_[8], "404 the process");  // no rehearsal
+  EXPECT_EQ(answers_[8], "404 the process");  // no fault injection
   EXPECT_EQ(answers_[9], "404 the process");
 }
 
--- a/src/posthatch/server/platform_fleet-test.cc
+++ b/src/posthatch/server/platform_fleet-test.cc
@@ -3,10 +3,10 @@
 namespace posthatch::server {
 namespace {
 
-// From an acknowledgement until a change is in force, on the platforms that posthatch serves.
+// Time from an acknowledgement until a change is in force, with the platform's processes.
 constexpr runtime::Duration kInForce = seconds(3);
 
-// POSTHATCH_GATEWAYS sets another size than CI's.
+// POSTHATCH_GATEWAYS overrides CI's fleet size.
 PlatformFleetPlan Plan() {
   PlatformFleetPlan plan;
   if (const char* gateways = std::getenv("POSTHATCH_GATEWAYS")) plan.gateways = std::atoi(gateways);
@@ -24,7 +24,7 @@
       EXPECT_EQ(fleet_.VersionAt(host), 1U) << host->name();
     }
   }
-  // Changes, one each `gap`, while time goes on.
+  // Sends changes, one each `gap`.
   void ChangeRepeatedly(uint64_t first, uint64_t last, runtime::Duration gap) {
     for (uint64_t version = first; version <= last; ++version) {
       fleet_.Change(version);
@@ -82,7 +82,7 @@
   }
   const uint64_t before = fleet_.list_calls;
   fleet_.RunAndWatch(seconds(10));
-  // A reader for each of six zones, once a second; with one call a gateway it would be thousands.
+  // One reader per zone (six) and second; one call per gateway would be thousands.
   EXPECT_GE(fleet_.list_calls - before, 30U);
   EXPECT_LE(fleet_.list_calls - before, 90U);
 }
--- a/src/posthatch/server/platform_fleet-test.h
+++ b/src/posthatch/server/platform_fleet-test.h
@@ -20,15 +20,14 @@
 #include "posthatch/server/platform_gateway_node.h"
 #include "posthatch/simulation/sim_world.h"
 
-// A whole fleet for routed traffic in the simulator: the processes that are deployed
-// (ControllerNode, PlatformGatewayNode), the platform's list, workers that load weights, and an
-// operator.
+// A complete fleet for routed traffic in the simulator: the deployed processes (ControllerNode,
+// PlatformGatewayNode), the platform's inventory, workers that load weights, and an operator.
 namespace posthatch::server {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The list as a serialized Inventory.
+// The inventory as a serialized Inventory.
 class TestInventoryFormat : public control::InventoryFormat {
  public:
   http::Request PageRequest(const std::string& /*page*/) const override {
@@ -167,7 +166,7 @@
     Send(absl::StrCat("revision ", revision), command, [] {});
   }
 
-  // The newest version whose route the gateway knows; 0 if it has none, or doesn't run.
+  // The newest version whose route the gateway has; 0 if it has none or isn't running.
   uint64_t VersionAt(const simulation::SimHost* host) {
     const auto found = gateways_.find(host);
     if (!host->running() || found == gateways_.end()) return 0;
@@ -186,7 +185,7 @@
     }
     return nullptr;
   }
-  // Cuts the controllers of `side` from the others.
+  // Partitions the controllers of `side` from the others.
   void CutCore(const std::set<const simulation::SimHost*>& side) {
     for (const simulation::SimHost* left : controller_hosts) {
       for (const simulation::SimHost* right : controller_hosts) {
@@ -195,7 +194,7 @@
       }
     }
   }
-  // Runs for `duration`, and notes how long after its acknowledgement each version was not yet in
+  // Runs for `duration`, and records how long after its acknowledgement each version was not yet in
   // force at some gateway.
   void RunAndWatch(runtime::Duration duration) {
     const runtime::MonotonicTime until = world.Now() + duration;
@@ -235,7 +234,7 @@
     request.method = "POST";
     request.target = absl::StrCat("/v", version, "/x");
     request.headers.Add("Host", "h");
-    request.headers.Add("Malformed", "1");  // refused once its route is known
+    request.headers.Add("Malformed", "1");  // rejected once its route is known
     auto writer = std::make_shared<gateway::FakeWriter>();
     node->HandleHttp(std::move(request), writer);
     return writer->whole.status == 400;
--- a/src/posthatch/server/settings/settings_loader-test.cc
+++ b/src/posthatch/server/settings/settings_loader-test.cc
@@ -144,7 +144,7 @@
   EXPECT_EQ(settings.node.data_folder, "/data");
 }
 
-// Each number of the table takes its bounds and nothing beyond them, and its default lies within.
+// Each number accepts exactly its range, and its default is within it.
 TEST(SettingsTableTest, EnforcesBoundsOfEveryNumber) {
   int numbers = 0;
   for (const SettingDescription& setting : SettingsTable()) {
--- a/src/posthatch/simulation/sim_http-test.cc
+++ b/src/posthatch/simulation/sim_http-test.cc
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// What one call saw, in order: "head 200", pieces, "end" or "error".
+// Events of one call, in order: "head 200", chunks, "end" or "error".
 struct Observed {
   std::string events;
   std::optional<http::CallError> error;
@@ -104,7 +104,7 @@
     writer_->WriteChunk("1");
     writer_->WriteChunk("2");
     if (abort) {
-      writer_ = nullptr;  // dropped unanswered
+      writer_ = nullptr;  // dropped without a response
     } else {
       writer_->FinishStream();
     }
@@ -286,8 +286,8 @@
           [](const http::CallError&) {}};
 }
 
-// A server that never responds and ends its requests in one order or the other, as a container that
-// is hashed by address does.
+// A server that never responds and drops its requests in either order, as a container hashed by
+// address does.
 struct RequestHolder {
   RequestHolder(runtime::Runtime* runtime, const std::string& endpoint, bool reverse)
       : end_in_reverse(reverse) {
@@ -307,7 +307,7 @@
   std::vector<std::shared_ptr<http::ResponseWriter>> writers;
 };
 
-// Several clients, so that it shows which connection drew which delay.
+// Several clients, so that the assignment of random delays is visible.
 uint64_t BehaviourOfCrash(uint64_t seed, bool end_in_reverse) {
   constexpr int kClients = 12;
   SimWorld world(seed);
--- a/src/posthatch/simulation/sim_world-test.cc
+++ b/src/posthatch/simulation/sim_world-test.cc
@@ -13,7 +13,7 @@
 
 constexpr runtime::Service kService = runtime::SERVICE_CONTROL;
 
-// A process that keeps what it receives and ticks every 100 ms.
+// A process that records what it receives and ticks every 100 ms.
 struct Recorder {
   explicit Recorder(runtime::Runtime* host_runtime)
       : runtime(host_runtime), timer(runtime->timers) {
