--- a/src/posthatch/gateway/limits-test.cc
+++ b/src/posthatch/gateway/limits-test.cc
@@ -2,13 +2,13 @@
 
 #include "posthatch/gateway/gateway_fixture-test.h"
 
-// Who is let in, where work may go, and how often it may be tried again.
+// Admission, eligibility of back ends, and retries.
 namespace posthatch::gateway {
 namespace {
 
 using LimitsTest = GatewayTest;
 
-TEST_F(LimitsTest, RevokedKeyDiesAtOnce) {
+TEST_F(LimitsTest, RevokedKeyIsRejectedImmediately) {
   StartGateway();
   Complete();
   LastCall().GoodCompletion();
@@ -33,7 +33,7 @@
   EXPECT_EQ(Complete()->responses, 1);
 }
 
-TEST_F(LimitsTest, ConcurrencyIsSharedOutAmongGateways) {
+TEST_F(LimitsTest, ConcurrencyLimitIsDividedAmongGateways) {
   view.fleet.mutable_configuration()->mutable_tenants(0)->set_max_concurrency(4);
   options.live_gateways = [] { return 2u; };
   StartGateway();
@@ -57,7 +57,7 @@
   EXPECT_TRUE(Complete(false, "key-two")->Says("overloaded"));
 }
 
-TEST_F(LimitsTest, NothingIsDecidedWithoutALease) {
+TEST_F(LimitsTest, RejectsRequestsWithoutLease) {
   StartGateway();
   view.expiry = clock.now;
   const auto writer = Complete();
@@ -66,7 +66,7 @@
   EXPECT_TRUE(client.calls.empty());
 }
 
-TEST_F(LimitsTest, LeaseIsAskedAgainBeforeARetry) {
+TEST_F(LimitsTest, LeaseIsCheckedBeforeRetry) {
   StartGateway();
   for (int request = 0; request < 10; ++request) Complete();
   const auto writer = Complete();
@@ -77,9 +77,9 @@
   EXPECT_EQ(client.calls.size(), 11u);
 }
 
-TEST_F(LimitsTest, DrainedAndEvacuatedWorkersGetNothing) {
+TEST_F(LimitsTest, DrainingAndEvacuatedWorkersGetNoWork) {
   StartGateway();
-  locator.holders = {{"w1", 1, 4}};  // whatever the index says
+  locator.holders = {{"w1", 1, 4}};  // although the index has holders
   Complete();
   EXPECT_EQ(LastCall().endpoint, "w1:80");
   view.fleet.mutable_inventory()->mutable_backends(0)->set_draining(true);
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_F(LimitsTest, RetryStormStaysInTheBudget) {
+TEST_F(LimitsTest, RetryStormStaysWithinBudget) {
   StartGateway();
   for (int request = 0; request < 500; ++request) {
     Complete();
@@ -116,7 +116,7 @@
   EXPECT_LE(retries, firsts / 5);
 }
 
-TEST_F(LimitsTest, FirstAttemptsThatWereNotSentEarnNoRetries) {
+TEST_F(LimitsTest, UnsentFirstAttemptsAddNoRetryBudget) {
   FakeClock fake;
   RetryBudget budget(&fake);
   for (int request = 0; request < 10; ++request) budget.RecordFirstAttempt();
@@ -128,7 +128,7 @@
   EXPECT_FALSE(budget.TryRetry(0.2));
 }
 
-// Sends `count` requests, 20 a second, that are answered at once; how many went to `endpoint`.
+// Sends `count` requests at 20/s with immediate responses; returns how many got to `endpoint`.
 class ShareTest : public GatewayTest {
  protected:
   int Share(const std::string& endpoint, int count) {
@@ -143,7 +143,7 @@
   }
 };
 
-TEST_F(ShareTest, NewWorkerIsNotFlooded) {
+TEST_F(ShareTest, NewWorkerIsInSlowStart) {
   StartGateway();
   AddBackend("w5", control::BACKEND_KIND_WORKER, "a");
   view.Changed();
@@ -152,13 +152,13 @@
   EXPECT_GE(Share("w5:80", 60), 12);
 }
 
-TEST_F(ShareTest, WorkerThatLostItsCacheStartsSlowly) {
+TEST_F(ShareTest, WorkerWithLostCacheIsInSlowStart) {
   StartGateway();
   locator.holders = {{"w1", 1, 4}};
   for (uint64_t epoch : {1, 2}) {
     Complete();
     ASSERT_EQ(LastCall().endpoint, "w1:80");
-    LastCall().Head(200, epoch);  // the second one is new: the worker is cold
+    LastCall().Head(200, epoch);  // a new epoch: the worker has lost its cache
     LastCall().Error(http::CallProgress::kHeadReceived);
   }
   locator.holders.clear();
@@ -177,10 +177,10 @@
   EXPECT_EQ(to_failed, 3);
 }
 
-TEST_F(LimitsTest, FullHolderSendsItsPrefixElsewhereInsteadOfSheddingIt) {
+TEST_F(LimitsTest, FullHolderOverflowsInsteadOfShedding) {
   view.fleet.mutable_configuration()->mutable_routing()->set_max_requests_per_worker(10);
   StartGateway();
-  // So long a prefix that the holder is worth waiting for.
+  // A prefix long enough that queueing at the holder is cheaper than prefill.
   locator.holders = {{"w1", 1, 100}};
   const std::string body =
       absl::StrCat(R"({"model":"m","prompt":")", std::string(1600, 'p'), "\"}");
@@ -192,14 +192,14 @@
   EXPECT_EQ(at_holder, 7);  // 70% of the limit for the lowest priority
 }
 
-TEST_F(LimitsTest, MeasuredWaitTurnsWorkAway) {
+TEST_F(LimitsTest, MeasuredWaitShiftsLoad) {
   StartGateway();
   locator.holders = {{"w1", 1, 100}};
   const std::string body =
       absl::StrCat(R"({"model":"m","stream":true,"prompt":")", std::string(1600, 'p'), "\"}");
   Send("/v1/completions", body);
   ASSERT_EQ(LastCall().endpoint, "w1:80");
-  timers.Advance(std::chrono::seconds(2));  // others fill it
+  timers.Advance(std::chrono::seconds(2));  // other gateways use its capacity
   LastCall().cached_blocks = 100;
   LastCall().Head();
   LastCall().Piece(LastCall().Event(0));
@@ -210,7 +210,7 @@
   EXPECT_EQ(LastCall().endpoint, "w1:80");
 }
 
-TEST_F(LimitsTest, UnreachableWorkerIsEjectedAtOnce) {
+TEST_F(LimitsTest, UnreachableWorkerIsEjectedImmediately) {
   StartGateway();
   locator.holders = {{"w1", 1, 4}};
   Complete();
@@ -219,12 +219,12 @@
   EXPECT_NE(LastCall().endpoint, "w1:80");
 }
 
-TEST_F(LimitsTest, SelfReadListAddsDrainingMarks) {
+TEST_F(LimitsTest, LocalInventoryAddsDrainingMarks) {
   options.inventory_endpoint = "inventory:80";
   StartGateway();
   EXPECT_TRUE(client.calls.empty());
   view.inventory_age = std::chrono::seconds(3);
-  EXPECT_TRUE(Complete()->Says("no_lease"));  // too old, and not asked for yet
+  EXPECT_TRUE(Complete()->Says("no_lease"));  // too old, and no new reading yet
   timers.Advance(std::chrono::milliseconds(700));
   ASSERT_FALSE(client.calls.empty());
   ASSERT_EQ(LastCall().endpoint, "inventory:80");
@@ -237,7 +237,7 @@
   }
 }
 
-TEST_F(LimitsTest, UnreachableListLeavesTheLastOneInUse) {
+TEST_F(LimitsTest, UnreachableInventoryKeepsLastOne) {
   options.inventory_endpoint = "inventory:80";
   StartGateway();
   view.inventory_age = std::chrono::seconds(10);
@@ -247,9 +247,9 @@
   EXPECT_NE(LastCall().endpoint, "inventory:80");
 }
 
-TEST_F(LimitsTest, FetchIsPlannedOnlyOverAGoodLink) {
+TEST_F(LimitsTest, FetchIsPlannedOnlyOverFastLink) {
   StartGateway();
-  // The holder is busy: the request goes elsewhere and takes the blocks along.
+  // The holder is busy: another worker gets the request and fetches the blocks.
   view.fleet.mutable_configuration()->mutable_routing()->set_max_requests_per_worker(1);
   view.Changed();
   locator.holders = {{"w1", 1, 4}};
@@ -264,10 +264,10 @@
   EXPECT_FALSE(links.FetchIsWorthwhile("w1", "w2"));
   EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w3"));
   clock.now += std::chrono::minutes(1);
-  EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w2"));  // tried again
+  EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w2"));  // measured again
 }
 
-TEST_F(LimitsTest, SeedFollowsRevisionAndIsolation) {
+TEST_F(LimitsTest, BlockSeedDependsOnRevisionAndIsolation) {
   StartGateway();
   Complete();
   const std::string shared = LastCall().Field("X-Posthatch-Cache-Salt");
@@ -279,7 +279,7 @@
   Complete();
   const std::string own = LastCall().Field("X-Posthatch-Cache-Salt");
   Complete(false, "key-two");
-  // Neither the isolated tenant's blocks nor what it left in the shared domain can be named.
+  // Neither the isolated tenant's blocks nor its former shared blocks are reachable.
   EXPECT_NE(LastCall().Field("X-Posthatch-Cache-Salt"), own);
   EXPECT_NE(LastCall().Field("X-Posthatch-Cache-Salt"), shared);
   control::ModelRevision* revision = view.fleet.add_revisions();
@@ -291,7 +291,7 @@
   EXPECT_EQ(LastCall().Field("X-Posthatch-Model-Revision"), "3");
 }
 
-TEST_F(LimitsTest, DrainLetsRunningAnswersEnd) {
+TEST_F(LimitsTest, DrainWaitsForRequestsInProgress) {
   StartGateway();
   const auto running = Complete();
   bool drained = false;
@@ -303,7 +303,7 @@
   EXPECT_TRUE(drained);
 }
 
-TEST_F(LimitsTest, GarbageIsRefused) {
+TEST_F(LimitsTest, RejectsMalformedRequests) {
   StartGateway();
   for (const char* body : {"", "{", "[]", R"({"model":"m"})", R"({"model":1,"prompt":"x"})",
                            R"({"model":"m","prompt":"x","stream":1})"}) {
--- a/src/posthatch/net/beast_http_client-test.cc
+++ b/src/posthatch/net/beast_http_client-test.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-// What the callbacks of one call have told.
+// Results of the callbacks of one call.
 struct Outcome {
   std::optional<http::Response> head;
   std::string body;
@@ -51,7 +51,7 @@
     EXPECT_TRUE(runtime_->RunUntil([&outcome] { return outcome.over(); }, std::chrono::seconds(5)));
   }
 
-  // Runs a call against a server that answers `answer` and then closes.
+  // Runs a call against a server that sends `answer` and then closes.
   Outcome CallAnswered(const std::string& answer) {
     RawListener listener;
     Outcome outcome;
@@ -105,13 +105,13 @@
   ExpectError(split, absl::StatusCode::kInvalidArgument, http::CallProgress::kNotSent);
 }
 
-TEST_F(HttpClientTest, ConnectionClosedWithoutAnswerMayHaveRun) {
+TEST_F(HttpClientTest, ConnectionClosedWithoutResponseMayHaveExecuted) {
   ExpectError(CallAnswered(""), absl::StatusCode::kUnavailable, http::CallProgress::kSent);
   ExpectError(CallAnswered("HTTP/1.1 200 O"), absl::StatusCode::kUnavailable,
               http::CallProgress::kSent);
 }
 
-TEST_F(HttpClientTest, CutOrMalformedAnswersAreNeverComplete) {
+TEST_F(HttpClientTest, TruncatedOrMalformedResponsesAreNeverComplete) {
   const std::string ok = "HTTP/1.1 200 OK\r\n";
   const std::vector<std::string> cut = {
       ok + "Content-Length: 10\r\n\r\nabc",
@@ -130,7 +130,7 @@
               http::CallProgress::kSent);
 }
 
-TEST_F(HttpClientTest, WholeAnswersAreComplete) {
+TEST_F(HttpClientTest, CompleteResponsesAreReported) {
   const Outcome sized = CallAnswered("HTTP/1.1 201 OK\r\nA: b\r\nContent-Length: 3\r\n\r\nabc");
   EXPECT_TRUE(sized.ended);
   EXPECT_EQ(sized.head->status, 201);
@@ -145,7 +145,7 @@
   EXPECT_FALSE(chunked.head->headers.Has("X-Trailer"));
 }
 
-TEST_F(HttpClientTest, AnswerWithoutLengthEndsWithItsConnectionWhereThatIsAllowed) {
+TEST_F(HttpClientTest, CloseDelimitedResponseNeedsOption) {
   options_.accept_close_delimited = true;
   const Outcome outcome = CallAnswered("HTTP/1.1 200 OK\r\n\r\nuntil the end");
   EXPECT_TRUE(outcome.ended);
@@ -154,7 +154,7 @@
               absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
 }
 
-TEST_F(HttpClientTest, ConnectionIsNotKeptBeyondTheShareOfTheTimeThatItsServerStated) {
+TEST_F(HttpClientTest, ReusesConnectionOnlyWithinIdleFraction) {
   std::vector<uint64_t> connections;
   auto server = runtime_->runtime()->http_servers->Listen(
       "127.0.0.1:0", {},
@@ -188,7 +188,7 @@
   ExpectError(outcome, absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
 }
 
-TEST_F(HttpClientTest, SilenceRunsIntoTheTimeouts) {
+TEST_F(HttpClientTest, UnresponsiveServerHitsTimeouts) {
   RawListener listener;
   Outcome before_head;
   const auto first = Start(listener.endpoint(), &before_head);
@@ -204,7 +204,7 @@
   ExpectError(in_body, absl::StatusCode::kDeadlineExceeded, http::CallProgress::kHeadReceived);
 }
 
-TEST_F(HttpClientTest, KeptConnectionIsUsedAgainUnlessFreshIsAsked) {
+TEST_F(HttpClientTest, ReusesConnectionUnlessFreshIsRequested) {
   std::vector<uint64_t> connections;
   auto server = runtime_->runtime()->http_servers->Listen(
       "127.0.0.1:0", {},
@@ -225,7 +225,7 @@
   EXPECT_EQ(connections[0], connections[3]);
 }
 
-TEST_F(HttpClientTest, KeptConnectionThatTheServerClosedIsNotUsed) {
+TEST_F(HttpClientTest, DoesNotReuseConnectionClosedByServer) {
   RawListener listener;
   Outcome first;
   const auto call = Start(listener.endpoint(), &first);
@@ -245,21 +245,22 @@
   EXPECT_TRUE(second.ended);
 }
 
-TEST_F(HttpClientTest, BytesNobodyAskedForEndTheConnection) {
+TEST_F(HttpClientTest, UnsolicitedBytesCloseConnection) {
   RawListener listener;
   Outcome first;
   const auto call = Start(listener.endpoint(), &first);
   RawSocket server = listener.Accept(runtime_.get());
   server.ReadUntil(runtime_.get(), "body");
   const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-  server.Send(runtime_.get(), answer + answer);  // a second answer must not go to another call
+  server.Send(runtime_.get(),
+              answer + answer);  // a second response must not be delivered to another call
   Finish(first);
   EXPECT_TRUE(first.ended);
   server.ReadToEnd(runtime_.get());
   EXPECT_TRUE(server.ended());
 }
 
-TEST_F(HttpClientTest, PausedReadingHoldsTheServerBackAndSpendsNoTimeout) {
+TEST_F(HttpClientTest, StoppedReadingAppliesBackpressureWithoutTimeout) {
   constexpr size_t kBody = 32UL * 1024 * 1024;
   RawListener listener;
   Outcome outcome;
@@ -271,7 +272,7 @@
   runtime_->RunUntil([&] { return outcome.body == "abc"; }, std::chrono::seconds(5));
   call->StopReading();
   server.Send(runtime_.get(), "def");
-  RunFor(runtime_.get(), milliseconds(300));  // longer than the piece timeout
+  RunFor(runtime_.get(), milliseconds(300));  // longer than body_idle_timeout
   EXPECT_EQ(outcome.body, "abc");
   EXPECT_FALSE(outcome.over());
   call->ResumeReading();
@@ -281,7 +282,7 @@
   EXPECT_EQ(outcome.body.size(), kBody);
 }
 
-TEST_F(HttpClientTest, DestroyedHandleClosesTheConnectionAndNothingIsCalled) {
+TEST_F(HttpClientTest, DestroyedHandleClosesConnectionWithoutCallback) {
   bool gone = false;
   auto server = runtime_->runtime()->http_servers->Listen(
       "127.0.0.1:0", {},
@@ -297,8 +298,8 @@
   EXPECT_FALSE(outcome.over());
 }
 
-// Bytes that wait in the kernel behind a cut must not reach the server after the call was given up.
-TEST_F(HttpClientTest, CallThatIsGivenUpResetsItsConnection) {
+// Bytes buffered by the kernel during a partition must not reach the server after the call failed.
+TEST_F(HttpClientTest, CancelledCallResetsConnection) {
   RawListener listener;
   Outcome outcome;
   auto call = Start(listener.endpoint(), &outcome);
@@ -309,7 +310,7 @@
   EXPECT_TRUE(server.was_reset());
 }
 
-TEST_F(HttpClientTest, CallThatRunsIntoItsTimeoutResetsItsConnection) {
+TEST_F(HttpClientTest, TimedOutCallResetsConnection) {
   RawListener listener;
   Outcome outcome;
   const auto call = Start(listener.endpoint(), &outcome);
@@ -320,8 +321,8 @@
   EXPECT_TRUE(server.was_reset());
 }
 
-// A kept connection whose server is behind a cut now.
-TEST_F(HttpClientTest, CallOfWhichNothingIsDeliveredEndsSoonAndNeverArrives) {
+// A pooled connection whose server is partitioned now.
+TEST_F(HttpClientTest, UndeliveredCallFailsEarlyAndNeverArrives) {
   AsioRuntimeOptions with_faults;
   with_faults.enable_fault_injection = true;
   runtime_ = MakeTestRuntime(with_faults);
@@ -346,7 +347,7 @@
   EXPECT_TRUE(server.was_reset());
 }
 
-TEST_F(HttpClientTest, SlowServerThatHasTheRequestIsWaitedFor) {
+TEST_F(HttpClientTest, WaitsForSlowServerWithDeliveredRequest) {
   options_.head_timeout = std::chrono::seconds(5);
   RawListener listener;
   Outcome outcome;
@@ -360,7 +361,7 @@
   EXPECT_TRUE(outcome.ended);
 }
 
-TEST_F(HttpClientTest, HandleMayBeDestroyedInACallback) {
+TEST_F(HttpClientTest, HandleMayBeDestroyedInCallback) {
   RawListener listener;
   std::unique_ptr<http::Call> call;
   Outcome outcome;
@@ -376,7 +377,7 @@
   EXPECT_FALSE(outcome.over());
 }
 
-TEST_F(HttpClientTest, AnswerOverTheLimitIsRefused) {
+TEST_F(HttpClientTest, RejectsOversizedResponse) {
   options_.max_body_bytes = 5;
   ExpectError(CallAnswered("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabcdef"),
               absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
