--- a/src/posthatch/control/client/gateway_session.h
+++ b/src/posthatch/control/client/gateway_session.h
@@ -56,7 +56,7 @@
              QueryDone done) override;
 
   // Whether this gateway holds the worker's lease, under a valid session; sets the fencing token
-  // that goes with every command to the worker. To be asked right before each command is sent.
+  // that goes with every command to the worker. Callers check right before each command is sent.
   bool HoldsWorker(const std::string& worker_id, uint64_t* fencing_token) const;
 
   // Internal endpoint of the leader that granted the lease; empty without a valid lease.
--- a/src/posthatch/control/control-bench.cc
+++ b/src/posthatch/control/control-bench.cc
@@ -200,7 +200,7 @@
     });
   }
 
-  // Time until the answer, in ms.
+  // Time until the response, in ms.
   double Change(const Command& command, bool until_in_force) {
     bool answered = false;
     const runtime::MonotonicTime start = world_.Now();
--- a/src/posthatch/control/inventory/inventory_fetch.h
+++ b/src/posthatch/control/inventory/inventory_fetch.h
@@ -18,7 +18,7 @@
     // All pages, sorted by id. ResourceExhausted: rate-limited by the platform (429); Unavailable:
     // no response, or another status; InvalidArgument: the body isn't an inventory.
     absl::StatusOr<Inventory> inventory;
-    // With ResourceExhausted: how long the platform asks to wait; zero if it doesn't say.
+    // With ResourceExhausted: the delay that the platform named; zero if it named none.
     runtime::Duration retry_after{0};
     // When the first page was requested: the inventory is at least as new, except for the
     // platform's own lag.
--- a/src/posthatch/control/inventory/inventory_format.h
+++ b/src/posthatch/control/inventory/inventory_format.h
@@ -21,7 +21,7 @@
   virtual http::Request PageRequest(const std::string& page) const = 0;
   // InvalidArgument if `body` is not a complete page.
   virtual absl::StatusOr<InventoryPage> ParsePage(const std::string& body) const = 0;
-  // Delay that a 429 asks for; zero if it names none.
+  // The delay that a 429 names; zero if it names none.
   virtual runtime::Duration RetryAfter(const http::Response& response) const = 0;
 };
 
--- a/src/posthatch/control/inventory/inventory_watch.cc
+++ b/src/posthatch/control/inventory/inventory_watch.cc
@@ -126,7 +126,7 @@
 void InventoryWatch::OnPeerReading(const std::optional<InventoryReading>& reading) {
   peer_read_in_flight_ = false;
   if (!reading.has_value()) {
-    next_read_at_ = runtime_->clock->Now();  // the next check asks the zone's next gateway
+    next_read_at_ = runtime_->clock->Now();  // the next check tries the zone's next gateway
     return;
   }
   AdoptLocalSnapshot(*reading);
@@ -170,7 +170,7 @@
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (!rate_limited) platform_unreachable_at_ = now;
   backoff_until_ = now + NextBackoff(retry_after);
-  // With a zone, its other gateways are asked in the meantime.
+  // With a zone, its other gateways are tried in the meantime.
   if (zone_ == nullptr) {
     next_read_at_ =
         next_read_at_.has_value() ? std::max(*next_read_at_, backoff_until_) : backoff_until_;
--- a/src/posthatch/control/inventory/inventory_watch.h
+++ b/src/posthatch/control/inventory/inventory_watch.h
@@ -20,7 +20,7 @@
   const InventoryFormat* format = NativeInventoryFormat();
   // From this age of the leader's reading on, this gateway reads for itself.
   runtime::Duration stale_age = std::chrono::seconds(2);
-  // Beyond this age HasUsableInventory() is false until the platform has been asked again: a
+  // Beyond this age HasUsableInventory() is false until another read has been tried: a
   // draining mark may be nearly 3 s old by then (invariant N7).
   runtime::Duration max_age = std::chrono::milliseconds(2800);
   runtime::Duration timeout = std::chrono::milliseconds(500);
@@ -48,7 +48,7 @@
     return local_snapshot_.has_value() ? &local_snapshot_->inventory : nullptr;
   }
   // Whether requests may be routed by the newest reading: it is no older than `max_age`, or the
-  // platform failed to answer a recent attempt to read a newer one.
+  // platform failed to respond to a recent attempt to read a newer one.
   bool HasUsableInventory() const;
 
  private:
@@ -92,7 +92,7 @@
 
   // Set by a read that got no response; a rate limit (429) shows that the platform is reachable.
   std::optional<runtime::MonotonicTime> platform_unreachable_at_;
-  // The platform isn't called before, whoever asks for a reading.
+  // No read of the platform starts before, neither for this gateway nor for a peer.
   runtime::MonotonicTime backoff_until_;
   int consecutive_failures_ = 0;
   std::vector<ZoneInventory::ReadCallback> waiting_peers_;
--- a/src/posthatch/control/server/controller_host.h
+++ b/src/posthatch/control/server/controller_host.h
@@ -14,7 +14,7 @@
 class ControllerHost {
  public:
   virtual ~ControllerHost() = default;
-  // Internal endpoints of the controllers believed to exist; asked while the log knows no leader.
+  // Internal endpoints of the controllers believed to exist; used while the log knows no leader.
   virtual std::vector<std::string> ControllerEndpoints() const = 0;
   // JSON body of GET /admin/v1/controllers; nothing if this process has no such view (404).
   virtual std::optional<std::string> ControllersView() const = 0;
--- a/src/posthatch/control/server/leadership.h
+++ b/src/posthatch/control/server/leadership.h
@@ -9,7 +9,7 @@
 namespace posthatch::control {
 
 // The leadership of one controller: whether it leads, in which term, since when, and from when on
-// no session of a previous leader is valid any more. The parts of ControllerService ask it before
+// no session of a previous leader is valid any more. The parts of ControllerService check it before
 // each decision. Owned by ControllerService; event loop thread only.
 class Leadership {
  public:
--- a/src/posthatch/control/state/request_records.h
+++ b/src/posthatch/control/state/request_records.h
@@ -12,9 +12,9 @@
 namespace posthatch::control {
 
 // The results of operators' changes and observations by request id, so that a resend gets the first
-// result.
-// The newest kMaxRecords are kept; kMaxExpired older ids are refused with WINDOW_PASSED; what
-// is older still can't be told from new. Part of the replicated state; owned by ControlState.
+// result. The newest kMaxRecords are kept; kMaxExpired older ids are rejected with WINDOW_PASSED;
+// an id that is older still is accepted as new. Part of the replicated state; owned by
+// ControlState.
 class RequestRecords {
  public:
   // At 8,500 changes a day: results for more than a day, WINDOW_PASSED for eleven more days.
