--- a/src/posthatch/control/admin/admin_api-test.cc
+++ b/src/posthatch/control/admin/admin_api-test.cc
@@ -1,5 +1,6 @@
 #include "posthatch/control/admin/admin_api.h"
 
+#include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -11,13 +12,16 @@
 namespace posthatch::control {
 namespace {
 
+using testing::HasSubstr;
+using testing::IsEmpty;
+
 // SHA-256 of "secret".
 constexpr const char* kTokenHash =
     "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
 
 class RecordingWriter : public http::ResponseWriter {
  public:
-  void SendResponse(http::Response whole) override { response = std::move(whole); }
+  void SendResponse(http::Response sent) override { response = std::move(sent); }
   void StartStream(http::Response) override {}
   void WriteChunk(std::string) override {}
   void FinishStream() override {}
@@ -82,8 +86,8 @@
     EXPECT_EQ(Call("POST", "/admin/v1/evacuations", R"({"request_id":"r"})", token).status, 401);
     EXPECT_EQ(Call("GET", "/admin/v1/leases", "", token).status, 401);
   }
-  EXPECT_TRUE(client_.commands.empty());
-  EXPECT_TRUE(client_.queries.empty());
+  EXPECT_THAT(client_.commands, IsEmpty());
+  EXPECT_THAT(client_.queries, IsEmpty());
   EXPECT_EQ(Call("GET", "/admin/v1/leases?x=1", "").status, 200);
   EXPECT_EQ(client_.queries, std::vector<std::string>{"leases?x=1"});
 }
@@ -101,11 +105,11 @@
         R"({"request_id":")" + std::string(129, 'x') + R"(","configuration":{}})"}) {
     const http::Response response = Call("POST", "/admin/v1/configuration", body);
     EXPECT_EQ(response.status, 400) << body.substr(0, 100);
-    EXPECT_NE(response.body.find("\"errors\":["), std::string::npos) << response.body;
+    EXPECT_THAT(response.body, HasSubstr("\"errors\":["));
   }
   EXPECT_EQ(Call("DELETE", "/admin/v1/configuration", "").status, 405);
   EXPECT_EQ(Call("POST", "/admin/v1/leases", "{}").status, 405);
-  EXPECT_TRUE(client_.commands.empty());
+  EXPECT_THAT(client_.commands, IsEmpty());
 }
 
 TEST_F(AdminApiTest, MapsResultsToHttpStatuses) {
@@ -126,11 +130,10 @@
   EXPECT_EQ(status(with_code(CommandResult::REQUEST_ID_REUSED)), 409);
   EXPECT_EQ(status(with_code(CommandResult::WINDOW_PASSED)), 410);
   EXPECT_EQ(status(absl::DeadlineExceededError("")), 503);
-  EXPECT_NE(Call("POST", "/admin/v1/configuration", body).body.find("uncertain"),
-            std::string::npos);
+  EXPECT_THAT(Call("POST", "/admin/v1/configuration", body).body, HasSubstr("uncertain"));
   EXPECT_EQ(status(absl::ResourceExhaustedError("")), 503);
   const http::Response rejected = Call("POST", "/admin/v1/configuration", body);
-  EXPECT_NE(rejected.body.find("unavailable"), std::string::npos);
+  EXPECT_THAT(rejected.body, HasSubstr("unavailable"));
   EXPECT_EQ(rejected.headers.Get("Retry-After"), "1");
   EXPECT_EQ(client_.commands.back().change_configuration().expected_version(), 3);
 }
--- a/src/posthatch/control/control-bench.cc
+++ b/src/posthatch/control/control-bench.cc
@@ -7,12 +7,11 @@
 //   control-bench [SESSIONS TENANTS WORKERS]...
 //
 // One JSON line for each triple; without arguments the sizes of docs/design-docs/configuration.md.
-#include <time.h>
-
 #include <algorithm>
 #include <boost/json.hpp>
 #include <cstdio>
 #include <cstdlib>
+#include <ctime>
 #include <functional>
 #include <memory>
 #include <string>
--- a/src/posthatch/control/inventory/inventory_watch-test.cc
+++ b/src/posthatch/control/inventory/inventory_watch-test.cc
@@ -35,9 +35,7 @@
   bool LeaseValid() const override { return false; }
   runtime::MonotonicTime lease_expiry() const override { return {}; }
   const FleetState& state() const override { return fleet; }
-  runtime::Duration InventoryAge() const override {
-    return clock_->Now() - inventory_requested_at;
-  }
+  runtime::Duration InventoryAge() const override { return clock_->Now() - inventory_requested_at; }
   void AddListener(Listener) override {}
 
   FleetState fleet;
--- a/src/posthatch/control/state/selector-test.cc
+++ b/src/posthatch/control/state/selector-test.cc
@@ -1,7 +1,11 @@
 #include "posthatch/control/state/selector.h"
 
+#include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
+#include <string>
+#include <vector>
+
 namespace posthatch::control {
 namespace {
 
@@ -11,16 +15,28 @@
   return selector.ok() && SelectorMatches(*selector, labels);
 }
 
+struct MatchCase {
+  const char* selector;
+  LabelMap labels;
+  bool matches;
+};
+
 TEST(SelectorTest, AllRequirementsMustHold) {
   const LabelMap labels = {{"zone", "eu-1a"}, {"model", "a"}, {"rack", "7"}};
-  EXPECT_TRUE(Matches("zone=eu-1a,model in (a, b),!canary", labels));
-  EXPECT_FALSE(Matches("zone=eu-1a,model in (b),!canary", labels));
-  EXPECT_FALSE(Matches("zone=eu-1a,canary", labels));
-  EXPECT_TRUE(Matches("zone != eu-1b, rack", labels));
-  EXPECT_FALSE(Matches("zone notin (eu-1a,eu-1b)", labels));
-  EXPECT_TRUE(Matches("absent notin (x)", labels));
-  EXPECT_TRUE(Matches("inside=1", {{"inside", "1"}}));
-  EXPECT_TRUE(Matches("*", {}));
+  const std::vector<MatchCase> cases = {
+      {"zone=eu-1a,model in (a, b),!canary", labels, true},
+      {"zone=eu-1a,model in (b),!canary", labels, false},
+      {"zone=eu-1a,canary", labels, false},
+      {"zone != eu-1b, rack", labels, true},
+      {"zone notin (eu-1a,eu-1b)", labels, false},
+      {"absent notin (x)", labels, true},
+      {"inside=1", {{"inside", "1"}}, true},  // begins like the keyword "in"
+      {"*", {}, true},
+  };
+  for (const MatchCase& test_case : cases) {
+    EXPECT_EQ(Matches(test_case.selector, test_case.labels), test_case.matches)
+        << test_case.selector;
+  }
 }
 
 TEST(SelectorTest, EmptySelectorMatchesNothing) {
@@ -35,7 +51,7 @@
        {"", ",", "zone=", "zone in a", "zone in (a", "*,zone", "a b", "!", "=x"}) {
     const absl::StatusOr<Selector> selector = ParseSelector(text);
     EXPECT_FALSE(selector.ok()) << "'" << text << "'";
-    EXPECT_NE(selector.status().message().find("character"), absl::string_view::npos);
+    EXPECT_THAT(std::string(selector.status().message()), testing::HasSubstr("character"));
   }
 }
 
--- a/src/posthatch/control/state/traffic_state-test.cc
+++ b/src/posthatch/control/state/traffic_state-test.cc
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 
 #include <string>
+#include <vector>
 
 #include "posthatch/control/state/control_state.h"
 #include "posthatch/control/state/fleet_sections.h"
@@ -117,31 +118,38 @@
   EXPECT_EQ(state_.newest().routes(0).name(), "new");
 }
 
+struct ViolationCase {
+  const char* name;
+  void (*violate)(TrafficConfiguration* configuration);
+};
+
 TEST(TrafficValidatorTest, ReportsEachViolation) {
+  using Traffic = TrafficConfiguration;
+  const std::vector<ViolationCase> cases = {
+      {"unknown service",
+       [](Traffic* t) { t->mutable_routes(0)->mutable_targets(0)->set_service("x"); }},
+      {"no weight", [](Traffic* t) { t->mutable_routes(0)->mutable_targets(0)->set_weight(0); }},
+      {"no timeout", [](Traffic* t) { t->mutable_routes(0)->set_timeout_ms(0); }},
+      {"prefix without a slash at its end",
+       [](Traffic* t) { t->mutable_routes(0)->set_path_prefix("/r"); }},
+      {"no kind", [](Traffic* t) { t->mutable_routes(0)->clear_kind(); }},
+      {"two routes of one prefix",
+       [](Traffic* t) {
+         *t->add_routes() = t->routes(0);
+         t->mutable_routes(1)->set_name("other");
+       }},
+      {"two tenants with one key",
+       [](Traffic* t) {
+         *t->add_tenants() = t->tenants(0);
+         t->mutable_tenants(1)->set_name("other");
+       }},
+  };
   EXPECT_TRUE(ValidateTraffic(SmallTraffic()).empty());
-  const auto broken = [](auto change) {
+  for (const ViolationCase& test_case : cases) {
     TrafficConfiguration configuration = SmallTraffic();
-    change(&configuration);
-    return ValidateTraffic(configuration).size();
-  };
-  using Traffic = TrafficConfiguration;
-  EXPECT_EQ(broken([](Traffic* t) { t->mutable_routes(0)->mutable_targets(0)->set_service("x"); }),
-            1U);
-  EXPECT_EQ(broken([](Traffic* t) { t->mutable_routes(0)->mutable_targets(0)->set_weight(0); }),
-            1U);
-  EXPECT_EQ(broken([](Traffic* t) { t->mutable_routes(0)->set_timeout_ms(0); }), 1U);
-  EXPECT_EQ(broken([](Traffic* t) { t->mutable_routes(0)->set_path_prefix("/r"); }), 1U);
-  EXPECT_EQ(broken([](Traffic* t) { t->mutable_routes(0)->clear_kind(); }), 1U);
-  EXPECT_EQ(broken([](Traffic* t) {
-              *t->add_routes() = t->routes(0);
-              t->mutable_routes(1)->set_name("other");
-            }),
-            1U);
-  EXPECT_EQ(broken([](Traffic* t) {
-              *t->add_tenants() = t->tenants(0);
-              t->mutable_tenants(1)->set_name("other");
-            }),
-            1U);
+    test_case.violate(&configuration);
+    EXPECT_EQ(ValidateTraffic(configuration).size(), 1U) << test_case.name;
+  }
 }
 
 class TrafficControlTest : public testing::Test {
