--- a/src/posthatch/consensus/consensus-bench.cc
+++ b/src/posthatch/consensus/consensus-bench.cc
@@ -207,12 +207,12 @@
   const std::vector<std::string>& peers() const { return peers_; }
 
   bool Write(Controller* controller) {
-    auto answer = std::make_shared<std::promise<bool>>();
-    std::future<bool> accepted = answer->get_future();
-    controller->OnLoop([controller, answer] {
-      if (controller->replica() == nullptr) return answer->set_value(false);
-      controller->replica()->Propose("x", [answer](const absl::StatusOr<std::string>& result) {
-        answer->set_value(result.ok());
+    auto outcome = std::make_shared<std::promise<bool>>();
+    std::future<bool> accepted = outcome->get_future();
+    controller->OnLoop([controller, outcome] {
+      if (controller->replica() == nullptr) return outcome->set_value(false);
+      controller->replica()->Propose("x", [outcome](const absl::StatusOr<std::string>& result) {
+        outcome->set_value(result.ok());
       });
     });
     return accepted.wait_for(std::chrono::seconds(5)) == std::future_status::ready &&
@@ -231,7 +231,7 @@
     Controller* leader = cluster.WaitForLeader();
     ClosedLoop loop(leader, [leader, command](ClosedLoop::Done done) {
       leader->replica()->Propose(
-          command, [done = std::move(done)](const auto& answer) { done(answer.ok()); });
+          command, [done = std::move(done)](const auto& outcome) { done(outcome.ok()); });
     });
     PrintLatencies(fmt::format("{} replicas, {} clients", size, clients),
                    loop.Run(clients, settings.seconds), settings.seconds);
--- a/src/posthatch/consensus/core_harness-test.h
+++ b/src/posthatch/consensus/core_harness-test.h
@@ -75,14 +75,14 @@
   Node& node(uint64_t id) { return nodes_.at(id); }
   runtime::MonotonicTime now() const { return now_; }
   void JumpClock(runtime::Duration by) { now_ += by; }
-  void Partition(uint64_t from, uint64_t to) { cut_.insert({from, to}); }
+  void Partition(uint64_t from, uint64_t to) { partitions_.insert({from, to}); }
   void Isolate(uint64_t id) {
     for (const auto& [other, node] : nodes_) {
       Partition(id, other);
       Partition(other, id);
     }
   }
-  void HealAll() { cut_.clear(); }
+  void HealAll() { partitions_.clear(); }
   std::vector<std::pair<uint64_t, RaftMessage>>& sent() { return sent_; }
 
   void Run(runtime::Duration duration) {
@@ -161,7 +161,7 @@
   void Deliver(uint64_t from, RaftMessage message) {
     sent_.emplace_back(from, message);
     const uint64_t to = message.to();
-    if (cut_.count({from, to}) > 0 || nodes_.count(to) == 0 || !nodes_[to].up) return;
+    if (partitions_.count({from, to}) > 0 || nodes_.count(to) == 0 || !nodes_[to].up) return;
     inbox_[to].push_back(std::move(message));
   }
 
@@ -170,7 +170,7 @@
   runtime::MonotonicTime now_{std::chrono::hours(1)};
   std::map<uint64_t, Node> nodes_;
   std::map<uint64_t, std::deque<RaftMessage>> inbox_;
-  std::set<std::pair<uint64_t, uint64_t>> cut_;
+  std::set<std::pair<uint64_t, uint64_t>> partitions_;
   std::vector<std::pair<uint64_t, RaftMessage>> sent_;
 };
 
--- a/src/posthatch/consensus/pending_requests.h
+++ b/src/posthatch/consensus/pending_requests.h
@@ -13,8 +13,8 @@
 
 namespace posthatch::consensus {
 
-// Proposals and reads that a leader has accepted and not yet answered. All belong to one term: when
-// leadership changes hands, FailAll ends them. Each callback is called exactly once, after the
+// Proposals and reads that a leader has accepted and not yet completed. All belong to one term:
+// when leadership changes hands, FailAll ends them. Each callback is called exactly once, after the
 // request has left this object, so that it may add further ones. Owned by RaftReplica; event loop
 // thread only.
 class PendingRequests {
@@ -28,7 +28,7 @@
   // `read_id` is RaftCore's.
   void AddRead(uint64_t read_id, uint64_t term, ReplicatedLog::ReadDone done);
 
-  // `entry` is committed and applied with `result`: answers the proposal that was to become this
+  // `entry` is committed and applied with `result`: completes the proposal that was to become this
   // entry, with Aborted if another leader's entry was committed in its place.
   void OnApplied(const storage::LogEntry& entry, std::string result, runtime::MonotonicTime now);
   void OnReadsConfirmed(const std::vector<uint64_t>& read_ids);
--- a/src/posthatch/consensus/raft_core.h
+++ b/src/posthatch/consensus/raft_core.h
@@ -80,8 +80,8 @@
   // Leader, and the state machine has applied everything that earlier leaders committed.
   bool IsLeaderReady() const { return IsLeader() && applied_index_ >= term_start_index_; }
   bool IsTransferring() const { return transfer_target_ != 0; }
-  // Whether a majority has answered messages that were sent within the shortest election timeout:
-  // no other leader can have been elected yet. False if not leader.
+  // Whether a majority has responded to messages that were sent within the shortest election
+  // timeout: no other leader can have been elected yet. False if not leader.
   bool HasQuorum(runtime::MonotonicTime now) const;
   // No configuration is known: the replica belongs to no cluster.
   bool IsUnbootstrapped() const { return configurations_.empty(); }
--- a/src/posthatch/consensus/raft_election-test.cc
+++ b/src/posthatch/consensus/raft_election-test.cc
@@ -34,10 +34,10 @@
   CoreHarness cluster(3);
   const uint64_t leader = cluster.RunUntilLeader();
   const uint64_t term = cluster.core(leader).term();
-  const auto [cut, other] = CoreHarness::Others(leader);
-  cluster.Isolate(cut);
+  const auto [isolated, other] = CoreHarness::Others(leader);
+  cluster.Isolate(isolated);
   cluster.Run(seconds(20));
-  EXPECT_EQ(cluster.core(cut).term(), term);
+  EXPECT_EQ(cluster.core(isolated).term(), term);
   cluster.HealAll();
   cluster.Run(seconds(3));
   EXPECT_EQ(cluster.Leader(), leader);
--- a/src/posthatch/consensus/raft_replica-test.cc
+++ b/src/posthatch/consensus/raft_replica-test.cc
@@ -70,8 +70,8 @@
   ASSERT_GE(leader, 0);
   absl::Status refused;
   cluster.Replica(static_cast<size_t>(leader))
-      ->Propose("x", [&refused](const absl::StatusOr<std::string>& answer) {
-        refused = answer.status();
+      ->Propose("x", [&refused](const absl::StatusOr<std::string>& result) {
+        refused = result.status();
       });
   EXPECT_TRUE(absl::IsResourceExhausted(refused)) << refused;
   cluster.RunClients();
@@ -83,7 +83,7 @@
   RaftWorld cluster(14, 3);
   ASSERT_TRUE(cluster.RunUntilLeader());
   const int old_leader = cluster.Leader();
-  absl::Status result = absl::UnknownError("no answer");
+  absl::Status result = absl::UnknownError("no result");
   cluster.Replica(static_cast<size_t>(old_leader))
       ->TransferLeadership([&result](const absl::Status& status) { result = status; });
   EXPECT_TRUE(cluster.world().RunUntil(
@@ -101,13 +101,13 @@
   cluster.world().RunFor(seconds(21));
   ASSERT_GE(cluster.Leader(), 0);
   EXPECT_FALSE(cluster.Replica(old_leader)->HasQuorumNow());
-  bool read_answered = false;
-  cluster.Replica(old_leader)->ReadBarrier([&read_answered](const absl::Status& status) {
-    read_answered = status.ok();
+  bool read_completed = false;
+  cluster.Replica(old_leader)->ReadBarrier([&read_completed](const absl::Status& status) {
+    read_completed = status.ok();
   });
   cluster.nodes()[old_leader].host->Thaw();
   cluster.world().RunFor(seconds(3));
-  EXPECT_FALSE(read_answered);
+  EXPECT_FALSE(read_completed);
 }
 
 TEST(RaftReplicaTest, SingleControllerBootstrapsAndSurvivesPowerLoss) {
--- a/src/posthatch/consensus/raft_replica.h
+++ b/src/posthatch/consensus/raft_replica.h
@@ -55,8 +55,8 @@
   std::string leader_endpoint() const override;
   void SetLeadershipListener(LeadershipListener listener) override;
 
-  // Whether this replica leads and a majority has answered it within the shortest election timeout,
-  // by the clock at this moment: no other leader has been elected.
+  // Whether this replica leads and a majority has responded to it within the shortest election
+  // timeout, by the clock at this moment: no other leader has been elected.
   bool HasQuorumNow() const;
   // Transfers leadership, for draining. `done` gets OK once another replica leads,
   // FailedPrecondition if this one doesn't, or DeadlineExceeded.
--- a/src/posthatch/consensus/raft_replication-test.cc
+++ b/src/posthatch/consensus/raft_replication-test.cc
@@ -23,8 +23,8 @@
 TEST(RaftReplicationTest, LeaderDoesNotCountItsUnsyncedEntry) {
   CoreHarness cluster(3);
   const uint64_t leader = cluster.RunUntilLeader();
-  const auto [follower, cut] = CoreHarness::Others(leader);
-  cluster.Isolate(cut);
+  const auto [follower, isolated] = CoreHarness::Others(leader);
+  cluster.Isolate(isolated);
   cluster.node(leader).disk_blocked = true;
   ASSERT_TRUE(cluster.core(leader).Propose("x", cluster.now()).ok());
   cluster.Run(milliseconds(300));
@@ -186,7 +186,7 @@
   cluster.Partition(b, leader);
   ASSERT_TRUE(cluster.core(leader).RequestRead(cluster.now()).ok());
   cluster.Run(milliseconds(200));
-  EXPECT_EQ(cluster.node(leader).reads.size(), 1U) << "answered by a leader nobody confirmed";
+  EXPECT_EQ(cluster.node(leader).reads.size(), 1U) << "completed by a leader that nobody confirmed";
 }
 
 TEST(RaftReplicationTest, RejectsProposalsBeyondLimit) {
--- a/src/posthatch/consensus/raft_simulation-test.cc
+++ b/src/posthatch/consensus/raft_simulation-test.cc
@@ -38,8 +38,8 @@
     cluster.RunClients();
     FaultMix faults(&cluster);
     faults.Run(seconds(40));
-    const std::string trouble = cluster.HealAndConverge();
-    ASSERT_EQ(trouble, "") << "seed " << seed << "\n"
+    const std::string failure = cluster.HealAndConverge();
+    ASSERT_EQ(failure, "") << "seed " << seed << "\n"
                            << absl::StrJoin(cluster.world().RecentTrace(), "\n");
     const std::vector<std::string> violations = cluster.history().Check(cluster.Length(0));
     ASSERT_TRUE(violations.empty()) << "seed " << seed << ": " << absl::StrJoin(violations, "; ");
@@ -89,8 +89,8 @@
     });
     ASSERT_TRUE(cluster.world().RunUntil([&struck] { return struck; }, seconds(20)));
     cluster.world().RunFor(seconds(5));
-    const std::string trouble = cluster.HealAndConverge();
-    ASSERT_EQ(trouble, "") << "seed " << seed;
+    const std::string failure = cluster.HealAndConverge();
+    ASSERT_EQ(failure, "") << "seed " << seed;
     const std::vector<std::string> violations = cluster.history().Check(cluster.Length(0));
     ASSERT_TRUE(violations.empty()) << "seed " << seed << ": " << absl::StrJoin(violations, "; ");
   }
--- a/src/posthatch/consensus/raft_world-test.h
+++ b/src/posthatch/consensus/raft_world-test.h
@@ -124,20 +124,20 @@
     LogHistory::Operation operation;
     operation.command = absl::StrCat("c", next_command_++);
     operation.begin_ns = NowNs();
-    const auto answered = std::make_shared<bool>(false);
+    const auto completed = std::make_shared<bool>(false);
     Replica(i)->Propose(operation.command,
-                        [this, operation, answered](absl::StatusOr<std::string> answer) mutable {
-                          *answered = true;
-                          if (answer.ok()) {
+                        [this, operation, completed](absl::StatusOr<std::string> result) mutable {
+                          *completed = true;
+                          if (result.ok()) {
                             operation.end_ns = NowNs();
-                            EXPECT_TRUE(absl::SimpleAtoi(*answer, &operation.position));
+                            EXPECT_TRUE(absl::SimpleAtoi(*result, &operation.position));
                             const auto callback = std::exchange(on_acknowledged_, nullptr);
                             if (callback) callback();
                           }
-                          if (!answer.ok() && !absl::IsAborted(answer.status())) return;
+                          if (!result.ok() && !absl::IsAborted(result.status())) return;
                           history_.AddOperation(std::move(operation));
                         });
-    if (!*answered) ++proposed_;
+    if (!*completed) ++proposed_;
   }
 
   void Read(size_t i) {
@@ -327,11 +327,11 @@
       case 5:
         return node.host->JumpWallClock(std::chrono::seconds(random_->Chance(0.5) ? 3600 : -3600));
       case 6:
-        return CutOff(i, /*out=*/true, /*in=*/true);
+        return PartitionNode(i, /*out=*/true, /*in=*/true);
       case 7:
-        return CutOff(i, /*out=*/true, /*in=*/false);
+        return PartitionNode(i, /*out=*/true, /*in=*/false);
       case 8:
-        return CutOff(i, /*out=*/false, /*in=*/true);
+        return PartitionNode(i, /*out=*/false, /*in=*/true);
       case 9:
         node.host->SetDiskFull(true);
         return Later(std::chrono::seconds(2), [&node] { node.host->SetDiskFull(false); });
@@ -369,7 +369,7 @@
       node.frozen = false;
     });
   }
-  void CutOff(size_t i, bool out, bool in) {
+  void PartitionNode(size_t i, bool out, bool in) {
     const std::string& name = cluster_->nodes()[i].host->name();
     for (const RaftWorld::Node& other : cluster_->nodes()) {
       const std::string& other_name = other.host->name();
--- a/src/posthatch/invalidation/object_states.h
+++ b/src/posthatch/invalidation/object_states.h
@@ -8,8 +8,8 @@
 // The object states that a publisher sends (WCIP 5.2.5, 5.3).
 namespace posthatch::invalidation {
 
-// Answers a registration or an increment: adds the state of each covered object to `response`,
-// judged against the versions that the subscriber holds.
+// The response to a registration or an increment: adds the state of each covered object to
+// `response`, judged against the versions that the subscriber holds.
 void AddRequestedStates(const PublisherSource& source, const RegistrationRequest& request,
                         RegistrationResponse* response);
 
--- a/src/posthatch/membership/gossip_membership.h
+++ b/src/posthatch/membership/gossip_membership.h
@@ -77,8 +77,8 @@
   void BroadcastLeave(int remaining_sends);
   // This process was stopped for `gap`: what it knows is that old.
   void OnPause(runtime::Duration gap);
-  // Whether this process's failed probes say anything about others: not while it seems to be cut
-  // off itself, nor shortly after it was stopped.
+  // Whether this process's failed probes say anything about others: not while it seems to be
+  // isolated itself, nor shortly after it was stopped.
   bool MayAccuse() const;
   // Whether `next` has passed; then sets it to about `interval` from now.
   bool AdvanceIfDue(runtime::MonotonicTime* next, runtime::Duration interval);
--- a/src/posthatch/membership/isolation_monitor.cc
+++ b/src/posthatch/membership/isolation_monitor.cc
@@ -4,7 +4,7 @@
 
 bool IsolationMonitor::IsIsolated() const {
   const runtime::Duration since_last_response = clock_->Now() - detector_->last_response_at();
-  // With fewer others, it is as likely that they are dead as that this process is cut off.
+  // With fewer others, it is as likely that they are dead as that this process is isolated.
   constexpr size_t kMinLivePeers = 3;
   return table_->live_count() >= kMinLivePeers &&
          since_last_response >= options_->isolation_timeout &&
--- a/src/posthatch/membership/isolation_monitor.h
+++ b/src/posthatch/membership/isolation_monitor.h
@@ -9,9 +9,9 @@
 
 namespace posthatch::membership {
 
-// Judges whether this process seems to be cut off from the network itself: nobody has answered it
-// for some time. It should accuse nobody then, since all its probes fail. After `max_isolation` the
-// others are taken for dead after all. Owned by GossipMembership; event loop thread only.
+// Decides whether this process seems to be isolated from the network: nobody has responded to it
+// for some time. It must suspect nobody then, since all its probes fail. After `max_isolation` the
+// others are considered dead after all. Owned by GossipMembership; event loop thread only.
 class IsolationMonitor {
  public:
   // The pointers must outlive this object.
--- a/src/posthatch/membership/peer_discovery.h
+++ b/src/posthatch/membership/peer_discovery.h
@@ -11,8 +11,8 @@
 namespace posthatch::membership {
 
 // Chooses addresses at which processes may be that this one doesn't know: seeds, cached peers, and
-// members that count as dead but may only have been cut off. Owned by GossipMembership; event loop
-// thread only.
+// members that count as dead but may only have been unreachable. Owned by GossipMembership; event
+// loop thread only.
 class PeerDiscovery {
  public:
   // The pointers must outlive this object.
