--- a/src/posthatch/consensus/raft_replica-test.cc
+++ b/src/posthatch/consensus/raft_replica-test.cc
@@ -5,6 +5,7 @@
 #include <chrono>
 #include <string>
 
+#include "posthatch/consensus/fault_mix-test.h"
 #include "posthatch/consensus/raft_world-test.h"
 
 namespace posthatch::consensus {
--- a/src/posthatch/consensus/raft_simulation-test.cc
+++ b/src/posthatch/consensus/raft_simulation-test.cc
@@ -10,6 +10,7 @@
 
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_join.h"
+#include "posthatch/consensus/fault_mix-test.h"
 #include "posthatch/consensus/raft_world-test.h"
 
 namespace posthatch::consensus {
