--- a/src/posthatch/consensus/bootstrap-test.cc
+++ b/src/posthatch/consensus/bootstrap-test.cc
@@ -132,15 +132,15 @@
   member.mutable_hello()->set_leader_id(50);
   member.mutable_hello()->set_leader_endpoint("host50");
   Run({member});
-  size_t asked = 0;
+  size_t requests = 0;
   for (const OutgoingMessage& out : bootstrap_->TakeMessages()) {
     if (!out.message.has_join_request()) continue;
-    ++asked;
+    ++requests;
     EXPECT_EQ(out.endpoint, "host50");
     EXPECT_EQ(out.message.to(), 50U);
   }
-  EXPECT_GE(asked, 2U);
-  EXPECT_LE(asked, 5U);
+  EXPECT_GE(requests, 2U);
+  EXPECT_LE(requests, 5U);
 }
 
 }  // namespace
--- a/src/posthatch/consensus/replica_options.h
+++ b/src/posthatch/consensus/replica_options.h
@@ -22,7 +22,7 @@
   // them must take part in it. Empty: any replica may. Needed where the number of controllers is
   // not known.
   std::vector<std::string> bootstrap_voters;
-  // Internal endpoints of the controllers known now; asked while there is no leader.
+  // Internal endpoints of the controllers known now; called while there is no leader.
   std::function<std::vector<std::string>()> peers;
 
   // A snapshot is taken after this many entries or bytes since the previous one.
--- a/src/posthatch/invalidation/publisher_source.h
+++ b/src/posthatch/invalidation/publisher_source.h
@@ -21,7 +21,7 @@
 class PublisherSource {
  public:
   virtual ~PublisherSource() = default;
-  // By the clock at this moment; asked again before everything that is sent.
+  // By the clock at this moment; called again before everything that is sent.
   virtual PublisherProof CurrentProof(const std::string& channel) = 0;
   // Objects that the channel covers now, with their newest versions, sorted by name.
   virtual std::vector<RegisteredObject> Objects(const std::string& channel) const = 0;
--- a/src/posthatch/invalidation/server_selector.h
+++ b/src/posthatch/invalidation/server_selector.h
@@ -16,7 +16,7 @@
 // Owned by ChannelSubscription; event loop thread only.
 class ServerSelector {
  public:
-  // Internal endpoints of the controllers, in any order; asked at each registration.
+  // Internal endpoints of the controllers, in any order; called at each registration.
   using Endpoints = std::function<std::vector<std::string>()>;
 
   // `clock` must outlive this object.
