--- a/src/posthatch/control/state/traffic_state-test.cc
+++ b/src/posthatch/control/state/traffic_state-test.cc
@@ -237,7 +237,7 @@
       EXPECT_EQ(gateway.inventory().SerializeAsString(),
                 state_.fleet().inventory().SerializeAsString());
     }
-    gateways.push_back(FleetState());
+    gateways.emplace_back();
     gateways.push_back(state_.fleet());
   }
 }
