--- a/src/posthatch/net/asio_transport-test.cc
+++ b/src/posthatch/net/asio_transport-test.cc
@@ -18,7 +18,7 @@
 using runtime::Delivery;
 using std::chrono::milliseconds;
 
-// A process with a transport; both of a test run in its thread, by turns.
+// A process with a transport; the two of a test run alternately in its thread.
 class Node {
  public:
   explicit Node(const std::string& node_id, AsioRuntimeOptions options = {}) {
@@ -71,7 +71,7 @@
       a, b, [] { return false; }, time);
 }
 
-TEST(AsioTransportTest, StreamKeepsOrderAndNamesTheSender) {
+TEST(AsioTransportTest, StreamIsOrderedAndIdentifiesSender) {
   Node a("a");
   Node b("b");
   std::vector<std::string> sent;
@@ -87,7 +87,7 @@
   EXPECT_EQ(b.last.from_incarnation(), a.transport()->incarnation());
 }
 
-TEST(AsioTransportTest, DatagramsArriveAndLongOnesAreDropped) {
+TEST(AsioTransportTest, DropsOversizedDatagrams) {
   Node a("a");
   Node b("b");
   a.Send(&b, "hello", Delivery::kDatagram);
@@ -98,7 +98,7 @@
   EXPECT_EQ(a.Dropped("too_long"), 1);
 }
 
-TEST(AsioTransportTest, ConnectsAnewAfterThePeerRestarted) {
+TEST(AsioTransportTest, ReconnectsAfterPeerRestart) {
   Node a("a");
   auto b = std::make_unique<Node>("b");
   const std::string endpoint = b->endpoint();
@@ -107,7 +107,7 @@
       &a, b.get(), [&] { return !b->received.empty(); }, std::chrono::seconds(5)));
   const uint64_t first_incarnation = b->transport()->incarnation();
   b.reset();
-  for (int k = 0; k < 5; ++k) {  // into the void: lost, and counted
+  for (int k = 0; k < 5; ++k) {  // no listener: lost and counted
     a.transport()->Send(endpoint, runtime::SERVICE_CONTROL, "lost", Delivery::kStream);
     RunFor(a.runtime(), milliseconds(100));
   }
@@ -116,14 +116,14 @@
   same_endpoint.internal_endpoint = endpoint;
   b = std::make_unique<Node>("b", same_endpoint);
   EXPECT_NE(b->transport()->incarnation(), first_incarnation);
-  RunFor(a.runtime(), milliseconds(1100));  // the longest back-off
+  RunFor(a.runtime(), milliseconds(1100));  // the maximum backoff
   a.Send(b.get(), "after");
   ASSERT_TRUE(RunBoth(
       &a, b.get(), [&] { return !b->received.empty() && b->received.back() == "after"; },
       std::chrono::seconds(5)));
 }
 
-TEST(AsioTransportTest, QueueIsBoundedInBytes) {
+TEST(AsioTransportTest, QueueIsLimitedInBytes) {
   AsioRuntimeOptions options;
   options.transport.max_queue_bytes = 100'000;
   Node a("a", options);
@@ -137,7 +137,7 @@
       &a, &b, [&] { return b.received.back() == "room again"; }, std::chrono::seconds(5)));
 }
 
-TEST(AsioTransportTest, MessageOverTheLimitIsDroppedBySender) {
+TEST(AsioTransportTest, OversizedMessageIsDroppedBySender) {
   AsioRuntimeOptions options;
   options.transport.max_message_bytes = 1000;
   Node a("a", options);
@@ -159,7 +159,7 @@
   return envelope;
 }
 
-TEST(AsioTransportTest, GarbageOnTheStreamPortEndsThatConnectionOnly) {
+TEST(AsioTransportTest, MalformedStreamClosesOnlyThatConnection) {
   AsioRuntimeOptions options;
   options.transport.max_message_bytes = 100'000;
   Node b("b", options);
@@ -198,7 +198,7 @@
       b.runtime()->RunUntil([&] { return b.received.size() == 2; }, std::chrono::seconds(5)));
 }
 
-TEST(AsioTransportTest, RandomDamageOnBothPortsIsBorne) {
+TEST(AsioTransportTest, SurvivesRandomInputOnBothPorts) {
   Node a("a");
   Node b("b");
   const int datagrams = socket(AF_INET, SOCK_DGRAM, 0);
@@ -231,7 +231,7 @@
       std::chrono::seconds(5)));
 }
 
-TEST(FrameDecoderTest, AnyCutOfTheStreamGivesTheSameEnvelopes) {
+TEST(FrameDecoderTest, AnyChunkingGivesSameEnvelopes) {
   std::string stream;
   for (int k = 0; k < 20; ++k) {
     runtime::Envelope envelope = GoodEnvelope();
@@ -261,7 +261,7 @@
 
 // --- Faults ---
 
-TEST(TransportFaultTest, CutSendingGoesSilentAndHeals) {
+TEST(TransportFaultTest, OutboundPartitionStallsAndHeals) {
   Node a("a");
   Node b("b");
   a.Send(&b, "one");
@@ -277,13 +277,13 @@
   EXPECT_EQ(b.received.size(), 1u);
   EXPECT_EQ(a.received, std::vector<std::string>{"other direction"});
   a.faults()->SetRules({});
-  // The connection has lived through the short cut, as a real one does; datagrams are gone.
+  // The connection survives a short partition, as a real one does; datagrams are lost.
   ASSERT_TRUE(RunBoth(
       &a, &b, [&] { return b.received.size() == 2; }, std::chrono::seconds(5)));
   EXPECT_EQ(b.received.back(), "two");
 }
 
-TEST(TransportFaultTest, CutReceivingHoldsOpenAndNewConnections) {
+TEST(TransportFaultTest, InboundPartitionBlocksOpenAndNewConnections) {
   Node a("a");
   Node b("b");
   a.Send(&b, "one");
@@ -300,7 +300,7 @@
   ASSERT_TRUE(RunBoth(
       &a, &b, [&] { return b.received.size() == 2; }, std::chrono::seconds(5)));
 
-  // A connection made during the cut loses its messages, and breaks when the cut heals.
+  // A connection opened during the partition loses its messages and breaks on healing.
   Node c("c");
   cut.drop_from.insert(c.endpoint());
   b.faults()->SetRules(cut);
@@ -315,7 +315,7 @@
   EXPECT_EQ(b.received.size(), 3u);
 }
 
-TEST(TransportFaultTest, LongCutDropsTheQueueAndThePeerSeesNoEndBeforeItHeals) {
+TEST(TransportFaultTest, LongPartitionDropsQueueAndHidesClose) {
   AsioRuntimeOptions options;
   options.transport.stall_timeout = milliseconds(100);
   RawListener listener;
@@ -337,7 +337,7 @@
   EXPECT_EQ(peer.ReadToEnd(a.runtime()).find("two"), std::string::npos);
 }
 
-TEST(TransportFaultTest, DelayHoldsMessagesBackInOrder) {
+TEST(TransportFaultTest, DelayKeepsOrder) {
   Node a("a");
   Node b("b");
   a.Send(&b, "0");
--- a/src/posthatch/simulation/sim_http-test.cc
+++ b/src/posthatch/simulation/sim_http-test.cc
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// What one call saw, in order: "head 200", pieces, "end" or "error".
+// Events of one call, in order: "head 200", chunks, "end" or "error".
 struct Observed {
   std::string events;
   std::optional<http::CallError> error;
@@ -81,7 +81,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SimHttpTest, testing::Range<uint64_t>(1, 21));
 
-TEST_P(SimHttpTest, KeptConnectionsAreReusedUnlessAFreshOneIsAsked) {
+TEST_P(SimHttpTest, ReusesConnectionUnlessFreshIsRequested) {
   for (int i = 0; i < 3; ++i) {
     Observed observed;
     http::CallOptions options;
@@ -95,7 +95,7 @@
   EXPECT_NE(connections_[1], connections_[2]);
 }
 
-TEST_P(SimHttpTest, StreamedAnswerEndsProperlyOrIsSeenCut) {
+TEST_P(SimHttpTest, StreamIsCompleteOrReportedTruncated) {
   for (const bool abort : {false, true}) {
     Observed observed;
     const auto call = Call(&observed, "/stream");
@@ -104,7 +104,7 @@
     writer_->WriteChunk("1");
     writer_->WriteChunk("2");
     if (abort) {
-      writer_ = nullptr;  // dropped unanswered
+      writer_ = nullptr;  // dropped without a response
     } else {
       writer_->FinishStream();
     }
@@ -119,7 +119,7 @@
   }
 }
 
-TEST_P(SimHttpTest, RefusedWhenNothingListensAndTimedOutWhenDeadOrCut) {
+TEST_P(SimHttpTest, RefusedWithoutListenerAndTimesOutWhenUnreachable) {
   server_->Crash();
   Observed refused;
   const auto first = Call(&refused, "/echo");
@@ -147,7 +147,7 @@
   EXPECT_TRUE(requests_.empty());
 }
 
-TEST_P(SimHttpTest, CrashOfTheServerIsSeenByTheCaller) {
+TEST_P(SimHttpTest, ServerCrashIsReported) {
   Observed before_head;
   Observed in_stream;
   const auto first = Call(&before_head, "/wait");
@@ -167,7 +167,7 @@
   EXPECT_TRUE(absl::IsDataLoss(in_stream.error->status));
 }
 
-TEST_P(SimHttpTest, SilenceRunsIntoHeadAndPieceTimeouts) {
+TEST_P(SimHttpTest, UnresponsiveServerHitsHeadAndBodyTimeouts) {
   http::CallOptions options;
   options.head_timeout = seconds(2);
   options.body_idle_timeout = seconds(1);
@@ -193,7 +193,7 @@
   EXPECT_TRUE(gone) << "the close travels the other way";
 }
 
-TEST_P(SimHttpTest, CancelTellsTheServerAndSilencesTheCall) {
+TEST_P(SimHttpTest, CancelNotifiesServerAndStopsCallbacks) {
   Observed observed;
   auto call = Call(&observed, "/wait");
   world_.RunFor(milliseconds(100));
@@ -207,7 +207,7 @@
   EXPECT_EQ(observed.events, "");
 }
 
-TEST_P(SimHttpTest, FrozenServerAcceptsAndAnswersAfterWaking) {
+TEST_P(SimHttpTest, FrozenServerAcceptsAndRespondsAfterThaw) {
   server_->Freeze();
   Observed observed;
   const auto call = Call(&observed, "/echo");
@@ -219,7 +219,7 @@
   EXPECT_EQ(observed.events, "h200 body end");
 }
 
-TEST_P(SimHttpTest, FrozenClientFindsItsTimeoutOrItsAnswerOnWaking) {
+TEST_P(SimHttpTest, FrozenClientGetsTimeoutOrResponseAfterThaw) {
   Observed observed;
   const auto call = Call(&observed, "/wait");
   world_.RunFor(milliseconds(100));
@@ -232,7 +232,7 @@
   EXPECT_TRUE(observed.ended || absl::IsDeadlineExceeded(observed.error->status));
 }
 
-TEST_P(SimHttpTest, PausedReaderPushesBack) {
+TEST_P(SimHttpTest, StoppedReaderAppliesBackpressure) {
   Observed observed;
   const auto call = Call(&observed, "/stream");
   world_.RunFor(milliseconds(100));
@@ -258,7 +258,7 @@
   EXPECT_EQ(observed.events.size(), std::string("h200 end").size() + 32 * (chunk.size() + 1));
 }
 
-TEST_P(SimHttpTest, DrainingServerEndsRunningAnswersAndRefusesNewConnections) {
+TEST_P(SimHttpTest, DrainCompletesResponsesAndRefusesConnections) {
   Observed running;
   const auto first = Call(&running, "/wait");
   world_.RunFor(milliseconds(100));
@@ -286,8 +286,8 @@
           [](const http::CallError&) {}};
 }
 
-// A server that never responds and ends its requests in one order or the other, as a container that
-// is hashed by address does.
+// A server that never responds and drops its requests in either order, as a container hashed by
+// address does.
 struct RequestHolder {
   RequestHolder(runtime::Runtime* runtime, const std::string& endpoint, bool reverse)
       : end_in_reverse(reverse) {
@@ -307,7 +307,7 @@
   std::vector<std::shared_ptr<http::ResponseWriter>> writers;
 };
 
-// Several clients, so that it shows which connection drew which delay.
+// Several clients, so that the assignment of random delays is visible.
 uint64_t BehaviourOfCrash(uint64_t seed, bool end_in_reverse) {
   constexpr int kClients = 12;
   SimWorld world(seed);
