--- a/src/posthatch/control/inventory/inventory_format.h
+++ b/src/posthatch/control/inventory/inventory_format.h
@@ -8,6 +8,7 @@
 
 namespace posthatch::control {
 
+// One page of a platform's inventory, parsed.
 struct InventoryPage {
   Inventory inventory;
   std::string next_page;  // empty on the last one
--- a/src/posthatch/control/server/fleet_harness-test.h
+++ b/src/posthatch/control/server/fleet_harness-test.h
@@ -29,6 +29,7 @@
 };
 using LogFactory = std::function<LogParts(runtime::Runtime*, ControlState*)>;
 
+// Serves the operators' interface at a host's HTTP endpoint.
 class AdminEndpoint {
  public:
   AdminEndpoint(runtime::Runtime* runtime, const std::string& endpoint, ControlClient* client,
@@ -45,6 +46,7 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
+// A controller with its state, log and operators' interface.
 struct ControllerProcess {
   ControllerProcess(runtime::Runtime* runtime, const simulation::SimHost& host,
                     const ControllerServiceOptions& options, LeaderLocator::Endpoints controllers,
@@ -61,6 +63,7 @@
   AdminEndpoint port;
 };
 
+// A gateway that decides, and commands the workers that it holds, every 20 ms.
 struct GatewayProcess {
   GatewayProcess(runtime::Runtime* host_runtime, const simulation::SimHost& host,
                  const LeaderLocator::Endpoints& controllers, ControlHistory* control_history)
@@ -217,6 +220,7 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
+// Boots the hosts of a fleet in one simulated world and records its history.
 class FleetHarness {
  public:
   FleetHarness(uint64_t seed, int controllers, int gateways, int workers, LogFactory make_log)
--- a/src/posthatch/control/server/state_views.h
+++ b/src/posthatch/control/server/state_views.h
@@ -8,6 +8,7 @@
 
 namespace posthatch::control {
 
+// HTTP status and JSON body of a GET under /admin/v1.
 struct View {
   int http_status = 200;
   std::string json;
--- a/src/posthatch/control/server/worker_lease_planner.cc
+++ b/src/posthatch/control/server/worker_lease_planner.cc
@@ -12,8 +12,11 @@
 // Leases that a gateway may hold above its fair share before some are released.
 constexpr size_t kMaxLeasesAboveFairShare = 1;
 
+// Gateways that may hold the workers of one zone: those of the zone, or all if it has none.
 using Candidates = std::vector<const Session*>;
 
+// Makes one plan: first looks at each lease (RetainOrRelease), then, if nothing is to be released,
+// grants the workers without a lease (GrantUnassigned).
 class Planner {
  public:
   Planner(const FleetState& fleet, const std::map<SessionKey, Session>& sessions,
@@ -49,6 +52,7 @@
     return (count + candidates.size() - 1) / candidates.size() + kMaxLeasesAboveFairShare;
   }
 
+  // Whether the command has as many changes as it may have.
   bool IsFull() const {
     return command_.grants_size() + command_.released_size() >= WorkerLeasePlanner::kMaxChanges;
   }
@@ -103,9 +107,9 @@
   Candidates all_candidates_;
   // Leases that each gateway holds, by group of candidates.
   std::map<const Candidates*, std::map<SessionKey, size_t>> lease_counts_;
-  std::map<std::string, std::string>
-      worker_zones_;  // of workers without a holder, once Run has looked at all leases
-  std::map<const Candidates*, size_t> worker_counts_;
+  // Zones of the workers whose leases haven't been looked at; at last those without a lease.
+  std::map<std::string, std::string> worker_zones_;
+  std::map<const Candidates*, size_t> worker_counts_;  // by group of candidates
   GrantWorkerLeases command_;
 };
 
--- a/src/posthatch/control/state/fleet_sections.h
+++ b/src/posthatch/control/state/fleet_sections.h
@@ -12,6 +12,7 @@
 // pushes carry the sections that are newer than the receiver's.
 namespace posthatch::control {
 
+// In the order of SectionIndices and of StatePushAck.section_indices, which must not change.
 enum class Section {
   kConfiguration,
   kIsolation,
