--- a/src/posthatch/routing/in_flight_prefills.cc
+++ b/src/posthatch/routing/in_flight_prefills.cc
@@ -1,7 +1,6 @@
 #include "posthatch/routing/in_flight_prefills.h"
 
 #include <algorithm>
-#include <ranges>
 
 namespace posthatch::routing {
 namespace {
@@ -38,9 +37,11 @@
   const auto found = entries_.find({affinity, revision});
   if (found == entries_.end()) return locations;
   const runtime::MonotonicTime now = clock_->Now();
-  for (const Entry& entry : std::ranges::reverse_view(found->second)) {
-    if (now - entry.started_at > options_.entry_ttl) continue;
-    locations.push_back({entry.worker_id, now >= entry.ready_at});
+  // Not a range: clang-tidy 14 can't compile std::ranges of this libstdc++.
+  // NOLINTNEXTLINE(modernize-loop-convert)
+  for (auto entry = found->second.rbegin(); entry != found->second.rend(); ++entry) {
+    if (now - entry->started_at > options_.entry_ttl) continue;
+    locations.push_back({entry->worker_id, now >= entry->ready_at});
   }
   return locations;
 }
