--- a/src/posthatch/gateway/gateway_fakes-test.h
+++ b/src/posthatch/gateway/gateway_fakes-test.h
@@ -13,43 +13,15 @@
 #include "absl/strings/str_cat.h"
 #include "posthatch/gateway/gateway.h"
 #include "posthatch/gateway/key_digest.h"
+#include "posthatch/test_support/fake_timers-test.h"
+#include "posthatch/test_support/fake_writer-test.h"
 
 // Fakes of everything that a Gateway depends on, driven by the test or benchmark.
 namespace posthatch::gateway {
 
-class FakeClock : public runtime::Clock {
- public:
-  runtime::MonotonicTime Now() const override { return now; }
-  int64_t WallNanoseconds() const override { return 0; }
-  runtime::MonotonicTime now{std::chrono::hours(1)};
-};
-
-class FakeTimers : public runtime::TimerService {
- public:
-  explicit FakeTimers(FakeClock* clock) : clock_(clock) {}
-  runtime::TimerId Schedule(runtime::Duration delay, std::function<void()> callback) override {
-    timers_.emplace(std::make_pair(clock_->now + delay, ++last_), std::move(callback));
-    return last_;
-  }
-  void Cancel(runtime::TimerId id) override {
-    std::erase_if(timers_, [id](const auto& timer) { return timer.first.second == id; });
-  }
-  // Advances the clock by `duration` and runs the timers that are due.
-  void Advance(runtime::Duration duration) {
-    const runtime::MonotonicTime until = clock_->now + duration;
-    while (!timers_.empty() && timers_.begin()->first.first <= until) {
-      auto timer = timers_.extract(timers_.begin());
-      clock_->now = std::max(clock_->now, timer.key().first);
-      timer.mapped()();
-    }
-    clock_->now = until;
-  }
-
- private:
-  FakeClock* const clock_;
-  runtime::TimerId last_ = 0;
-  std::map<std::pair<runtime::MonotonicTime, runtime::TimerId>, std::function<void()>> timers_;
-};
+using test_support::FakeClock;
+using test_support::FakeTimers;
+using test_support::FakeWriter;
 
 // One call of the gateway to a back end; the test sends the response.
 struct FakeCall {
@@ -137,38 +109,6 @@
   };
 };
 
-class FakeWriter : public http::ResponseWriter {
- public:
-  void SendResponse(http::Response response) override {
-    whole = std::move(response);
-    ++responses;
-  }
-  void StartStream(http::Response) override { started = true; }
-  void WriteChunk(std::string piece) override {
-    written += piece;
-    if (slow) buffered += piece.size();
-  }
-  void FinishStream() override { finished = true; }
-  void Abort() override { aborted = true; }
-  size_t buffered_bytes() const override { return buffered; }
-  void OnWritable(std::function<void()> callback) override { on_writable = std::move(callback); }
-  void OnCallerDisconnected(std::function<void()> callback) override {
-    on_gone = std::move(callback);
-  }
-  bool Says(const std::string& text) const { return whole.body.find(text) != std::string::npos; }
-
-  http::Response whole;
-  int responses = 0;
-  bool started = false;
-  bool finished = false;
-  bool aborted = false;
-  bool slow = false;
-  size_t buffered = 0;
-  std::string written;
-  std::function<void()> on_writable;
-  std::function<void()> on_gone;
-};
-
 class FakeFleetView : public control::FleetView {
  public:
   explicit FakeFleetView(const runtime::Clock* clock) : clock_(clock) {}
--- a/src/posthatch/invalidation/fake_runtime-test.h
+++ b/src/posthatch/invalidation/fake_runtime-test.h
@@ -8,46 +8,17 @@
 
 #include "posthatch/invalidation/invalidation.pb.h"
 #include "posthatch/runtime/runtime.h"
+#include "posthatch/test_support/fake_timers-test.h"
 
 // A runtime whose time advances only when the test lets it, and which records what is sent.
 namespace posthatch::invalidation {
 
-class FakeClock : public runtime::Clock {
+class FakeClock : public test_support::FakeClock {
  public:
-  runtime::MonotonicTime Now() const override { return now; }
-  int64_t WallNanoseconds() const override { return wall; }
-  runtime::MonotonicTime now = runtime::FromNanoseconds(1'000'000'000'000);
-  int64_t wall = 0;
+  FakeClock() : test_support::FakeClock(runtime::FromNanoseconds(1'000'000'000'000)) {}
 };
 
-class FakeTimers : public runtime::TimerService {
- public:
-  explicit FakeTimers(FakeClock* clock) : clock_(clock) {}
-  runtime::TimerId Schedule(runtime::Duration delay, std::function<void()> callback) override {
-    timers_[{clock_->now + delay, ++last_id_}] = std::move(callback);
-    return last_id_;
-  }
-  void Cancel(runtime::TimerId id) override {
-    std::erase_if(timers_, [id](const auto& timer) { return timer.first.second == id; });
-  }
-  // Advances the clock and runs the timers that are due, in order.
-  void Advance(runtime::Duration duration) {
-    const runtime::MonotonicTime end = clock_->now + duration;
-    while (!timers_.empty() && timers_.begin()->first.first <= end) {
-      auto timer = timers_.extract(timers_.begin());
-      clock_->now = std::max(clock_->now, timer.key().first);
-      timer.mapped()();
-    }
-    clock_->now = end;
-  }
-  // Advances the clock without running timers, as a stopped process observes it.
-  void Freeze(runtime::Duration duration) { clock_->now += duration; }
-
- private:
-  FakeClock* const clock_;
-  std::map<std::pair<runtime::MonotonicTime, runtime::TimerId>, std::function<void()>> timers_;
-  runtime::TimerId last_id_ = 0;
-};
+using test_support::FakeTimers;
 
 class FakeTransport : public runtime::Transport {
  public:
--- a/src/posthatch/invalidation/invalidation-bench.cc
+++ b/src/posthatch/invalidation/invalidation-bench.cc
@@ -12,6 +12,7 @@
 #include "absl/strings/str_cat.h"
 #include "posthatch/invalidation/channel_names.h"
 #include "posthatch/invalidation/invalidation_server.h"
+#include "posthatch/test_support/fake_timers-test.h"
 
 namespace posthatch::invalidation {
 namespace {
@@ -21,39 +22,6 @@
 
 constexpr int kRounds = 30;
 
-class ManualClock : public runtime::Clock {
- public:
-  runtime::MonotonicTime Now() const override { return now; }
-  int64_t WallNanoseconds() const override { return 0; }
-  runtime::MonotonicTime now = runtime::FromNanoseconds(1'000'000'000);
-};
-
-class ManualTimers : public runtime::TimerService {
- public:
-  explicit ManualTimers(ManualClock* clock) : clock_(clock) {}
-  runtime::TimerId Schedule(runtime::Duration delay, std::function<void()> callback) override {
-    timers_[{clock_->now + delay, ++last_id_}] = std::move(callback);
-    return last_id_;
-  }
-  void Cancel(runtime::TimerId id) override {
-    std::erase_if(timers_, [id](const auto& timer) { return timer.first.second == id; });
-  }
-  void Advance(runtime::Duration duration) {
-    const runtime::MonotonicTime end = clock_->now + duration;
-    while (!timers_.empty() && timers_.begin()->first.first <= end) {
-      auto timer = timers_.extract(timers_.begin());
-      clock_->now = std::max(clock_->now, timer.key().first);
-      timer.mapped()();
-    }
-    clock_->now = end;
-  }
-
- private:
-  ManualClock* const clock_;
-  std::map<std::pair<runtime::MonotonicTime, runtime::TimerId>, std::function<void()>> timers_;
-  runtime::TimerId last_id_ = 0;
-};
-
 // Counts what is sent and drops it: the cost of sending is not measured here.
 class CountingTransport : public runtime::Transport {
  public:
@@ -118,8 +86,8 @@
 }
 
 void Measure(int subscribers, int objects, int changed) {
-  ManualClock clock;
-  ManualTimers timers(&clock);
+  test_support::FakeClock clock(runtime::FromNanoseconds(1'000'000'000));
+  test_support::FakeTimers timers(&clock);
   CountingTransport transport;
   runtime::Random random(1);
   runtime::Runtime runtime;
--- /dev/null
+++ b/src/posthatch/test_support/fake_writer-test.h
@@ -0,0 +1,46 @@
+#pragma once
+
+#include <cstddef>
+#include <functional>
+#include <string>
+#include <utility>
+
+#include "posthatch/http/http.h"
+
+namespace posthatch::test_support {
+
+// Records the response to one request.
+class FakeWriter : public http::ResponseWriter {
+ public:
+  void SendResponse(http::Response response) override {
+    whole = std::move(response);
+    ++responses;
+  }
+  void StartStream(http::Response) override { started = true; }
+  void WriteChunk(std::string chunk) override {
+    written += chunk;
+    if (slow) buffered += chunk.size();
+  }
+  void FinishStream() override { finished = true; }
+  void Abort() override { aborted = true; }
+  size_t buffered_bytes() const override { return buffered; }
+  void OnWritable(std::function<void()> callback) override { on_writable = std::move(callback); }
+  void OnCallerDisconnected(std::function<void()> callback) override {
+    on_gone = std::move(callback);
+  }
+  // Whether the unstreamed response's body contains `text`.
+  bool Says(const std::string& text) const { return whole.body.find(text) != std::string::npos; }
+
+  http::Response whole;  // of SendResponse
+  int responses = 0;     // calls of SendResponse
+  bool started = false;
+  bool finished = false;
+  bool aborted = false;
+  bool slow = false;  // the caller reads nothing: chunks stay buffered
+  size_t buffered = 0;
+  std::string written;  // the chunks
+  std::function<void()> on_writable;
+  std::function<void()> on_gone;
+};
+
+}  // namespace posthatch::test_support
