--- a/src/posthatch/net/asio_types.h
+++ b/src/posthatch/net/asio_types.h
@@ -1,13 +1,12 @@
 #pragma once
 
-#include <ctime>
-
 #include <boost/asio/basic_stream_socket.hpp>
 #include <boost/asio/basic_waitable_timer.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/ip/udp.hpp>
 #include <chrono>
+#include <ctime>
 
 #include "posthatch/runtime/clock.h"
 
