--- a/src/posthatch/fleettest/child_process.cc
+++ b/src/posthatch/fleettest/child_process.cc
@@ -19,7 +19,7 @@
 constexpr size_t kMaxChildren = 1024;
 constexpr int kLogMode = 0644;
 
-// Process ids of running children; 0 marks a free place. Lock-free, for the signal handler.
+// Process ids of running children; 0 marks a free slot. Lock-free, for the signal handler.
 std::array<std::atomic<pid_t>, kMaxChildren> running_children;
 
 bool Remember(pid_t pid) {
@@ -57,7 +57,7 @@
   posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, log_file.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, kLogMode);
   posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-  // A group of its own: an interrupt at the terminal reaches this tool only, which ends its
+  // Its own process group: an interrupt at the terminal reaches only this program, which ends its
   // children.
   posix_spawnattr_t attributes;
   posix_spawnattr_init(&attributes);
--- a/src/posthatch/fleettest/child_process.h
+++ b/src/posthatch/fleettest/child_process.h
@@ -11,22 +11,22 @@
 
 namespace posthatch::fleettest {
 
-// A process that this tool started. It never outlives the object: the destructor kills it and waits
+// A child process of this program. It never outlives the object: the destructor kills it and waits
 // for its end. Every child is also known to KillAllChildren.
 class ChildProcess {
  public:
-  // Starts `arguments[0]` with the rest as its arguments; output goes to the end of `log_file`.
-  // Errors: Internal with the system's reason.
+  // Starts `arguments[0]` with the other arguments; output is appended to `log_file`. Errors:
+  // Internal with the system's reason.
   static absl::StatusOr<std::unique_ptr<ChildProcess>> Start(
       const std::vector<std::string>& arguments, const std::string& log_file);
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
-  // Whether it has not ended yet; notices an end at once.
+  // Whether it is running; collects its exit status when it has ended.
   bool running();
   absl::Status Signal(int signal_number);
-  // Kills it, also if it is stopped, and waits for its end.
+  // Kills it, even if it is stopped, and waits for its end.
   void Kill();
   // "exit code 3" or "signal 11"; empty while it runs.
   const std::string& end() const { return end_; }
--- a/src/posthatch/fleettest/command_line.h
+++ b/src/posthatch/fleettest/command_line.h
@@ -5,7 +5,7 @@
 namespace posthatch::fleettest {
 
 inline constexpr int kExitPassed = 0;
-inline constexpr int kExitFailed = 1;    // a violation, a check that saw nothing, or no whole run
+inline constexpr int kExitFailed = 1;    // a violation, a check without cases, or an incomplete run
 inline constexpr int kExitBadInput = 2;  // command line or scenario file
 inline constexpr int kExitOverTime = 3;  // the hard time limit
 
--- a/src/posthatch/fleettest/fault_injector.cc
+++ b/src/posthatch/fleettest/fault_injector.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr runtime::Duration kRestartRetry = std::chrono::milliseconds(250);
-// After a lost disk the controller has to catch up before chaos takes the next disk.
+// After a lost disk the controller has to catch up before a random fault takes another disk.
 constexpr runtime::Duration kDiskRepairTime = std::chrono::seconds(15);
 
 // Faults during which no other fault may stop or start the process.
@@ -170,7 +170,7 @@
   runtime::Random* random = environment_.fleet->runtime()->random;
   const bool everyone = fault.peer.role == Role::kAny && fault.peer.name.empty() &&
                         fault.peer.zone.empty() && fault.peer.label.empty();
-  // Processes that the same fault cuts off stay together.
+  // Processes partitioned by the same fault remain connected to each other.
   const std::vector<ProcessInfo> inside = ResolveTarget(fault.target, all, leader, random);
   for (const ProcessInfo& peer : everyone ? all : ResolveTarget(fault.peer, all, leader, random)) {
     const bool picked = fault.target.name == "random" || fault.target.name == "leader";
@@ -276,7 +276,7 @@
     AddOutcome(active->fault, name, "failed to restart: " + StatusMessage(status));
     return Finish(active);
   }
-  // It still drains.
+  // It is still draining.
   timers_.push_back(std::make_unique<runtime::Timer>(fleet->runtime()->timers));
   timers_.back()->Start(kRestartRetry, [this, active] { RestartUntilItRuns(active); });
 }
--- a/src/posthatch/fleettest/fault_injector.h
+++ b/src/posthatch/fleettest/fault_injector.h
@@ -15,7 +15,7 @@
 
 namespace posthatch::fleettest {
 
-// What became of one fault at one process.
+// The result of one fault at one process.
 struct FaultOutcome {
   std::string kind;
   std::string target;
@@ -23,16 +23,16 @@
   std::string result;  // "injected", "not applicable: ...", "skipped: ...", "failed: ..."
 };
 
-// Carries out a scenario's timeline of faults. Event loop thread only; owned by the fleet test.
+// Injects a scenario's timeline of faults. Event loop thread only; owned by the fleet test.
 class FaultInjector {
  public:
   struct Environment {
     Fleet* fleet = nullptr;
     ProcessControlClient* control = nullptr;
     ResponseDroppingClient* operators_client = nullptr;
-    // Name of the leading controller as far as known.
+    // Name of the leading controller, if known.
     std::function<std::string()> leader;
-    // A process was replaced or moved: callers, operators and the inventory must learn it.
+    // A process was replaced or moved: callers, operators and inventory must be updated.
     std::function<void()> on_processes_changed;
   };
 
@@ -41,12 +41,12 @@
   FaultInjector(const FaultInjector&) = delete;
   FaultInjector& operator=(const FaultInjector&) = delete;
 
-  // Schedules all faults; times count from now.
+  // Schedules all faults, relative to the current time.
   void Start(const std::vector<Fault>& faults);
-  // Schedules faults that chaos drew: those that would lose acknowledged data by themselves (disks
+  // Schedules randomly drawn faults; those that would lose acknowledged data by themselves (disks
   // of a majority) are skipped.
   void StartChaos(const std::vector<Fault>& faults);
-  // Ends everything that still lasts: thaws, heals, restarts.
+  // Ends all active faults: thaws, heals, restarts.
   void EndAll();
   const std::vector<FaultOutcome>& outcomes() const { return outcomes_; }
 
@@ -62,7 +62,7 @@
   void End(const std::shared_ptr<ActiveFault>& active);
   void RestartUntilItRuns(const std::shared_ptr<ActiveFault>& active);
   void Finish(const std::shared_ptr<ActiveFault>& active);
-  // Adds to (or takes away from) what lies on a link.
+  // Adds a fault to a link, or removes it.
   absl::Status ChangeLink(const std::string& from, const std::string& to, bool partitioned,
                           runtime::Duration delay, int change);
   std::string SkipReason(const Fault& fault, const ProcessInfo& process, bool chaos) const;
--- a/src/posthatch/fleettest/fleet_plan.cc
+++ b/src/posthatch/fleettest/fleet_plan.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr uint32_t kAddressesPerBlock = 250;
-constexpr uint32_t kMoveStride = 60;  // blocks apart: a moved process gets an unused address
+constexpr uint32_t kMoveStride = 60;  // address blocks: a moved process gets an unused address
 constexpr double kLargeTenantShare = 4;
 constexpr std::string_view kService = "frontdesk";
 
@@ -148,8 +148,8 @@
 
 std::map<std::string, std::string> LabelsOf(const PlannedProcess& process) {
   if (!IsBackend(process.role)) return {};
-  // One label only: protobuf writes maps of several entries in no determined order, and a simulated
-  // seed must give one trace.
+  // One label only: protobuf serializes maps of several entries in undetermined order, and a
+  // simulated seed must have one trace.
   return {{"pool", process.number % 2 == 0 ? "even" : "odd"}};
 }
 
--- a/src/posthatch/fleettest/fleet_plan.h
+++ b/src/posthatch/fleettest/fleet_plan.h
@@ -8,7 +8,7 @@
 #include "posthatch/fleettest/fleet.h"
 #include "posthatch/fleettest/scenario.h"
 
-// Names, places and traffic that follow from a scenario, alike for real and simulated fleets.
+// Names, addresses and traffic of a scenario, the same for real and simulated fleets.
 namespace posthatch::fleettest {
 
 // One process to start.
@@ -31,15 +31,15 @@
 // The process numbered `number` of `role`, as for PlanFleet; for replacements.
 PlannedProcess PlanProcess(const Scenario& scenario, Role role, uint32_t number);
 
-// "<network>.<group>.<high>.<low>": one address a process. `network` is 127 for real loopback
-// addresses and 10 in the simulator; each move of a process takes the next `move`.
+// "<network>.<group>.<high>.<low>": one address per process. `network` is 127 for real loopback
+// addresses and 10 in the simulator; each move of a process increments `move`.
 std::string AddressOf(uint32_t network, const PlannedProcess& process, uint32_t move);
 bool IsBackend(Role role);
 std::map<std::string, std::string> LabelsOf(const PlannedProcess& process);
 emulator::InventoryBackend InventoryEntry(const PlannedProcess& process,
                                           const std::string& endpoint);
 
-// What the callers send.
+// The callers' traffic.
 emulator::TrafficMix PlanTraffic(const Scenario& scenario);
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/free_port.h
+++ b/src/posthatch/fleettest/free_port.h
@@ -7,8 +7,8 @@
 
 namespace posthatch::fleettest {
 
-// A port of `address` that is free for TCP and UDP right now, chosen by the kernel. It is not held:
-// addresses are one a process, so that another fleet test seldom takes it before the process does.
+// A port of `address` that is currently free for TCP and UDP, chosen by the kernel. It is not
+// reserved; since each process has its own address, another fleet test rarely takes it first.
 absl::StatusOr<uint16_t> FindFreePort(const std::string& address);
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/inventory_publisher.h
+++ b/src/posthatch/fleettest/inventory_publisher.h
@@ -9,16 +9,16 @@
 
 namespace posthatch::fleettest {
 
-// Tells the inventory stand-in which back ends there are, when one is replaced or moved. The list
-// it starts with comes from its settings. Event loop thread only.
+// Updates the inventory emulator when a back end is replaced or moved. Its initial inventory comes
+// from its settings. Event loop thread only.
 class InventoryPublisher {
  public:
   InventoryPublisher(ProcessControlClient* control, const Scenario* scenario)
       : control_(control), scenario_(scenario) {}
 
-  // Sends the list if it differs from the last one.
+  // Sends the inventory if it differs from the last one.
   void Publish(const std::vector<ProcessInfo>& processes);
-  // Marks a back end as draining or not; later lists keep the mark.
+  // Sets a back end's draining mark, which later inventories keep.
   void SetDraining(const std::string& backend, bool draining, ProcessControlClient::Done done);
 
  private:
--- a/src/posthatch/fleettest/leader_watch.h
+++ b/src/posthatch/fleettest/leader_watch.h
@@ -7,8 +7,8 @@
 
 namespace posthatch::fleettest {
 
-// Asks a controller now and then who leads, for faults that aim at the leader. A hint: by the time
-// a fault begins another one may lead. Event loop thread only.
+// Polls a controller for the current leader, for faults that target it. A hint: another one may
+// lead when a fault begins. Event loop thread only.
 class LeaderWatch {
  public:
   LeaderWatch(ProcessControlClient* control, runtime::Runtime* runtime, Fleet* fleet);
--- a/src/posthatch/fleettest/node_plan.h
+++ b/src/posthatch/fleettest/node_plan.h
@@ -10,10 +10,10 @@
 #include "posthatch/fleettest/fleet_plan.h"
 #include "posthatch/server/settings/node_settings.h"
 
-// The settings of each process, alike for real and simulated fleets.
+// The settings of each process, the same for real and simulated fleets.
 namespace posthatch::fleettest {
 
-// Where the processes that others need to know are.
+// Endpoints that other processes need in their settings.
 struct FleetAddresses {
   std::vector<std::string> seeds;  // internal endpoints, at most three
   std::string inventory;           // HTTP
--- a/src/posthatch/fleettest/operation_runner.h
+++ b/src/posthatch/fleettest/operation_runner.h
@@ -14,7 +14,7 @@
 
 namespace posthatch::fleettest {
 
-// Carries out a scenario's timeline of operators' and the platform's doings. Event loop thread
+// Executes a scenario's timeline of operators' and the platform's operations. Event loop thread
 // only; owned by the fleet test.
 class OperationRunner {
  public:
@@ -23,7 +23,7 @@
     ProcessControlClient* control = nullptr;
     InventoryPublisher* inventory = nullptr;
     emulator::OperatorEmulator* first_operator = nullptr;
-    emulator::OperatorEmulator* second_operator = nullptr;  // the rival in racing changes
+    emulator::OperatorEmulator* second_operator = nullptr;  // the competitor in racing changes
     // Rotates the probe tenant's key from its Start on.
     emulator::OperatorEmulator* rotating_operator = nullptr;
     // As applied at the start: tenants are changed from it.
@@ -35,9 +35,9 @@
   OperationRunner(const OperationRunner&) = delete;
   OperationRunner& operator=(const OperationRunner&) = delete;
 
-  // Times count from now.
+  // Schedules the operations, relative to the current time.
   void Start(const std::vector<Operation>& operations);
-  // Begins nothing new.
+  // Cancels the operations not started yet.
   void Stop() { timers_.clear(); }
   const std::vector<FaultOutcome>& outcomes() const { return outcomes_; }
 
@@ -62,8 +62,8 @@
   std::vector<FaultOutcome> outcomes_;
 };
 
-// The configuration patch that brings `configuration` about, and the detail that the checks read:
-// which keys are accepted and which tenants isolated.
+// The patch that creates `configuration`, and the detail that the checks read: which keys are
+// accepted and which tenants isolated.
 control::ConfigurationPatch InitialPatch(const control::Configuration& configuration);
 std::string InitialDetail(const emulator::TrafficMix& mix);
 
--- a/src/posthatch/fleettest/process_control_client.h
+++ b/src/posthatch/fleettest/process_control_client.h
@@ -10,8 +10,8 @@
 
 namespace posthatch::fleettest {
 
-// Sends the fleet test's own requests (PUT /debug/..., GET /readyz) to processes of the fleet, real
-// or simulated alike. Event loop thread only.
+// Sends the fleet test's requests (PUT /debug/..., GET /readyz) to real or simulated processes.
+// Event loop thread only.
 class ProcessControlClient {
  public:
   using Done = std::function<void(absl::Status, const std::string& body)>;
@@ -22,7 +22,7 @@
 
   void Put(const std::string& endpoint, const std::string& path, const std::string& json,
            Done done);
-  // Unavailable unless the answer is 200.
+  // Unavailable unless the response is 200.
   void Get(const std::string& endpoint, const std::string& path, Done done);
 
  private:
--- a/src/posthatch/fleettest/process_settings.cc
+++ b/src/posthatch/fleettest/process_settings.cc
@@ -13,7 +13,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-// Names and endpoints hold no characters that TOML would escape.
+// Names and endpoints contain no characters that TOML would escape.
 std::string Quoted(const std::string& text) { return "\"" + text + "\""; }
 
 std::string List(const std::vector<std::string>& texts) {
--- a/src/posthatch/fleettest/readiness_watch.h
+++ b/src/posthatch/fleettest/readiness_watch.h
@@ -10,7 +10,7 @@
 
 namespace posthatch::fleettest {
 
-// Asks every process for /readyz until each has answered 200 once. Event loop thread only.
+// Polls /readyz of every process until each has returned 200 once. Event loop thread only.
 class ReadinessWatch {
  public:
   ReadinessWatch(ProcessControlClient* control, runtime::Runtime* runtime);
@@ -23,7 +23,7 @@
   std::string NotReady() const;
 
  private:
-  // Outlives the watch while answers are on their way.
+  // Outlives the watch while responses are pending.
   struct State {
     std::set<std::string> waiting;
   };
--- a/src/posthatch/fleettest/real_fleet.h
+++ b/src/posthatch/fleettest/real_fleet.h
@@ -19,13 +19,13 @@
 struct RealFleetOptions {
   std::string posthatchd;          // path of the program
   std::string posthatch_emulator;  // path of the program
-  std::string run_folder;          // settings, data, logs and histories go below it
+  std::string run_folder;          // parent of settings, data, logs and histories
   uint64_t seed = 1;               // of callers, operators and random faults
   bool round_robin = false;
 };
 
-// A fleet of real processes on loopback addresses, one address a process. The only part of
-// posthatch that starts processes; all end with the object.
+// A fleet of real processes on loopback, one address per process. The only part of posthatch that
+// starts processes; all end with the object.
 class RealFleet : public Fleet {
  public:
   // `scenario` outlives the fleet.
@@ -37,7 +37,7 @@
   runtime::Runtime* runtime() override { return &runtime_; }
   HistoryRecorder* recorder() override { return recorder_.get(); }
   std::vector<ProcessInfo> processes() const override;
-  // Real processes share the machine's clock, and the operating system keeps what they wrote.
+  // Real processes share the machine's clock, and the operating system keeps written data.
   bool Supports(FaultKind kind) const override {
     return kind != FaultKind::kPowerLoss && kind != FaultKind::kClockJump;
   }
@@ -68,7 +68,7 @@
   FleetAddresses Addresses() const;
   Member* Find(const std::string& name) const;
   ProcessInfo MakeProcessInfo(const Member& member) const;
-  // Sends a posthatch process the faults that hold for it now, until it has taken them.
+  // Sends a posthatch process its current faults, retrying until it has accepted them.
   void SendFaults(const std::string& name, int attempts_left);
   std::string FaultsJson(const Member& member) const;
 
@@ -81,7 +81,7 @@
   std::unique_ptr<MemoryHistoryRecorder> recorder_;
   std::unique_ptr<ProcessControlClient> control_;
   std::vector<std::unique_ptr<Member>> members_;
-  std::vector<std::string> histories_;  // files, also of processes that were replaced
+  std::vector<std::string> histories_;  // files, including those of replaced processes
   std::map<Role, uint32_t> newest_number_;
   std::map<std::pair<std::string, std::string>, LinkState> links_;
   std::vector<std::unique_ptr<runtime::Timer>> timers_;
--- a/src/posthatch/fleettest/real_run.cc
+++ b/src/posthatch/fleettest/real_run.cc
@@ -27,7 +27,7 @@
   return pattern;
 }
 
-// One fleet from start to end; its history goes into `report`.
+// Runs one fleet from start to end and examines its history.
 void RunFleet(const Scenario& scenario, const RealRunOptions& options,
               const std::string& run_folder, bool round_robin, ScenarioReport* report) {
   RealFleetOptions fleet_options;
--- a/src/posthatch/fleettest/report.h
+++ b/src/posthatch/fleettest/report.h
@@ -13,13 +13,13 @@
 
 namespace posthatch::fleettest {
 
-// All that one run of a scenario found.
+// The results of one run of a scenario.
 struct ScenarioReport {
   std::string scenario;
   std::string mode;  // "run" or "simulate"
   uint64_t seed = 0;
   double duration_s = 0;
-  std::string failure;  // why it could not be carried through; empty: it was
+  std::string failure;  // why it could not be completed; empty if it was
   Statistics statistics;
   std::vector<CheckResult> checks;
   std::vector<NotExamined> not_examined;
@@ -31,7 +31,7 @@
   bool deterministic = true;    // false: a second run of the seed had another trace hash
 };
 
-// Whether every check that applies examined something and found nothing, and the run was whole.
+// Whether every applicable check had cases and no violation, and the run was complete.
 bool Passed(const ScenarioReport& report);
 // Runs all checks and statistics over the history.
 void ExamineHistory(const Scenario& scenario, const RecordedHistory& history,
@@ -40,7 +40,7 @@
 // JSON of one run, and of many seeds of one scenario (docs/FLEETTEST.md lists the keys).
 std::string ReportJson(const ScenarioReport& report);
 std::string SeedsJson(const std::vector<ScenarioReport>& reports);
-// Table for people.
+// Human-readable table.
 std::string SummaryTable(const ScenarioReport& report);
 // One line for one seed of many.
 std::string SeedLine(const ScenarioReport& report);
--- a/src/posthatch/fleettest/response_dropping_client.h
+++ b/src/posthatch/fleettest/response_dropping_client.h
@@ -11,15 +11,15 @@
 
 namespace posthatch::fleettest {
 
-// An HTTP client that loses answers on the way: the request arrives and is carried out, and its
-// sender sees a connection that broke. For the fault lost_ack, alike in real and simulated runs.
+// An HTTP client that drops responses: the request is delivered and executed, and the sender sees a
+// broken connection. For the fault lost_ack, in real and simulated runs.
 class ResponseDroppingClient : public http::HttpClient {
  public:
   // All outlive the client.
   ResponseDroppingClient(http::HttpClient* client, runtime::Random* random)
       : client_(client), random_(random) {}
 
-  // Answers from `endpoint` are lost with this chance; 0 ends it.
+  // Responses from `endpoint` are dropped with this probability; 0 ends it.
   void SetDropProbability(const std::string& endpoint, double probability);
 
   std::unique_ptr<http::Call> Start(const std::string& endpoint, http::Request request,
--- a/src/posthatch/fleettest/scenario.h
+++ b/src/posthatch/fleettest/scenario.h
@@ -7,24 +7,24 @@
 
 #include "posthatch/runtime/clock.h"
 
-// What a fleet test does, as read from a scenario file. docs/FLEETTEST.md is the file's grammar.
+// A fleet test as read from a scenario file, whose grammar is in docs/FLEETTEST.md.
 namespace posthatch::fleettest {
 
 enum class FaultKind {
-  kKill,       // the process dies at once and starts again
-  kStop,       // asked to end (SIGTERM: drains), and starts again
-  kFreeze,     // no instruction runs until woken
-  kDiskLoss,   // dies, and starts again with an empty data folder
-  kPowerLoss,  // dies and loses every write that was not synced, and starts again
+  kKill,       // the process is killed and restarted
+  kStop,       // graceful shutdown (SIGTERM), then restarted
+  kFreeze,     // no instruction runs until thawed
+  kDiskLoss,   // killed, and restarted with an empty data folder
+  kPowerLoss,  // killed with the loss of unsynced writes, and restarted
   kSlowDisk,   // each sync takes longer
   kClockJump,  // the wall clock jumps
-  kPartition,  // messages and connections are lost, one way or both
-  kSlowLink,   // everything takes longer on the way
-  kEvents,     // a worker's cache events are late, lost, reordered or doubled
-  kResponses,  // a back end answers late, twice or crossed
-  kLostAck,    // answers to operators are lost
-  kReplace,    // dies for good; a new process with another id takes its place
-  kMoveSeed,   // stops, and starts again at another address
+  kPartition,  // messages and connections are blocked, one way or both
+  kSlowLink,   // the link has an extra delay
+  kEvents,     // a worker's cache events are delayed, lost, reordered or duplicated
+  kResponses,  // responses are delayed, duplicated or mismatched
+  kLostAck,    // responses to operators are lost
+  kReplace,    // replaced by a new process with another id
+  kMoveSeed,   // killed, and restarted at another address
 };
 
 enum class OperationKind {
@@ -40,8 +40,8 @@
 
 enum class Role { kAny, kGateway, kController, kWorker, kStore, kService, kInventory };
 
-// Points at processes: all given parts must match. `name` "random" picks one of the rest by seed,
-// "leader" the leading controller, and "all" takes every one.
+// Selects processes: all given parts must match. `name` "random" picks one of the rest by seed,
+// "leader" the leading controller, and "all" every one.
 struct Target {
   Role role = Role::kAny;
   std::string name;
@@ -53,7 +53,7 @@
 struct Fault {
   FaultKind kind = FaultKind::kKill;
   runtime::Duration at{};
-  // How long it lasts; for those that end a process, how long it stays down.
+  // Duration; for faults that end a process, its downtime.
   runtime::Duration duration = std::chrono::seconds(2);
   Target target;
   Target peer;                 // cut, slow_link: the other side; unset: everything else
@@ -66,7 +66,7 @@
 struct Operation {
   OperationKind kind = OperationKind::kConfigurationChange;
   runtime::Duration at{};
-  uint32_t repeat = 1;  // how often in a row
+  uint32_t repeat = 1;  // number of repetitions
   runtime::Duration every = std::chrono::seconds(1);
   std::string zone;      // evacuate, lift
   std::string backend;   // drain_mark: id or "random"
@@ -102,20 +102,20 @@
   uint32_t isolated = 1;  // the last ones: isolated from the start
 };
 
-// Shares of the traffic, of a total that need not be 1.
+// Relative shares of the traffic; the total need not be 1.
 struct TrafficShares {
-  double completions = 0;  // long shared prefixes, whole answers
+  double completions = 0;  // long shared prefixes, unstreamed
   double streams = 0;      // the same, streamed
   double chat = 0;         // streamed chat
-  double placements = 0;   // non-repeatable service operation
-  double questions = 0;    // small repeatable service operation
+  double placements = 0;   // non-idempotent service operation
+  double questions = 0;    // small idempotent service operation
 };
 
 struct Traffic {
   std::string preset = "mixed";  // nilestone, kovinar, mixed, or "shares"
   TrafficShares shares;
   double requests_per_second = 30;
-  double resend_probability = 0.05;  // a caller sends a non-repeatable request again, elsewhere
+  double resend_probability = 0.05;  // a caller resends a non-idempotent request to another gateway
 };
 
 struct WorkerModel {
@@ -128,7 +128,7 @@
 
 struct InventoryModel {
   runtime::Duration lateness = std::chrono::milliseconds(500);
-  double rate_cap = 10;  // readings a second
+  double rate_cap = 10;  // reads per second
 };
 
 struct NotExamined {
--- a/src/posthatch/fleettest/scenario_loader.cc
+++ b/src/posthatch/fleettest/scenario_loader.cc
@@ -231,7 +231,7 @@
   return entry;
 }
 
-// Words like "z4" or "worker-19" that point beyond the sizes.
+// Names such as "z4" or "worker-19" beyond the fleet's sizes.
 void CheckZone(TableReader* reader, const Scenario& scenario, const std::string& zone,
                const std::string& path) {
   if (zone.empty()) return;
--- a/src/posthatch/fleettest/scenario_loader.h
+++ b/src/posthatch/fleettest/scenario_loader.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::fleettest {
 
-// Either a scenario or all that is wrong with its file.
+// A scenario, or all errors of its file.
 struct LoadedScenario {
   Scenario scenario;
   // "FILE:LINE: KEY: what is wrong (allowed: ...)", in the order of the file's sections.
@@ -16,8 +16,8 @@
   bool ok() const { return errors.empty(); }
 };
 
-// Reads and checks a whole scenario: unknown keys, wrong types, values out of range, targets that
-// can't exist at the given sizes, and times beyond the end are errors, all reported at once.
+// Reads and validates a scenario: unknown keys, wrong types, values out of range, targets that
+// can't exist at the given sizes, and times beyond the end are errors, all reported together.
 LoadedScenario ParseScenario(std::string_view toml_text, const std::string& file_name);
 LoadedScenario LoadScenarioFile(const std::string& path);
 
--- a/src/posthatch/fleettest/scenario_run.cc
+++ b/src/posthatch/fleettest/scenario_run.cc
@@ -26,7 +26,8 @@
 constexpr runtime::Duration kReadyLimit = std::chrono::seconds(60);
 constexpr runtime::Duration kConfigurationLimit = std::chrono::seconds(30);
 constexpr runtime::Duration kLoadEndLimit = std::chrono::seconds(60);
-constexpr runtime::Duration kProbeDrainTime = std::chrono::seconds(6);  // over the probes' timeout
+constexpr runtime::Duration kProbeDrainTime =
+    std::chrono::seconds(6);  // longer than the probes' timeout
 constexpr runtime::Duration kFinalReadLimit = std::chrono::seconds(20);
 constexpr runtime::Duration kReadInterval = std::chrono::seconds(2);
 constexpr runtime::Duration kRotationInterval = std::chrono::seconds(3);
@@ -246,12 +247,12 @@
   second_operator_->Stop(ended);
   rotating_operator_->Stop(ended);
   const bool ended_in_time = RunUntil([&] { return open == 0; }, kLoadEndLimit);
-  // Probes under way end by themselves: stopping leaves calls in no determined order, which would
-  // give one seed several traces.
+  // Probes in flight complete by themselves: cancelling them has no determined order, so that one
+  // seed would have several traces.
   fleet_->RunFor(kProbeDrainTime);
   probe_->Stop();
   if (ended_in_time) return "";
-  // Late callbacks must not find `open` gone.
+  // Later callbacks must not access `open` after its end.
   load_.reset();
   first_operator_.reset();
   second_operator_.reset();
@@ -259,7 +260,7 @@
   return "calls or changes did not end in time";
 }
 
-// Each node's view after everything: whatever was acknowledged has to be there.
+// Reads each node's final state, which must contain every acknowledged change.
 void ScenarioRun::Impl::ReadFinalState() {
   auto reader = std::make_unique<emulator::OperatorEmulator>(
       fleet_->runtime(), OperatorNamed("final-reader", {}, {}), fleet_->recorder());
--- a/src/posthatch/fleettest/scenario_run.h
+++ b/src/posthatch/fleettest/scenario_run.h
@@ -12,16 +12,16 @@
 namespace posthatch::fleettest {
 
 struct ScenarioRunOptions {
-  // Where the events go that the run recorded, for looking into it; null: nowhere.
+  // Receives the recorded events, for debugging; may be null.
   std::vector<HistoryEvent>* keep_history = nullptr;
-  // Gets a short line about every second of the load.
+  // Called with a progress line about once per second of load.
   std::function<void(const std::string&)> on_progress;
-  // Looked at about every second: true ends the fleet test early, as failed.
+  // Checked about once per second; true ends the fleet test early, as failed.
   std::function<bool()> interrupted;
 };
 
-// Takes a fleet through a scenario: starts it, waits until it serves, applies the configuration,
-// drives load and timeline, reads the state back, and gives the history. The same for real and
+// Runs a fleet through a scenario: starts it, waits until it is ready, applies the configuration,
+// drives load and timeline, reads the final state, and examines the history. The same for real and
 // simulated fleets.
 class ScenarioRun {
  public:
@@ -31,7 +31,7 @@
   ScenarioRun(const ScenarioRun&) = delete;
   ScenarioRun& operator=(const ScenarioRun&) = delete;
 
-  // Carries it all out and examines the history. `report` gets the failure if it can't.
+  // Runs everything and examines the history. `report` gets the failure if it can't complete.
   void Run(ScenarioReport* report);
 
  private:
--- a/src/posthatch/fleettest/seed_runner.h
+++ b/src/posthatch/fleettest/seed_runner.h
@@ -13,13 +13,13 @@
 struct SeedRunOptions {
   uint64_t first_seed = 1;
   uint64_t last_seed = 1;
-  uint32_t threads = 4;             // seeds at once, each in a world of its own
-  bool verify_determinism = false;  // each seed twice: the trace hashes must agree
+  uint32_t threads = 4;             // seeds in parallel, each in its own world
+  bool verify_determinism = false;  // run each seed twice: the trace hashes must be equal
   // Called as each seed ends, one at a time, from any thread.
   std::function<void(const ScenarioReport&)> on_report;
-  // Folder for the histories, one file a seed; empty: they aren't kept.
+  // Folder for the histories, one file per seed; empty: not written.
   std::string history_folder;
-  // Looked at before and during each seed.
+  // Checked before and during each seed.
   std::function<bool()> interrupted;
 };
 
--- a/src/posthatch/fleettest/simulated_fleet.cc
+++ b/src/posthatch/fleettest/simulated_fleet.cc
@@ -91,7 +91,7 @@
     newest_number_[process.role] = std::max(newest_number_[process.role], process.number);
     AddProcess(process);
   }
-  // Only now all addresses are known.
+  // All addresses are known at this point.
   for (const PlannedProcess& process : processes_) world_.FindHost(process.name)->Start();
   return failure_.empty() ? absl::OkStatus() : absl::InternalError(failure_);
 }
--- a/src/posthatch/fleettest/simulated_fleet.h
+++ b/src/posthatch/fleettest/simulated_fleet.h
@@ -50,7 +50,7 @@
   uint64_t trace_hash() const override { return world_.trace_hash(); }
   uint64_t behaviour_hash() const override { return world_.behaviour_hash(); }
 
-  // For tests and for looking into a failed seed.
+  // For tests and for debugging a failed seed.
   simulation::SimWorld* world() { return &world_; }
 
  private:
@@ -63,7 +63,7 @@
                                     const std::string& endpoint);
   std::shared_ptr<void> BootNode(const PlannedProcess& process, simulation::SimHost* host,
                                  runtime::Runtime* runtime);
-  // The host of `name`, which must be in the wanted state.
+  // The host of `name`; an error unless it is in the expected state.
   absl::StatusOr<simulation::SimHost*> FindHostInState(const std::string& name, bool running) const;
   FleetAddresses Addresses() const;
   ProcessInfo MakeProcessInfo(const PlannedProcess& process) const;
@@ -81,7 +81,7 @@
   std::map<std::string, std::weak_ptr<Node>> nodes_;
   runtime::Runtime* callers_runtime_ = nullptr;
   std::unique_ptr<MemoryHistoryRecorder> callers_recorder_;
-  // Last: its hosts' processes write into the members above until they are destroyed.
+  // Last: its hosts' processes use the members above until they are destroyed.
   simulation::SimWorld world_;
 };
 
--- a/src/posthatch/fleettest/simulated_node_factory.h
+++ b/src/posthatch/fleettest/simulated_node_factory.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::fleettest {
 
-// The processes of simulated fleets are those of posthatchd. Holds nothing: any thread.
+// Builds posthatchd's processes for simulated fleets. Stateless: any thread.
 class SimulatedNodeFactory : public server::ProcessFactory {
  public:
   std::unique_ptr<server::Process> MakeGateway(runtime::Runtime* runtime,
--- a/src/posthatch/fleettest/statistics.h
+++ b/src/posthatch/fleettest/statistics.h
@@ -21,11 +21,11 @@
 Percentiles PercentilesOf(std::vector<double> milliseconds);
 
 struct RequestCounts {
-  uint64_t sent = 0;       // calls of the load, with resends, without key probes
-  uint64_t completed = 0;  // whole answers with status 2xx
-  uint64_t refused = 0;    // answers with another status
-  uint64_t unknown = 0;    // no answer, or a broken one
-  uint64_t left = 0;       // the caller gave up by its own choice
+  uint64_t sent = 0;       // calls of the load, including resends, without key probes
+  uint64_t completed = 0;  // complete responses with status 2xx
+  uint64_t refused = 0;    // responses with another status
+  uint64_t unknown = 0;    // no response, or an incomplete one
+  uint64_t left = 0;       // the caller disconnected by plan
   std::map<std::string, uint64_t> refused_by_code;
 };
 
@@ -38,13 +38,13 @@
   uint64_t completed = 0;
 };
 
-// What a history says of speed and economy.
+// Latency and efficiency measures of a history.
 struct Statistics {
   RequestCounts requests;
-  Percentiles latency_ms;          // whole answers, from sending to the end
+  Percentiles latency_ms;          // unstreamed responses, from sending to the end
   Percentiles first_token_ms;      // streams
-  Percentiles token_gap_ms;        // between pieces of a stream
-  Percentiles config_in_force_ms;  // from an acknowledgement to the last sign of the state before
+  Percentiles token_gap_ms;        // between events of a stream
+  Percentiles config_in_force_ms;  // from an acknowledgement to the last use of the former state
   Percentiles revision_in_force_ms;
   Percentiles revision_served_ms;  // from a revision's acknowledgement to each worker serving it
   // Of all prompt blocks: found in the worker's own cache, and fetched from a peer or the store.
--- a/src/posthatch/fleettest/table_reader.h
+++ b/src/posthatch/fleettest/table_reader.h
@@ -13,8 +13,8 @@
 
 namespace posthatch::fleettest {
 
-// Takes typed values out of one TOML table and collects what is wrong with it. A key that is
-// missing leaves the value as it was; Finish() reports the keys that nothing asked for.
+// Reads typed values from one TOML table and collects errors. A missing key leaves the value
+// unchanged; Finish() reports the keys that were not read.
 class TableReader {
  public:
   // `path` names the table in errors; all pointers outlive the reader.
@@ -31,7 +31,7 @@
   // A text that must be one of `allowed`.
   void ReadChoice(std::string_view key, const std::vector<std::string>& allowed,
                   std::string* value);
-  // Times are numbers in the unit that the key's ending names.
+  // Times are numbers in the unit that the key's suffix names.
   void ReadSeconds(std::string_view key, double low, double high, runtime::Duration* value);
   void ReadMilliseconds(std::string_view key, double low, double high, runtime::Duration* value);
 
@@ -47,7 +47,7 @@
     }
   }
 
-  // Says that the key must be there.
+  // Reports an error if the key is missing.
   void Require(std::string_view key);
   // The sub-table, or null if there is none; a value of another type is an error.
   const toml::table* SubTable(std::string_view key);
--- a/src/posthatch/fleettest/target_resolver.cc
+++ b/src/posthatch/fleettest/target_resolver.cc
@@ -19,7 +19,7 @@
 
 bool Matches(const Target& target, const ProcessInfo& process) {
   if (target.role != Role::kAny && target.role != process.role) return false;
-  // The inventory is the fleet test's own means: only named outright.
+  // The inventory belongs to the fleet test: a target only if named explicitly.
   if (target.role == Role::kAny && target.name != process.name &&
       process.role == Role::kInventory) {
     return false;
--- a/src/posthatch/fleettest/target_resolver.h
+++ b/src/posthatch/fleettest/target_resolver.h
@@ -9,15 +9,16 @@
 
 namespace posthatch::fleettest {
 
-// Processes that `target` points at now; "random" picks `count` of the matching ones. `leader` is
-// the name of the leading controller as far as known: without it, "leader" picks a random one.
+// The processes that `target` selects at this time; "random" picks `count` of the matching ones.
+// `leader` is the name of the leading controller, if known; without it, "leader" picks a random
+// one.
 std::vector<ProcessInfo> ResolveTarget(const Target& target,
                                        const std::vector<ProcessInfo>& processes,
                                        const std::string& leader, runtime::Random* random);
 
-// The target of a fault that chaos draws: a random process of a role that the kind fits.
+// The target of a random fault: a random process of a role that the kind applies to.
 Target ChaosTarget(FaultKind kind, runtime::Random* random);
-// The faults that `chaos` draws from `random`, by time.
+// The random faults of `chaos`, by time.
 std::vector<Fault> DrawChaos(const Chaos& chaos, runtime::Random* random);
 
 }  // namespace posthatch::fleettest
