--- a/src/posthatch/fleettest/checks/control_checks-test.cc
+++ b/src/posthatch/fleettest/checks/control_checks-test.cc
@@ -26,7 +26,7 @@
   history->Acknowledge(acknowledged_s, "revise", revision);
 }
 
-TEST(RevisionCheck, OldWeightsWithinTheBoundPass) {
+TEST(RevisionCheck, OldRevisionWithinLimitPasses) {
   HistoryBuilder history;
   Revise(&history, 1, 2);
   history.Run(12.9, "a");
@@ -38,14 +38,14 @@
   ExpectClean(history, RevisionCheck());
 }
 
-TEST(RevisionCheck, OldWeightsAfterTheBoundAreAViolation) {
+TEST(RevisionCheck, OldRevisionAfterLimitIsViolation) {
   HistoryBuilder history;
   Revise(&history, 1, 2);
   history.Run(13.1, "a");
   ExpectViolations(history, RevisionCheck(), 1);
 }
 
-TEST(RevisionCheck, BlocksOfAnotherRevisionAreAViolation) {
+TEST(RevisionCheck, BlocksOfOtherRevisionAreViolation) {
   HistoryBuilder history;
   RunStarted* run = history.Run(1, "a");
   run->set_model_revision(2);
@@ -53,7 +53,7 @@
   ExpectViolations(history, RevisionCheck(), 1);
 }
 
-TEST(RevisionCheck, OlderAndSharedFencingTokensAreViolations) {
+TEST(RevisionCheck, StaleAndSharedFencingTokensAreViolations) {
   HistoryBuilder history;
   history.Order(1, "gateway-1", 5);
   history.Order(2, "gateway-2", 7);
@@ -62,7 +62,7 @@
   ExpectViolations(history, RevisionCheck(), 2);
 }
 
-TEST(DrainCheck, WorkWithinTheBoundsElsewhereAndAfterTheEndPasses) {
+TEST(DrainCheck, WorkOutsideDrainingPeriodPasses) {
   HistoryBuilder history;
   history.Draining(1, "worker-1", true);
   history.Draining(10, "worker-1", false);
@@ -78,7 +78,7 @@
   ExpectClean(history, DrainCheck());
 }
 
-TEST(DrainCheck, LateWorkIsAViolation) {
+TEST(DrainCheck, WorkAfterLimitIsViolation) {
   HistoryBuilder history;
   history.Draining(1, "worker-1", true);
   history.Run(4.1, "a");
@@ -97,7 +97,7 @@
   return history;
 }
 
-TEST(ConfigurationCheck, OldKeysUntilTheBoundAndOtherRefusalsPass) {
+TEST(ConfigurationCheck, RevokedKeyWithinLimitPasses) {
   HistoryBuilder history = Rotation();
   history.Call(11.9, "a");
   history.Refused(12.1, "b", 401, "no");
@@ -107,14 +107,14 @@
   ExpectClean(history, ConfigurationCheck());
 }
 
-TEST(ConfigurationCheck, AcceptedRevokedAndRefusedNewKeysAreViolations) {
+TEST(ConfigurationCheck, AcceptedRevokedAndRejectedNewKeysAreViolations) {
   HistoryBuilder history = Rotation();
   history.Call(12.1, "a");
   history.Refused(12.1, "b", 401, "no", "", "alpha/2");
   ExpectViolations(history, ConfigurationCheck(), 2);
 }
 
-TEST(ConfigurationCheck, AGatewayThatFlipsBackIsAViolation) {
+TEST(ConfigurationCheck, ConfigurationGoingBackIsViolation) {
   HistoryBuilder history = Rotation();
   history.Refused(10.1, "a", 401, "no");
   history.Call(10.5, "b", "alpha", "", "alpha/1", "127.0.0.2:80");
@@ -123,14 +123,14 @@
   ExpectViolations(history, ConfigurationCheck(), 1);
 }
 
-TEST(ConfigurationCheck, TwoWinnersOfOneVersionAreAViolation) {
+TEST(ConfigurationCheck, TwoWinnersOfOneVersionAreViolation) {
   HistoryBuilder history = Rotation();
   history.Change(9, "s", "configuration", "")->set_expected_version(3);
   history.Acknowledge(10, "s", 4);
   ExpectViolations(history, ConfigurationCheck(), 1);
 }
 
-TEST(ConfigurationCheck, ARefusedResendIsAViolationAlsoIfOnlyTheHistoryShowsTheChange) {
+TEST(ConfigurationCheck, RejectedResendOfAppliedChangeIsViolation) {
   HistoryBuilder history;
   history.Change(1, "a", "configuration", "");
   history.Change(2, "a", "configuration", "");
@@ -140,7 +140,7 @@
   ExpectViolations(history, ConfigurationCheck(), 1);
 }
 
-TEST(ConfigurationCheck, AChangeAppliedTwiceIsAViolation) {
+TEST(ConfigurationCheck, ChangeAppliedTwiceIsViolation) {
   HistoryBuilder history;
   history.Change(1, "a", "configuration", "");
   history.Change(2, "a", "configuration", "");
@@ -160,7 +160,7 @@
   return history;
 }
 
-TEST(DurabilityCheck, KeptLiftedAndForgottenWithNoticePass) {
+TEST(DurabilityCheck, PresentAndExplicitlyRemovedChangesPass) {
   HistoryBuilder history = AcknowledgedChanges();
   StateRead* read = history.Read(8, 4, {"c"});
   read->add_evacuations("e");
@@ -178,7 +178,7 @@
   ExpectViolations(history, DurabilityCheck(), 3);
 }
 
-TEST(DurabilityCheck, ALostVersionIsAViolationThoughTheRequestIdIsKept) {
+TEST(DurabilityCheck, LostVersionIsViolationDespiteRequestId) {
   HistoryBuilder history;
   history.Change(1, "c", "configuration", "");
   history.Acknowledge(2, "c", 4);
@@ -186,7 +186,7 @@
   ExpectViolations(history, DurabilityCheck(), 1);
 }
 
-TEST(DurabilityCheck, AReadThatBeganBeforeTheAcknowledgementProvesNothing) {
+TEST(DurabilityCheck, ReadStartedBeforeAcknowledgementIsIgnored) {
   HistoryBuilder history;
   history.Change(1, "c", "configuration", "");
   history.Acknowledge(2, "c", 4);
@@ -227,7 +227,7 @@
   ExpectClean(history, StaleWakeCheck());
 }
 
-TEST(StaleWakeCheck, EachOldDecisionIsAViolation) {
+TEST(StaleWakeCheck, EveryStaleDecisionIsViolation) {
   HistoryBuilder history = LongFreeze();
   CurrentRun(&history, 36, "zone")->set_zone("z1");
   CurrentRun(&history, 36, "revision")->set_expected_revision(1);
@@ -242,13 +242,13 @@
   ExpectViolations(history, StaleWakeCheck(), 5);
 }
 
-TEST(StaleWakeCheck, AnOrderUnderAPassedLeaseIsAViolationThoughTheWorkerRefusesIt) {
+TEST(StaleWakeCheck, CommandUnderPassedLeaseIsViolationEvenIfRejected) {
   HistoryBuilder history = LongFreeze();
   history.Order(35.2, "gateway-1", 5, /*obeyed=*/false);
   ExpectViolations(history, StaleWakeCheck(), 1);
 }
 
-TEST(StaleWakeCheck, ARequestSentInTimeOverACutLinkMayArriveLateButNotFromAFrozenGateway) {
+TEST(StaleWakeCheck, DelayedRequestPassesOnlyOverPartitionedLink) {
   for (const std::string kind : {"cut", "freeze"}) {
     HistoryBuilder history;
     history.Fault(10, 35, kind, "gateway-1");
@@ -259,7 +259,7 @@
   }
 }
 
-TEST(StaleWakeCheck, AControllersWakeConcernsEveryGateway) {
+TEST(StaleWakeCheck, ControllerThawConcernsEveryGateway) {
   HistoryBuilder history = LongFreeze();
   history.Fault(40, 65, "cut", "controller-2");
   history.Run(66, "a")->set_gateway("gateway-3");
--- a/src/posthatch/fleettest/checks/request_checks-test.cc
+++ b/src/posthatch/fleettest/checks/request_checks-test.cc
@@ -24,7 +24,7 @@
   EXPECT_EQ(result.examples().size(), std::min<uint64_t>(count, CheckResult::kMaxExamples));
 }
 
-TEST(SingleRunCheck, ResendsThatRunOncePass) {
+TEST(SingleRunCheck, ResendsWithSingleRunPass) {
   HistoryBuilder history;
   history.Call(1, "a", "alpha", "k1");
   history.Call(2, "a", "alpha", "k1");
@@ -33,14 +33,14 @@
   ExpectClean(history, SingleRunCheck());
 }
 
-TEST(SingleRunCheck, SecondStartIsAViolationAtWhateverBackEnd) {
+TEST(SingleRunCheck, SecondRunIsViolationAtAnyBackend) {
   HistoryBuilder history;
   history.Run(1, "a", "service-1", "k1");
   history.Run(2, "a", "service-2", "k1");
   ExpectViolations(history, SingleRunCheck(), 1);
 }
 
-TEST(SingleRunCheck, SecondStartThatLostItsKeyIsFoundByTheNonce) {
+TEST(SingleRunCheck, SecondRunWithoutKeyIsFoundByNonce) {
   HistoryBuilder history;
   history.Call(1, "a", "alpha", "k1");
   history.Run(1.05, "a", "service-1", "k1");
@@ -48,14 +48,14 @@
   ExpectViolations(history, SingleRunCheck(), 1);
 }
 
-TEST(SingleRunCheck, TenantsHaveKeysOfTheirOwn) {
+TEST(SingleRunCheck, KeysArePerTenant) {
   HistoryBuilder history;
   history.Run(1, "a", "service-1", "k1");
   history.Run(2, "b", "service-1", "k1")->set_tenant("beta");
   ExpectClean(history, SingleRunCheck());
 }
 
-TEST(NotExecutedCheck, RefusalsWithoutARunPass) {
+TEST(NotExecutedCheck, RejectionsWithoutRunPass) {
   HistoryBuilder history;
   history.Refused(1, "a", 503, "no", "k1");
   history.Refused(2, "b", 503, "no");
@@ -64,7 +64,7 @@
   ExpectClean(history, NotExecutedCheck());
 }
 
-TEST(NotExecutedCheck, StartBeforeOrAfterTheRefusalIsAViolation) {
+TEST(NotExecutedCheck, RunBeforeOrAfterRejectionIsViolation) {
   HistoryBuilder history;
   history.Refused(1, "a", 503, "no", "k1");
   history.Run(9, "a", "service-1", "k1");
@@ -75,7 +75,7 @@
   ExpectViolations(history, NotExecutedCheck(), 3);
 }
 
-TEST(NotExecutedCheck, ARepeatableResendMayRunButNotTheRefusedCall) {
+TEST(NotExecutedCheck, IdempotentResendMayRunButNotRejectedCall) {
   HistoryBuilder history;
   history.Refused(1, "a", 503, "no");
   history.Call(2, "a");
@@ -85,7 +85,7 @@
   ExpectViolations(history, NotExecutedCheck(), 1);
 }
 
-TEST(AnswerCheck, OwnWholeAnswersPass) {
+TEST(AnswerCheck, MatchingCompleteResponsesPass) {
   HistoryBuilder history;
   history.Run(1, "a");
   history.Call(1, "a");
@@ -95,7 +95,7 @@
   ExpectClean(history, AnswerCheck());
 }
 
-TEST(AnswerCheck, CrossedChangedAndUnnamedAnswersAreViolations) {
+TEST(AnswerCheck, MismatchedAndAlteredResponsesAreViolations) {
   HistoryBuilder history;
   history.Run(1, "x");
   history.Call(1, "a")->set_echoed_nonce("b");
@@ -108,7 +108,7 @@
   ExpectViolations(history, AnswerCheck(), 5);
 }
 
-TEST(RecordedHistory, LoadsOfOneRecorderThatCountTheirCallsAlikeAreKeptApart) {
+TEST(RecordedHistory, SeparatesLoadsWithEqualCallNumbers) {
   HistoryBuilder history;
   CallEnded* probe = history.Call(1, "probe", "alpha", "", "alpha/1", "g", 1.2);
   CallSent* probe_sent = history.LastSent();
@@ -133,14 +133,14 @@
   return ended;
 }
 
-TEST(StreamCheck, WholeStreamsAndVisibleCutsPass) {
+TEST(StreamCheck, CompleteAndVisiblyTruncatedStreamsPass) {
   HistoryBuilder history;
   Stream(&history, 1, "a", {0, 1, 2});
   Stream(&history, 2, "b", {0, 1})->set_complete(false);
   ExpectClean(history, StreamCheck());
 }
 
-TEST(StreamCheck, SkippedRepeatedJoinedAndHiddenCutsAreViolations) {
+TEST(StreamCheck, IncorrectPiecesAndHiddenTruncationAreViolations) {
   HistoryBuilder history;
   Stream(&history, 1, "a", {0, 2, 3});
   Stream(&history, 2, "b", {0, 1, 1, 2});
@@ -199,7 +199,7 @@
   }
 }
 
-TEST(RetryCheck, RetriesWithinTheBudgetPass) {
+TEST(RetryCheck, RetriesWithinBudgetPass) {
   for (const bool first_seen : {true, false}) {
     HistoryBuilder history;
     Load(&history, 18, first_seen);
@@ -207,7 +207,7 @@
   }
 }
 
-TEST(RetryCheck, RetriesOverTheBudgetAreViolations) {
+TEST(RetryCheck, RetriesOverBudgetAreViolations) {
   for (const bool first_seen : {true, false}) {
     HistoryBuilder history;
     Load(&history, 30, first_seen);
@@ -229,13 +229,15 @@
   return history;
 }
 
-TEST(RetryCheck, AColdWorkerThatGetsLittlePasses) { ExpectClean(ColdWorker(5), RetryCheck()); }
+TEST(RetryCheck, WorkerInSlowStartWithLittleLoadPasses) {
+  ExpectClean(ColdWorker(5), RetryCheck());
+}
 
-TEST(RetryCheck, AFloodedColdWorkerIsAViolation) {
+TEST(RetryCheck, OverloadedWorkerInSlowStartIsViolation) {
   ExpectViolations(ColdWorker(30), RetryCheck(), 1);
 }
 
-TEST(RetryCheck, AWarmWorkerThatWasCutOffIsNoMeasureForAColdOne) {
+TEST(RetryCheck, PartitionedWorkerIsNoReferenceForSlowStart) {
   HistoryBuilder history = ColdWorker(30);
   history.Fault(19, 24, "cut", "worker-1");
   ExpectViolations(history, RetryCheck(), 1);
@@ -243,7 +245,7 @@
   EXPECT_EQ(history.Examine(RetryCheck()).examined(), 0u);
 }
 
-TEST(RetryCheck, AWarmWorkerThatStillServesOldWeightsIsNoMeasureForAColdOne) {
+TEST(RetryCheck, WorkerWithOldRevisionIsNoReferenceForSlowStart) {
   HistoryBuilder history = ColdWorker(0);
   for (int run = 0; run < 30; ++run) {
     RunStarted* cold = history.Run(20.1 + run * 0.1, "c" + std::to_string(run), "worker-3");
@@ -257,7 +259,7 @@
   ExpectViolations(history, RetryCheck(), 1);
 }
 
-TEST(RetryCheck, AWarmWorkerThatIsDrainingIsNoMeasureForAColdOne) {
+TEST(RetryCheck, DrainingWorkerIsNoReferenceForSlowStart) {
   HistoryBuilder history = ColdWorker(30);
   history.Draining(10, "worker-1", true);
   ExpectViolations(history, RetryCheck(), 1);
--- a/src/posthatch/fleettest/child_process-test.cc
+++ b/src/posthatch/fleettest/child_process-test.cc
@@ -21,7 +21,7 @@
   }
 }
 
-TEST(ChildProcess, TellsHowItEnded) {
+TEST(ChildProcess, ReportsExitStatus) {
   auto child = ChildProcess::Start({"/bin/sh", "-c", "exit 3"}, kLog);
   ASSERT_TRUE(child.ok());
   WaitForEnd(child->get());
@@ -29,7 +29,7 @@
   EXPECT_TRUE(absl::IsFailedPrecondition((*child)->Signal(SIGTERM)));
 }
 
-TEST(ChildProcess, NeverOutlivesItsObjectEvenIfStopped) {
+TEST(ChildProcess, DestructorKillsStoppedChild) {
   auto child = ChildProcess::Start({"/bin/sleep", "60"}, kLog);
   ASSERT_TRUE(child.ok());
   const pid_t pid = (*child)->pid();
@@ -39,7 +39,7 @@
   EXPECT_FALSE(Exists(pid));
 }
 
-TEST(ChildProcess, KillAllChildrenEndsThem) {
+TEST(ChildProcess, KillAllChildrenKillsEveryChild) {
   auto child = ChildProcess::Start({"/bin/sleep", "60"}, kLog);
   ASSERT_TRUE(child.ok());
   KillAllChildren();
@@ -47,7 +47,7 @@
   EXPECT_EQ((*child)->end(), "signal 9");
 }
 
-TEST(ChildProcess, AMissingProgramIsAnError) {
+TEST(ChildProcess, MissingProgramIsError) {
   EXPECT_FALSE(ChildProcess::Start({"/nonexistent/program"}, kLog).ok());
 }
 
--- a/src/posthatch/fleettest/fault_injector-test.cc
+++ b/src/posthatch/fleettest/fault_injector-test.cc
@@ -116,7 +116,7 @@
   int changes_ = 0;
 };
 
-TEST_F(FaultInjectorTest, BringsAFaultAboutEndsItAndRecordsBoth) {
+TEST_F(FaultInjectorTest, InjectsEndsAndRecordsFault) {
   injector_.Start({MakeFault(FaultKind::kDiskLoss, "controller-1", 2, 3)});
   fleet_.RunFor(seconds(4));
   EXPECT_THAT(fleet_.notes_, ElementsAre("kill controller-1", "clear controller-1"));
@@ -128,7 +128,7 @@
   EXPECT_EQ(fleet_.events_[1].time_ns() - fleet_.events_[0].time_ns(), 3'000'000'000);
 }
 
-TEST_F(FaultInjectorTest, SaysWhatTheFleetCannotDo) {
+TEST_F(FaultInjectorTest, ReportsUnsupportedFaults) {
   injector_.Start({MakeFault(FaultKind::kPowerLoss, "controller-1", 1, 3)});
   fleet_.RunFor(seconds(2));
   ASSERT_EQ(injector_.outcomes().size(), 1u);
@@ -136,7 +136,7 @@
   EXPECT_THAT(fleet_.events_, IsEmpty());
 }
 
-TEST_F(FaultInjectorTest, SkipsAProcessThatAnotherFaultHoldsAndSaysSo) {
+TEST_F(FaultInjectorTest, SkipsProcessWithActiveFault) {
   injector_.Start({MakeFault(FaultKind::kFreeze, "gateway-1", 1, 5),
                    MakeFault(FaultKind::kKill, "gateway-1", 2, 1),
                    MakeFault(FaultKind::kKill, "nobody", 2, 1)});
@@ -147,7 +147,7 @@
   EXPECT_THAT(injector_.outcomes()[2].result, HasSubstr("no process matches"));
 }
 
-TEST_F(FaultInjectorTest, WaitsForADrainingProcessBeforeItStartsAgain) {
+TEST_F(FaultInjectorTest, WaitsForDrainBeforeRestart) {
   fleet_.draining_ = 4;
   injector_.Start({MakeFault(FaultKind::kStop, "gateway-1", 1, 1)});
   fleet_.RunFor(seconds(2));
@@ -156,7 +156,7 @@
   EXPECT_THAT(fleet_.notes_, ElementsAre("stop gateway-1", "restart gateway-1"));
 }
 
-TEST_F(FaultInjectorTest, OverlappingCutsHealOnlyWhenBothHaveEnded) {
+TEST_F(FaultInjectorTest, OverlappingPartitionsHealTogether) {
   Fault one_way = MakeFault(FaultKind::kPartition, "gateway-1", 1, 2);
   one_way.one_way = true;
   one_way.peer.role = Role::kController;
@@ -170,7 +170,7 @@
   EXPECT_THAT(fleet_.CutLinks(), IsEmpty());
 }
 
-TEST_F(FaultInjectorTest, EndAllThawsHealsAndRestarts) {
+TEST_F(FaultInjectorTest, EndAllEndsActiveFaults) {
   injector_.Start({MakeFault(FaultKind::kFreeze, "gateway-1", 1, 500),
                    MakeFault(FaultKind::kPartition, "gateway-2", 1, 500),
                    MakeFault(FaultKind::kKill, "controller-1", 1, 500)});
@@ -181,20 +181,20 @@
   EXPECT_EQ(std::count(fleet_.notes_.begin(), fleet_.notes_.end(), "restart controller-1"), 1);
 }
 
-TEST_F(FaultInjectorTest, ReplacementIsToldToTheOthers) {
+TEST_F(FaultInjectorTest, ReplacementNotifiesFleet) {
   injector_.Start({MakeFault(FaultKind::kReplace, "gateway-1", 1, 1)});
   fleet_.RunFor(seconds(2));
   EXPECT_EQ(changes_, 1);
 }
 
-TEST_F(FaultInjectorTest, ChaosLeavesTimeBetweenLostDisks) {
+TEST_F(FaultInjectorTest, ChaosSpacesDiskLosses) {
   injector_.StartChaos({MakeFault(FaultKind::kDiskLoss, "controller-1", 1, 1),
                         MakeFault(FaultKind::kDiskLoss, "controller-1", 6, 1)});
   fleet_.RunFor(seconds(10));
   EXPECT_THAT(injector_.outcomes()[1].result, HasSubstr("may not be repaired"));
 }
 
-TEST(TargetResolver, DrawsTheSameChaosFromTheSameSeed) {
+TEST(TargetResolver, ChaosIsDeterministicBySeed) {
   Chaos chaos;
   chaos.kinds = {FaultKind::kKill, FaultKind::kPartition, FaultKind::kEvents};
   chaos.until = std::chrono::minutes(2);
@@ -211,7 +211,7 @@
   }
 }
 
-TEST(TargetResolver, PicksByRoleZoneLabelAndNumber) {
+TEST(TargetResolver, SelectsByRoleZoneLabelAndNumber) {
   const std::vector<ProcessInfo> processes = {
       {"worker-1", Role::kWorker, "z1", {{"pool", "odd"}}, ""},
       {"worker-2", Role::kWorker, "z2", {{"pool", "even"}}, ""},
--- a/src/posthatch/fleettest/history/recorders-test.cc
+++ b/src/posthatch/fleettest/history/recorders-test.cc
@@ -58,7 +58,7 @@
   EXPECT_EQ(event.run_started().reused(0).blocks(), 42u);
 }
 
-TEST_F(JsonlHistoryRecorderTest, EventsAreInTheFileBeforeTheRecorderIsClosed) {
+TEST_F(JsonlHistoryRecorderTest, EventsAreWrittenImmediately) {
   auto recorder = JsonlHistoryRecorder::Open(&clock_, "worker-1", path_);
   ASSERT_TRUE(recorder.ok());
   HistoryEvent event;
@@ -69,7 +69,7 @@
   EXPECT_EQ(history->events.size(), 1u);
 }
 
-TEST_F(JsonlHistoryRecorderTest, CutLastLineIsToldApartFromMalformedOnes) {
+TEST_F(JsonlHistoryRecorderTest, DistinguishesTruncatedFromMalformedLines) {
   WriteRuns(2);
   std::ofstream(path_, std::ios::app) << "{\"timeNs\": \"5";
   const auto cut = LoadHistory(path_);
@@ -82,7 +82,7 @@
   EXPECT_EQ(LoadHistory(path_ + ".none").status().code(), absl::StatusCode::kNotFound);
 }
 
-TEST_F(JsonlHistoryRecorderTest, NextLifeOfAKilledProcessGoesOnAfterTheLastWholeLine) {
+TEST_F(JsonlHistoryRecorderTest, ReopenedFileContinuesAfterLastCompleteLine) {
   WriteRuns(2);
   std::ofstream(path_, std::ios::app) << "{\"timeNs\": \"5" << std::string(10000, 'x');
   WriteRuns(1);
--- a/src/posthatch/fleettest/process_settings-test.cc
+++ b/src/posthatch/fleettest/process_settings-test.cc
@@ -9,7 +9,7 @@
 
 // What a scenario planned must reach the process: the round-robin baseline once ran by prefix,
 // because its mode was not written.
-TEST(ProcessSettings, AGatewaysSettingsComeBackFromItsFile) {
+TEST(ProcessSettings, GatewaySettingsRoundTrip) {
   server::GatewaySettings planned;
   planned.node.node_id = "gateway-1";
   planned.node.zone = "z1";
--- a/src/posthatch/fleettest/report-test.cc
+++ b/src/posthatch/fleettest/report-test.cc
@@ -19,7 +19,7 @@
   return result;
 }
 
-TEST(Report, PassesOnlyIfEveryCheckExaminedSomethingAndFoundNothing) {
+TEST(Report, PassNeedsCasesAndNoViolation) {
   ScenarioReport report;
   EXPECT_FALSE(Passed(report)) << "no checks at all";
   report.checks.push_back(ResultOf("N1", 3, 0));
@@ -33,14 +33,14 @@
   EXPECT_THAT(SummaryTable(report), ::testing::HasSubstr("because no refusals"));
 }
 
-TEST(Report, AnExcuseDoesNotHideViolations) {
+TEST(Report, NotExaminedDoesNotHideViolations) {
   ScenarioReport report;
   report.not_examined.push_back({"N1", "none expected"});
   report.checks.push_back(ResultOf("N1", 1, 1));
   EXPECT_FALSE(Passed(report));
 }
 
-TEST(Report, FailuresAndNondeterminismFailTheRun) {
+TEST(Report, FailureAndNondeterminismFailRun) {
   ScenarioReport report;
   report.checks.push_back(ResultOf("N1", 1, 0));
   report.deterministic = false;
@@ -50,7 +50,7 @@
   EXPECT_FALSE(Passed(report));
 }
 
-TEST(Report, JsonHasTheDocumentedKeys) {
+TEST(Report, JsonHasDocumentedKeys) {
   ScenarioReport report;
   report.scenario = "example";
   report.mode = "simulate";
@@ -67,7 +67,7 @@
   EXPECT_EQ(invariant.at("examples").as_array().size(), 5u);
 }
 
-TEST(Statistics, CountsAndMeasuresFromTheHistory) {
+TEST(Statistics, ComputesCountsAndLatencies) {
   HistoryBuilder builder;
   for (int call = 0; call < 100; ++call) {
     const std::string nonce = "n" + std::to_string(call);
@@ -91,7 +91,7 @@
   EXPECT_DOUBLE_EQ(statistics.retry_ratio, 0.01);
 }
 
-TEST(Statistics, MeasuresHowLongAnOldKeyWasAcceptedAfterTheAcknowledgement) {
+TEST(Statistics, MeasuresAcceptanceOfRevokedKey) {
   HistoryBuilder builder;
   builder.Change(9, "r", "configuration", "revoke=alpha/1");
   builder.Acknowledge(10, "r", 4);
--- a/src/posthatch/fleettest/scenario_loader-test.cc
+++ b/src/posthatch/fleettest/scenario_loader-test.cc
@@ -12,7 +12,7 @@
 using ::testing::HasSubstr;
 using ::testing::IsEmpty;
 
-TEST(ScenarioLoader, ReadsAWholeScenario) {
+TEST(ScenarioLoader, ReadsCompleteScenario) {
   const LoadedScenario loaded = ParseScenario(R"(
 name = "example"
 duration_s = 30
@@ -62,7 +62,7 @@
   EXPECT_THAT(scenario.chaos->kinds, ElementsAre(FaultKind::kKill, FaultKind::kFreeze));
 }
 
-TEST(ScenarioLoader, ReportsEveryErrorWithFileLineKeyAndAllowedValues) {
+TEST(ScenarioLoader, ReportsEveryErrorWithPositionAndAllowedValues) {
   const LoadedScenario loaded = ParseScenario(R"(duration_s = 30
 [fleet]
 controllers = 90
@@ -94,7 +94,7 @@
                   HasSubstr("bad.toml:14: fault[1].target.lable: unknown key")));
 }
 
-TEST(ScenarioLoader, EveryScenarioOfTheRepositoryIsWithoutErrors) {
+TEST(ScenarioLoader, RepositoryScenariosAreValid) {
   size_t count = 0;
   for (const auto& entry : std::filesystem::directory_iterator(POSTHATCH_SCENARIO_FOLDER)) {
     const LoadedScenario loaded = LoadScenarioFile(entry.path().string());
@@ -105,12 +105,12 @@
   EXPECT_GE(count, 30u);
 }
 
-TEST(ScenarioLoader, ReportsASyntaxErrorWithItsLine) {
+TEST(ScenarioLoader, ReportsLineOfSyntaxError) {
   const LoadedScenario loaded = ParseScenario("name = \"x\"\nseed = = 3\n", "broken.toml");
   EXPECT_THAT(loaded.errors, ElementsAre(HasSubstr("broken.toml:2: not TOML")));
 }
 
-TEST(ScenarioLoader, RefusesParametersThatTheKindDoesNotHave) {
+TEST(ScenarioLoader, RejectsParametersOfOtherKinds) {
   const LoadedScenario loaded = ParseScenario(R"(name = "x"
 [[fault]]
 at_s = 1
--- a/src/posthatch/fleettest/simulated_run-test.cc
+++ b/src/posthatch/fleettest/simulated_run-test.cc
@@ -32,7 +32,7 @@
   return 0;
 }
 
-TEST(SimulatedRunTest, ACalmFleetServesAndViolatesNothing) {
+TEST(SimulatedRunTest, FleetWithoutFaultsPasses) {
   const ScenarioReport report =
       Simulate(ShortScenario("[[operation]]\nat_s = 1\nkind = \"key_rotation\"\n"), 1);
   EXPECT_EQ(report.failure, "");
@@ -58,7 +58,7 @@
   EXPECT_NE(first.trace_hash, Simulate(scenario, 6).trace_hash);
 }
 
-TEST(SimulatedRunTest, EveryFaultOfTheTimelineIsAccountedFor) {
+TEST(SimulatedRunTest, EveryFaultIsReported) {
   const ScenarioReport report = Simulate(ShortScenario(R"(
 [[fault]]
 at_s = 2
@@ -82,7 +82,7 @@
   EXPECT_EQ(report.faults[1].result.rfind("not applicable", 0), 0u) << report.faults[1].result;
 }
 
-TEST(SimulatedRunTest, SeedsRunSideBySideAndInOrder) {
+TEST(SimulatedRunTest, SeedsRunInParallelAndReportInOrder) {
   SimulatedNodeFactory factory;
   SeedRunOptions options;
   options.first_seed = 3;
