--- a/src/posthatch/control/state/traffic_state-test.cc
+++ b/src/posthatch/control/state/traffic_state-test.cc
@@ -23,7 +23,7 @@
   route->set_name("r");
   route->set_host("h");
   route->set_path_prefix("/r/");
-  route->set_kind(REPEATABLE);
+  route->set_kind(IDEMPOTENT);
   route->set_timeout_ms(100);
   route->add_targets()->set_service("llm");
   route->mutable_targets(0)->set_weight(1);
--- a/src/posthatch/routing/retry_state-test.cc
+++ b/src/posthatch/routing/retry_state-test.cc
@@ -33,14 +33,14 @@
 }
 
 constexpr RetryCase kRetryCases[] = {
-    {"UnreachableOnce", control::NON_REPEATABLE, false, DispatchFailure::kUnreachable, true},
-    {"NotExecutedOnce", control::NON_REPEATABLE, false, DispatchFailure::kNotExecuted, true},
-    {"MisdirectedOnce", control::NON_REPEATABLE, false, DispatchFailure::kMisdirected, true},
-    {"LostOnce", control::NON_REPEATABLE, false, DispatchFailure::kLost, false},
-    {"TruncatedOnce", control::NON_REPEATABLE, false, DispatchFailure::kTruncated, false},
-    {"MismatchedOnce", control::NON_REPEATABLE, false, DispatchFailure::kMismatched, false},
-    {"ServerErrorOnce", control::NON_REPEATABLE, false, DispatchFailure::kServerError, false},
-    {"LostRepeatable", control::REPEATABLE, false, DispatchFailure::kLost, true},
+    {"UnreachableOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kUnreachable, true},
+    {"NotExecutedOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kNotExecuted, true},
+    {"MisdirectedOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kMisdirected, true},
+    {"LostOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kLost, false},
+    {"TruncatedOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kTruncated, false},
+    {"MismatchedOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kMismatched, false},
+    {"ServerErrorOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kServerError, false},
+    {"LostRepeatable", control::IDEMPOTENT, false, DispatchFailure::kLost, true},
     {"LostStream", control::STREAMING, false, DispatchFailure::kLost, false},
     {"LostResumableStream", control::STREAMING, true, DispatchFailure::kLost, true},
 };
@@ -50,7 +50,7 @@
 
 TEST(RetryStateBoundTest, ExecutionsAreBoundedByRoute) {
   control::TrafficRoute route;
-  route.set_kind(control::REPEATABLE);
+  route.set_kind(control::IDEMPOTENT);
   route.set_max_attempts(2);
   const RoutingSwitches switches;
   RetryState retries(&route, &switches);
--- a/src/posthatch/routing/retry_state.cc
+++ b/src/posthatch/routing/retry_state.cc
@@ -11,7 +11,7 @@
 }  // namespace
 
 bool RetryState::IsIdempotent() const {
-  return route_->kind() == control::REPEATABLE || IsResumable();
+  return route_->kind() == control::IDEMPOTENT || IsResumable();
 }
 
 bool RetryState::IsResumable() const {
--- a/src/posthatch/routing/traffic_fixture-test.h
+++ b/src/posthatch/routing/traffic_fixture-test.h
@@ -128,8 +128,8 @@
     traffic->set_version(1);
     AddService("llm", true);
     AddService("app", false);
-    AddRoute("once", control::NON_REPEATABLE, "app");
-    AddRoute("often", control::REPEATABLE, "app");
+    AddRoute("once", control::NON_IDEMPOTENT, "app");
+    AddRoute("often", control::IDEMPOTENT, "app");
     AddRoute("stream", control::STREAMING, "llm");
     AddRoute("resume", control::STREAMING, "llm")->set_resumable(true);
     control::TrafficTenant* tenant = traffic->add_tenants();
@@ -149,8 +149,8 @@
     control::TrafficService* service = view_.fleet.mutable_traffic()->add_services();
     service->set_name(name);
     if (!engine) return;
-    service->set_cold_start_ms(3000);
-    service->set_cold_requests_per_second(5);
+    service->set_slow_start_ms(3000);
+    service->set_slow_start_requests_per_second(5);
     service->mutable_engine()->add_models("m");
     service->mutable_engine()->set_kv_token_bytes(1000);
     service->mutable_engine()->set_link_mbps(100000);
--- a/src/posthatch/routing/worker_pool.cc
+++ b/src/posthatch/routing/worker_pool.cc
@@ -44,8 +44,8 @@
   UpdateTargetRevisions(state);
   slow_starts_.clear();
   for (const control::TrafficService& service : state.traffic().services()) {
-    slow_starts_[service.name()] = {std::chrono::milliseconds(service.cold_start_ms()),
-                                    service.cold_requests_per_second()};
+    slow_starts_[service.name()] = {std::chrono::milliseconds(service.slow_start_ms()),
+                                    service.slow_start_requests_per_second()};
   }
   for (auto& [id, worker] : workers_) worker->in_inventory = false;
   const bool loading_known = leader_inventory_age < options_.loading_mark_ttl;
@@ -166,7 +166,7 @@
 
 bool WorkerPool::InSlowStart(const Worker& worker) const {
   if (SlowStartOf(worker) == nullptr) return false;
-  return worker.backend.cold() || runtime_->clock->Now() < worker.slow_start_until;
+  return worker.backend.slow_start() || runtime_->clock->Now() < worker.slow_start_until;
 }
 
 bool WorkerPool::AcceptsNewWork(const Worker& worker) const {
--- a/src/posthatch/server/platform_fleet-test.h
+++ b/src/posthatch/server/platform_fleet-test.h
@@ -149,7 +149,7 @@
       route->set_name(absl::StrCat("v", i));
       route->set_host("h");
       route->set_path_prefix(absl::StrCat("/v", i, "/"));
-      route->set_kind(control::NON_REPEATABLE);
+      route->set_kind(control::NON_IDEMPOTENT);
       route->set_timeout_ms(1000);
       route->set_public_access(true);
       route->add_targets()->set_service("llm");
