--- a/src/posthatch/ctl/target_caller.cc
+++ b/src/posthatch/ctl/target_caller.cc
@@ -45,7 +45,7 @@
   options.body_idle_timeout = options.head_timeout;
   http::CallObserver observer;
   observer.on_head = [this](const http::Response& head) { outcome_.response = head; };
-  observer.on_chunk = [this](const std::string& piece) { outcome_.response.body += piece; };
+  observer.on_chunk = [this](const std::string& chunk) { outcome_.response.body += chunk; };
   observer.on_end = [this] { OnEnd(); };
   observer.on_error = [this](const http::CallError& error) { OnFailure(error); };
   call_ = runtime_->http_client->Start(target, request_, options, std::move(observer));
--- a/src/posthatch/gateway/gateway_metrics.h
+++ b/src/posthatch/gateway/gateway_metrics.h
@@ -11,25 +11,40 @@
 
 using util::LabeledCounter;
 
-// The metric families of the gateway. Each counter has one label, named here; the values and their
-// meanings are in the help texts. Owned by Gateway; event loop thread only.
+// The metric families posthatch_gateway_*. Counters count since the start of the process; the first
+// word of a comment is the counter's label. Owned by Gateway; event loop thread only.
 struct GatewayMetrics {
   explicit GatewayMetrics(prometheus::Registry* registry);
 
-  LabeledCounter responses;         // code
-  LabeledCounter attempts;          // order
-  LabeledCounter attempt_failures;  // cause
-  LabeledCounter retries_denied;    // cause
-  LabeledCounter routes;            // reason
-  LabeledCounter stream_breaks;     // cause
-  LabeledCounter deliveries;        // outcome
-  LabeledCounter slow_starts;       // cause
-  LabeledCounter inventory_reads;   // result
-  LabeledCounter prompt_blocks;     // source
+  // code: responses to callers, by ErrorCodeName, or "ok", "broken_stream", "caller_gone".
+  LabeledCounter responses;
+  // order: dispatches to back ends; "first" of a request, or "retry".
+  LabeledCounter attempts;
+  // cause: dispatches without a usable response, by AttemptFailure::name.
+  LabeledCounter attempt_failures;
+  // cause: failed attempts that were not retried: "budget", "attempts" or "deadline".
+  LabeledCounter retries_denied;
+  // reason: routing decisions: "prefix", "fetch", "load", "round_robin", "shed" or "none".
+  LabeledCounter routes;
+  // cause: streams that ended incomplete after bytes were sent, by AttemptFailure::name.
+  LabeledCounter stream_breaks;
+  // outcome: sends of non-idempotent operations: "ok", "replayed" or an ErrorCodeName.
+  LabeledCounter deliveries;
+  // cause: back ends put into slow start: "seen", "returned" or "epoch".
+  LabeledCounter slow_starts;
+  // result: this gateway's own reads of the platform's inventory.
+  LabeledCounter inventory_reads;
+  // source: full prompt blocks of answered requests: "asked" in all, "cached" by the worker.
+  LabeledCounter prompt_blocks;
+  // Back ends ejected as outliers.
   prometheus::Counter& ejections;
+  // Times that reading from a worker was stopped because its caller was slow.
   prometheus::Counter& stream_pauses;
+  // Admitted requests in progress.
   prometheus::Gauge& requests_in_flight;
+  // Back ends in the inventory that are neither draining nor evacuated.
   prometheus::Gauge& backends_eligible;
+  // Seconds from receiving a request to the first byte of a valid response.
   prometheus::Histogram& first_byte_seconds;
 };
 
--- a/src/posthatch/net/transport_metrics.h
+++ b/src/posthatch/net/transport_metrics.h
@@ -6,7 +6,8 @@
 
 namespace posthatch::net {
 
-// Metrics of the transport. Owned by it.
+// The metric families posthatch_transport_*; the help texts below define them. Owned by the
+// transport; event loop thread only.
 struct TransportMetrics {
   explicit TransportMetrics(prometheus::Registry* registry)
       : messages(prometheus::BuildCounter()
--- a/src/posthatch/server/controller_node.cc
+++ b/src/posthatch/server/controller_node.cc
@@ -58,7 +58,7 @@
 
 rollout::RolloutCoordinator::Dependencies ControllerNode::MakeRolloutDependencies() {
   rollout::RolloutCoordinator::Dependencies dependencies;
-  dependencies.format = formats_->orders;
+  dependencies.format = formats_->worker_commands;
   dependencies.fleet = [this]() -> const control::FleetState& { return state_.fleet(); };
   dependencies.may_command = [this] { return service_.leading() && replica_.HasQuorumNow(); };
   dependencies.publish = [this] { service_.RefreshInventory(); };
--- a/src/posthatch/server/platform_formats.h
+++ b/src/posthatch/server/platform_formats.h
@@ -15,7 +15,7 @@
   const control::OperatorFormat* operators = nullptr;
   const routing::CallFormat* calls = nullptr;
   const index::KvEventFormat* cache_events = nullptr;
-  const rollout::WorkerCommandFormat* orders = nullptr;
+  const rollout::WorkerCommandFormat* worker_commands = nullptr;
 };
 
 }  // namespace posthatch::server
--- a/src/posthatch/simulation/sim_disk.cc
+++ b/src/posthatch/simulation/sim_disk.cc
@@ -188,13 +188,13 @@
 
 void SimDisk::PowerLoss() {
   // An entry whose folder's own entry was never synced is lost with the folder.
-  Entries kept;
+  Entries surviving;
   for (const auto& [name, file] : durable_entries_) {
     const std::string parent = ParentOf(name);
-    if (parent.empty() || kept.contains(parent)) kept[name] = file;
+    if (parent.empty() || surviving.contains(parent)) surviving[name] = file;
   }
-  durable_entries_ = kept;
-  entries_ = std::move(kept);
+  durable_entries_ = surviving;
+  entries_ = std::move(surviving);
   // A file under two names is reverted once: the second time nothing is unsynced.
   for (const auto& [name, file] : entries_) {
     if (file != nullptr) RevertFile(file.get());
--- a/src/posthatch/simulation/sim_http_client.cc
+++ b/src/posthatch/simulation/sim_http_client.cc
@@ -38,17 +38,17 @@
 }
 
 bool SimHttpClient::HasPooledConnection(const std::string& endpoint, double /*share*/) const {
-  const auto kept = idle_.find(endpoint);
-  return kept != idle_.end() &&
-         std::any_of(kept->second.begin(), kept->second.end(),
+  const auto idle = idle_.find(endpoint);
+  return idle != idle_.end() &&
+         std::any_of(idle->second.begin(), idle->second.end(),
                      [](const auto& connection) { return connection->client_open(); });
 }
 
 std::shared_ptr<HttpConnection> SimHttpClient::TakeIdle(const std::string& endpoint) {
-  std::vector<std::shared_ptr<HttpConnection>>& kept = idle_[endpoint];
-  while (!kept.empty()) {
-    std::shared_ptr<HttpConnection> connection = std::move(kept.back());
-    kept.pop_back();
+  std::vector<std::shared_ptr<HttpConnection>>& idle = idle_[endpoint];
+  while (!idle.empty()) {
+    std::shared_ptr<HttpConnection> connection = std::move(idle.back());
+    idle.pop_back();
     if (connection->client_open()) return connection;
     connections_.erase(connection->id());
   }
@@ -68,12 +68,12 @@
 void SimHttpClient::ReturnToPool(const std::string& endpoint,
                                  std::shared_ptr<HttpConnection> connection) {
   if (process_id_ != host_->process_id()) return;
-  std::vector<std::shared_ptr<HttpConnection>>& kept = idle_[endpoint];
-  if (kept.size() >= kMaxIdlePerEndpoint) {
+  std::vector<std::shared_ptr<HttpConnection>>& idle = idle_[endpoint];
+  if (idle.size() >= kMaxIdlePerEndpoint) {
     connection->CloseClient();
     return;
   }
-  kept.push_back(std::move(connection));
+  idle.push_back(std::move(connection));
 }
 
 void SimHttpClient::Shutdown() {
