--- a/src/posthatch/consensus/raft_simulation-test.cc
+++ b/src/posthatch/consensus/raft_simulation-test.cc
@@ -10,6 +10,7 @@
 
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_join.h"
+#include "posthatch/consensus/fault_mix-test.h"
 #include "posthatch/consensus/raft_world-test.h"
 
 namespace posthatch::consensus {
@@ -38,8 +39,8 @@
     cluster.RunClients();
     FaultMix faults(&cluster);
     faults.Run(seconds(40));
-    const std::string trouble = cluster.HealAndConverge();
-    ASSERT_EQ(trouble, "") << "seed " << seed << "\n"
+    const std::string failure = cluster.HealAndConverge();
+    ASSERT_EQ(failure, "") << "seed " << seed << "\n"
                            << absl::StrJoin(cluster.world().RecentTrace(), "\n");
     const std::vector<std::string> violations = cluster.history().Check(cluster.Length(0));
     ASSERT_TRUE(violations.empty()) << "seed " << seed << ": " << absl::StrJoin(violations, "; ");
@@ -89,8 +90,8 @@
     });
     ASSERT_TRUE(cluster.world().RunUntil([&struck] { return struck; }, seconds(20)));
     cluster.world().RunFor(seconds(5));
-    const std::string trouble = cluster.HealAndConverge();
-    ASSERT_EQ(trouble, "") << "seed " << seed;
+    const std::string failure = cluster.HealAndConverge();
+    ASSERT_EQ(failure, "") << "seed " << seed;
     const std::vector<std::string> violations = cluster.history().Check(cluster.Length(0));
     ASSERT_TRUE(violations.empty()) << "seed " << seed << ": " << absl::StrJoin(violations, "; ");
   }
--- a/src/posthatch/routing/in_flight_prefills.cc
+++ b/src/posthatch/routing/in_flight_prefills.cc
@@ -37,6 +37,8 @@
   const auto found = entries_.find({affinity, revision});
   if (found == entries_.end()) return locations;
   const runtime::MonotonicTime now = clock_->Now();
+  // Not a range: clang-tidy 14 can't compile std::ranges of this libstdc++.
+  // NOLINTNEXTLINE(modernize-loop-convert)
   for (auto entry = found->second.rbegin(); entry != found->second.rend(); ++entry) {
     if (now - entry->started_at > options_.entry_ttl) continue;
     locations.push_back({entry->worker_id, now >= entry->ready_at});
