--- a/src/posthatch/index/dispatch_recorder.cc
+++ b/src/posthatch/index/dispatch_recorder.cc
@@ -40,7 +40,8 @@
   }
 }
 
-void DispatchRecorder::AddToStores(const BlockSeed& seed, const std::vector<BlockHash>& chain) {
+void DispatchRecorder::AddToStores(const BlockSeed& seed,
+                                   const std::vector<BlockHash>& chain) const {
   for (const control::Backend& backend : dependencies_.fleet->state().inventory().backends()) {
     if (backend.kind() != control::BACKEND_KIND_STORE) continue;
     invalidation::ObjectVersion version;
@@ -72,7 +73,7 @@
   pending_reports_.clear();
 }
 
-void DispatchRecorder::ApplyReport(const DispatchReport& report) {
+void DispatchRecorder::ApplyReport(const DispatchReport& report) const {
   for (const Extent& extent : report.made()) {
     std::vector<BlockHash> blocks;
     if (UnpackBlocks(extent.block_hashes(), &blocks)) {
--- a/src/posthatch/index/dispatch_recorder.h
+++ b/src/posthatch/index/dispatch_recorder.h
@@ -46,12 +46,12 @@
   // gateways.
   void RecordGatewayEndpoint(const std::string& node_id, const std::string& endpoint);
   // A report of another gateway.
-  void ApplyReport(const DispatchReport& report);
+  void ApplyReport(const DispatchReport& report) const;
 
  private:
   void Report(const BlockSeed& seed, const std::vector<BlockHash>& chain,
               const std::string& worker_id);
-  void AddToStores(const BlockSeed& seed, const std::vector<BlockHash>& chain);
+  void AddToStores(const BlockSeed& seed, const std::vector<BlockHash>& chain) const;
   void Flush();
 
   runtime::Runtime* const runtime_;
--- a/src/posthatch/index/kv_events.cc
+++ b/src/posthatch/index/kv_events.cc
@@ -38,7 +38,7 @@
   if (value == nullptr || !value->is_array()) return false;
   blocks->reserve(value->get_array().size());
   for (const json::value& element : value->get_array()) {
-    BlockHash hash;
+    BlockHash hash;  // NOLINT(cppcoreguidelines-init-variables): ReadHash sets it or fails
     if (!ReadHash(element, &hash)) return false;
     blocks->push_back(hash);
   }
--- a/src/posthatch/index/prefix_index.cc
+++ b/src/posthatch/index/prefix_index.cc
@@ -34,7 +34,7 @@
 PrefixIndex::~PrefixIndex() = default;
 
 PrefixIndex::GenerationId PrefixIndex::OpenGeneration() {
-  GenerationId id;
+  GenerationId id = kNoGeneration;
   if (free_generations_.empty()) {
     id = static_cast<GenerationId>(generations_.size());
     generations_.emplace_back();
--- a/src/posthatch/rollout/revision_enforcer-test.cc
+++ b/src/posthatch/rollout/revision_enforcer-test.cc
@@ -19,18 +19,18 @@
  public:
   bool LeaseValid() const override { return true; }
   runtime::MonotonicTime lease_expiry() const override { return {}; }
-  const control::FleetState& state() const override { return state_; }
+  const control::FleetState& state() const override { return fleet_state; }
   Duration InventoryAge() const override { return {}; }
   void AddListener(Listener listener) override { listeners_.push_back(std::move(listener)); }
 
   void SetRevision(uint64_t revision) {
-    state_.clear_revisions();
-    control::ModelRevision* entry = state_.add_revisions();
+    fleet_state.clear_revisions();
+    control::ModelRevision* entry = fleet_state.add_revisions();
     entry->set_model("m");
     entry->set_revision(revision);
-    for (const Listener& listener : listeners_) listener(state_);
+    for (const Listener& listener : listeners_) listener(fleet_state);
   }
-  control::FleetState state_;
+  control::FleetState fleet_state;
 
  private:
   std::vector<Listener> listeners_;
@@ -51,7 +51,7 @@
     worker_ = world_.AddHost("worker", "a", "10.0.0.2");
     worker_->SetBoot([this](runtime::Runtime* runtime) { return BootWorker(runtime); });
     gateway_->SetBoot([this](runtime::Runtime* runtime) { return BootGateway(runtime); });
-    control::Backend* backend = fleet_.state_.mutable_inventory()->add_backends();
+    control::Backend* backend = fleet_.fleet_state.mutable_inventory()->add_backends();
     backend->set_id("w1");
     backend->set_kind(control::BACKEND_KIND_WORKER);
     backend->set_endpoint(worker_->http_endpoint());
--- a/src/posthatch/rollout/rollout_coordinator-test.cc
+++ b/src/posthatch/rollout/rollout_coordinator-test.cc
@@ -98,7 +98,7 @@
       return response;
     }
     orders_.push_back(id);
-    tokens_.push_back(std::string(request.headers.Get("Token")));
+    tokens_.emplace_back(request.headers.Get("Token"));
     response.status = order_status_;
     if (order_status_ != 202) return response;
     EXPECT_TRUE(MarkedLoading(id)) << "gateways must keep away before the worker is ordered";
