--- a/src/posthatch/compatibility/stored_data-test.cc
+++ b/src/posthatch/compatibility/stored_data-test.cc
@@ -161,13 +161,13 @@
 }
 
 const std::vector<std::string>& FolderFiles() {
-  static const auto* const kFiles = [] {
+  static const auto* const files = [] {
     auto* const names = new std::vector<std::string>;
     std::istringstream lines(ReadGolden("controller/FILES"));
     for (std::string name; std::getline(lines, name);) names->push_back(name);
     return names;
   }();
-  return *kFiles;
+  return *files;
 }
 
 // Writes the golden folder when asked to (POSTHATCH_WRITE_GOLDEN); in any case every command must
--- a/src/posthatch/compatibility/wire_schema-test.cc
+++ b/src/posthatch/compatibility/wire_schema-test.cc
@@ -45,7 +45,7 @@
 };
 
 const std::vector<Schema>& Schemas() {
-  static const auto* const kSchemas = new std::vector<Schema>{
+  static const auto* const schemas = new std::vector<Schema>{
       {"transport", runtime::Envelope::descriptor()->file(), false},
       {"storage", storage::HardState::descriptor()->file(), false},
       {"consensus", consensus::RaftMessage::descriptor()->file(), false},
@@ -58,7 +58,7 @@
       {"traffic", routing::TrafficMessage::descriptor()->file(), false},
       {"history", fleettest::HistoryEvent::descriptor()->file(), true},
   };
-  return *kSchemas;
+  return *schemas;
 }
 
 // JSON outside of the files that are JSON throughout: control/state_views.cc prints it.
--- a/src/posthatch/index/prefix_index.cc
+++ b/src/posthatch/index/prefix_index.cc
@@ -34,7 +34,7 @@
 PrefixIndex::~PrefixIndex() = default;
 
 PrefixIndex::GenerationId PrefixIndex::OpenGeneration() {
-  GenerationId id = kNoGeneration;
+  GenerationId id;  // NOLINT(cppcoreguidelines-init-variables): set on both ways below
   if (free_generations_.empty()) {
     id = static_cast<GenerationId>(generations_.size());
     generations_.emplace_back();
