--- a/src/posthatch/gateway/gateway_fakes-test.h
+++ b/src/posthatch/gateway/gateway_fakes-test.h
@@ -154,7 +154,7 @@
     }
     control::CommandResult result = Apply(command);
     if (hold) {
-      held_.push_back([done, result] { done(result); });
+      held_.emplace_back([done, result] { done(result); });
     } else {
       done(result);
     }
