--- a/src/posthatch/emulator/emulator-bench.cc
+++ b/src/posthatch/emulator/emulator-bench.cc
@@ -20,7 +20,7 @@
 namespace {
 
 // Look-up of a cached chain, by number of blocks.
-void BM_CacheLookup(benchmark::State& state) {
+void BenchmarkCacheLookup(benchmark::State& state) {
   const auto blocks = static_cast<size_t>(state.range(0));
   const auto chain = index::HashBlocks("salt", FillerText("prompt", blocks * 64), 64);
   BlockCache cache(100000);
@@ -28,10 +28,10 @@
   for (auto _ : state) benchmark::DoNotOptimize(cache.Lookup(chain));
   state.SetItemsProcessed(state.iterations() * state.range(0));
 }
-BENCHMARK(BM_CacheLookup)->Arg(16)->Arg(64)->Arg(256)->Arg(1024);
+BENCHMARK(BenchmarkCacheLookup)->Arg(16)->Arg(64)->Arg(256)->Arg(1024);
 
 // Strict reading of a stream, by number of chunks.
-void BM_StreamReader(benchmark::State& state) {
+void BenchmarkStreamReader(benchmark::State& state) {
   const auto pieces = static_cast<uint32_t>(state.range(0));
   std::string stream;
   for (uint32_t piece = 0; piece < pieces; ++piece) {
@@ -44,9 +44,9 @@
   }
   state.SetItemsProcessed(state.iterations() * state.range(0));
 }
-BENCHMARK(BM_StreamReader)->Arg(4)->Arg(16)->Arg(64)->Arg(256);
+BENCHMARK(BenchmarkStreamReader)->Arg(4)->Arg(16)->Arg(64)->Arg(256);
 
-void BM_RecordEvent(benchmark::State& state) {
+void BenchmarkRecordEvent(benchmark::State& state) {
   simulation::SimWorld world(1);
   simulation::SimHost* const host = world.AddHost("h", "z", "10.0.0.1");
   host->SetBoot([](runtime::Runtime*) { return std::make_shared<int>(0); });
@@ -58,10 +58,10 @@
   event.mutable_run_started()->set_nonce("callers-1-1");
   for (auto _ : state) (*recorder)->Record(event);
 }
-BENCHMARK(BM_RecordEvent);
+BENCHMARK(BenchmarkRecordEvent);
 
 // One simulated second of a preset's model traffic, callers and workers together.
-void BM_SimulatedSecond(benchmark::State& state) {
+void BenchmarkSimulatedSecond(benchmark::State& state) {
   simulation::SimWorld world(1);
   std::vector<fleettest::HistoryEvent> events;
   std::vector<std::unique_ptr<fleettest::MemoryHistoryRecorder>> recorders;
@@ -99,7 +99,7 @@
   }
   state.SetItemsProcessed(static_cast<int64_t>(load.counts().completed));
 }
-BENCHMARK(BM_SimulatedSecond)
+BENCHMARK(BenchmarkSimulatedSecond)
     ->Arg(1)
     ->Arg(3)
     ->Arg(9)
--- a/src/posthatch/fleettest/fault_injector.cc
+++ b/src/posthatch/fleettest/fault_injector.cc
@@ -292,7 +292,7 @@
   for (const auto& active : lasting) End(active);
 }
 
-void FaultInjector::RecordFault(const ActiveFault& active, bool ended) {
+void FaultInjector::RecordFault(const ActiveFault& active, bool ended) const {
   HistoryEvent event;
   FaultInjected* fault = event.mutable_fault_injected();
   fault->set_kind(std::string(ToName(kFaultKindNames, active.fault.kind)));
--- a/src/posthatch/fleettest/fault_injector.h
+++ b/src/posthatch/fleettest/fault_injector.h
@@ -67,7 +67,7 @@
                           runtime::Duration delay, int change);
   std::string SkipReason(const Fault& fault, const ProcessInfo& process, bool chaos) const;
   void SetBehaviour(const ProcessInfo& process, const std::string& json);
-  void RecordFault(const ActiveFault& active, bool ended);
+  void RecordFault(const ActiveFault& active, bool ended) const;
   void AddOutcome(const Fault& fault, const std::string& target, const std::string& result);
 
   struct LinkCounts {
--- a/src/posthatch/gateway/gateway-bench.cc
+++ b/src/posthatch/gateway/gateway-bench.cc
@@ -11,7 +11,7 @@
 constexpr size_t kChainLength = 64;
 
 // Routing over `workers` back ends, one of which holds the prefix.
-void BM_Route(benchmark::State& state) {
+void BenchmarkRoute(benchmark::State& state) {
   FakeFleet fleet;
   for (int64_t number = 5; number <= state.range(0); ++number) {
     fleet.AddBackend(absl::StrCat("w", number), control::BACKEND_KIND_WORKER,
@@ -34,10 +34,10 @@
   RouteQuery query{&model, &seed, &chain, 0, &attempted_backends};
   for (auto _ : state) benchmark::DoNotOptimize(router.RouteInference(query));
 }
-BENCHMARK(BM_Route)->Arg(18)->Arg(100)->Arg(1000)->Arg(10000);
+BENCHMARK(BenchmarkRoute)->Arg(18)->Arg(100)->Arg(1000)->Arg(10000);
 
 // Validating and forwarding one streamed event; items are events.
-void BM_RelayPiece(benchmark::State& state) {
+void BenchmarkRelayPiece(benchmark::State& state) {
   FakeCall call;
   call.request.headers.Add("X-Request-Id", "id-1");
   std::vector<std::string> events;
@@ -50,10 +50,10 @@
   }
   state.SetItemsProcessed(state.iterations() * static_cast<int64_t>(events.size()));
 }
-BENCHMARK(BM_RelayPiece);
+BENCHMARK(BenchmarkRelayPiece);
 
 // A completion from the caller's request to its response, with fakes for both connections.
-void BM_WholeRequest(benchmark::State& state) {
+void BenchmarkWholeRequest(benchmark::State& state) {
   FakeFleet fleet;
   fleet.view.fleet.mutable_configuration()->mutable_routing()->set_max_requests_per_worker(1000);
   fleet.StartGateway();
@@ -66,10 +66,10 @@
   }
   state.SetItemsProcessed(state.iterations());
 }
-BENCHMARK(BM_WholeRequest);
+BENCHMARK(BenchmarkWholeRequest);
 
 // Applying a changed inventory, with one evacuation.
-void BM_UpdateDirectory(benchmark::State& state) {
+void BenchmarkUpdateDirectory(benchmark::State& state) {
   FakeFleet fleet;
   for (int64_t number = 5; number <= state.range(0); ++number) {
     fleet.AddBackend(absl::StrCat("w", number), control::BACKEND_KIND_WORKER, "b");
@@ -84,7 +84,7 @@
   BackendDirectory directory(&fleet.runtime, &fleet.options, &lookup, &metrics);
   for (auto _ : state) directory.Update(fleet.view.fleet, nullptr);
 }
-BENCHMARK(BM_UpdateDirectory)->Arg(18)->Arg(1000)->Arg(10000);
+BENCHMARK(BenchmarkUpdateDirectory)->Arg(18)->Arg(1000)->Arg(10000);
 
 }  // namespace
 }  // namespace posthatch::gateway
--- a/src/posthatch/index/index-bench.cc
+++ b/src/posthatch/index/index-bench.cc
@@ -44,7 +44,7 @@
 bool Any(PrefixIndex::GenerationId /*generation*/) { return true; }
 
 // Complete chains of 32 blocks, in random order.
-void BM_LookUpHit(benchmark::State& state) {
+void BenchmarkLookUpHit(benchmark::State& state) {
   FilledIndex filled(state.range(0), 18);
   runtime::Random random(3);
   for (auto _ : state) {
@@ -56,10 +56,10 @@
   state.counters["bytes_per_block"] =
       static_cast<double>(stats.bytes) / static_cast<double>(stats.blocks);
 }
-BENCHMARK(BM_LookUpHit)->Arg(100'000)->Arg(1'000'000)->Arg(10'000'000);
+BENCHMARK(BenchmarkLookUpHit)->Arg(100'000)->Arg(1'000'000)->Arg(10'000'000);
 
 // The same after each holder has had a block removed: every block is compared.
-void BM_LookUpHitWithGaps(benchmark::State& state) {
+void BenchmarkLookUpHitWithGaps(benchmark::State& state) {
   FilledIndex filled(state.range(0), 18);
   for (const Chain& chain : MakeChains(kChainBlocks * 200, 1))
     filled.index.Remove(chain.back(), Any);
@@ -70,10 +70,10 @@
   }
   state.SetItemsProcessed(state.iterations());
 }
-BENCHMARK(BM_LookUpHitWithGaps)->Arg(100'000)->Arg(1'000'000)->Arg(10'000'000);
+BENCHMARK(BenchmarkLookUpHitWithGaps)->Arg(100'000)->Arg(1'000'000)->Arg(10'000'000);
 
 // Chains whose first half is cached.
-void BM_LookUpHalf(benchmark::State& state) {
+void BenchmarkLookUpHalf(benchmark::State& state) {
   FilledIndex filled(state.range(0), 18);
   for (Chain& chain : filled.chains) chain[kChainBlocks / 2] ^= 1;
   runtime::Random random(3);
@@ -83,10 +83,10 @@
   }
   state.SetItemsProcessed(state.iterations());
 }
-BENCHMARK(BM_LookUpHalf)->Arg(10'000'000);
+BENCHMARK(BenchmarkLookUpHalf)->Arg(10'000'000);
 
 // Chains without a holder.
-void BM_LookUpMiss(benchmark::State& state) {
+void BenchmarkLookUpMiss(benchmark::State& state) {
   FilledIndex filled(state.range(0), 18);
   const std::vector<Chain> others = MakeChains(1'000'000, 9);
   runtime::Random random(3);
@@ -96,10 +96,10 @@
   }
   state.SetItemsProcessed(state.iterations());
 }
-BENCHMARK(BM_LookUpMiss)->Arg(10'000'000);
+BENCHMARK(BenchmarkLookUpMiss)->Arg(10'000'000);
 
 // Events of 32 blocks each stored into an index that grows to range(0) blocks; items are blocks.
-void BM_Insert(benchmark::State& state) {
+void BenchmarkInsert(benchmark::State& state) {
   const std::vector<Chain> chains = MakeChains(state.range(0), 1);
   for (auto _ : state) {
     PrefixIndex index(kNoBudget);
@@ -109,10 +109,10 @@
   }
   state.SetItemsProcessed(state.iterations() * state.range(0));
 }
-BENCHMARK(BM_Insert)->Arg(1'000'000)->Arg(10'000'000)->Unit(benchmark::kMillisecond);
+BENCHMARK(BenchmarkInsert)->Arg(1'000'000)->Arg(10'000'000)->Unit(benchmark::kMillisecond);
 
 // The same into an index whose budget is used up: each insertion evicts another block.
-void BM_InsertWithEviction(benchmark::State& state) {
+void BenchmarkInsertWithEviction(benchmark::State& state) {
   FilledIndex filled(1'000'000, 18);
   PrefixIndex index(filled.index.stats().bytes);
   const PrefixIndex::GenerationId generation = index.OpenGeneration();
@@ -123,9 +123,9 @@
   state.SetItemsProcessed(state.iterations() * static_cast<int64_t>(kChainBlocks));
   state.counters["evicted"] = static_cast<double>(index.stats().evicted_blocks);
 }
-BENCHMARK(BM_InsertWithEviction);
+BENCHMARK(BenchmarkInsertWithEviction);
 
-void BM_DropGeneration(benchmark::State& state) {
+void BenchmarkDropGeneration(benchmark::State& state) {
   PrefixIndex index(kNoBudget);
   const Chain chain(1, 77);
   for (auto _ : state) {
@@ -134,10 +134,10 @@
     index.DropGeneration(generation);
   }
 }
-BENCHMARK(BM_DropGeneration);
+BENCHMARK(BenchmarkDropGeneration);
 
 // A body of 100 events of 32 blocks; items are blocks.
-void BM_ParseKvEvents(benchmark::State& state) {
+void BenchmarkParseKvEvents(benchmark::State& state) {
   constexpr int kEvents = 100;
   std::string body = R"({"epoch":1,"next":100,"events":[)";
   for (int event = 1; event <= kEvents; ++event) {
@@ -153,7 +153,7 @@
   for (auto _ : state) benchmark::DoNotOptimize(ParseKvEvents(body));
   state.SetItemsProcessed(state.iterations() * kEvents * static_cast<int64_t>(kEventBlocks));
 }
-BENCHMARK(BM_ParseKvEvents);
+BENCHMARK(BenchmarkParseKvEvents);
 
 }  // namespace
 }  // namespace posthatch::index
--- a/src/posthatch/net/fault_injection.cc
+++ b/src/posthatch/net/fault_injection.cc
@@ -92,9 +92,9 @@
 
 }  // namespace
 
-absl::StatusOr<FaultRules> ParseFaultRules(std::string_view text) {
+absl::StatusOr<FaultRules> ParseFaultRules(std::string_view json) {
   boost::system::error_code error;
-  const json::value document = json::parse({text.data(), text.size()}, error);
+  const json::value document = json::parse({json.data(), json.size()}, error);
   if (error) return absl::InvalidArgumentError(absl::StrCat("not JSON: ", error.message()));
   const json::object* object = document.if_object();
   if (object == nullptr) return absl::InvalidArgumentError("not a JSON object");
--- a/src/posthatch/net/net-bench.cc
+++ b/src/posthatch/net/net-bench.cc
@@ -76,7 +76,7 @@
   std::vector<runtime::Duration> latencies_;
 };
 
-void BM_WholeAnswers(benchmark::State& state) {
+void BenchmarkWholeAnswers(benchmark::State& state) {
   constexpr int64_t kCalls = 20000;
   const auto asio_runtime = MakeRuntime();
   auto server = asio_runtime->runtime()->http_servers->Listen(
@@ -101,9 +101,9 @@
   state.counters["p50_us"] = p50;
   state.counters["p99_us"] = p99;
 }
-BENCHMARK(BM_WholeAnswers)->Arg(1)->Arg(32)->Arg(256)->Unit(benchmark::kMillisecond);
+BENCHMARK(BenchmarkWholeAnswers)->Arg(1)->Arg(32)->Arg(256)->Unit(benchmark::kMillisecond);
 
-void BM_StreamedPieces(benchmark::State& state) {
+void BenchmarkStreamedPieces(benchmark::State& state) {
   constexpr int kPieces = 50;
   constexpr int64_t kCalls = 1000;
   const auto asio_runtime = MakeRuntime();
@@ -122,7 +122,7 @@
   }
   state.SetItemsProcessed(state.iterations() * kCalls * kPieces);
 }
-BENCHMARK(BM_StreamedPieces)->Unit(benchmark::kMillisecond);
+BENCHMARK(BenchmarkStreamedPieces)->Unit(benchmark::kMillisecond);
 
 }  // namespace
 }  // namespace posthatch::net
--- a/src/posthatch/net/raw_socket-test.cc
+++ b/src/posthatch/net/raw_socket-test.cc
@@ -57,7 +57,7 @@
       std::chrono::seconds(10));
 }
 
-void RawSocket::ShutdownSend() { shutdown(descriptor_, SHUT_WR); }
+void RawSocket::ShutdownSend() const { shutdown(descriptor_, SHUT_WR); }
 
 void RawSocket::Close() {
   if (descriptor_ >= 0) close(descriptor_);
--- a/src/posthatch/net/raw_socket-test.h
+++ b/src/posthatch/net/raw_socket-test.h
@@ -22,7 +22,7 @@
   // Sends all of `bytes`, running `runtime` while the peer reads none; stops when the peer has
   // closed the connection.
   void Send(AsioRuntime* runtime, std::string_view bytes);
-  void ShutdownSend();
+  void ShutdownSend() const;
   void Close();
 
   // Runs `runtime` until `text` is received, the connection ends or `limit` has passed; returns
