--- a/src/posthatch/fleettest/fault_injector-test.cc
+++ b/src/posthatch/fleettest/fault_injector-test.cc
@@ -27,19 +27,19 @@
       return std::make_shared<int>(0);
     });
     host->Start();
-    recorder_ = std::make_unique<MemoryHistoryRecorder>(runtime_->clock, "test", &events_);
+    recorder_ = std::make_unique<MemoryHistoryRecorder>(runtime_->clock, "test", &events);
   }
 
   absl::Status Start() override { return absl::OkStatus(); }
   void RunFor(runtime::Duration duration) override { world_.RunFor(duration); }
   runtime::Runtime* runtime() override { return runtime_; }
   HistoryRecorder* recorder() override { return recorder_.get(); }
-  std::vector<ProcessInfo> processes() const override { return processes_; }
+  std::vector<ProcessInfo> processes() const override { return known_processes; }
   absl::Status Kill(const std::string& name) override { return Note("kill " + name); }
   absl::Status Stop(const std::string& name) override { return Note("stop " + name); }
   absl::Status Restart(const std::string& name) override {
-    if (draining_ > 0) {
-      --draining_;
+    if (draining > 0) {
+      --draining;
       return absl::UnavailableError("it is still running");
     }
     return Note("restart " + name);
@@ -57,7 +57,7 @@
     return Note("jump " + name);
   }
   absl::Status SetLink(const std::string& from, const std::string& to, LinkState state) override {
-    cut_[from + ">" + to] = state.partitioned;
+    partitioned_links[from + ">" + to] = state.partitioned;
     return absl::OkStatus();
   }
   absl::StatusOr<ProcessInfo> Replace(const std::string& name) override {
@@ -66,28 +66,28 @@
   absl::StatusOr<ProcessInfo> Move(const std::string& name) override {
     return ProcessInfo{name, Role::kController, "z1", {}, "10.0.0.9:80"};
   }
-  absl::StatusOr<std::vector<HistoryEvent>> TakeHistory() override { return events_; }
+  absl::StatusOr<std::vector<HistoryEvent>> TakeHistory() override { return events; }
 
   std::vector<std::string> CutLinks() const {
     std::vector<std::string> links;
-    for (const auto& [link, partitioned] : cut_) {
+    for (const auto& [link, partitioned] : partitioned_links) {
       if (partitioned) links.push_back(link);
     }
     return links;
   }
 
-  std::vector<ProcessInfo> processes_ = {
+  std::vector<ProcessInfo> known_processes = {
       {"controller-1", Role::kController, "z1", {}, "10.0.0.2:80"},
       {"gateway-1", Role::kGateway, "z1", {}, "10.0.0.3:80"},
       {"gateway-2", Role::kGateway, "z2", {}, "10.0.0.4:80"}};
-  std::vector<std::string> notes_;
-  std::vector<HistoryEvent> events_;
-  std::map<std::string, bool> cut_;
-  int draining_ = 0;
+  std::vector<std::string> notes;
+  std::vector<HistoryEvent> events;
+  std::map<std::string, bool> partitioned_links;
+  int draining = 0;
 
  private:
   absl::Status Note(const std::string& note) {
-    notes_.push_back(note);
+    notes.push_back(note);
     return absl::OkStatus();
   }
 
@@ -119,13 +119,13 @@
 TEST_F(FaultInjectorTest, InjectsEndsAndRecordsFault) {
   injector_.Start({MakeFault(FaultKind::kDiskLoss, "controller-1", 2, 3)});
   fleet_.RunFor(seconds(4));
-  EXPECT_THAT(fleet_.notes_, ElementsAre("kill controller-1", "clear controller-1"));
+  EXPECT_THAT(fleet_.notes, ElementsAre("kill controller-1", "clear controller-1"));
   fleet_.RunFor(seconds(2));
-  EXPECT_EQ(fleet_.notes_.back(), "restart controller-1");
-  ASSERT_EQ(fleet_.events_.size(), 2u);
-  EXPECT_EQ(fleet_.events_[0].fault_injected().kind(), "disk_loss");
-  EXPECT_TRUE(fleet_.events_[1].fault_injected().ended());
-  EXPECT_EQ(fleet_.events_[1].time_ns() - fleet_.events_[0].time_ns(), 3'000'000'000);
+  EXPECT_EQ(fleet_.notes.back(), "restart controller-1");
+  ASSERT_EQ(fleet_.events.size(), 2u);
+  EXPECT_EQ(fleet_.events[0].fault_injected().kind(), "disk_loss");
+  EXPECT_TRUE(fleet_.events[1].fault_injected().ended());
+  EXPECT_EQ(fleet_.events[1].time_ns() - fleet_.events[0].time_ns(), 3'000'000'000);
 }
 
 TEST_F(FaultInjectorTest, ReportsUnsupportedFaults) {
@@ -133,7 +133,7 @@
   fleet_.RunFor(seconds(2));
   ASSERT_EQ(injector_.outcomes().size(), 1u);
   EXPECT_EQ(injector_.outcomes()[0].result, "not applicable: no power switch");
-  EXPECT_THAT(fleet_.events_, IsEmpty());
+  EXPECT_THAT(fleet_.events, IsEmpty());
 }
 
 TEST_F(FaultInjectorTest, SkipsProcessWithActiveFault) {
@@ -141,19 +141,19 @@
                    MakeFault(FaultKind::kKill, "gateway-1", 2, 1),
                    MakeFault(FaultKind::kKill, "nobody", 2, 1)});
   fleet_.RunFor(seconds(10));
-  EXPECT_THAT(fleet_.notes_, ElementsAre("freeze gateway-1", "thaw gateway-1"));
+  EXPECT_THAT(fleet_.notes, ElementsAre("freeze gateway-1", "thaw gateway-1"));
   ASSERT_EQ(injector_.outcomes().size(), 3u);
   EXPECT_THAT(injector_.outcomes()[1].result, HasSubstr("skipped"));
   EXPECT_THAT(injector_.outcomes()[2].result, HasSubstr("no process matches"));
 }
 
 TEST_F(FaultInjectorTest, WaitsForDrainBeforeRestart) {
-  fleet_.draining_ = 4;
+  fleet_.draining = 4;
   injector_.Start({MakeFault(FaultKind::kStop, "gateway-1", 1, 1)});
   fleet_.RunFor(seconds(2));
-  EXPECT_THAT(fleet_.notes_, ElementsAre("stop gateway-1"));
+  EXPECT_THAT(fleet_.notes, ElementsAre("stop gateway-1"));
   fleet_.RunFor(seconds(2));
-  EXPECT_THAT(fleet_.notes_, ElementsAre("stop gateway-1", "restart gateway-1"));
+  EXPECT_THAT(fleet_.notes, ElementsAre("stop gateway-1", "restart gateway-1"));
 }
 
 TEST_F(FaultInjectorTest, OverlappingPartitionsHealTogether) {
@@ -177,8 +177,8 @@
   fleet_.RunFor(seconds(2));
   injector_.EndAll();
   EXPECT_THAT(fleet_.CutLinks(), IsEmpty());
-  EXPECT_EQ(std::count(fleet_.notes_.begin(), fleet_.notes_.end(), "thaw gateway-1"), 1);
-  EXPECT_EQ(std::count(fleet_.notes_.begin(), fleet_.notes_.end(), "restart controller-1"), 1);
+  EXPECT_EQ(std::count(fleet_.notes.begin(), fleet_.notes.end(), "thaw gateway-1"), 1);
+  EXPECT_EQ(std::count(fleet_.notes.begin(), fleet_.notes.end(), "restart controller-1"), 1);
 }
 
 TEST_F(FaultInjectorTest, ReplacementNotifiesFleet) {
