--- a/src/posthatch/compatibility/wire_schema-test.cc
+++ b/src/posthatch/compatibility/wire_schema-test.cc
@@ -112,6 +112,7 @@
 
 std::vector<const FieldDescriptor*> FieldsByNumber(const Descriptor* message) {
   std::vector<const FieldDescriptor*> fields;
+  fields.reserve(static_cast<size_t>(message->field_count()));
   for (int i = 0; i < message->field_count(); ++i) fields.push_back(message->field(i));
   std::sort(fields.begin(), fields.end(),
             [](const auto* a, const auto* b) { return a->number() < b->number(); });
--- a/src/posthatch/gateway/tenant_directory.cc
+++ b/src/posthatch/gateway/tenant_directory.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view kBearer = "Bearer ";
 
 uint64_t Head(const Sha256Digest& digest) {
-  uint64_t head;
+  uint64_t head;  // NOLINT(cppcoreguidelines-init-variables): memcpy fills it
   std::memcpy(&head, digest.data(), sizeof(head));
   return head;
 }
