--- a/src/posthatch/fleettest/checks/recorded_history.cc
+++ b/src/posthatch/fleettest/checks/recorded_history.cc
@@ -133,6 +133,8 @@
     faults_.push_back({fault.kind(), fault.target(), {time_ns, kNever}});
     return;
   }
+  // Not a range: clang-tidy 14 cannot compile std::ranges of this libstdc++.
+  // NOLINTNEXTLINE(modernize-loop-convert)
   for (auto found = faults_.rbegin(); found != faults_.rend(); ++found) {
     const bool open = found->period.until_ns == kNever;
     if (open && found->kind == fault.kind() && found->target == fault.target()) {
--- a/src/posthatch/simulation/event_queue.cc
+++ b/src/posthatch/simulation/event_queue.cc
@@ -11,7 +11,7 @@
 }
 
 EventId EventQueue::ScheduleAt(runtime::MonotonicTime time, Callback callback) {
-  uint32_t slot;
+  uint32_t slot = 0;
   if (free_slots_.empty()) {
     slot = static_cast<uint32_t>(slots_.size());
     slots_.emplace_back();
@@ -61,6 +61,8 @@
 void EventQueue::Clear() {
   heap_.clear();
   // Destroying a callback may schedule or cancel others, so the slots stay valid meanwhile.
+  // Not a range: the slots may grow in the loop.
+  // NOLINTNEXTLINE(modernize-loop-convert)
   for (size_t slot = 0; slot < slots_.size(); ++slot) {
     const Callback callback = std::move(slots_[slot].callback);
     slots_[slot].callback = nullptr;
