--- a/scripts/check-behaviour.sh
+++ b/scripts/check-behaviour.sh
@@ -3,7 +3,6 @@
 # scenario and seed the hash of all that happened (deliveries, disk completions, times; no names of
 # events) and what became of the requests. A change that is to leave behaviour alone must leave the
 # table alone; one that alters behaviour writes it anew and says why in its commit.
-# A seed has two lines where it is known to differ between processes (docs/FAILURES.md): either will do.
 # Usage: scripts/check-behaviour.sh REPORTS [--write], after
 #        POSTHATCH_REPORTS=REPORTS scripts/simulate-all.sh 1 3
 set -euo pipefail
