--- a/src/posthatch/consensus/bootstrap-test.cc
+++ b/src/posthatch/consensus/bootstrap-test.cc
@@ -25,7 +25,7 @@
                                return std::vector<std::string>{"host10", "host20", "host30"};
                              }}) {}
 
-  // Restarts with only these allowed to form a cluster.
+  // Recreates Bootstrap so that only `bootstrap_voters` may form a cluster.
   void SetBootstrapVoters(const std::vector<std::string>& bootstrap_voters) {
     bootstrap_.emplace(&core_, &random_,
                        BootstrapOptions{.expect = 3,
@@ -54,7 +54,7 @@
     return message;
   }
 
-  // Lets the replica tick for two seconds and receive `messages` repeatedly.
+  // Runs the replica for two seconds; it receives `messages` every 100 ms.
   void Run(const std::vector<RaftMessage>& messages) {
     for (int i = 0; i < 20; ++i) {
       now_ += milliseconds(100);
--- a/src/posthatch/consensus/bootstrap.cc
+++ b/src/posthatch/consensus/bootstrap.cc
@@ -11,9 +11,9 @@
 
 constexpr runtime::Duration kHelloInterval = std::chrono::milliseconds(250);
 constexpr runtime::Duration kJoinInterval = std::chrono::milliseconds(500);
-// A peer that has sent nothing for this long doesn't count as visible.
+// A peer that has sent no message for this long is not visible.
 constexpr runtime::Duration kPeerTimeout = std::chrono::seconds(1);
-// Rounds of Hello before a cluster is formed, so that members of an existing one can respond first.
+// Hello rounds before a cluster is formed, so that members of an existing one can respond first.
 constexpr uint64_t kHelloRoundsBeforeBootstrap = 4;
 
 }  // namespace
@@ -109,7 +109,7 @@
   }
 }
 
-// Sent without knowing whether this replica is a member: the leader ignores the request of one.
+// Sent whether or not this replica is a member already: the leader ignores requests of members.
 void Bootstrap::RequestJoin(const Hello& hello, MonotonicTime now) {
   if (hello.leader_id() == 0 || hello.leader_endpoint().empty() || now < next_join_) return;
   next_join_ = now + kJoinInterval;
@@ -140,10 +140,10 @@
   return eligible.size() == options_.bootstrap_voters.size();
 }
 
-// Forms a cluster if this replica has the lowest id of enough unbootstrapped replicas that all see
-// each other, and no member of a cluster is visible. Where bootstrap voters are configured, only
-// they count: all of them must see each other, and as their number is known, no two replicas can
-// both have the lowest id.
+// Forms a cluster if this replica has the lowest id among enough unbootstrapped replicas that all
+// see each other, and no member of a cluster is visible. If bootstrap voters are configured, only
+// they count: all of them must see each other. Since their number is known, two replicas can't both
+// have the lowest id.
 void Bootstrap::TryBootstrap(MonotonicTime now) {
   std::set<uint64_t> participants = VisibleUnbootstrappedPeers(now);
   participants.insert(core_->replica_id());
--- a/src/posthatch/consensus/bootstrap.h
+++ b/src/posthatch/consensus/bootstrap.h
@@ -13,21 +13,21 @@
 namespace posthatch::consensus {
 
 struct BootstrapOptions {
-  // How many unbootstrapped replicas form a cluster together; 0: this one never forms any.
+  // Number of unbootstrapped replicas that form a cluster together; 0: this one never forms one.
   size_t expect = 3;
-  // Internal endpoints of the only replicas that may form one, the same on all; every one of them
-  // must take part. Empty: any replica may, and `expect` must be the number of all.
+  // Internal endpoints of the replicas that may form a cluster, identical on all replicas; all of
+  // them must take part. Empty: any replica may, and `expect` must be the total number of replicas.
   std::vector<std::string> bootstrap_voters;
-  // This many, by lowest replica id, become voters; the others learners.
+  // Number of replicas, lowest replica ids first, that become voters; the others become learners.
   size_t target_voters = 3;
-  // Internal endpoints of replicas that discovery knows; contacted while there is no leader.
+  // Internal endpoints of the discovered replicas; contacted while there is no leader.
   std::function<std::vector<std::string>()> peers;
 };
 
-// How a replica that knows no leader finds its cluster, or forms one with other unbootstrapped
-// replicas: by Hello messages to the endpoints that discovery and the last configuration name. The
-// rules, and why two clusters can't both commit anything: docs/design-docs/consensus.md.
-// Owned by RaftReplica; not thread-safe.
+// Lets a replica without a known leader find its cluster, or form one with other unbootstrapped
+// replicas. It sends Hello messages to the endpoints from discovery and from the last
+// configuration. docs/design-docs/consensus.md has the rules and shows why two clusters can't both
+// commit entries. Owned by RaftReplica; not thread-safe.
 class Bootstrap {
  public:
   // The pointers must outlive this object.
@@ -52,9 +52,9 @@
   void RecordPeer(const RaftMessage& message, runtime::MonotonicTime now);
   void RequestJoin(const Hello& hello, runtime::MonotonicTime now);
   void TryBootstrap(runtime::MonotonicTime now);
-  // Whether this replica is the one that forms a cluster of `participants`.
+  // Whether this replica is the one to form a cluster of `participants`.
   bool ShouldBootstrap(const std::set<uint64_t>& participants) const;
-  // Those of `participants` that may form one: all, or the bootstrap voters.
+  // The members of `participants` that may form a cluster: all, or only the bootstrap voters.
   std::set<uint64_t> EligibleParticipants(const std::set<uint64_t>& participants) const;
   void BootstrapCluster(const std::set<uint64_t>& participants, runtime::MonotonicTime now);
   std::set<uint64_t> VisibleUnbootstrappedPeers(runtime::MonotonicTime now) const;
--- a/src/posthatch/consensus/cluster_configuration.h
+++ b/src/posthatch/consensus/cluster_configuration.h
@@ -9,18 +9,18 @@
 
 namespace posthatch::consensus {
 
-// Functions over the membership that a configuration entry or a snapshot carries.
+// Functions on the cluster membership stored in a configuration entry or a snapshot.
 
-// Null if `replica_id` is no member.
+// Null if `replica_id` is not a member.
 const Member* FindMember(const ClusterConfiguration& configuration, uint64_t replica_id);
 Member* FindMutableMember(ClusterConfiguration* configuration, uint64_t replica_id);
 bool IsVoter(const ClusterConfiguration& configuration, uint64_t replica_id);
 size_t VoterCount(const ClusterConfiguration& configuration);
-// Adds the member, or makes an existing one a voter or a learner.
+// Adds `member`, or replaces the existing member with the same replica id.
 ClusterConfiguration WithMember(ClusterConfiguration configuration, const Member& member);
 ClusterConfiguration WithoutMember(ClusterConfiguration configuration, uint64_t replica_id);
 
-// Whether `has` holds for a majority of the voters; false if there are none.
+// Whether `has` returns true for a majority of the voters; false if there are no voters.
 bool MajorityHas(const ClusterConfiguration& configuration,
                  const std::function<bool(uint64_t replica_id)>& has);
 // The highest value that a majority of the voters has reached; 0 if there are no voters.
--- a/src/posthatch/consensus/disk_health.h
+++ b/src/posthatch/consensus/disk_health.h
@@ -7,19 +7,19 @@
 
 namespace posthatch::consensus {
 
-// Measures how long the log's disk syncs take, so that a leader with a slow disk transfers its
+// Tracks the duration of the log's disk syncs, so that a leader with a slow disk transfers its
 // leadership. Owned by RaftReplica; not thread-safe.
 class DiskHealth {
  public:
-  // Slow means a 95th percentile above `threshold` for `patience`.
+  // The disk is slow once the 95th percentile exceeds `threshold` for `min_slow_duration`.
   DiskHealth(runtime::Duration threshold, runtime::Duration min_slow_duration)
       : threshold_(threshold), min_slow_duration_(min_slow_duration) {}
 
   void OnSync(runtime::Duration sync_duration, runtime::MonotonicTime now);
-  // To be called regularly; `in_flight` is how long the write in flight has taken so far.
+  // Must be called regularly; `in_flight` is the time the write in flight has taken so far.
   void Update(runtime::Duration in_flight, runtime::MonotonicTime now);
-  // 95th percentile over the last 3 s, or the write in flight if that is longer. Zero without any
-  // write.
+  // 95th percentile of the last 3 s, or the time of the write in flight if that is longer. Zero if
+  // there was no write.
   runtime::Duration p95() const { return p95_; }
   bool IsSlow(runtime::MonotonicTime now) const {
     return slow_ && now - slow_since_ >= min_slow_duration_;
--- a/src/posthatch/consensus/leadership_transfer.cc
+++ b/src/posthatch/consensus/leadership_transfer.cc
@@ -18,7 +18,7 @@
     return false;
   }
   if (done_) {
-    done(absl::FailedPreconditionError("already handing over"));
+    done(absl::FailedPreconditionError("leadership transfer already pending"));
     return false;
   }
   done_ = std::move(done);
@@ -37,13 +37,14 @@
     return;
   }
   ReplicatedLog::ReadDone done = std::exchange(done_, nullptr);
-  done(another_leads ? absl::OkStatus() : absl::DeadlineExceededError("no other replica leads"));
+  done(another_leads ? absl::OkStatus()
+                     : absl::DeadlineExceededError("no other replica became leader in time"));
 }
 
 void LeadershipTransfer::LeaveSlowDisk(uint64_t sync_p95_us) {
   const runtime::MonotonicTime now = Now();
   if (now < next_slow_disk_transfer_at_) return;
-  // Only to a faster disk, or leadership would move back and forth between slow ones.
+  // Requires a faster disk, or leadership would move back and forth between slow ones.
   if (!core_->TransferLeadership(sync_p95_us / 2, now)) return;
   next_slow_disk_transfer_at_ = now + kSlowDiskTransferInterval;
   runtime_->trace->Event(runtime::Severity::kWarning, "LeadershipTransferForSlowDisk",
--- a/src/posthatch/consensus/leadership_transfer.h
+++ b/src/posthatch/consensus/leadership_transfer.h
@@ -6,23 +6,24 @@
 
 namespace posthatch::consensus {
 
-// Transfers of leadership: those that an operator or a drain requests, and those that a leader
-// starts because its own disk is slow. Owned by RaftReplica; event loop thread only.
+// Transfers leadership on request of an operator or a drain, and when the leader's own disk is
+// slow. Owned by RaftReplica; event loop thread only.
 class LeadershipTransfer {
  public:
   // The pointers must outlive this object. A requested transfer fails after `timeout`.
   LeadershipTransfer(runtime::Runtime* runtime, RaftCore* core, runtime::Duration timeout)
       : runtime_(runtime), core_(core), timeout_(timeout) {}
 
-  // Transfers leadership to any other voter. `done` gets OK once another replica leads,
-  // FailedPrecondition (at once, and false is returned) if this one doesn't lead or a request is
-  // pending, or DeadlineExceeded.
+  // Transfers leadership to any other voter. Calls `done` with OK once another replica leads, or
+  // with DeadlineExceeded. If this replica doesn't lead or a request is pending, calls `done` with
+  // FailedPrecondition immediately and returns false.
   [[nodiscard]] bool Request(ReplicatedLog::ReadDone done);
-  // To be called regularly: starts the requested transfer again if it was given up, and ends the
-  // request when another replica leads or the time is up.
+  // Must be called regularly: restarts a requested transfer that was abandoned, and completes the
+  // request when another replica leads or the time-out has passed.
   void Tick();
-  // This leader's disk is slow: transfers leadership to a follower whose disk is at least twice as
-  // fast, if there is one and none was tried lately.
+  // Transfers leadership away from this leader, whose disk is slow, to a follower whose disk is at
+  // least twice as fast. Does nothing if there is no such follower or a transfer for a slow disk
+  // began recently.
   void LeaveSlowDisk(uint64_t sync_p95_us);
 
  private:
@@ -31,7 +32,7 @@
   runtime::Runtime* const runtime_;
   RaftCore* const core_;
   const runtime::Duration timeout_;
-  ReplicatedLog::ReadDone done_;  // of the pending request; empty if there is none
+  ReplicatedLog::ReadDone done_;  // callback of the pending request; empty if there is none
   runtime::MonotonicTime deadline_;
   runtime::MonotonicTime next_slow_disk_transfer_at_;
 };
--- a/src/posthatch/consensus/memory_log.h
+++ b/src/posthatch/consensus/memory_log.h
@@ -9,13 +9,13 @@
 
 namespace posthatch::consensus {
 
-// The entries that a replica keeps in memory: all since the last compaction, durable or not. Owned
-// by RaftCore; not thread-safe.
+// The log entries in memory: all since the last compaction, durable or not. Owned by RaftCore; not
+// thread-safe.
 class MemoryLog {
  public:
   void Restore(uint64_t base_index, uint64_t base_term, std::vector<storage::LogEntry> entries);
 
-  // Index before the first entry; its term is known.
+  // Index of the entry before the first one; its term is known.
   uint64_t base_index() const { return base_index_; }
   uint64_t last_index() const { return base_index_ + entries_.size(); }
   uint64_t last_term() const { return *Term(last_index()); }
@@ -31,7 +31,7 @@
   void TruncateFrom(uint64_t index);
   // Removes the entries up to `index`, which must not be above last_index().
   void CompactTo(uint64_t index);
-  // Empties the log: the next entry is `index` + 1.
+  // Empties the log; the next entry to append has index `index` + 1.
   void Reset(uint64_t index, uint64_t term);
 
  private:
--- a/src/posthatch/consensus/pending_requests.cc
+++ b/src/posthatch/consensus/pending_requests.cc
@@ -22,7 +22,7 @@
   Proposal proposal = std::move(found->second);
   proposals_.erase(found);
   if (proposal.term != entry.term()) {
-    proposal.done(absl::AbortedError("another leader's command took its place"));
+    proposal.done(absl::AbortedError("replaced by an entry of another leader"));
     return;
   }
   metrics_->ObserveCommit(now - proposal.proposed_at);
--- a/src/posthatch/consensus/pending_requests.h
+++ b/src/posthatch/consensus/pending_requests.h
@@ -13,26 +13,26 @@
 
 namespace posthatch::consensus {
 
-// Proposals and reads that a leader has accepted and not yet completed. All belong to one term:
-// when leadership changes hands, FailAll ends them. Each callback is called exactly once, after the
-// request has left this object, so that it may add further ones. Owned by RaftReplica; event loop
-// thread only.
+// Proposals and reads that a leader has accepted but not yet completed. All belong to one term:
+// when leadership is lost, FailAll completes them. Each callback is called exactly once, after its
+// request was removed from this object, so that it may add further requests. Owned by RaftReplica;
+// event loop thread only.
 class PendingRequests {
  public:
   // `metrics` must outlive this object.
   explicit PendingRequests(ReplicaMetrics* metrics) : metrics_(metrics) {}
 
-  // The proposal became the log entry at `index`, in `term`.
+  // Adds the proposal that was appended to the log at `index` in `term`.
   void AddProposal(uint64_t index, uint64_t term, runtime::MonotonicTime now,
                    ReplicatedLog::ProposeDone done);
-  // `read_id` is RaftCore's.
+  // `read_id` is the id that RaftCore::RequestRead returned.
   void AddRead(uint64_t read_id, uint64_t term, ReplicatedLog::ReadDone done);
 
-  // `entry` is committed and applied with `result`: completes the proposal that was to become this
-  // entry, with Aborted if another leader's entry was committed in its place.
+  // Called when `entry` is committed and applied: completes the proposal at its index with
+  // `result`, or with Aborted if another leader's entry was committed there.
   void OnApplied(const storage::LogEntry& entry, std::string result, runtime::MonotonicTime now);
   void OnReadsConfirmed(const std::vector<uint64_t>& read_ids);
-  // Ends all of them with `status`.
+  // Completes all pending requests with `status`.
   void FailAll(const absl::Status& status);
 
   // Term of the newest request; 0 before the first.
@@ -46,8 +46,8 @@
   };
 
   ReplicaMetrics* const metrics_;
-  std::map<uint64_t, Proposal> proposals_;             // by log index
-  std::map<uint64_t, ReplicatedLog::ReadDone> reads_;  // by read id
+  std::map<uint64_t, Proposal> proposals_;             // keyed by log index
+  std::map<uint64_t, ReplicatedLog::ReadDone> reads_;  // keyed by read id
   uint64_t term_ = 0;
 };
 
--- a/src/posthatch/consensus/raft_core.cc
+++ b/src/posthatch/consensus/raft_core.cc
@@ -30,14 +30,14 @@
     AdoptConfiguration(index, ParseConfiguration(entry.data()));
   }
   verified_index_ = commit_index_;
-  // Contacts with a leader before the restart are not stored. Assuming one at this moment keeps the
-  // lease that any leader of before may still rely on.
+  // Contacts with a leader before the restart are not stored. Assuming a contact now preserves the
+  // lease that a leader from before the restart may still rely on.
   leader_contact_assumed_ = term() > 0;
   if (leader_contact_assumed_) leader_contact_at_ = now;
   ResetElectionTimer(now);
 }
 
-// ---------------------------------------------------------------------------------- state
+// State.
 
 uint64_t RaftCore::cluster_id() const {
   return IsUnbootstrapped() ? joining_cluster_id_ : configuration().cluster_id();
@@ -77,7 +77,7 @@
   return leader_id_ == 0 ? std::string() : EndpointOf(leader_id_);
 }
 
-// ---------------------------------------------------------------------------------- messages
+// Messages.
 
 RaftMessage RaftCore::NewMessage(uint64_t to) const {
   RaftMessage message;
@@ -115,7 +115,7 @@
 
 bool RaftCore::Accepts(const RaftMessage& message) {
   if (message.from() == 0 || message.from() == replica_id()) return false;
-  // Sent to the replica id that this machine had before it lost its disk.
+  // Addressed to the replica id that this machine had before it lost its disk.
   if (message.to() != replica_id()) return false;
   if (message.has_join_request()) {
     return !IsUnbootstrapped() &&
@@ -123,7 +123,7 @@
   }
   if (message.cluster_id() == 0) return false;
   if (!IsUnbootstrapped()) return message.cluster_id() == cluster_id();
-  // Only a cluster that has this replica id in its configuration sends these to it.
+  // These messages come only from a cluster whose configuration contains this replica.
   if (!message.has_vote_request() && !message.has_append_request() &&
       !message.has_snapshot_chunk()) {
     return false;
@@ -152,7 +152,7 @@
   return true;
 }
 
-// The response carries the current term, which makes a leader or candidate of an earlier one step
+// The response carries the current term, which makes a leader or candidate of an earlier term step
 // down.
 void RaftCore::RejectStaleTerm(const RaftMessage& message) {
   RaftMessage reply = NewMessage(message.from());
@@ -206,16 +206,17 @@
 
 absl::StatusOr<uint64_t> RaftCore::Propose(std::string command, MonotonicTime now) {
   if (!IsLeader()) return absl::FailedPreconditionError("not leader");
-  if (transfer_target_ != 0) return absl::FailedPreconditionError("handing leadership over");
+  if (transfer_target_ != 0)
+    return absl::FailedPreconditionError("leadership transfer in progress");
   if (HasLostQuorum(now)) {
-    return absl::FailedPreconditionError("not leader: no majority heard");
+    return absl::FailedPreconditionError("not leader: no response from a majority");
   }
   if (command.size() > options_.max_command_bytes) {
     return absl::InvalidArgumentError("command too long");
   }
   if (log_.last_index() - commit_index_ >= options_.max_uncommitted_entries ||
       uncommitted_bytes_ + command.size() > options_.max_uncommitted_bytes) {
-    return absl::ResourceExhaustedError("too many commands in flight");
+    return absl::ResourceExhaustedError("too many uncommitted commands");
   }
   storage::LogEntry entry;
   entry.set_index(log_.last_index() + 1);
@@ -238,7 +239,7 @@
   if (IsVoter(configuration, replica_id())) StartElection(/*transfer=*/false, now);
 }
 
-// ---------------------------------------------------------------------------------- persisting
+// Persistence.
 
 void RaftCore::SetHardState(uint64_t term, uint64_t vote) {
   if (hard_state_.term() == term && hard_state_.vote() == vote) return;
@@ -295,7 +296,7 @@
   }
 }
 
-// ---------------------------------------------------------------------------------- output
+// Output.
 
 bool RaftCore::HasReady(MonotonicTime now) const {
   if (hard_state_dirty_ || reset_.has_value() || first_unstaged_ <= log_.last_index()) return true;
--- a/src/posthatch/consensus/raft_core.h
+++ b/src/posthatch/consensus/raft_core.h
@@ -21,10 +21,11 @@
 
 namespace posthatch::consensus {
 
-// The Raft algorithm as a state machine without clock, disk or network: calls go in, TakeReady()
-// returns what to do. After Ongaro, "Consensus: Bridging Theory and Practice" (2014), with pre-vote
-// (9.6), leadership transfer (3.10), single-server membership change (4), log compaction (5), read
-// index (6.4) and writing to the leader's disk in parallel (10.2.1). Design note: consensus.md.
+// The Raft algorithm as a state machine without clock, disk or network: the owner calls the input
+// methods and performs the work that TakeReady() returns. Follows Ongaro, "Consensus: Bridging
+// Theory and Practice" (2014), with pre-vote (9.6), leadership transfer (3.10), single-server
+// membership change (4), log compaction (5), read index (6.4) and writing to the leader's disk in
+// parallel (10.2.1). Design: docs/design-docs/consensus.md.
 //
 // Owned by RaftReplica; not thread-safe. `now` must not go back between calls.
 class RaftCore {
@@ -33,40 +34,46 @@
   RaftCore(RaftOptions options, runtime::Random* random, RecoveredState recovered,
            runtime::MonotonicTime now);
 
-  // ------------------------------------------------------------------ input
-  // A message has arrived from another replica.
+  // Input.
+
+  // Handles a message received from another replica.
   void Step(const RaftMessage& message, runtime::MonotonicTime now);
-  // To be called at least every quarter of a heartbeat interval.
+  // Must be called at least every quarter of a heartbeat interval.
   void Tick(runtime::MonotonicTime now);
-  // Index of the new entry, or FailedPrecondition (not the leader, or transferring),
-  // ResourceExhausted (too much uncommitted), InvalidArgument (longer than max_command_bytes).
+  // Returns the index of the new entry, or FailedPrecondition (not the leader, or transferring
+  // leadership), ResourceExhausted (too much uncommitted), InvalidArgument (longer than
+  // max_command_bytes).
   absl::StatusOr<uint64_t> Propose(std::string command, runtime::MonotonicTime now);
-  // An id that comes back in Ready::reads, or FailedPrecondition. Reads are lost with leadership.
+  // Returns an id that Ready::reads will contain once the read is confirmed, or FailedPrecondition.
+  // Pending reads are dropped when leadership is lost.
   absl::StatusOr<uint64_t> RequestRead(runtime::MonotonicTime now);
-  // The first entry of a new cluster; only for an unbootstrapped replica. Stands for election at
-  // once.
+  // Appends `configuration` as the first entry of a new cluster and, if it makes this replica a
+  // voter, starts an election immediately. Does nothing unless the replica is unbootstrapped.
   void Bootstrap(const ClusterConfiguration& configuration, runtime::MonotonicTime now);
-  // Begins to transfer leadership to the most up-to-date live voter whose 95th percentile of disk
-  // syncs is at most `max_sync_p95_us`. False if not leader or there is none.
+  // Starts to transfer leadership to the most up-to-date live voter whose 95th percentile of disk
+  // syncs is at most `max_sync_p95_us`. False if not leader, if a transfer is in progress or if
+  // there is no such voter.
   bool TransferLeadership(uint64_t max_sync_p95_us, runtime::MonotonicTime now);
-  // Everything handed out with ids up to `persist_id` is durable.
+  // Called when all batches with ids up to `persist_id` are durable.
   void OnPersisted(uint64_t persist_id, runtime::MonotonicTime now);
-  // `snapshot` (from Ready::install) is durable and the state machine is restored from it.
+  // Called when `snapshot` (from Ready::install) is durable and restored into the state machine.
   void OnSnapshotInstalled(const std::shared_ptr<const storage::Snapshot>& snapshot,
                            runtime::MonotonicTime now);
-  // A snapshot of the state machine at applied_index() or before is durable: compacts
+  // Called when a snapshot of the state machine at or before applied_index() is durable: compacts
   // the log before it, except for the entries that `retention` keeps.
   void OnSnapshotTaken(const std::shared_ptr<const storage::Snapshot>& snapshot,
                        const LogRetention& retention, runtime::MonotonicTime now);
-  // 95th percentile of this replica's disk syncs, reported to the leader.
+  // Sets the 95th percentile of this replica's disk syncs, which is reported to the leader.
   void SetSyncP95(uint64_t microseconds) { sync_p95_us_ = microseconds; }
 
-  // ------------------------------------------------------------------ output
-  // Whether TakeReady would return anything to do.
+  // Output.
+
+  // Whether TakeReady would return any work.
   bool HasReady(runtime::MonotonicTime now) const;
   Ready TakeReady(runtime::MonotonicTime now);
 
-  // ------------------------------------------------------------------ state
+  // State.
+
   uint64_t replica_id() const { return hard_state_.replica_id(); }
   uint64_t boot_count() const { return hard_state_.boot_count(); }
   uint64_t term() const { return hard_state_.term(); }
@@ -74,19 +81,19 @@
   uint64_t cluster_id() const;
   ReplicaRole role() const;
   bool IsLeader() const { return role_ == Role::kLeader; }
-  // Leader, and an entry of the current term is committed: reads and membership changes are
-  // allowed.
+  // Whether this replica leads and an entry of its term is committed: reads and membership changes
+  // are allowed.
   bool CurrentTermCommitted() const;
-  // Leader, and the state machine has applied everything that earlier leaders committed.
+  // Whether this replica leads and has applied everything that earlier leaders committed.
   bool IsLeaderReady() const { return IsLeader() && applied_index_ >= term_start_index_; }
   bool IsTransferring() const { return transfer_target_ != 0; }
   // Whether a majority has responded to messages that were sent within the shortest election
-  // timeout: no other leader can have been elected yet. False if not leader.
+  // timeout, so that no other leader can have been elected. False if not leader.
   bool HasQuorum(runtime::MonotonicTime now) const;
-  // No configuration is known: the replica belongs to no cluster.
+  // Whether no configuration is known: the replica belongs to no cluster.
   bool IsUnbootstrapped() const { return configurations_.empty(); }
   uint64_t leader_id() const { return leader_id_; }
-  // Whether this replica leads, or a leader has contacted it within the longest election timeout.
+  // Whether this replica leads or a leader has contacted it within the longest election timeout.
   bool HasLeader(runtime::MonotonicTime now) const;
   std::string EndpointOf(uint64_t replica_id) const;  // empty if unknown
   std::string LeaderEndpoint() const;                 // empty if unknown
@@ -97,30 +104,30 @@
   const ClusterConfiguration& configuration() const;
   ClusterConfiguration ConfigurationAt(uint64_t index) const;
   const std::map<uint64_t, Progress>& progress() const { return progress_; }
-  // Stamps sender, term and cluster on a message.
+  // Creates a message with sender, receiver, term and cluster id filled in.
   RaftMessage NewMessage(uint64_t to) const;
-  // Learns a replica's endpoint from a message.
+  // Records the endpoint of the sender of `message`.
   void RecordEndpoint(const RaftMessage& message);
 
  private:
   enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
-  // A batch handed out for persisting that is not yet durable.
+  // A batch returned in a Ready for persisting that is not yet durable.
   struct Staged {
     uint64_t persist_id;
     uint64_t last_index;
   };
-  // A message that may be sent once what was handed out as `persist_id` is durable.
+  // A message that may be sent once the batch `persist_id` is durable.
   struct DeferredMessage {
     uint64_t persist_id;
     RaftMessage message;
   };
   struct ConfigurationEntry {
-    uint64_t index;  // of its log entry, or of the snapshot that it came with
+    uint64_t index;  // index of its log entry, or of the snapshot that contained it
     ClusterConfiguration configuration;
   };
   struct PendingRead {
     uint64_t id;
-    uint64_t sequence = 0;  // 0: its confirmation has not started
+    uint64_t sequence = 0;  // read sequence; 0 until confirmation starts
     uint64_t index = 0;
   };
   struct ReceivedSnapshot {
@@ -150,7 +157,7 @@
   void StartElection(bool transfer, runtime::MonotonicTime now);
   void RequestVotes(bool pre_vote, bool transfer);
   void CountVotes(runtime::MonotonicTime now);
-  // Whether every other member has shown since this replica's restart that it doesn't lead.
+  // Whether every other member is known not to lead, by vote requests received since the restart.
   bool AllOthersKnownNotLeading() const;
   bool MustRefuseVotes(runtime::MonotonicTime now) const;
   void HandleVoteRequest(const RaftMessage& message, runtime::MonotonicTime now);
@@ -159,7 +166,7 @@
   void AdvanceTransfer(runtime::MonotonicTime now);
 
   // raft_replication.cc
-  // Whether this leader has had time to hear from a majority and has not: it must not act as one.
+  // Whether a majority has failed to respond in time: this replica must not act as leader.
   bool HasLostQuorum(runtime::MonotonicTime now) const;
   void LeaderTick(runtime::MonotonicTime now);
   void BroadcastHeartbeat(runtime::MonotonicTime now);
@@ -185,7 +192,7 @@
                            runtime::MonotonicTime now) const;
   void StartSnapshot(uint64_t to, Progress* progress, runtime::MonotonicTime now);
   void SendChunk(uint64_t to, Progress* progress, runtime::MonotonicTime now);
-  // Returns the offset from which the leader is to continue.
+  // Returns the offset at which the leader must continue.
   uint64_t ReceiveChunk(const SnapshotChunk& chunk);
   void HandleSnapshotChunk(const RaftMessage& message, runtime::MonotonicTime now);
   void HandleSnapshotResponse(const RaftMessage& message, runtime::MonotonicTime now);
@@ -204,42 +211,45 @@
   bool RefreshEndpoints(runtime::MonotonicTime now);
   bool IsLive(const Member& member, runtime::MonotonicTime now) const;
   bool IsPresumedLost(const Member& member, runtime::MonotonicTime now) const;
-  // It has not responded for the longest election timeout.
+  // Whether `member` has not responded for the longest election timeout.
   bool IsUnresponsive(const Member& member, runtime::MonotonicTime now) const;
-  // Another voter sends from its endpoint: its machine has come back with another replica id.
+  // Whether another voter sends from the endpoint of `member`: its machine has restarted with a new
+  // replica id.
   bool HasSuccessor(const Member& member) const;
-  // The voter that a learner which is being promoted replaces; 0 if all voters respond.
+  // The voter to be replaced by a learner that is promoted; 0 if all voters respond.
   uint64_t LongestUnresponsiveVoter(runtime::MonotonicTime now) const;
   bool IsCaughtUp(const Member& member, runtime::MonotonicTime now) const;
 
   const RaftOptions options_;
   runtime::Random* const random_;
 
-  // Durable (through Ready).
+  // Durable state, persisted through Ready.
   storage::HardState hard_state_;
   bool hard_state_dirty_ = false;
   MemoryLog log_;
-  std::optional<storage::LogReset> reset_;  // to be persisted
-  uint64_t first_unstaged_ = 1;             // entries from here on were not yet handed out
+  std::optional<storage::LogReset> reset_;  // reset record that is to be persisted
+  uint64_t first_unstaged_ = 1;             // first entry not yet in a Ready
   std::deque<Staged> staged_;
   uint64_t durable_index_ = 0;
   uint64_t next_persist_id_ = 1;
   uint64_t durable_persist_id_ = 0;
-  std::deque<DeferredMessage> awaiting_durability_;  // in order of persist id
+  std::deque<DeferredMessage> awaiting_durability_;  // ordered by persist id
 
-  // Configurations that may still matter, rising by index; the last is in force.
+  // The configuration as of the newest snapshot and all later ones, by ascending index; the last
+  // one is in force.
   std::vector<ConfigurationEntry> configurations_;
   AddressBook addresses_;
-  uint64_t joining_cluster_id_ = 0;  // unbootstrapped: the first cluster that wrote
+  // Cluster id of the last accepted message; used only while unbootstrapped.
+  uint64_t joining_cluster_id_ = 0;
 
   Role role_ = Role::kFollower;
   uint64_t leader_id_ = 0;
   std::optional<runtime::MonotonicTime> leader_contact_at_;
-  // `leader_contact_at_` is the time of the restart: earlier contacts with a leader are not stored.
+  // Whether `leader_contact_at_` is the time of the restart, since earlier contacts are not stored.
   bool leader_contact_assumed_ = false;
   // Members that have requested votes since the restart: none of them leads.
   std::set<uint64_t> known_non_leaders_;
-  int64_t newest_append_sent_at_ns_ = 0;  // of the leader's messages, by its clock
+  int64_t newest_append_sent_at_ns_ = 0;  // newest send time of the leader's messages, by its clock
   uint64_t newest_read_sequence_ = 0;
   runtime::MonotonicTime election_deadline_;
   std::set<uint64_t> votes_;
@@ -247,16 +257,16 @@
 
   uint64_t commit_index_ = 0;
   uint64_t applied_index_ = 0;
-  uint64_t verified_index_ = 0;  // follower: its log is the leader's up to here
+  uint64_t verified_index_ = 0;  // follower: its log equals the leader's up to here
   uint64_t sync_p95_us_ = 0;
 
-  // Leader.
+  // State of a leader.
   std::map<uint64_t, Progress> progress_;
   runtime::MonotonicTime leader_since_;
   runtime::MonotonicTime next_heartbeat_;
   runtime::MonotonicTime last_heartbeat_;
   uint64_t commit_at_last_heartbeat_ = 0;
-  uint64_t term_start_index_ = 0;  // of this leader's no-op
+  uint64_t term_start_index_ = 0;  // index of this leader's no-op entry
   size_t uncommitted_bytes_ = 0;
   uint64_t read_sequence_ = 0;
   uint64_t next_read_id_ = 1;
@@ -264,12 +274,12 @@
   uint64_t transfer_target_ = 0;
   runtime::MonotonicTime transfer_deadline_;
   std::map<uint64_t, ReplicaAddress> pending_joins_;
-  // Voters that were unresponsive when a replica at a new endpoint was promoted
-  // (DropReplacedVoter).
+  // Ids of voters that were unresponsive when a replica at a new endpoint was promoted; see
+  // DropReplacedVoter.
   std::set<uint64_t> replaced_while_unresponsive_;
 
   // Snapshots.
-  std::shared_ptr<const storage::Snapshot> snapshot_;  // newest durable one
+  std::shared_ptr<const storage::Snapshot> snapshot_;  // newest durable snapshot
   std::optional<ReceivedSnapshot> receiving_;
   std::shared_ptr<const storage::Snapshot> installing_;
   bool install_taken_ = false;
--- a/src/posthatch/consensus/raft_election.cc
+++ b/src/posthatch/consensus/raft_election.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A leader does not rely on the last part (one in this many) of the shortest election timeout,
-// since clocks may run at different rates.
+// The leader lease is shorter than the shortest election timeout by one part in this many, since
+// clocks may run at different rates.
 constexpr int kClockRateMargin = 10;
 
 }  // namespace
@@ -79,8 +79,8 @@
   return now - leader_since_ >= options_.election_timeout_min && !HasQuorum(now);
 }
 
-// A voter that a leader has contacted refuses to vote for the shortest election timeout: the leader
-// relies on that (HasQuorum), and replicas with bad links can't depose it (section 4.2.3).
+// After contact with a leader a voter refuses to vote for the shortest election timeout: the leader
+// relies on this (HasQuorum), and replicas with bad links can't depose it (section 4.2.3).
 bool RaftCore::MustRefuseVotes(MonotonicTime now) const {
   if (IsLeader()) return now - leader_since_ < options_.election_timeout_min || HasQuorum(now);
   if (leader_contact_assumed_ && AllOthersKnownNotLeading()) return false;
@@ -88,10 +88,10 @@
          now - *leader_contact_at_ < options_.election_timeout_min;
 }
 
-// Messages from one sender are delivered in order: a vote request that arrives after this replica's
-// restart was sent when its sender no longer led, so no lease from before the restart binds this
-// replica to it. Learners count as well: one may have become a voter, and the leader, by an entry
-// that this replica does not have yet.
+// Messages from one sender are delivered in order. A vote request received after this replica's
+// restart was sent when its sender no longer led, so the sender holds no lease from before the
+// restart. Learners count too: an entry that this replica does not have yet may have made one a
+// voter, and it may lead.
 bool RaftCore::AllOthersKnownNotLeading() const {
   for (const Member& member : configuration().members()) {
     const uint64_t id = member.replica_id();
@@ -130,7 +130,7 @@
     request->set_last_index(log_.last_index());
     request->set_last_term(log_.last_term());
     request->set_leadership_transfer(transfer);
-    // The vote for itself must be durable before any other replica receives a request.
+    // The candidate's own vote must be durable before any other replica receives a request.
     pre_vote ? Send(std::move(message)) : SendWhenDurable(std::move(message));
   }
 }
@@ -183,7 +183,7 @@
   CountVotes(now);
 }
 
-// ---------------------------------------------------------------------------------- transfer
+// Leadership transfer.
 
 bool RaftCore::TransferLeadership(uint64_t max_sync_p95_us, MonotonicTime now) {
   if (!IsLeader() || transfer_target_ != 0) return false;
@@ -206,8 +206,8 @@
   return true;
 }
 
-// Completes the transfer once the target has the whole log. The leader steps down with the message:
-// the target's election overrides the voters' refusal to vote, so the leader's lease ends here.
+// Completes the transfer once the target has the complete log. The leader steps down as it sends
+// TimeoutNow: the target's election overrides the voters' refusal to vote, so the lease ends here.
 void RaftCore::AdvanceTransfer(MonotonicTime now) {
   if (transfer_target_ == 0) return;
   const auto found = progress_.find(transfer_target_);
--- a/src/posthatch/consensus/raft_membership.cc
+++ b/src/posthatch/consensus/raft_membership.cc
@@ -1,7 +1,7 @@
 // Membership: single-server changes (dissertation, section 4.1), learners, automatic replacement.
-// At most one change is in flight, and none before the leader has committed an entry of its
-// term. The order of a replacement and why no committed entry is lost:
-// docs/design-docs/consensus.md.
+// At most one change is in flight, and none before the leader has committed an entry of its term.
+// docs/design-docs/consensus.md has the order of a replacement and shows why no committed entry is
+// lost.
 #include <algorithm>
 
 #include "posthatch/consensus/cluster_configuration.h"
@@ -22,7 +22,7 @@
   }
 }
 
-// Makes the progress table match the configuration in force.
+// Adds and removes entries of `progress_` to match the configuration in force.
 void RaftCore::RefreshProgress(MonotonicTime now) {
   for (const Member& member : configuration().members()) {
     if (member.replica_id() == replica_id() || progress_.count(member.replica_id()) > 0) continue;
@@ -56,15 +56,16 @@
 void RaftCore::RunMembershipPolicy(MonotonicTime now) {
   if (!CurrentTermCommitted() || IsTransferring() || !HasQuorum(now)) return;
   if (configurations_.back().index > commit_index_) return;
-  // The first step that applies proposes its change; only one may be in flight.
+  // The first applicable step proposes its change; only one change may be in flight.
   static_cast<void>(DropReplacedVoter(now) || DropExcessVoter(now) || PromoteLearner(now) ||
                     RemoveUnresponsiveLearner(now) || AdmitLearner(now) || RefreshEndpoints(now));
 }
 
-// Unresponsive for long, or its machine has come back with another replica id (its disk was lost).
+// Whether `member` has been unresponsive for long, or its machine lost its disk and restarted with
+// another replica id.
 bool RaftCore::IsPresumedLost(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
-  if (found == progress_.end()) return false;  // this replica itself
+  if (found == progress_.end()) return false;  // `member` is this replica
   const runtime::Duration since_last_response = now - found->second.last_response_at;
   const bool superseded = EndpointOf(member.replica_id()).empty();
   return since_last_response >= options_.replace_unresponsive_after ||
@@ -101,11 +102,11 @@
   return longest == nullptr ? 0 : longest->replica_id();
 }
 
-// A voter that another one has replaced counts in the quorum but can't respond any more: it is
-// removed at once, whatever `target_voters` is. Either its machine is back with another replica id,
-// or it was unresponsive when a new replica was promoted and still is. An unresponsive one of an
-// even number is removed too, as after a planned replacement: that lowers the majority by one and
-// so tolerates one more failure. A voter that was only unreachable joins again.
+// Removes an unresponsive voter that was replaced, whatever `target_voters` is, since it still
+// counts in the quorum. It counts as replaced if its machine restarted with another replica id, or
+// if it was unresponsive when a new replica was promoted and still is. With an even number of
+// voters any unresponsive voter is removed, as after a planned replacement: this lowers the
+// majority by one and so tolerates one more failure. A voter that was only unreachable joins again.
 bool RaftCore::DropReplacedVoter(MonotonicTime now) {
   for (const Member& member : configuration().members()) {
     if (!member.voter() || member.replica_id() == replica_id()) continue;
@@ -125,15 +126,15 @@
   return false;
 }
 
-// Has responded to a message that was sent within the shortest election timeout.
+// Whether `member` has responded to a message sent within the shortest election timeout.
 bool RaftCore::IsLive(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
   return found != progress_.end() && found->second.last_contact.has_value() &&
          now - *found->second.last_contact < options_.election_timeout_min;
 }
 
-// Has acknowledged, since the last heartbeat, everything that was committed before it, and is at
-// most `max_promotion_lag` entries behind.
+// Whether `member` has acknowledged, since the last heartbeat, everything that was committed before
+// that heartbeat, and lags by at most `max_promotion_lag` entries.
 bool RaftCore::IsCaughtUp(const Member& member, MonotonicTime now) const {
   const auto found = progress_.find(member.replica_id());
   if (found == progress_.end()) return false;
@@ -172,7 +173,7 @@
   const size_t voters = VoterCount(configuration());
   const bool wanted =
       voters < options_.target_voters || (voters == options_.target_voters && presumed_lost > 0);
-  // Both the promotion and the removal after it need a majority of responding voters.
+  // The promotion and the subsequent removal both need a majority of responding voters.
   const bool will_commit = voters + 1 - presumed_lost > (voters + 1) / 2;
   if (candidate == nullptr || !wanted || !will_commit) return false;
   Member promoted = *candidate;
@@ -200,7 +201,7 @@
     };
     if (excess == nullptr || lag_of(member) > lag_of(*excess)) excess = &member;
   }
-  // The voter to be replaced came back: the one furthest behind becomes a learner.
+  // All voters respond again, so the one that lags most becomes a learner.
   if (excess == nullptr || !all_live) return false;
   Member demoted = *excess;
   demoted.set_voter(false);
@@ -217,8 +218,8 @@
   return false;
 }
 
-// Commits newer endpoints to the configuration, for replicas that start after all others have
-// moved.
+// Writes newer endpoints to the configuration, for replicas that start after all others have moved
+// to another endpoint.
 bool RaftCore::RefreshEndpoints(MonotonicTime now) {
   ClusterConfiguration refreshed = configuration();
   bool changed = false;
--- a/src/posthatch/consensus/raft_replica.cc
+++ b/src/posthatch/consensus/raft_replica.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Of a heartbeat interval: how often time-outs are checked.
+// Checks of time-outs per heartbeat interval.
 constexpr int kTicksPerHeartbeat = 4;
 
 BootstrapOptions MakeBootstrapOptions(const ReplicaOptions& options) {
@@ -37,7 +37,7 @@
   runtime_->transport->SetReceiver(runtime::SERVICE_CONSENSUS, [](const runtime::Envelope&) {});
 }
 
-// ---------------------------------------------------------------------------------- start
+// Startup.
 
 absl::Status RaftReplica::Start() {
   absl::StatusOr<storage::RecoveredDirectory> directory =
@@ -60,7 +60,7 @@
   return absl::OkStatus();
 }
 
-// A replica id is drawn once for each data directory; the boot count rises with each start.
+// The replica id is chosen at random once per data directory; each start raises the boot count.
 RecoveredState RaftReplica::MakeRecoveredState(storage::RecoveredDirectory* directory) {
   RecoveredState recovered;
   recovered.hard_state = directory->log.hard_state;
@@ -105,7 +105,7 @@
                           {"LastIndex", core_->log().last_index()}});
 }
 
-// Everything recovered, the identity and the boot count are durable.
+// Called when the recovered state, the replica id and the boot count are durable.
 void RaftReplica::Activate() {
   active_ = true;
   runtime_->transport->SetReceiver(
@@ -114,7 +114,7 @@
   Tick();
 }
 
-// ---------------------------------------------------------------------------------- events
+// Event handling.
 
 void RaftReplica::OnEnvelope(const runtime::Envelope& envelope) {
   RaftMessage message;
@@ -148,7 +148,8 @@
   if (core_->IsLeader() && disk_health_.IsSlow(now)) leadership_transfer_->LeaveSlowDisk(p95_us);
 }
 
-// At the end of this turn of the event loop, so that what came in together goes out together.
+// Flushes at the end of the current event loop iteration, so that requests made in one iteration
+// are batched.
 void RaftReplica::ScheduleFlush() {
   if (!flush_timer_.running()) {
     flush_timer_.Start(runtime::Duration::zero(), [this] { Flush(); });
@@ -202,7 +203,7 @@
   }
 }
 
-// ---------------------------------------------------------------------------------- users
+// Requests and state.
 
 void RaftReplica::Propose(std::string command, ProposeDone done) {
   if (!active_) return done(absl::FailedPreconditionError("not leader"));
@@ -256,13 +257,14 @@
   return status;
 }
 
-// ---------------------------------------------------------------------------------- leadership
+// Leadership changes.
 
-// Reports leadership won and lost, and ends the requests of a leadership that is over.
+// Notifies the listener of leadership won or lost, and fails the pending requests of an ended term.
 void RaftReplica::CheckLeadership() {
   const bool same_leadership = core_->IsLeader() && core_->term() == pending_requests_.term();
   if (!same_leadership) {
-    pending_requests_.FailAll(absl::AbortedError("leadership lost: may still commit"));
+    pending_requests_.FailAll(
+        absl::AbortedError("leadership lost; the command may still be committed"));
   }
   if (announced_leader_ && (!core_->IsLeader() || core_->term() != announced_term_)) {
     AnnounceLeadershipLost();
@@ -287,7 +289,7 @@
   if (leadership_listener_) leadership_listener_(true, announced_term_);
 }
 
-// Stops for good: nothing is sent, voted or acknowledged any more.
+// Stops the replica permanently: it no longer sends, votes or acknowledges.
 void RaftReplica::Fail(const absl::Status& status) {
   if (!failure_.ok()) return;
   failure_ = status;
--- a/src/posthatch/consensus/raft_replica.h
+++ b/src/posthatch/consensus/raft_replica.h
@@ -24,14 +24,15 @@
 
 namespace posthatch::consensus {
 
-// One controller's replica of the log: drives RaftCore over the runtime's clock, transport and
-// disk, and a StateMachine. Its life: Start recovers the data directory; once what was recovered is
-// durable, the replica is active and takes part; a failure of its disk or its state ends it for
-// good. Owned by the controller's assembly. Event loop thread only; must be destroyed on it, and
-// not from within one of its callbacks. Callbacks pending at destruction are not called.
+// A controller's replica of the log: connects RaftCore to the runtime's clock, transport and disk,
+// and to a StateMachine. Start recovers the data directory; once the recovered state is durable,
+// the replica is active and takes part in the cluster. A failure of its disk or its state machine
+// stops it permanently. Owned by server::ControllerNode. Event loop thread only; must be destroyed
+// on that thread, and not from within one of its callbacks. Callbacks pending at destruction are
+// not called.
 class RaftReplica : public ReplicatedLog, private SnapshotManager::Owner {
  public:
-  // Called once if this replica stops for good: its disk failed, or its state could not be
+  // Called once if this replica stops permanently: its disk failed, or its state could not be
   // restored.
   using FailureListener = std::function<void(const absl::Status&)>;
 
@@ -41,9 +42,9 @@
   RaftReplica(const RaftReplica&) = delete;
   RaftReplica& operator=(const RaftReplica&) = delete;
 
-  // Reads the data directory (blocking) and restores the newest snapshot; then takes part as soon
-  // as what was read is known to be durable. Errors: DataLoss (corruption), FailedPrecondition
-  // (unknown format version): the replica must not be started on this directory.
+  // Reads the data directory (blocking) and restores the newest snapshot. The replica takes part in
+  // the cluster as soon as the recovered state is known to be durable. Errors: DataLoss
+  // (corruption), FailedPrecondition (unknown format version); the directory must not be used then.
   absl::Status Start();
 
   void Propose(std::string command, ProposeDone done) override;
@@ -56,10 +57,10 @@
   void SetLeadershipListener(LeadershipListener listener) override;
 
   // Whether this replica leads and a majority has responded to it within the shortest election
-  // timeout, by the clock at this moment: no other leader has been elected.
+  // timeout, by the clock at the time of the call: no other leader has been elected.
   bool HasQuorumNow() const;
-  // Transfers leadership, for draining. `done` gets OK once another replica leads,
-  // FailedPrecondition if this one doesn't, or DeadlineExceeded.
+  // Transfers leadership to another replica, for draining. Calls `done` with OK once another
+  // replica leads, with FailedPrecondition if this one doesn't lead, or with DeadlineExceeded.
   void TransferLeadership(ReadDone done);
   void SetFailureListener(FailureListener listener) { failure_listener_ = std::move(listener); }
   ReplicaStatus Status() const;
@@ -104,7 +105,7 @@
 
   runtime::Timer tick_timer_;
   runtime::Timer flush_timer_;
-  bool active_ = false;  // everything recovered is durable, and the replica has not failed
+  bool active_ = false;  // the recovered state is durable, and the replica has not failed
   absl::Status failure_;
   FailureListener failure_listener_;
 
--- a/src/posthatch/consensus/raft_replication.cc
+++ b/src/posthatch/consensus/raft_replication.cc
@@ -12,7 +12,7 @@
   return IsLeader() && commit_index_ >= term_start_index_;
 }
 
-// ---------------------------------------------------------------------------------- leader
+// Leader.
 
 void RaftCore::LeaderTick(MonotonicTime now) {
   if (HasLostQuorum(now)) return BecomeFollower(term(), 0, now);
@@ -41,8 +41,8 @@
   return message;
 }
 
-// An empty append. It carries the index before the next entry, so that a follower that missed some
-// of what was sent rejects it.
+// A heartbeat is an append without entries. It carries the index before the next entry, so that a
+// follower that missed earlier entries rejects it.
 void RaftCore::SendHeartbeat(uint64_t to, Progress* progress, MonotonicTime now) {
   if (progress->mode == Progress::Mode::kSnapshot) {
     const storage::SnapshotMetadata& metadata = progress->snapshot->metadata;
@@ -131,8 +131,8 @@
   progress->next = std::max(progress->match + 1, std::min(rejected, response.reject_hint() + 1));
 }
 
-// An entry is committed once it is durable at a majority, where the leader's disk counts like any
-// other, and only if it is of the leader's term (section 3.6.2).
+// An entry is committed once it is durable on a majority of the voters, including the leader's own
+// disk, and only if it is of the leader's term (section 3.6.2).
 void RaftCore::AdvanceCommit() {
   const uint64_t reached = MajorityValue(configuration(), [this](uint64_t id) -> uint64_t {
     if (id == replica_id()) return durable_index_;
@@ -145,7 +145,7 @@
   }
 }
 
-// ---------------------------------------------------------------------------------- follower
+// Follower.
 
 void RaftCore::HandleAppendRequest(const RaftMessage& message, MonotonicTime now) {
   if (IsLeader()) return;
@@ -189,7 +189,7 @@
 void RaftCore::RejectAppend(const RaftMessage& message) {
   const AppendRequest& request = message.append_request();
   uint64_t hint = std::min(log_.last_index(), request.prev_index() - 1);
-  // Skip the whole conflicting term, so that few probes are needed (section 5.3 of the paper).
+  // Skips the whole conflicting term to reduce the number of probes (Raft paper, section 5.3).
   const std::optional<uint64_t> conflict_term = log_.Term(request.prev_index());
   while (conflict_term.has_value() && hint > commit_index_ && log_.Term(hint) == conflict_term) {
     --hint;
@@ -205,7 +205,7 @@
   Send(std::move(reply));
 }
 
-// Sent at once, for the leader's quorum check, and again when more of the log is durable.
+// Sent immediately, for the leader's quorum check, and again when more of the log is durable.
 void RaftCore::SendAppendResponse(uint64_t to, int64_t sent_at_ns, uint64_t read_sequence) {
   RaftMessage reply = NewMessage(to);
   AppendResponse* response = reply.mutable_append_response();
@@ -218,19 +218,19 @@
   Send(std::move(reply));
 }
 
-// ---------------------------------------------------------------------------------- reads
+// Linearizable reads.
 
 absl::StatusOr<uint64_t> RaftCore::RequestRead(MonotonicTime now) {
   if (!IsLeader()) return absl::FailedPreconditionError("not leader");
   if (HasLostQuorum(now)) {
-    return absl::FailedPreconditionError("not leader: no majority heard");
+    return absl::FailedPreconditionError("not leader: no response from a majority");
   }
   reads_.push_back({next_read_id_++});
   return reads_.back().id;
 }
 
-// Gives the pending reads one read sequence and the current commit index, which is confirmed once a
-// majority has responded to a message sent from now on (section 6.4).
+// Assigns the new reads a common read sequence and the current commit index. They are confirmed
+// once a majority has responded to a message sent from now on (section 6.4).
 void RaftCore::StartReadConfirmation(MonotonicTime now) {
   if (reads_.empty() || reads_.back().sequence != 0 || !CurrentTermCommitted()) return;
   ++read_sequence_;
--- a/src/posthatch/consensus/raft_snapshot.cc
+++ b/src/posthatch/consensus/raft_snapshot.cc
@@ -1,5 +1,5 @@
-// Log compaction, and snapshots sent in chunks. One chunk is in flight at a time; a lost one is
-// retransmitted with a heartbeat.
+// Log compaction and the transfer of snapshots in chunks. One chunk is in flight per follower; a
+// lost chunk is retransmitted with a heartbeat.
 #include <algorithm>
 
 #include "posthatch/consensus/cluster_configuration.h"
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-// The index up to which the log may be compacted once there is a snapshot at `snapshot_index`.
+// Returns the index up to which the log may be compacted, given a snapshot at `snapshot_index`.
 uint64_t RaftCore::CompactionIndex(uint64_t snapshot_index, const LogRetention& retention,
                                    MonotonicTime now) const {
   const uint64_t end = std::min(snapshot_index, durable_index_);
@@ -30,7 +30,7 @@
     if (bytes > retention.bytes) break;
     --compact_to;
   }
-  // A live follower that is receiving an older snapshot will need the entries after that one.
+  // A live follower that is receiving an older snapshot needs the entries after that snapshot.
   for (const auto& [id, progress] : progress_) {
     const bool alive = now - progress.last_response_at < options_.election_timeout_max;
     if (alive && progress.snapshot != nullptr) {
--- a/src/posthatch/consensus/replica_metrics.cc
+++ b/src/posthatch/consensus/replica_metrics.cc
@@ -21,11 +21,13 @@
   snapshots_total_ =
       &AddCounter(registry, "posthatch_raft_snapshots_total", "Snapshots made durable");
   commit_seconds_ = histogram("posthatch_raft_commit_seconds",
-                              "Time from proposal to the state machine's answer, on the leader");
-  sync_seconds_ = histogram("posthatch_raft_sync_seconds", "Time of each log write with its sync");
+                              "Time from proposal to the state machine's result, on the leader");
+  sync_seconds_ =
+      histogram("posthatch_raft_sync_seconds", "Duration of each log write including its sync");
   is_leader_ = &AddGauge(registry, "posthatch_raft_is_leader", "1 on the leader, else 0");
   term_ = &AddGauge(registry, "posthatch_raft_term", "Current term");
-  log_bytes_ = &AddGauge(registry, "posthatch_raft_log_bytes", "Bytes of commands held in memory");
+  log_bytes_ =
+      &AddGauge(registry, "posthatch_raft_log_bytes", "Bytes of log entries kept in memory");
 }
 
 void ReplicaMetrics::CountAppliedEntry() {
--- a/src/posthatch/consensus/replica_metrics.h
+++ b/src/posthatch/consensus/replica_metrics.h
@@ -11,7 +11,7 @@
 
 namespace posthatch::consensus {
 
-// The metrics of one RaftReplica, explained for operators in docs/operations/controllers.md.
+// The metrics of one RaftReplica, described for operators in docs/operations/controllers.md.
 // Every method is a no-op before Register, and in a process without a registry. Owned by
 // RaftReplica; event loop thread only.
 class ReplicaMetrics {
@@ -29,7 +29,7 @@
   void SetLogBytes(uint64_t bytes);
 
  private:
-  // Owned by the registry; all null without one.
+  // Owned by the registry; all null if there is none.
   prometheus::Counter* committed_total_ = nullptr;
   prometheus::Counter* elections_won_total_ = nullptr;
   prometheus::Counter* snapshots_total_ = nullptr;
--- a/src/posthatch/consensus/replica_status.h
+++ b/src/posthatch/consensus/replica_status.h
@@ -11,7 +11,7 @@
 
 namespace posthatch::consensus {
 
-// State of a replica at one moment, for operators.
+// State of a replica at one point in time, for operators.
 struct ReplicaStatus {
   struct MemberStatus {
     uint64_t replica_id = 0;
@@ -36,10 +36,10 @@
   uint64_t log_segments = 0;
   runtime::Duration disk_sync_p95{0};
   bool disk_full = false;
-  absl::Status failure;  // not OK: this replica has stopped for good
+  absl::Status failure;  // not OK: this replica has stopped permanently
 };
 
-// The part of the status that RaftCore knows: identity, role, membership and log indexes.
+// Fills the fields known to RaftCore: identity, role, membership and log indexes.
 ReplicaStatus StatusOf(const RaftCore& core, runtime::MonotonicTime now);
 
 }  // namespace posthatch::consensus
--- a/src/posthatch/consensus/replicated_log.h
+++ b/src/posthatch/consensus/replicated_log.h
@@ -9,33 +9,33 @@
 
 namespace posthatch::consensus {
 
-// The state that a replicated log maintains. Deterministic: equal entries give equal states on
-// every replica. Event loop thread only.
+// The state that is replicated by a log. Must be deterministic: the same entries give the same
+// state on every replica. Event loop thread only.
 class StateMachine {
  public:
   virtual ~StateMachine() = default;
-  // Applies the committed command at `index` (rising, each once during the life of the object)
-  // and returns the result for the proposer.
+  // Applies the committed command at `index` and returns the result for the proposer. Indexes
+  // ascend; each is applied once in the lifetime of the object.
   virtual std::string Apply(uint64_t index, uint64_t term, const std::string& command) = 0;
-  // The whole state in serialized form.
+  // Returns the complete serialized state.
   virtual std::string TakeSnapshot() const = 0;
-  // Replaces the whole state. After an error the state may be incomplete, so the replica stops.
+  // Replaces the complete state. After an error it may be incomplete, so the replica stops.
   virtual absl::Status RestoreSnapshot(const std::string& snapshot) = 0;
 };
 
 enum class ReplicaRole { kUnbootstrapped, kLearner, kFollower, kCandidate, kLeader };
 
-// The replicated log of the controllers as its users see it (implementation: RaftReplica).
+// Interface of the replicated log of the controllers, implemented by RaftReplica.
 // Event loop thread only.
 class ReplicatedLog {
  public:
-  // Result of the state machine, or an error: FailedPrecondition (not leader: not proposed, try
-  // leader_endpoint()), Unavailable or Aborted (leadership lost: it may still commit),
-  // ResourceExhausted (too much in flight, or the disk is full: not proposed).
+  // Receives the result of the state machine, or an error: FailedPrecondition (not leader: not
+  // proposed, retry at leader_endpoint()), Unavailable or Aborted (leadership lost: the command may
+  // still be committed), ResourceExhausted (too much in flight, or the disk is full: not proposed).
   using ProposeDone = std::function<void(absl::StatusOr<std::string>)>;
   using ReadDone = std::function<void(absl::Status)>;
-  // Called when this replica becomes leader of `term` and has applied all entries of earlier
-  // terms, and with is_leader false as soon as it no longer leads.
+  // Called with is_leader true when this replica leads `term` and has applied all entries of
+  // earlier terms, and with is_leader false as soon as it no longer leads.
   using LeadershipListener = std::function<void(bool is_leader, uint64_t term)>;
 
   virtual ~ReplicatedLog() = default;
--- a/src/posthatch/consensus/snapshot_manager.cc
+++ b/src/posthatch/consensus/snapshot_manager.cc
@@ -29,7 +29,7 @@
   snapshot_writer_.SetPrevious(recovered_index);
 }
 
-// ---------------------------------------------------------------------------------- taking
+// Taking snapshots.
 
 bool SnapshotManager::IsDue(uint64_t applied_index) const {
   if (applied_index - snapshot_index_ >= options_->snapshot_every_entries) return true;
@@ -62,7 +62,7 @@
     core_->OnSnapshotTaken(snapshot, {options_->retained_entries, options_->retained_bytes}, Now());
     log_writer_->RemovePrefix(core_->log().base_index());
   } else {
-    // No failure of the replica: the log keeps growing until a later attempt succeeds.
+    // The replica does not fail: the log grows until a later attempt succeeds.
     runtime_->trace->Event(Severity::kWarning, "SnapshotFailed", {{"Error", status.ToString()}});
     snapshot_index_ = core_->log().base_index();
     next_attempt_at_ = Now() + kRetryInterval;
@@ -70,7 +70,7 @@
   if (installing_ != nullptr) WriteInstalling();
 }
 
-// ---------------------------------------------------------------------------------- installing
+// Installing snapshots.
 
 void SnapshotManager::Install(std::shared_ptr<const storage::Snapshot> snapshot) {
   installing_ = std::move(snapshot);
--- a/src/posthatch/consensus/snapshot_manager.h
+++ b/src/posthatch/consensus/snapshot_manager.h
@@ -15,35 +15,35 @@
 namespace posthatch::consensus {
 
 // Takes snapshots of the state machine when the log has grown, and installs those that a leader
-// sends. One is written at a time; a full disk is retried until it has space. Owned by RaftReplica;
-// event loop thread only. Callbacks pending at destruction are not called.
+// sends. One snapshot is written at a time; a write that fails because the disk is full is retried.
+// Owned by RaftReplica; event loop thread only. Callbacks pending at destruction are not called.
 class SnapshotManager {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
-    // RaftCore has continued from an installed snapshot and may have messages to send.
+    // RaftCore continues from an installed snapshot and may have messages to send.
     virtual void OnSnapshotInstalled() = 0;
-    // A snapshot could not be installed: the replica must stop, its state may be incomplete.
+    // A snapshot could not be installed: the state may be incomplete, so the replica must stop.
     virtual void OnSnapshotFailed(const absl::Status& status) = 0;
   };
 
-  // The pointers must outlive this object. `recovered_index` is that of the snapshot that the
-  // state machine was restored from at start; 0 if there was none.
+  // The pointers must outlive this object. `recovered_index` is the index of the snapshot
+  // that the state machine was restored from at start; 0 if there was none.
   SnapshotManager(runtime::Runtime* runtime, const ReplicaOptions* options, RaftCore* core,
                   storage::LogWriter* log_writer, StateMachine* state_machine,
                   ReplicaMetrics* metrics, Owner* owner, uint64_t recovered_index);
 
-  // A committed entry with this much data was applied.
+  // Called for each applied entry with the size of its data.
   void OnApplied(uint64_t bytes) { applied_bytes_ += bytes; }
-  // Takes a snapshot if enough was applied since the previous one and nothing is being written.
+  // Takes a snapshot if enough was applied since the previous one and none is being written.
   void TakeIfDue();
   // Makes `snapshot` durable, then restores the state machine from it.
   void Install(std::shared_ptr<const storage::Snapshot> snapshot);
-  // The replica has failed: results of writes in flight are ignored from now on.
+  // Called when the replica has failed: results of writes in flight are ignored from now on.
   void Stop() { stopped_ = true; }
 
-  // Of the newest snapshot taken or installed, durable or being written.
+  // Index of the newest snapshot taken or installed, durable or being written.
   uint64_t snapshot_index() const { return snapshot_index_; }
 
  private:
