--- a/src/posthatch/consensus/bootstrap-test.cc
+++ b/src/posthatch/consensus/bootstrap-test.cc
@@ -49,8 +49,8 @@
     message.set_from_boot_count(1);
     message.mutable_hello()->set_is_response(true);
     message.mutable_hello()->set_unbootstrapped(true);
-    for (uint64_t seen : unbootstrapped_peers)
-      message.mutable_hello()->add_unbootstrapped_peers(seen);
+    for (uint64_t peer_id : unbootstrapped_peers)
+      message.mutable_hello()->add_unbootstrapped_peers(peer_id);
     return message;
   }
 
--- a/src/posthatch/consensus/bootstrap.cc
+++ b/src/posthatch/consensus/bootstrap.cc
@@ -41,11 +41,11 @@
 }
 
 std::set<uint64_t> Bootstrap::VisibleUnbootstrappedPeers(MonotonicTime now) const {
-  std::set<uint64_t> seen;
+  std::set<uint64_t> visible;
   for (const auto& [id, peer] : known_peers_) {
-    if (peer.unbootstrapped && now - peer.last_received_at < kPeerTimeout) seen.insert(id);
+    if (peer.unbootstrapped && now - peer.last_received_at < kPeerTimeout) visible.insert(id);
   }
-  return seen;
+  return visible;
 }
 
 void Bootstrap::SendHello(const std::string& endpoint, uint64_t to, bool is_response,
@@ -153,9 +153,9 @@
     if (now - peer.last_received_at >= kPeerTimeout) continue;
     if (!peer.unbootstrapped) return;
     if (!eligible.contains(id)) continue;
-    std::set<uint64_t> seen = peer.unbootstrapped_peers;
-    seen.insert(id);
-    if (!std::includes(seen.begin(), seen.end(), eligible.begin(), eligible.end())) return;
+    std::set<uint64_t> visible = peer.unbootstrapped_peers;
+    visible.insert(id);
+    if (!std::includes(visible.begin(), visible.end(), eligible.begin(), eligible.end())) return;
   }
   BootstrapCluster(participants, now);
 }
--- a/src/posthatch/consensus/leadership_transfer.cc
+++ b/src/posthatch/consensus/leadership_transfer.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr runtime::Duration kSlowDiskTransferInterval = std::chrono::seconds(10);
-constexpr uint64_t kAnySyncTime = std::numeric_limits<uint64_t>::max();
+constexpr uint64_t kNoSyncLimit = std::numeric_limits<uint64_t>::max();
 
 }  // namespace
 
@@ -32,7 +32,7 @@
   const bool another_leads = !core_->IsLeader() && core_->leader_id() != 0;
   if (!another_leads && Now() < deadline_) {
     if (core_->IsLeader() && !core_->IsTransferring()) {
-      core_->TransferLeadership(kAnySyncTime, Now());
+      core_->TransferLeadership(kNoSyncLimit, Now());
     }
     return;
   }
@@ -41,7 +41,7 @@
                      : absl::DeadlineExceededError("no other replica became leader in time"));
 }
 
-void LeadershipTransfer::LeaveSlowDisk(uint64_t sync_p95_us) {
+void LeadershipTransfer::TransferFromSlowDisk(uint64_t sync_p95_us) {
   const runtime::MonotonicTime now = Now();
   if (now < next_slow_disk_transfer_at_) return;
   // Requires a faster disk, or leadership would move back and forth between slow ones.
--- a/src/posthatch/consensus/leadership_transfer.h
+++ b/src/posthatch/consensus/leadership_transfer.h
@@ -24,7 +24,7 @@
   // Transfers leadership away from this leader, whose disk is slow, to a follower whose disk is at
   // least twice as fast. Does nothing if there is no such follower or a transfer for a slow disk
   // began recently.
-  void LeaveSlowDisk(uint64_t sync_p95_us);
+  void TransferFromSlowDisk(uint64_t sync_p95_us);
 
  private:
   runtime::MonotonicTime Now() const { return runtime_->clock->Now(); }
--- a/src/posthatch/consensus/raft_core.cc
+++ b/src/posthatch/consensus/raft_core.cc
@@ -260,7 +260,8 @@
   first_unstaged_ = std::min(first_unstaged_, from_index);
   durable_index_ = std::min(durable_index_, from_index - 1);
   verified_index_ = std::min(verified_index_, from_index - 1);
-  for (Staged& staged : staged_) staged.last_index = std::min(staged.last_index, from_index - 1);
+  for (StagedBatch& batch : staged_batches_)
+    batch.last_index = std::min(batch.last_index, from_index - 1);
   while (!configurations_.empty() && configurations_.back().index >= from_index) {
     configurations_.pop_back();
   }
@@ -274,15 +275,15 @@
     ready->entries.push_back(log_.Entry(first_unstaged_));
   }
   if (std::exchange(hard_state_dirty_, false)) ready->hard_state = hard_state_;
-  staged_.push_back({ready->persist_id, log_.last_index()});
+  staged_batches_.push_back({ready->persist_id, log_.last_index()});
 }
 
 void RaftCore::OnPersisted(uint64_t persist_id, MonotonicTime now) {
   durable_persist_id_ = persist_id;
   const uint64_t durable_before = durable_index_;
-  while (!staged_.empty() && staged_.front().persist_id <= persist_id) {
-    durable_index_ = std::max(durable_index_, staged_.front().last_index);
-    staged_.pop_front();
+  while (!staged_batches_.empty() && staged_batches_.front().persist_id <= persist_id) {
+    durable_index_ = std::max(durable_index_, staged_batches_.front().last_index);
+    staged_batches_.pop_front();
   }
   while (!awaiting_durability_.empty() && awaiting_durability_.front().persist_id <= persist_id) {
     Send(std::move(awaiting_durability_.front().message));
--- a/src/posthatch/consensus/raft_core.h
+++ b/src/posthatch/consensus/raft_core.h
@@ -112,7 +112,7 @@
  private:
   enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
   // A batch returned in a Ready for persisting that is not yet durable.
-  struct Staged {
+  struct StagedBatch {
     uint64_t persist_id;
     uint64_t last_index;
   };
@@ -175,7 +175,7 @@
   RaftMessage NewAppend(uint64_t to, uint64_t prev_index, uint64_t prev_term,
                         runtime::MonotonicTime now) const;
   void HandleAppendRequest(const RaftMessage& message, runtime::MonotonicTime now);
-  bool MatchEntries(const AppendRequest& request);
+  bool AppendMissingEntries(const AppendRequest& request);
   void RejectAppend(const RaftMessage& message);
   void SendAppendResponse(uint64_t to, int64_t sent_at_ns, uint64_t read_sequence);
   void HandleAppendResponse(const RaftMessage& message, runtime::MonotonicTime now);
@@ -205,8 +205,8 @@
   void RunMembershipPolicy(runtime::MonotonicTime now);
   bool AdmitLearner(runtime::MonotonicTime now);
   bool PromoteLearner(runtime::MonotonicTime now);
-  bool DropReplacedVoter(runtime::MonotonicTime now);
-  bool DropExcessVoter(runtime::MonotonicTime now);
+  bool RemoveReplacedVoter(runtime::MonotonicTime now);
+  bool RemoveExcessVoter(runtime::MonotonicTime now);
   bool RemoveUnresponsiveLearner(runtime::MonotonicTime now);
   bool RefreshEndpoints(runtime::MonotonicTime now);
   bool IsLive(const Member& member, runtime::MonotonicTime now) const;
@@ -229,7 +229,7 @@
   MemoryLog log_;
   std::optional<storage::LogReset> reset_;  // reset record that is to be persisted
   uint64_t first_unstaged_ = 1;             // first entry not yet in a Ready
-  std::deque<Staged> staged_;
+  std::deque<StagedBatch> staged_batches_;
   uint64_t durable_index_ = 0;
   uint64_t next_persist_id_ = 1;
   uint64_t durable_persist_id_ = 0;
@@ -275,7 +275,7 @@
   runtime::MonotonicTime transfer_deadline_;
   std::map<uint64_t, ReplicaAddress> pending_joins_;
   // Ids of voters that were unresponsive when a replica at a new endpoint was promoted; see
-  // DropReplacedVoter.
+  // RemoveReplacedVoter.
   std::set<uint64_t> replaced_while_unresponsive_;
 
   // Snapshots.
--- a/src/posthatch/consensus/raft_membership.cc
+++ b/src/posthatch/consensus/raft_membership.cc
@@ -57,7 +57,7 @@
   if (!CurrentTermCommitted() || IsTransferring() || !HasQuorum(now)) return;
   if (configurations_.back().index > commit_index_) return;
   // The first applicable step proposes its change; only one change may be in flight.
-  static_cast<void>(DropReplacedVoter(now) || DropExcessVoter(now) || PromoteLearner(now) ||
+  static_cast<void>(RemoveReplacedVoter(now) || RemoveExcessVoter(now) || PromoteLearner(now) ||
                     RemoveUnresponsiveLearner(now) || AdmitLearner(now) || RefreshEndpoints(now));
 }
 
@@ -107,7 +107,7 @@
 // if it was unresponsive when a new replica was promoted and still is. With an even number of
 // voters any unresponsive voter is removed, as after a planned replacement: this lowers the
 // majority by one and so tolerates one more failure. A voter that was only unreachable joins again.
-bool RaftCore::DropReplacedVoter(MonotonicTime now) {
+bool RaftCore::RemoveReplacedVoter(MonotonicTime now) {
   for (const Member& member : configuration().members()) {
     if (!member.voter() || member.replica_id() == replica_id()) continue;
     const bool replaced_while_unresponsive =
@@ -185,7 +185,7 @@
   return true;
 }
 
-bool RaftCore::DropExcessVoter(MonotonicTime now) {
+bool RaftCore::RemoveExcessVoter(MonotonicTime now) {
   if (VoterCount(configuration()) <= options_.target_voters) return false;
   const Member* excess = nullptr;
   bool all_live = true;
--- a/src/posthatch/consensus/raft_replica.cc
+++ b/src/posthatch/consensus/raft_replica.cc
@@ -48,7 +48,7 @@
   RecoveredState recovered = MakeRecoveredState(&*directory);
   if (absl::Status status = RestoreSnapshot(&*directory, &recovered); !status.ok()) return status;
   const storage::HardState hard_state = recovered.hard_state;
-  CreateParts(std::move(recovered));
+  CreateComponents(std::move(recovered));
   log_writer_->Open([this](const absl::Status& status) {
     if (!status.ok()) Fail(status);
   });
@@ -82,7 +82,7 @@
   return state_machine_->RestoreSnapshot(recovered->snapshot->data);
 }
 
-void RaftReplica::CreateParts(RecoveredState recovered) {
+void RaftReplica::CreateComponents(RecoveredState recovered) {
   const uint64_t snapshot_index =
       recovered.snapshot == nullptr ? 0 : recovered.snapshot->metadata.index();
   core_ = std::make_unique<RaftCore>(options_.raft, runtime_->random, std::move(recovered), Now());
@@ -145,7 +145,8 @@
   const auto p95_us = static_cast<uint64_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(disk_health_.p95()).count());
   core_->SetSyncP95(p95_us);
-  if (core_->IsLeader() && disk_health_.IsSlow(now)) leadership_transfer_->LeaveSlowDisk(p95_us);
+  if (core_->IsLeader() && disk_health_.IsSlow(now))
+    leadership_transfer_->TransferFromSlowDisk(p95_us);
 }
 
 // Flushes at the end of the current event loop iteration, so that requests made in one iteration
--- a/src/posthatch/consensus/raft_replica.h
+++ b/src/posthatch/consensus/raft_replica.h
@@ -72,7 +72,7 @@
 
   RecoveredState MakeRecoveredState(storage::RecoveredDirectory* directory);
   absl::Status RestoreSnapshot(storage::RecoveredDirectory* directory, RecoveredState* recovered);
-  void CreateParts(RecoveredState recovered);
+  void CreateComponents(RecoveredState recovered);
   void Activate();
 
   void OnEnvelope(const runtime::Envelope& envelope);
--- a/src/posthatch/consensus/raft_replication.cc
+++ b/src/posthatch/consensus/raft_replication.cc
@@ -134,13 +134,13 @@
 // An entry is committed once it is durable on a majority of the voters, including the leader's own
 // disk, and only if it is of the leader's term (section 3.6.2).
 void RaftCore::AdvanceCommit() {
-  const uint64_t reached = MajorityValue(configuration(), [this](uint64_t id) -> uint64_t {
+  const uint64_t majority_index = MajorityValue(configuration(), [this](uint64_t id) -> uint64_t {
     if (id == replica_id()) return durable_index_;
     const auto found = progress_.find(id);
     return found == progress_.end() ? 0 : found->second.match;
   });
-  if (reached <= commit_index_ || log_.Term(reached) != term()) return;
-  while (commit_index_ < reached) {
+  if (majority_index <= commit_index_ || log_.Term(majority_index) != term()) return;
+  while (commit_index_ < majority_index) {
     uncommitted_bytes_ -= std::min(uncommitted_bytes_, log_.Entry(++commit_index_).data().size());
   }
 }
@@ -164,7 +164,7 @@
   const bool prev_matches = request.prev_index() <= commit_index_ ||
                             log_.Term(request.prev_index()) == request.prev_term();
   if (!prev_matches || installing_ != nullptr) return RejectAppend(message);
-  if (!MatchEntries(request)) return;
+  if (!AppendMissingEntries(request)) return;
   const uint64_t end = request.prev_index() + static_cast<uint64_t>(request.entries_size());
   verified_index_ = std::max({verified_index_, end, commit_index_});
   commit_index_ = std::max(commit_index_, std::min(request.commit_index(), verified_index_));
@@ -173,7 +173,7 @@
 
 // Appends the entries that the log lacks, truncating it where they conflict. False if the request
 // is malformed.
-bool RaftCore::MatchEntries(const AppendRequest& request) {
+bool RaftCore::AppendMissingEntries(const AppendRequest& request) {
   uint64_t expected = request.prev_index();
   for (const storage::LogEntry& entry : request.entries()) {
     if (entry.index() != ++expected || entry.term() > term()) return false;
--- a/src/posthatch/consensus/raft_snapshot.cc
+++ b/src/posthatch/consensus/raft_snapshot.cc
@@ -86,9 +86,9 @@
       response.next_offset() > progress->snapshot->data.size()) {
     return;
   }
-  const bool moved = response.next_offset() != progress->snapshot_offset;
+  const bool advanced = response.next_offset() != progress->snapshot_offset;
   progress->snapshot_offset = response.next_offset();
-  if (moved && progress->snapshot_offset < progress->snapshot->data.size()) {
+  if (advanced && progress->snapshot_offset < progress->snapshot->data.size()) {
     SendChunk(message.from(), progress, now);
   }
 }
@@ -155,7 +155,7 @@
     reset_->set_term(snapshot->metadata.term());
     first_unstaged_ = index + 1;
     durable_index_ = index;
-    for (Staged& staged : staged_) staged.last_index = 0;
+    for (StagedBatch& batch : staged_batches_) batch.last_index = 0;
     configurations_.clear();
   }
   snapshot_ = snapshot;
--- a/src/posthatch/consensus/snapshot_manager.cc
+++ b/src/posthatch/consensus/snapshot_manager.cc
@@ -50,12 +50,12 @@
   snapshot_index_ = index;
   applied_bytes_ = 0;
   snapshot_writer_.Write(*snapshot, [this, snapshot](const absl::Status& status) {
-    OnTakenWritten(snapshot, status);
+    OnSnapshotWritten(snapshot, status);
   });
 }
 
-void SnapshotManager::OnTakenWritten(const std::shared_ptr<const storage::Snapshot>& snapshot,
-                                     const absl::Status& status) {
+void SnapshotManager::OnSnapshotWritten(const std::shared_ptr<const storage::Snapshot>& snapshot,
+                                        const absl::Status& status) {
   if (stopped_) return;
   if (status.ok()) {
     metrics_->CountSnapshot();
@@ -78,7 +78,7 @@
 }
 
 void SnapshotManager::WriteInstalling() {
-  if (snapshot_writer_.busy()) return;  // OnTakenWritten calls this again
+  if (snapshot_writer_.busy()) return;  // OnSnapshotWritten calls this again
   snapshot_writer_.Write(*installing_,
                          [this](const absl::Status& status) { OnInstallWritten(status); });
 }
--- a/src/posthatch/consensus/snapshot_manager.h
+++ b/src/posthatch/consensus/snapshot_manager.h
@@ -48,8 +48,8 @@
 
  private:
   bool IsDue(uint64_t applied_index) const;
-  void OnTakenWritten(const std::shared_ptr<const storage::Snapshot>& snapshot,
-                      const absl::Status& status);
+  void OnSnapshotWritten(const std::shared_ptr<const storage::Snapshot>& snapshot,
+                         const absl::Status& status);
   void WriteInstalling();
   void OnInstallWritten(const absl::Status& status);
   runtime::MonotonicTime Now() const { return runtime_->clock->Now(); }
