--- a/src/posthatch/consensus/consensus-bench.cc
+++ b/src/posthatch/consensus/consensus-bench.cc
@@ -1,6 +1,7 @@
-// Prints commits a second and commit latency of 3 and 5 replicas on loopback with real syncs,
-// beside the bare sync rate of the same disk, and how long writes stop when the leader is killed. A
-// "kill" destroys the replica without notifying the others; it restarts from its data directory.
+// Prints commits per second and commit latency of 3 and 5 replicas on loopback with real syncs, the
+// plain sync rate of the same disk for comparison, and how long writes are interrupted when the
+// leader is killed. A "kill" destroys the replica without notifying the others; it restarts from
+// its data directory.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -49,7 +50,7 @@
   uint64_t count_ = 0;
 };
 
-// One controller: its runtime on a thread of its own, and the replica, which runs on that thread.
+// A controller: a runtime with its own thread, and the replica that runs on that thread.
 class Controller {
  public:
   Controller(const std::string& folder, size_t number) {
@@ -72,7 +73,7 @@
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  // Runs `action` on the event loop thread and waits for it.
+  // Runs `action` on the event loop thread and waits until it returns.
   void OnLoop(const std::function<void()>& action) {
     std::promise<void> done;
     runtime_->Post([&action, &done] {
@@ -117,7 +118,7 @@
 };
 
 void PrintLatencies(const std::string& what, std::vector<double> milliseconds, double seconds) {
-  if (milliseconds.empty()) return fmt::print("{:<36} nothing done\n", what);
+  if (milliseconds.empty()) return fmt::print("{:<36} no samples\n", what);
   std::sort(milliseconds.begin(), milliseconds.end());
   const auto at = [&milliseconds](double share) {
     return milliseconds[static_cast<size_t>(share * static_cast<double>(milliseconds.size() - 1))];
@@ -130,7 +131,8 @@
   return std::chrono::duration<double, std::milli>(steady_clock::now() - start).count();
 }
 
-// Runs `clients` closed loops that call `call` for `seconds`, on the controller's event loop.
+// Runs closed-loop clients that repeat `call` on the controller's event loop. Run returns the
+// latencies of accepted calls in milliseconds.
 class ClosedLoop {
  public:
   using Done = std::function<void(bool accepted)>;
@@ -184,7 +186,8 @@
         {{Kind::kAppend, "file", data, "", 0}, {Kind::kSync, "file", "", "", 0}},
         [done = std::move(done)](const absl::Status& status) { done(status.ok()); });
   });
-  PrintLatencies("bare append and sync", loop.Run(1, settings.seconds), settings.seconds);
+  PrintLatencies("append and sync without consensus", loop.Run(1, settings.seconds),
+                 settings.seconds);
 }
 
 class Cluster {
@@ -262,10 +265,11 @@
 int main(int argc, char** argv) {
   posthatch::consensus::Settings settings;
   CLI::App app("Commit rate and failover time of the replicated log with real syncs");
-  app.add_option("--folder", settings.folder, "Where to write; removed afterwards");
-  app.add_option("--seconds", settings.seconds, "Length of each measurement");
-  app.add_option("--kills", settings.kills, "Leaders to kill, for 3 and for 5 replicas");
-  app.add_option("--command-bytes", settings.command_bytes, "Bytes of each command");
+  app.add_option("--folder", settings.folder, "Data folder; removed at the end");
+  app.add_option("--seconds", settings.seconds, "Duration of each measurement in seconds");
+  app.add_option("--kills", settings.kills,
+                 "Number of leaders to kill, with 3 and with 5 replicas each");
+  app.add_option("--command-bytes", settings.command_bytes, "Size of each command in bytes");
   CLI11_PARSE(app, argc, argv);
   std::filesystem::create_directories(settings.folder);
   posthatch::consensus::MeasureBareSync(settings);
--- a/src/posthatch/consensus/core_harness-test.h
+++ b/src/posthatch/consensus/core_harness-test.h
@@ -14,16 +14,16 @@
 
 namespace posthatch::consensus {
 
-// RaftCores with message passing and disks that the test controls, in virtual time.
+// Runs RaftCores in virtual time, with message delivery and disks controlled by the test.
 class CoreHarness {
  public:
   struct Node {
     std::unique_ptr<RaftCore> core;
     bool up = true;
     bool disk_blocked = false;
-    std::deque<Ready> unsynced;  // in order
+    std::deque<Ready> unsynced;  // batches handed to the disk and not yet synced, oldest first
     storage::HardState hard_state;
-    std::vector<storage::LogEntry> entries;  // durable
+    std::vector<storage::LogEntry> entries;  // durable entries
     std::vector<storage::LogEntry> applied;
     std::vector<uint64_t> reads;
   };
@@ -56,7 +56,7 @@
 
   void AddFresh(uint64_t id) { Boot(id); }
 
-  // Starts node `id` from what is durable on its disk.
+  // Starts node `id` from its durable state.
   void Boot(uint64_t id) {
     Node& node = nodes_[id];
     node.hard_state.set_replica_id(id);
@@ -96,7 +96,7 @@
     }
   }
 
-  // Delivers messages and completes syncs until nothing is left to do; no time passes.
+  // Delivers messages and completes syncs until no work is left, without advancing the clock.
   void RunUntilQuiescent() {
     bool moved = true;
     while (moved) {
@@ -121,7 +121,7 @@
     return Leader();
   }
 
-  // The ids of the two nodes other than `leader` in a cluster of three.
+  // Ids of the two nodes other than `leader` in a cluster of three.
   static std::pair<uint64_t, uint64_t> Others(uint64_t leader) {
     return {leader == 1 ? 2 : 1, leader == 3 ? 2 : 3};
   }
--- a/src/posthatch/consensus/fault_mix-test.h
+++ b/src/posthatch/consensus/fault_mix-test.h
@@ -71,7 +71,7 @@
           [&node] { node.host->Start(); });
   }
   void LoseDisk(size_t i) {
-    // With a majority of the disks lost at once nothing is guaranteed.
+    // Nothing is guaranteed once a majority of the disks is lost at the same time.
     if (!cluster_->MayLoseADisk()) return;
     ++lost_disks_;
     cluster_->LoseDisk(i);
@@ -99,7 +99,7 @@
     Later(random_->Between(std::chrono::seconds(1), std::chrono::seconds(8)),
           [this] { cluster_->world().HealAll(); });
   }
-  // All lose power right after an acknowledgement.
+  // All nodes lose power immediately after an acknowledgement.
   void LoseAllPower() {
     cluster_->SetOnAcknowledged([this] {
       Later(runtime::Duration(0), [this] {
--- a/src/posthatch/consensus/log_history-test.cc
+++ b/src/posthatch/consensus/log_history-test.cc
@@ -1,4 +1,4 @@
-// Checks LogHistory against histories that violate its invariants.
+// Tests that LogHistory detects histories that violate its invariants.
 #include "posthatch/consensus/log_history-test.h"
 
 #include <gtest/gtest.h>
--- a/src/posthatch/consensus/log_history-test.h
+++ b/src/posthatch/consensus/log_history-test.h
@@ -11,27 +11,28 @@
 
 namespace posthatch::consensus {
 
-// What clients and replicas of a replicated log observed in one run, and the checks on it. The
-// linearizable object is the list of commands: the result of an append is its position, that of a
-// read the number of commands that it observed. Positions give the order, so linearizability means
-// that no operation that ended before another began comes after it in that order.
+// Records what clients and replicas of a replicated log observed in one run, and checks it. The
+// linearizable object is the list of commands: an append returns its position, a read the number of
+// commands that it observed. Positions define the order, so linearizability means that an operation
+// that ended before another one began precedes it in that order.
 class LogHistory {
  public:
   struct Operation {
     bool is_read = false;
-    std::string command;  // of appends
+    std::string command;  // appends only
     int64_t begin_ns = 0;
-    std::optional<int64_t> end_ns;  // not set: no result, or an uncertain one
-    uint64_t position = 0;          // of a completed append, or commands observed by a read
+    std::optional<int64_t> end_ns;  // unset if there was no result or an uncertain one
+    uint64_t position = 0;          // position of a completed append; commands observed by a read
   };
 
   void AddOperation(Operation operation) { operations_.push_back(std::move(operation)); }
 
-  // A replica applied `command` as the `position`-th.
+  // Called when `replica` has applied `command` at `position`, counted from 1.
   void OnApplied(const std::string& replica, uint64_t position, const std::string& command) {
     const auto [known, is_new] = applied_.emplace(position, command);
     if (!is_new && known->second != command) {
-      violations_.push_back(replica + " applied another command at " + std::to_string(position));
+      violations_.push_back(replica + " applied a different command at " +
+                            std::to_string(position));
     }
     if (is_new && !commands_.emplace(command, position).second) {
       violations_.push_back("command " + command + " applied twice");
@@ -45,10 +46,10 @@
     }
   }
 
-  // Several replicas claimed a quorum at the same moment.
+  // Called when several replicas claim a quorum at the same time.
   void OnTwoQuorums() { violations_.emplace_back("two replicas have a quorum at the same time"); }
 
-  // All violations. `final_length`: how many commands the replicas have in the end.
+  // Returns all violations. `final_length` is the final number of commands on the replicas.
   std::vector<std::string> Check(uint64_t final_length) const {
     std::vector<std::string> violations = violations_;
     CheckAcknowledged(final_length, &violations);
@@ -80,7 +81,7 @@
     }
   }
 
-  // Rank of an operation in the order of the log: a read comes after the last append it observed.
+  // Rank of an operation in log order: a read follows the last append that it observed.
   static std::pair<uint64_t, bool> Rank(const Operation& operation) {
     return {operation.position, operation.is_read};
   }
@@ -92,7 +93,8 @@
       const auto found = commands_.find(operation.command);
       const bool took_effect = !operation.is_read && found != commands_.end();
       if (operation.end_ns.has_value() || !took_effect) continue;
-      // Without a result but in the log: it began before any operation that observed it ended.
+      // An append without a result that is in the log must begin before any operation that observed
+      // it ends.
       Operation effective = operation;
       effective.position = found->second;
       finished.push_back(effective);
@@ -113,19 +115,19 @@
       while (ended < by_end.size() && *by_end[ended]->end_ns < operation->begin_ns) {
         highest_ended = std::max(highest_ended, Rank(*by_end[ended++]));
       }
-      // Reads of equal length may follow each other; an append must come after everything.
+      // Reads may have equal ranks; an append must rank above all operations that ended before it.
       if (Rank(*operation) < highest_ended) {
         violations->push_back((operation->is_read ? "read of " : "append at ") +
                               std::to_string(operation->position) + " began after " +
-                              std::to_string(highest_ended.first) + " was seen");
+                              std::to_string(highest_ended.first) + " was observed");
       }
     }
   }
 
   std::vector<Operation> operations_;
-  std::map<uint64_t, std::string> applied_;   // by position
-  std::map<std::string, uint64_t> commands_;  // position of each
-  std::map<uint64_t, std::string> leaders_;   // by term
+  std::map<uint64_t, std::string> applied_;   // command, keyed by position
+  std::map<std::string, uint64_t> commands_;  // position, keyed by command
+  std::map<uint64_t, std::string> leaders_;   // replica, keyed by term
   std::vector<std::string> violations_;
 };
 
--- a/src/posthatch/consensus/raft_election-test.cc
+++ b/src/posthatch/consensus/raft_election-test.cc
@@ -61,7 +61,7 @@
   for (int i = 0; i < 1000 && cluster.core(leader).HasQuorum(cluster.now()); ++i) {
     cluster.Run(milliseconds(5));
   }
-  // As long as the old leader had a quorum, nobody else may have been elected.
+  // While the old leader had a quorum, no other leader may have been elected.
   const auto [a, b] = CoreHarness::Others(leader);
   EXPECT_FALSE(cluster.core(a).IsLeader() || cluster.core(b).IsLeader());
   cluster.Run(milliseconds(200));
@@ -81,7 +81,7 @@
   CoreHarness cluster(3);
   const uint64_t leader = cluster.RunUntilLeader();
   const auto [a, b] = CoreHarness::Others(leader);
-  cluster.JumpClock(milliseconds(50));  // a heartbeat later than all that was acknowledged so far
+  cluster.JumpClock(milliseconds(50));  // a heartbeat after everything acknowledged so far
   const int64_t sent_at_ns = runtime::ToNanoseconds(cluster.now());
   cluster.JumpClock(seconds(20));
   for (uint64_t id : {a, b}) {
@@ -145,7 +145,7 @@
   }
   cluster.node(1).disk_blocked = false;
   cluster.Run(seconds(5));
-  EXPECT_EQ(cluster.Leader(), 0U) << "votes of two blocked disks must not count";
+  EXPECT_EQ(cluster.Leader(), 0U) << "votes from replicas with blocked disks must not count";
 }
 
 TEST(RaftElectionTest, TransferringLeaderStepsDownBeforeTargetElection) {
@@ -171,7 +171,7 @@
   cluster.RunUntilQuiescent();
   EXPECT_EQ(CountSent(cluster, leader, RaftMessage::kTimeoutNow), 0U);
   cluster.Run(seconds(1));
-  EXPECT_TRUE(cluster.core(leader).IsLeader()) << "given up: it goes on leading";
+  EXPECT_TRUE(cluster.core(leader).IsLeader()) << "the transfer was abandoned, so it keeps leading";
   EXPECT_TRUE(cluster.core(leader).Propose("y", cluster.now()).ok());
 }
 
--- a/src/posthatch/consensus/raft_membership-test.cc
+++ b/src/posthatch/consensus/raft_membership-test.cc
@@ -63,7 +63,7 @@
     before = after;
     ++changes;
   }
-  EXPECT_EQ(changes, 4U) << "first, learner, promotion, removal";
+  EXPECT_EQ(changes, 4U) << "initial configuration, learner, promotion, removal";
 }
 
 TEST(RaftMembershipTest, NewestEndpointWinsAndIsCommitted) {
@@ -82,7 +82,7 @@
 }
 
 TEST(RaftMembershipTest, ReplicaSupersededAtItsEndpointIsReplacedQuickly) {
-  CoreHarness cluster(3);  // with the default of 30 s for unresponsive voters
+  CoreHarness cluster(3);  // unresponsive voters are replaced after the default of 30 s
   const uint64_t leader = cluster.RunUntilLeader();
   const uint64_t lost = CoreHarness::Others(leader).first;
   cluster.node(lost).up = false;
@@ -115,8 +115,8 @@
   EXPECT_EQ(VoterCount(cluster.core(cluster.Leader()).configuration()), 3U);
 }
 
-// target_voters exceeds the number of machines: a replaced voter must still be removed, or two
-// losses in sequence leave two live voters of four.
+// target_voters exceeds the number of machines. A replaced voter must still be removed, or two
+// machines lost in sequence leave only two live voters of four.
 class ReplacementBelowTargetTest : public testing::Test {
  protected:
   static RaftOptions Options() {
@@ -125,7 +125,7 @@
     return options;
   }
 
-  // Joins as the only replica at `endpoint`.
+  // A new replica `id` joins as the only one at `endpoint`.
   void Join(uint64_t id, const std::string& endpoint) {
     cluster_.AddFresh(id);
     RaftMessage message = cluster_.core(id).NewMessage(leader_);
@@ -181,7 +181,7 @@
   cluster_.node(leaving).up = true;
   RequestJoin(cluster_, leader_, leaving);
   cluster_.Run(seconds(3));
-  EXPECT_TRUE(IsVoter(configuration(), leaving)) << "it was only away";
+  EXPECT_TRUE(IsVoter(configuration(), leaving)) << "it was only unreachable";
 }
 
 TEST_F(ReplacementBelowTargetTest, PartitionedVoterRemainsWhileNobodyJoins) {
--- a/src/posthatch/consensus/raft_membership.cc
+++ b/src/posthatch/consensus/raft_membership.cc
@@ -185,6 +185,8 @@
   return true;
 }
 
+// With more than `target_voters` voters, removes a voter that is presumed lost. If all others are
+// live, makes the voter that lags most a learner.
 bool RaftCore::RemoveExcessVoter(MonotonicTime now) {
   if (VoterCount(configuration()) <= options_.target_voters) return false;
   const Member* excess = nullptr;
@@ -201,7 +203,7 @@
     };
     if (excess == nullptr || lag_of(member) > lag_of(*excess)) excess = &member;
   }
-  // All voters respond again, so the one that lags most becomes a learner.
+  // The voter that was to be replaced responds again.
   if (excess == nullptr || !all_live) return false;
   Member demoted = *excess;
   demoted.set_voter(false);
--- a/src/posthatch/consensus/raft_message-fuzz.cc
+++ b/src/posthatch/consensus/raft_message-fuzz.cc
@@ -1,6 +1,6 @@
-// Arbitrary messages, one after another, to a member of a cluster of three: it must neither crash
-// nor lower its commit index, and its log must have no gaps. The message is decoded from bytes and
-// then addressed so that RaftCore accepts it.
+// Sends arbitrary messages in sequence to a member of a cluster of three. It must not crash, lower
+// its commit index or apply entries beyond the end of its log. Each message is decoded from the
+// input and then addressed so that RaftCore accepts it.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/src/posthatch/consensus/raft_replica-test.cc
+++ b/src/posthatch/consensus/raft_replica-test.cc
@@ -134,7 +134,7 @@
 TEST(RaftReplicaTest, BootstrapsOneClusterDespiteCrashesAndLostDisks) {
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     RaftWorld cluster(seed, 3);
-    // One replica crashes while the cluster is formed; at odd seeds its disk is lost too.
+    // One replica crashes while the cluster is formed; with odd seeds it also loses its disk.
     cluster.world().RunFor(cluster.random().Between(milliseconds(500), milliseconds(1500)));
     const size_t i = cluster.random().Uniform(3);
     cluster.nodes()[i].host->PowerLoss();
--- a/src/posthatch/consensus/raft_replication-test.cc
+++ b/src/posthatch/consensus/raft_replication-test.cc
@@ -52,7 +52,7 @@
   ASSERT_TRUE(cluster.core(leader).Propose("x", cluster.now()).ok());
   cluster.Run(seconds(3));
   EXPECT_EQ(Commands(cluster.node(leader)), 0U);
-  EXPECT_TRUE(cluster.core(leader).IsLeader()) << "slow disks alone must not end a leadership";
+  EXPECT_TRUE(cluster.core(leader).IsLeader()) << "slow disks alone must not depose the leader";
   cluster.node(b).disk_blocked = false;
   cluster.Run(milliseconds(300));
   EXPECT_EQ(Commands(cluster.node(leader)), 1U);
@@ -77,8 +77,8 @@
   }
 }
 
-// Replica 1 of three; the test sends the messages of the others. It has an entry of term 2 at index
-// 2 and has just been elected for term 4; its no-op at index 3 is not durable yet.
+// Replica 1 of three; the test sends the messages of the others. Replica 1 has an entry of term 2
+// at index 2 and has just been elected for term 4; its no-op at index 3 is not durable yet.
 class NewLeaderTest : public testing::Test {
  protected:
   NewLeaderTest() : cluster_(3) {
@@ -145,7 +145,7 @@
   CoreHarness cluster_;
 };
 
-TEST_F(NewLeaderTest, EarlierTermEntryIsNotCommittedByCountingReplicas) {  // figure 8
+TEST_F(NewLeaderTest, EarlierTermEntryIsNotCommittedByCountingReplicas) {  // Raft paper, figure 8
   ASSERT_TRUE(leader().IsLeader());
   ASSERT_EQ(leader().term(), 4U);
   RespondToAppend(2);
@@ -169,7 +169,8 @@
   EXPECT_EQ(leader().log().last_index(), 3U);
   cluster_.node(1).disk_blocked = false;
   RunHeartbeats(5, 3);
-  EXPECT_EQ(leader().log().last_index(), 4U) << "a second change before the first is committed";
+  EXPECT_EQ(leader().log().last_index(), 4U)
+      << "second change proposed before the first is committed";
   RunHeartbeats(5, 4);
   EXPECT_EQ(leader().log().last_index(), 5U);
 }
@@ -186,7 +187,8 @@
   cluster.Partition(b, leader);
   ASSERT_TRUE(cluster.core(leader).RequestRead(cluster.now()).ok());
   cluster.Run(milliseconds(200));
-  EXPECT_EQ(cluster.node(leader).reads.size(), 1U) << "completed by a leader that nobody confirmed";
+  EXPECT_EQ(cluster.node(leader).reads.size(), 1U)
+      << "completed by a leader that no majority confirmed";
 }
 
 TEST(RaftReplicationTest, RejectsProposalsBeyondLimit) {
--- a/src/posthatch/consensus/raft_simulation-test.cc
+++ b/src/posthatch/consensus/raft_simulation-test.cc
@@ -1,5 +1,5 @@
-// Complete replicas in the simulator, by seed, under a mix of faults. POSTHATCH_SEEDS sets the
-// number of seeds (default 30), POSTHATCH_FIRST_SEED the first.
+// Runs complete replicas in the simulator under a mix of faults, once per seed. POSTHATCH_SEEDS
+// sets the number of seeds (default 30), POSTHATCH_FIRST_SEED the first seed.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -49,7 +49,7 @@
     leaders += cluster.history().leaders();
     lost_disks += faults.lost_disks();
   }
-  // A run without faults and acknowledgements would prove nothing.
+  // Guards against runs without faults or acknowledgements, which would verify nothing.
   EXPECT_GT(acknowledged, seeds * 50);
   EXPECT_GT(reads, seeds * 20);
   EXPECT_GT(leaders, seeds * 2);
@@ -59,8 +59,8 @@
             << lost_disks << " lost disks\n";
 }
 
-// Right after an acknowledgement as many disks are lost as a majority can do without, and all other
-// machines lose power, whichever they are.
+// Immediately after an acknowledgement, the largest minority of the machines, chosen at random,
+// lose their disks, and all others lose power.
 TEST_P(RaftSimulationTest, LostDisksAndPowerLossKeepAcknowledgedEntries) {
   const uint64_t first = EnvironmentNumber("POSTHATCH_FIRST_SEED", 1);
   const uint64_t seeds = EnvironmentNumber("POSTHATCH_SEEDS", 30);
@@ -97,8 +97,8 @@
   }
 }
 
-// Partitioned into two halves neither may acknowledge anything, whichever the leader is in; when
-// the partition heals, the cluster continues and nothing is lost.
+// When the network is partitioned into two halves, neither may acknowledge anything, whichever half
+// the leader is in. After the partition heals, the cluster continues and no entry is lost.
 TEST(EvenPartitionTest, NeitherHalfAcknowledgesAndNothingIsLost) {
   constexpr size_t kReplicas = 4;
   const uint64_t first = EnvironmentNumber("POSTHATCH_FIRST_SEED", 1);
@@ -116,7 +116,7 @@
         cluster.world().Partition(other, one);
       }
     }
-    cluster.world().RunFor(seconds(1));  // results of what was committed before
+    cluster.world().RunFor(seconds(1));  // for results of entries committed before the partition
     const size_t before = cluster.history().acknowledged();
     cluster.world().RunFor(seconds(6));
     EXPECT_EQ(cluster.history().acknowledged(), before) << "seed " << seed;
@@ -130,14 +130,14 @@
   }
 }
 
-// Nine controllers that don't know their number, all with the same three seeds, that start at
-// slightly different times and discover each other one by one, as by gossip.
+// Nine controllers that don't know their number and have the same three seeds start at slightly
+// different times and discover each other one by one, as through gossip.
 class FirstStartTest : public testing::Test {
  protected:
   static constexpr size_t kControllers = 9;
   static constexpr size_t kSeeds = 3;
 
-  // Whether all of them are soon in one cluster that has a leader.
+  // Whether all controllers are in one cluster with a leader within six seconds.
   static bool FormsOneCluster(uint64_t seed) {
     RaftWorld* world = nullptr;
     runtime::Random random(seed);
--- a/src/posthatch/consensus/raft_snapshot-test.cc
+++ b/src/posthatch/consensus/raft_snapshot-test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A replica with entries that no other has installs a snapshot that ends among them.
+// A replica with uncommitted entries installs a snapshot that ends within their range of indexes.
 TEST(RaftSnapshotTest, SnapshotReplacesConflictingLog) {
   CoreHarness cluster(3);
   const uint64_t leader = cluster.RunUntilLeader();
@@ -37,7 +37,7 @@
   EXPECT_EQ(cluster.core(leader).log().last_index(), source.applied_index());
   EXPECT_EQ(cluster.core(leader).log().last_term(), snapshot->metadata.term());
   const Ready ready = cluster.core(leader).TakeReady(cluster.now());
-  ASSERT_TRUE(ready.reset.has_value()) << "the entries on disk must be voided too";
+  ASSERT_TRUE(ready.reset.has_value()) << "the entries on disk must be discarded too";
   EXPECT_EQ(ready.reset->index(), source.applied_index());
 }
 
--- a/src/posthatch/consensus/raft_snapshot.cc
+++ b/src/posthatch/consensus/raft_snapshot.cc
@@ -86,9 +86,9 @@
       response.next_offset() > progress->snapshot->data.size()) {
     return;
   }
-  const bool advanced = response.next_offset() != progress->snapshot_offset;
+  const bool offset_changed = response.next_offset() != progress->snapshot_offset;
   progress->snapshot_offset = response.next_offset();
-  if (advanced && progress->snapshot_offset < progress->snapshot->data.size()) {
+  if (offset_changed && progress->snapshot_offset < progress->snapshot->data.size()) {
     SendChunk(message.from(), progress, now);
   }
 }
--- a/src/posthatch/consensus/raft_world-test.h
+++ b/src/posthatch/consensus/raft_world-test.h
@@ -21,7 +21,7 @@
 
 namespace posthatch::consensus {
 
-// A list of commands; the result of a command is its position.
+// A state machine that keeps the list of commands; the result of a command is its position.
 class ListMachine : public StateMachine {
  public:
   ListMachine(std::string replica, LogHistory* history)
@@ -63,7 +63,7 @@
     simulation::SimHost* host = nullptr;
     Process* process = nullptr;  // null while not running
     bool frozen = false;
-    uint64_t id_on_disk = 0;  // of the newest start; 0 once the disk is lost
+    uint64_t id_on_disk = 0;  // replica id at the latest start; 0 once the disk is lost
   };
 
   // Changes the options of a replica that is about to start.
@@ -153,7 +153,7 @@
     });
   }
 
-  // Every few milliseconds one client calls a random usable replica, without knowing the leader.
+  // Every few milliseconds a client calls a random usable replica, whether or not it leads.
   void RunClients() {
     const size_t i = random_.Uniform(nodes_.size());
     if (Usable(i)) random_.Chance(0.7) ? Append(i) : Read(i);
@@ -164,7 +164,7 @@
     }
   }
   void StopClients() { clients_stopped_ = true; }
-  // Called once, at the next acknowledgement.
+  // `callback` is called once, at the next acknowledgement.
   void SetOnAcknowledged(std::function<void()> callback) { on_acknowledged_ = std::move(callback); }
 
   void CheckQuorums() {
@@ -175,8 +175,8 @@
     if (with_quorum > 1) history_.OnTwoQuorums();
   }
 
-  // Whether the quorum survives the loss of one more disk: less than half of the current voters
-  // would then have lost theirs.
+  // Whether a majority of the current voters would still have their disks after the loss of one
+  // more disk.
   bool MayLoseADisk() {
     const int leader = Leader();
     if (leader < 0) return false;
@@ -191,7 +191,7 @@
     return lost + 1 <= (voters - 1) / 2;
   }
 
-  // All replicas are voters of one cluster, and there is no other member.
+  // Whether all replicas are voters of one cluster that has no other member.
   bool IsFullyReplicated() {
     const int leader = Leader();
     if (leader < 0) return false;
@@ -211,7 +211,8 @@
     nodes_[i].id_on_disk = 0;
   }
 
-  // Heals everything and waits until all replicas have the same commands. Returns what went wrong.
+  // Removes all faults and waits until all replicas have equally many commands. Returns a
+  // description of the failure, or an empty string.
   std::string HealAndConverge() {
     world_.HealAll();
     world_.SetNetwork({});
@@ -222,11 +223,11 @@
       node.host->SetDiskFull(false);
       node.host->Start();
     }
-    if (!RunUntilLeader(std::chrono::seconds(60))) return "no leader after all was mended";
+    if (!RunUntilLeader(std::chrono::seconds(60))) return "no leader after all faults were removed";
     const size_t before = history_.acknowledged();
     if (!world_.RunUntil([this, before] { return history_.acknowledged() > before; },
                          std::chrono::seconds(30))) {
-      return "no command acknowledged after all was mended";
+      return "no command acknowledged after all faults were removed";
     }
     StopClients();
     const auto equal = [this] {
@@ -236,7 +237,7 @@
       return Leader() >= 0;
     };
     world_.RunFor(std::chrono::seconds(3));
-    if (!world_.RunUntil(equal, std::chrono::seconds(60))) return "replicas did not become equal";
+    if (!world_.RunUntil(equal, std::chrono::seconds(60))) return "replicas did not converge";
     return "";
   }
   size_t Length(size_t i) const { return nodes_[i].process->machine.commands().size(); }
