--- a/src/posthatch/consensus/address_book-test.cc
+++ b/src/posthatch/consensus/address_book-test.cc
@@ -5,7 +5,7 @@
 namespace posthatch::consensus {
 namespace {
 
-TEST(AddressBookTest, KnowsItselfAndNobodyElse) {
+TEST(AddressBookTest, InitiallyContainsOnlyItself) {
   const AddressBook book(1, "host1");
   EXPECT_EQ(book.EndpointOf(1), "host1");
   EXPECT_EQ(book.EndpointOf(2), "");
@@ -33,7 +33,7 @@
   EXPECT_EQ(book.SuccessorOf(2), 0U);
 }
 
-TEST(AddressBookTest, OwnEndpointIsNeverAnotherReplicas) {
+TEST(AddressBookTest, OwnEndpointIsNeverAssignedToAnotherReplica) {
   AddressBook book(1, "host1");
   book.Set(2, {"host1", 1});
   EXPECT_EQ(book.EndpointOf(2), "");
--- a/src/posthatch/consensus/bootstrap-test.cc
+++ b/src/posthatch/consensus/bootstrap-test.cc
@@ -118,10 +118,10 @@
   EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
-TEST_F(BootstrapTest, IgnoresPreviousIdentityOfLostDisk) {
-  RaftMessage second_identity = HelloFrom(21, {10});
-  second_identity.set_from_endpoint("host20");
-  Run({HelloFrom(20, {10, 21}), second_identity});
+TEST_F(BootstrapTest, IgnoresFormerReplicaIdAtEndpoint) {
+  RaftMessage second_replica = HelloFrom(21, {10});
+  second_replica.set_from_endpoint("host20");
+  Run({HelloFrom(20, {10, 21}), second_replica});
   EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
--- a/src/posthatch/consensus/consensus-bench.cc
+++ b/src/posthatch/consensus/consensus-bench.cc
@@ -34,7 +34,7 @@
   int command_bytes = 256;
 };
 
-class CountingMachine : public StateMachine {
+class CountingStateMachine : public StateMachine {
  public:
   std::string Apply(uint64_t, uint64_t, const std::string&) override {
     ++count_;
@@ -74,7 +74,7 @@
   Controller& operator=(const Controller&) = delete;
 
   // Runs `action` on the event loop thread and waits until it returns.
-  void OnLoop(const std::function<void()>& action) {
+  void RunOnLoop(const std::function<void()>& action) {
     std::promise<void> done;
     runtime_->Post([&action, &done] {
       action();
@@ -87,44 +87,46 @@
   RaftReplica* replica() { return replica_.get(); }
 
   void Start(const std::vector<std::string>& peers) {
-    OnLoop([this, &peers] {
-      machine_ = std::make_unique<CountingMachine>();
+    RunOnLoop([this, &peers] {
+      state_machine_ = std::make_unique<CountingStateMachine>();
       ReplicaOptions options;
       options.bootstrap_expect = peers.size();
       options.raft.target_voters = peers.size();
       options.peers = [peers] { return peers; };
-      replica_ = std::make_unique<RaftReplica>(runtime(), options, machine_.get());
+      replica_ = std::make_unique<RaftReplica>(runtime(), options, state_machine_.get());
       const absl::Status started = replica_->Start();
       if (!started.ok()) fmt::print(stderr, "start: {}\n", started.ToString());
     });
   }
   void Kill() {
-    OnLoop([this] {
+    RunOnLoop([this] {
       replica_.reset();
-      machine_.reset();
+      state_machine_.reset();
     });
   }
-  bool Leads() {
-    bool leads = false;
-    OnLoop([this, &leads] { leads = replica_ != nullptr && replica_->IsLeader(); });
-    return leads;
+  bool IsLeader() {
+    bool is_leader = false;
+    RunOnLoop([this, &is_leader] { is_leader = replica_ != nullptr && replica_->IsLeader(); });
+    return is_leader;
   }
 
  private:
   std::unique_ptr<net::AsioRuntime> runtime_;
-  std::unique_ptr<CountingMachine> machine_;
+  std::unique_ptr<CountingStateMachine> state_machine_;
   std::unique_ptr<RaftReplica> replica_;
   std::thread thread_;
 };
 
-void PrintLatencies(const std::string& what, std::vector<double> milliseconds, double seconds) {
-  if (milliseconds.empty()) return fmt::print("{:<36} no samples\n", what);
+void PrintLatencies(const std::string& label, std::vector<double> milliseconds, double seconds) {
+  if (milliseconds.empty()) return fmt::print("{:<36} no samples\n", label);
   std::sort(milliseconds.begin(), milliseconds.end());
-  const auto at = [&milliseconds](double share) {
-    return milliseconds[static_cast<size_t>(share * static_cast<double>(milliseconds.size() - 1))];
+  const auto percentile = [&milliseconds](double fraction) {
+    return milliseconds[static_cast<size_t>(fraction *
+                                            static_cast<double>(milliseconds.size() - 1))];
   };
-  fmt::print("{:<36} {:>9.0f}/s  p50 {:>8.2f} ms  p95 {:>8.2f} ms  p99 {:>8.2f} ms\n", what,
-             static_cast<double>(milliseconds.size()) / seconds, at(0.5), at(0.95), at(0.99));
+  fmt::print("{:<36} {:>9.0f}/s  p50 {:>8.2f} ms  p95 {:>8.2f} ms  p99 {:>8.2f} ms\n", label,
+             static_cast<double>(milliseconds.size()) / seconds, percentile(0.5), percentile(0.95),
+             percentile(0.99));
 }
 
 double MillisecondsSince(steady_clock::time_point start) {
@@ -140,12 +142,12 @@
       : controller_(controller), call_(std::move(call)) {}
 
   std::vector<double> Run(int clients, double seconds) {
-    controller_->OnLoop([this, clients] {
+    controller_->RunOnLoop([this, clients] {
       for (int i = 0; i < clients; ++i) Next();
     });
     std::this_thread::sleep_for(std::chrono::duration<double>(seconds));
     std::vector<double> milliseconds;
-    controller_->OnLoop([this, &milliseconds] {
+    controller_->RunOnLoop([this, &milliseconds] {
       stopped_ = true;
       milliseconds = milliseconds_;
     });
@@ -177,7 +179,7 @@
   std::atomic<int> running_{0};
 };
 
-void MeasureBareSync(const Settings& settings) {
+void MeasureSync(const Settings& settings) {
   Controller controller(settings.folder + "/sync", 0);
   const std::string data(static_cast<size_t>(settings.command_bytes), 'x');
   ClosedLoop loop(&controller, [&controller, data](ClosedLoop::Done done) {
@@ -202,7 +204,7 @@
   Controller* WaitForLeader() {
     while (true) {
       for (auto& controller : controllers_) {
-        if (controller->Leads()) return controller.get();
+        if (controller->IsLeader()) return controller.get();
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(2));
     }
@@ -212,7 +214,7 @@
   bool Write(Controller* controller) {
     auto outcome = std::make_shared<std::promise<bool>>();
     std::future<bool> accepted = outcome->get_future();
-    controller->OnLoop([controller, outcome] {
+    controller->RunOnLoop([controller, outcome] {
       if (controller->replica() == nullptr) return outcome->set_value(false);
       controller->replica()->Propose("x", [outcome](const absl::StatusOr<std::string>& result) {
         outcome->set_value(result.ok());
@@ -272,7 +274,7 @@
   app.add_option("--command-bytes", settings.command_bytes, "Size of each command in bytes");
   CLI11_PARSE(app, argc, argv);
   std::filesystem::create_directories(settings.folder);
-  posthatch::consensus::MeasureBareSync(settings);
+  posthatch::consensus::MeasureSync(settings);
   for (size_t size : {3, 5}) posthatch::consensus::MeasureCommits(settings, size);
   for (size_t size : {3, 5}) posthatch::consensus::MeasureFailover(settings, size);
   std::filesystem::remove_all(settings.folder);
--- a/src/posthatch/consensus/core_harness-test.h
+++ b/src/posthatch/consensus/core_harness-test.h
@@ -54,7 +54,7 @@
     return member;
   }
 
-  void AddFresh(uint64_t id) { Boot(id); }
+  void AddUnbootstrapped(uint64_t id) { Boot(id); }
 
   // Starts node `id` from its durable state.
   void Boot(uint64_t id) {
@@ -98,10 +98,10 @@
 
   // Delivers messages and completes syncs until no work is left, without advancing the clock.
   void RunUntilQuiescent() {
-    bool moved = true;
-    while (moved) {
-      moved = false;
-      for (auto& [id, node] : nodes_) moved = Drive(id, &node) || moved;
+    bool progressed = true;
+    while (progressed) {
+      progressed = false;
+      for (auto& [id, node] : nodes_) progressed = Drive(id, &node) || progressed;
     }
   }
 
@@ -129,9 +129,9 @@
  private:
   bool Drive(uint64_t id, Node* node) {
     if (!node->up) return false;
-    bool moved = false;
+    bool progressed = false;
     while (node->core->HasReady(now_)) {
-      moved = true;
+      progressed = true;
       Ready ready = node->core->TakeReady(now_);
       for (OutgoingMessage& out : ready.messages) Deliver(id, std::move(out.message));
       node->applied.insert(node->applied.end(), ready.committed.begin(), ready.committed.end());
@@ -139,7 +139,7 @@
       if (ready.persist_id != 0) node->unsynced.push_back(std::move(ready));
     }
     while (!node->disk_blocked && !node->unsynced.empty()) {
-      moved = true;
+      progressed = true;
       const Ready ready = std::move(node->unsynced.front());
       node->unsynced.pop_front();
       if (ready.hard_state.has_value()) node->hard_state = *ready.hard_state;
@@ -150,12 +150,12 @@
       node->core->OnPersisted(ready.persist_id, now_);
     }
     while (!inbox_[id].empty()) {
-      moved = true;
+      progressed = true;
       const RaftMessage message = std::move(inbox_[id].front());
       inbox_[id].pop_front();
       node->core->Step(message, now_);
     }
-    return moved;
+    return progressed;
   }
 
   void Deliver(uint64_t from, RaftMessage message) {
--- a/src/posthatch/consensus/fault_mix-test.h
+++ b/src/posthatch/consensus/fault_mix-test.h
@@ -31,18 +31,18 @@
     switch (random_->Uniform(12)) {
       case 0:
         node.host->Crash();
-        return StartLater(i);
+        return ScheduleStart(i);
       case 1:
         node.host->PowerLoss();
-        return StartLater(i);
+        return ScheduleStart(i);
       case 2:
         return LoseDisk(i);
       case 3:
         return Freeze(i);
       case 4:
         node.host->SetDiskDelay(std::chrono::milliseconds(400));
-        return Later(std::chrono::seconds(6),
-                     [&node] { node.host->SetDiskDelay(std::chrono::milliseconds(1)); });
+        return Schedule(std::chrono::seconds(6),
+                        [&node] { node.host->SetDiskDelay(std::chrono::milliseconds(1)); });
       case 5:
         return node.host->JumpWallClock(std::chrono::seconds(random_->Chance(0.5) ? 3600 : -3600));
       case 6:
@@ -53,36 +53,36 @@
         return PartitionNode(i, /*out=*/false, /*in=*/true);
       case 9:
         node.host->SetDiskFull(true);
-        return Later(std::chrono::seconds(2), [&node] { node.host->SetDiskFull(false); });
+        return Schedule(std::chrono::seconds(2), [&node] { node.host->SetDiskFull(false); });
       case 10:
-        return LoseAllPower();
+        return PowerLossOnAllNodes();
       default:
-        return RestartInTurn();
+        return RollingRestart();
     }
   }
 
-  void Later(runtime::Duration delay, std::function<void()> action) {
+  void Schedule(runtime::Duration delay, std::function<void()> action) {
     cluster_->world().At(delay, std::move(action));
   }
-  void StartLater(size_t i) {
+  void ScheduleStart(size_t i) {
     RaftWorld::Node& node = cluster_->nodes()[i];
     node.frozen = false;
-    Later(random_->Between(std::chrono::milliseconds(50), std::chrono::seconds(3)),
-          [&node] { node.host->Start(); });
+    Schedule(random_->Between(std::chrono::milliseconds(50), std::chrono::seconds(3)),
+             [&node] { node.host->Start(); });
   }
   void LoseDisk(size_t i) {
     // Nothing is guaranteed once a majority of the disks is lost at the same time.
-    if (!cluster_->MayLoseADisk()) return;
+    if (!cluster_->ToleratesDiskLoss()) return;
     ++lost_disks_;
     cluster_->LoseDisk(i);
-    StartLater(i);
+    ScheduleStart(i);
   }
   void Freeze(size_t i) {
     RaftWorld::Node& node = cluster_->nodes()[i];
     if (!node.host->running()) return;
     node.host->Freeze();
     node.frozen = true;
-    Later(random_->Chance(0.5) ? std::chrono::seconds(21) : std::chrono::seconds(2), [&node] {
+    Schedule(random_->Chance(0.5) ? std::chrono::seconds(21) : std::chrono::seconds(2), [&node] {
       if (!node.frozen) return;
       node.host->Thaw();
       node.frozen = false;
@@ -96,29 +96,29 @@
       if (out) cluster_->world().Partition(name, other_name);
       if (in) cluster_->world().Partition(other_name, name);
     }
-    Later(random_->Between(std::chrono::seconds(1), std::chrono::seconds(8)),
-          [this] { cluster_->world().HealAll(); });
+    Schedule(random_->Between(std::chrono::seconds(1), std::chrono::seconds(8)),
+             [this] { cluster_->world().HealAll(); });
   }
   // All nodes lose power immediately after an acknowledgement.
-  void LoseAllPower() {
+  void PowerLossOnAllNodes() {
     cluster_->SetOnAcknowledged([this] {
-      Later(runtime::Duration(0), [this] {
+      Schedule(runtime::Duration(0), [this] {
         for (size_t i = 0; i < cluster_->nodes().size(); ++i) {
           cluster_->nodes()[i].host->PowerLoss();
-          StartLater(i);
+          ScheduleStart(i);
         }
       });
     });
   }
-  void RestartInTurn() {
+  void RollingRestart() {
     for (size_t i = 0; i < cluster_->nodes().size(); ++i) {
       RaftWorld::Node& node = cluster_->nodes()[i];
-      Later(std::chrono::seconds(i), [&node] {
+      Schedule(std::chrono::seconds(i), [&node] {
         node.host->Crash();
         node.frozen = false;
       });
-      Later(std::chrono::seconds(i) + std::chrono::milliseconds(300),
-            [&node] { node.host->Start(); });
+      Schedule(std::chrono::seconds(i) + std::chrono::milliseconds(300),
+               [&node] { node.host->Start(); });
     }
   }
 
--- a/src/posthatch/consensus/log_history-test.cc
+++ b/src/posthatch/consensus/log_history-test.cc
@@ -31,21 +31,21 @@
   history.OnApplied("a", 1, "x");
   history.AddOperation(NewOperation(false, "y", 0, 10, 2));
   EXPECT_FALSE(history.Check(1).empty());
-  LogHistory forgotten;
-  forgotten.OnApplied("a", 1, "x");
-  forgotten.AddOperation(NewOperation(false, "x", 0, 10, 1));
-  EXPECT_FALSE(forgotten.Check(0).empty());
+  LogHistory truncated;
+  truncated.OnApplied("a", 1, "x");
+  truncated.AddOperation(NewOperation(false, "x", 0, 10, 1));
+  EXPECT_FALSE(truncated.Check(0).empty());
 }
 
 TEST(LogHistoryTest, DetectsDivergedReplicasAndDuplicateCommands) {
-  LogHistory differ;
-  differ.OnApplied("a", 1, "x");
-  differ.OnApplied("b", 1, "y");
-  EXPECT_FALSE(differ.Check(1).empty());
-  LogHistory twice;
-  twice.OnApplied("a", 1, "x");
-  twice.OnApplied("a", 2, "x");
-  EXPECT_FALSE(twice.Check(2).empty());
+  LogHistory diverged;
+  diverged.OnApplied("a", 1, "x");
+  diverged.OnApplied("b", 1, "y");
+  EXPECT_FALSE(diverged.Check(1).empty());
+  LogHistory duplicated;
+  duplicated.OnApplied("a", 1, "x");
+  duplicated.OnApplied("a", 2, "x");
+  EXPECT_FALSE(duplicated.Check(2).empty());
 }
 
 TEST(LogHistoryTest, DetectsTwoLeadersAndTwoQuorums) {
@@ -66,12 +66,12 @@
   stale.AddOperation(NewOperation(false, "x", 0, 10, 1));
   stale.AddOperation(NewOperation(true, "", 11, 12, 0));
   EXPECT_FALSE(stale.Check(1).empty());
-  LogHistory back;
-  back.OnApplied("a", 1, "x");
-  back.AddOperation({false, "x", 0, std::nullopt, 0});
-  back.AddOperation(NewOperation(true, "", 1, 2, 1));
-  back.AddOperation(NewOperation(true, "", 3, 4, 0));
-  EXPECT_FALSE(back.Check(1).empty());
+  LogHistory regressed;
+  regressed.OnApplied("a", 1, "x");
+  regressed.AddOperation({false, "x", 0, std::nullopt, 0});
+  regressed.AddOperation(NewOperation(true, "", 1, 2, 1));
+  regressed.AddOperation(NewOperation(true, "", 3, 4, 0));
+  EXPECT_FALSE(regressed.Check(1).empty());
   LogHistory future;
   future.OnApplied("a", 1, "x");
   future.AddOperation(NewOperation(true, "", 1, 2, 1));
--- a/src/posthatch/consensus/raft_election-test.cc
+++ b/src/posthatch/consensus/raft_election-test.cc
@@ -68,7 +68,7 @@
   EXPECT_FALSE(cluster.core(leader).IsLeader());
 }
 
-TEST(RaftElectionTest, FrozenLeaderHasNoQuorumOnWaking) {
+TEST(RaftElectionTest, FrozenLeaderHasNoQuorumAfterThaw) {
   CoreHarness cluster(3);
   const uint64_t leader = cluster.RunUntilLeader();
   cluster.JumpClock(seconds(20));
@@ -175,7 +175,7 @@
   EXPECT_TRUE(cluster.core(leader).Propose("y", cluster.now()).ok());
 }
 
-TEST(RaftElectionTest, IgnoresMessagesForLostIdentity) {
+TEST(RaftElectionTest, IgnoresMessagesForFormerReplicaId) {
   CoreHarness cluster(3);
   const uint64_t leader = cluster.RunUntilLeader();
   RaftMessage request = cluster.core(leader).NewMessage(4711);
--- a/src/posthatch/consensus/raft_membership-test.cc
+++ b/src/posthatch/consensus/raft_membership-test.cc
@@ -26,7 +26,7 @@
   CoreHarness cluster(3, options);
   const uint64_t leader = cluster.RunUntilLeader();
   const auto [alive, dead] = CoreHarness::Others(leader);
-  cluster.AddFresh(9);
+  cluster.AddUnbootstrapped(9);
   cluster.node(9).disk_blocked = true;
   RequestJoin(cluster, leader, 9);
   cluster.node(dead).up = false;
@@ -47,7 +47,7 @@
   CoreHarness cluster(3, options);
   const uint64_t leader = cluster.RunUntilLeader();
   const auto [alive, dead] = CoreHarness::Others(leader);
-  cluster.AddFresh(9);
+  cluster.AddUnbootstrapped(9);
   RequestJoin(cluster, leader, 9);
   cluster.node(dead).up = false;
   cluster.Run(seconds(20));
@@ -86,7 +86,7 @@
   const uint64_t leader = cluster.RunUntilLeader();
   const uint64_t lost = CoreHarness::Others(leader).first;
   cluster.node(lost).up = false;
-  cluster.AddFresh(9);
+  cluster.AddUnbootstrapped(9);
   RaftMessage message = cluster.core(9).NewMessage(leader);
   message.set_cluster_id(0);
   message.set_from_endpoint("host" + std::to_string(lost));
@@ -102,11 +102,11 @@
   options.replace_unresponsive_after = seconds(5);
   CoreHarness cluster(3, options);
   const uint64_t leader = cluster.RunUntilLeader();
-  const auto [alive, away] = CoreHarness::Others(leader);
-  cluster.AddFresh(9);
+  const auto [alive, unreachable] = CoreHarness::Others(leader);
+  cluster.AddUnbootstrapped(9);
   RequestJoin(cluster, leader, 9);
   cluster.Run(seconds(1));
-  cluster.Isolate(away);
+  cluster.Isolate(unreachable);
   for (int i = 0; i < 4000 && !IsVoter(cluster.core(leader).configuration(), 9); ++i) {
     cluster.Run(milliseconds(5));
   }
@@ -127,7 +127,7 @@
 
   // A new replica `id` joins as the only one at `endpoint`.
   void Join(uint64_t id, const std::string& endpoint) {
-    cluster_.AddFresh(id);
+    cluster_.AddUnbootstrapped(id);
     RaftMessage message = cluster_.core(id).NewMessage(leader_);
     message.set_cluster_id(0);
     message.set_from_endpoint(endpoint);
@@ -185,10 +185,10 @@
 }
 
 TEST_F(ReplacementBelowTargetTest, PartitionedVoterRemainsWhileNobodyJoins) {
-  const uint64_t away = CoreHarness::Others(leader_).first;
-  cluster_.Isolate(away);
+  const uint64_t unreachable = CoreHarness::Others(leader_).first;
+  cluster_.Isolate(unreachable);
   cluster_.Run(seconds(6));
-  EXPECT_TRUE(IsVoter(configuration(), away));
+  EXPECT_TRUE(IsVoter(configuration(), unreachable));
 }
 
 }  // namespace
--- a/src/posthatch/consensus/raft_message-fuzz.cc
+++ b/src/posthatch/consensus/raft_message-fuzz.cc
@@ -46,17 +46,17 @@
   posthatch::runtime::Random random(1);
   posthatch::runtime::MonotonicTime now(std::chrono::hours(1));
   RaftCore core({}, &random, Member(), now);
-  size_t at = 0;
-  while (at + 3 <= size) {
-    const size_t length = std::min<size_t>(data[at], size - at - 3);
+  size_t offset = 0;
+  while (offset + 3 <= size) {
+    const size_t length = std::min<size_t>(data[offset], size - offset - 3);
     posthatch::consensus::RaftMessage message;
-    if (!message.ParseFromArray(data + at + 3, static_cast<int>(length))) return 0;
+    if (!message.ParseFromArray(data + offset + 3, static_cast<int>(length))) return 0;
     message.set_cluster_id(9);
     message.set_to(1);
-    message.set_from(2 + data[at + 1] % 2);
+    message.set_from(2 + data[offset + 1] % 2);
     message.set_term(std::min<uint64_t>(message.term(), 1000));
-    now += std::chrono::milliseconds(10 * data[at + 2]);
-    at += 3 + length;
+    now += std::chrono::milliseconds(10 * data[offset + 2]);
+    offset += 3 + length;
     const uint64_t commit_before = core.commit_index();
     core.Step(message, now);
     Drive(&core, now);
--- a/src/posthatch/consensus/raft_replica-test.cc
+++ b/src/posthatch/consensus/raft_replica-test.cc
@@ -69,12 +69,12 @@
   EXPECT_EQ(cluster.history().acknowledged(), 0U);
   const int leader = cluster.Leader();
   ASSERT_GE(leader, 0);
-  absl::Status refused;
+  absl::Status rejected;
   cluster.Replica(static_cast<size_t>(leader))
-      ->Propose("x", [&refused](const absl::StatusOr<std::string>& result) {
-        refused = result.status();
+      ->Propose("x", [&rejected](const absl::StatusOr<std::string>& result) {
+        rejected = result.status();
       });
-  EXPECT_TRUE(absl::IsResourceExhausted(refused)) << refused;
+  EXPECT_TRUE(absl::IsResourceExhausted(rejected)) << rejected;
   cluster.RunClients();
   EXPECT_EQ(cluster.HealAndConverge(), "");
   EXPECT_TRUE(cluster.history().Check(cluster.Length(0)).empty());
@@ -93,7 +93,7 @@
   EXPECT_TRUE(result.ok()) << result;
 }
 
-TEST(RaftReplicaTest, WakingLeaderCompletesNoReadAndHasNoQuorum) {
+TEST(RaftReplicaTest, ThawedLeaderCompletesNoReadAndHasNoQuorum) {
   RaftWorld cluster(15, 3);
   ASSERT_TRUE(cluster.RunUntilLeader());
   const auto old_leader = static_cast<size_t>(cluster.Leader());
--- a/src/posthatch/consensus/raft_replication-test.cc
+++ b/src/posthatch/consensus/raft_replication-test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-size_t Commands(const CoreHarness::Node& node) {
+size_t AppliedCommandCount(const CoreHarness::Node& node) {
   size_t count = 0;
   for (const storage::LogEntry& entry : node.applied) {
     count += entry.type() == storage::LogEntry::COMMAND ? 1 : 0;
@@ -20,7 +20,7 @@
   return count;
 }
 
-TEST(RaftReplicationTest, LeaderDoesNotCountItsUnsyncedEntry) {
+TEST(RaftReplicationTest, LeaderDoesNotCountUnsyncedEntries) {
   CoreHarness cluster(3);
   const uint64_t leader = cluster.RunUntilLeader();
   const auto [follower, isolated] = CoreHarness::Others(leader);
@@ -28,10 +28,10 @@
   cluster.node(leader).disk_blocked = true;
   ASSERT_TRUE(cluster.core(leader).Propose("x", cluster.now()).ok());
   cluster.Run(milliseconds(300));
-  EXPECT_EQ(Commands(cluster.node(leader)), 0U);
+  EXPECT_EQ(AppliedCommandCount(cluster.node(leader)), 0U);
   cluster.node(leader).disk_blocked = false;
   cluster.Run(milliseconds(300));
-  EXPECT_EQ(Commands(cluster.node(leader)), 1U);
+  EXPECT_EQ(AppliedCommandCount(cluster.node(leader)), 1U);
 }
 
 TEST(RaftReplicationTest, MajorityOfFollowersCommitsWithoutLeaderDisk) {
@@ -40,7 +40,7 @@
   cluster.node(leader).disk_blocked = true;
   ASSERT_TRUE(cluster.core(leader).Propose("x", cluster.now()).ok());
   cluster.Run(milliseconds(300));
-  EXPECT_EQ(Commands(cluster.node(leader)), 1U);
+  EXPECT_EQ(AppliedCommandCount(cluster.node(leader)), 1U);
 }
 
 TEST(RaftReplicationTest, FollowersAcknowledgeOnlyDurableEntries) {
@@ -51,11 +51,11 @@
   cluster.node(b).disk_blocked = true;
   ASSERT_TRUE(cluster.core(leader).Propose("x", cluster.now()).ok());
   cluster.Run(seconds(3));
-  EXPECT_EQ(Commands(cluster.node(leader)), 0U);
+  EXPECT_EQ(AppliedCommandCount(cluster.node(leader)), 0U);
   EXPECT_TRUE(cluster.core(leader).IsLeader()) << "slow disks alone must not depose the leader";
   cluster.node(b).disk_blocked = false;
   cluster.Run(milliseconds(300));
-  EXPECT_EQ(Commands(cluster.node(leader)), 1U);
+  EXPECT_EQ(AppliedCommandCount(cluster.node(leader)), 1U);
 }
 
 TEST(RaftReplicationTest, UncommittedEntriesOfDeposedLeaderAreReplaced) {
@@ -71,7 +71,7 @@
   cluster.HealAll();
   cluster.Run(seconds(3));
   for (uint64_t id = 1; id <= 3; ++id) {
-    ASSERT_EQ(Commands(cluster.node(id)), 1U) << id;
+    ASSERT_EQ(AppliedCommandCount(cluster.node(id)), 1U) << id;
     EXPECT_EQ(cluster.node(id).applied.back().data(), "kept");
     EXPECT_EQ(cluster.core(id).log().last_index(), cluster.core(leader).log().last_index());
   }
@@ -224,7 +224,7 @@
   EXPECT_EQ(to_unreachable, 4U);
   cluster.HealAll();
   cluster.Run(milliseconds(500));
-  EXPECT_EQ(Commands(cluster.node(unreachable)), 20U);
+  EXPECT_EQ(AppliedCommandCount(cluster.node(unreachable)), 20U);
 }
 
 TEST(RaftReplicationTest, MalformedAppendChangesNothing) {
@@ -243,9 +243,9 @@
 TEST(RaftReplicationTest, RejectsOversizedCommands) {
   CoreHarness cluster(3);
   const uint64_t leader = cluster.RunUntilLeader();
-  const absl::StatusOr<uint64_t> refused =
+  const absl::StatusOr<uint64_t> rejected =
       cluster.core(leader).Propose(std::string(9u << 20, 'x'), cluster.now());
-  EXPECT_TRUE(absl::IsInvalidArgument(refused.status()));
+  EXPECT_TRUE(absl::IsInvalidArgument(rejected.status()));
 }
 
 }  // namespace
--- a/src/posthatch/consensus/raft_simulation-test.cc
+++ b/src/posthatch/consensus/raft_simulation-test.cc
@@ -18,17 +18,17 @@
 
 using std::chrono::seconds;
 
-uint64_t EnvironmentNumber(const char* name, uint64_t otherwise) {
+uint64_t NumberFromEnvironment(const char* name, uint64_t default_value) {
   const char* text = std::getenv(name);
   uint64_t number = 0;
-  return text != nullptr && absl::SimpleAtoi(text, &number) ? number : otherwise;
+  return text != nullptr && absl::SimpleAtoi(text, &number) ? number : default_value;
 }
 
 class RaftSimulationTest : public testing::TestWithParam<size_t> {};
 
 TEST_P(RaftSimulationTest, InvariantsHoldUnderMixedFaults) {
-  const uint64_t first = EnvironmentNumber("POSTHATCH_FIRST_SEED", 1);
-  const uint64_t seeds = EnvironmentNumber("POSTHATCH_SEEDS", 30);
+  const uint64_t first = NumberFromEnvironment("POSTHATCH_FIRST_SEED", 1);
+  const uint64_t seeds = NumberFromEnvironment("POSTHATCH_SEEDS", 30);
   size_t acknowledged = 0;
   size_t reads = 0;
   size_t leaders = 0;
@@ -62,16 +62,16 @@
 // Immediately after an acknowledgement, the largest minority of the machines, chosen at random,
 // lose their disks, and all others lose power.
 TEST_P(RaftSimulationTest, LostDisksAndPowerLossKeepAcknowledgedEntries) {
-  const uint64_t first = EnvironmentNumber("POSTHATCH_FIRST_SEED", 1);
-  const uint64_t seeds = EnvironmentNumber("POSTHATCH_SEEDS", 30);
+  const uint64_t first = NumberFromEnvironment("POSTHATCH_FIRST_SEED", 1);
+  const uint64_t seeds = NumberFromEnvironment("POSTHATCH_SEEDS", 30);
   for (uint64_t seed = first; seed < first + seeds; ++seed) {
     RaftWorld cluster(seed, GetParam());
     ASSERT_TRUE(cluster.RunUntilLeader()) << "seed " << seed;
     cluster.RunClients();
     cluster.world().RunFor(seconds(2));
-    bool struck = false;
-    cluster.SetOnAcknowledged([&cluster, &struck] {
-      cluster.world().At(runtime::Duration::zero(), [&cluster, &struck] {
+    bool power_lost = false;
+    cluster.SetOnAcknowledged([&cluster, &power_lost] {
+      cluster.world().At(runtime::Duration::zero(), [&cluster, &power_lost] {
         const size_t size = cluster.nodes().size();
         const size_t lost = (size - 1) / 2;
         const size_t from = cluster.random().Uniform(size);
@@ -85,10 +85,10 @@
           cluster.world().At(cluster.random().Between(std::chrono::milliseconds(100), seconds(2)),
                              [&cluster, node] { cluster.nodes()[node].host->Start(); });
         }
-        struck = true;
+        power_lost = true;
       });
     });
-    ASSERT_TRUE(cluster.world().RunUntil([&struck] { return struck; }, seconds(20)));
+    ASSERT_TRUE(cluster.world().RunUntil([&power_lost] { return power_lost; }, seconds(20)));
     cluster.world().RunFor(seconds(5));
     const std::string failure = cluster.HealAndConverge();
     ASSERT_EQ(failure, "") << "seed " << seed;
@@ -101,8 +101,8 @@
 // the leader is in. After the partition heals, the cluster continues and no entry is lost.
 TEST(EvenPartitionTest, NeitherHalfAcknowledgesAndNothingIsLost) {
   constexpr size_t kReplicas = 4;
-  const uint64_t first = EnvironmentNumber("POSTHATCH_FIRST_SEED", 1);
-  const uint64_t seeds = EnvironmentNumber("POSTHATCH_SEEDS", 30);
+  const uint64_t first = NumberFromEnvironment("POSTHATCH_FIRST_SEED", 1);
+  const uint64_t seeds = NumberFromEnvironment("POSTHATCH_SEEDS", 30);
   for (uint64_t seed = first; seed < first + seeds; ++seed) {
     RaftWorld cluster(seed, kReplicas);
     ASSERT_TRUE(cluster.RunUntilLeader()) << "seed " << seed;
@@ -141,7 +141,7 @@
   static bool FormsOneCluster(uint64_t seed) {
     RaftWorld* world = nullptr;
     runtime::Random random(seed);
-    std::vector<std::vector<runtime::MonotonicTime>> known_from(kControllers);
+    std::vector<std::vector<runtime::MonotonicTime>> discovered_at(kControllers);
     const auto adjust = [&](size_t node, ReplicaOptions* options) {
       std::vector<std::string> seeds;
       for (size_t i = 0; i < kSeeds; ++i) {
@@ -153,12 +153,12 @@
         const auto delay = i < kSeeds ? runtime::Duration::zero()
                                       : random.Between(std::chrono::milliseconds(50),
                                                        std::chrono::milliseconds(1600));
-        known_from[node].push_back(world->world().Now() + delay);
+        discovered_at[node].push_back(world->world().Now() + delay);
       }
-      options->peers = [&known_from, &world, node] {
+      options->peers = [&discovered_at, &world, node] {
         std::vector<std::string> endpoints;
         for (size_t i = 0; i < kControllers; ++i) {
-          if (world->world().Now() < known_from[node][i]) continue;
+          if (world->world().Now() < discovered_at[node][i]) continue;
           endpoints.push_back(world->nodes()[i].host->internal_endpoint());
         }
         return endpoints;
@@ -171,8 +171,8 @@
 };
 
 TEST_F(FirstStartTest, GradualDiscoveryFormsOneCluster) {
-  const uint64_t first = EnvironmentNumber("POSTHATCH_FIRST_SEED", 1);
-  const uint64_t seeds = 5 * EnvironmentNumber("POSTHATCH_SEEDS", 30);
+  const uint64_t first = NumberFromEnvironment("POSTHATCH_FIRST_SEED", 1);
+  const uint64_t seeds = 5 * NumberFromEnvironment("POSTHATCH_SEEDS", 30);
   std::vector<uint64_t> failed;
   for (uint64_t seed = first; seed < first + seeds; ++seed) {
     if (!FormsOneCluster(seed)) failed.push_back(seed);
--- a/src/posthatch/consensus/raft_world-test.h
+++ b/src/posthatch/consensus/raft_world-test.h
@@ -22,9 +22,9 @@
 namespace posthatch::consensus {
 
 // A state machine that keeps the list of commands; the result of a command is its position.
-class ListMachine : public StateMachine {
+class ListStateMachine : public StateMachine {
  public:
-  ListMachine(std::string replica, LogHistory* history)
+  ListStateMachine(std::string replica, LogHistory* history)
       : replica_(std::move(replica)), history_(history) {}
 
   std::string Apply(uint64_t, uint64_t, const std::string& command) override {
@@ -51,8 +51,8 @@
 struct Process {
   Process(runtime::Runtime* runtime, ReplicaOptions options, const std::string& name,
           LogHistory* history)
-      : machine(name, history), replica(runtime, std::move(options), &machine) {}
-  ListMachine machine;
+      : state_machine(name, history), replica(runtime, std::move(options), &state_machine) {}
+  ListStateMachine state_machine;
   RaftReplica replica;
 };
 
@@ -148,7 +148,7 @@
     process->replica.ReadBarrier([this, process, operation](const absl::Status& status) mutable {
       if (!status.ok()) return;
       operation.end_ns = NowNs();
-      operation.position = process->machine.commands().size();
+      operation.position = process->state_machine.commands().size();
       history_.AddOperation(std::move(operation));
     });
   }
@@ -177,7 +177,7 @@
 
   // Whether a majority of the current voters would still have their disks after the loss of one
   // more disk.
-  bool MayLoseADisk() {
+  bool ToleratesDiskLoss() {
     const int leader = Leader();
     if (leader < 0) return false;
     size_t voters = 0;
@@ -240,7 +240,7 @@
     if (!world_.RunUntil(equal, std::chrono::seconds(60))) return "replicas did not converge";
     return "";
   }
-  size_t Length(size_t i) const { return nodes_[i].process->machine.commands().size(); }
+  size_t Length(size_t i) const { return nodes_[i].process->state_machine.commands().size(); }
 
  private:
   bool HasDiskOf(uint64_t replica_id) const {
