--- a/src/posthatch/consensus/raft_core.cc
+++ b/src/posthatch/consensus/raft_core.cc
@@ -123,7 +123,8 @@
   }
   if (message.cluster_id() == 0) return false;
   if (!IsUnbootstrapped()) return message.cluster_id() == cluster_id();
-  // These messages come only from a cluster whose configuration contains this replica.
+  // Only a cluster whose configuration contains this replica sends it vote requests, appends and
+  // snapshot chunks.
   if (!message.has_vote_request() && !message.has_append_request() &&
       !message.has_snapshot_chunk()) {
     return false;
--- a/src/posthatch/storage/file_operations.h
+++ b/src/posthatch/storage/file_operations.h
@@ -6,8 +6,8 @@
 
 #include "posthatch/runtime/file_system.h"
 
-// Shorthands for the file operations of a batch, one for each kind that storage uses; what each
-// does is documented at runtime::FileOperation::Kind.
+// Factory functions for the kinds of file operations that storage uses; see
+// runtime::FileOperation::Kind for their semantics.
 namespace posthatch::storage {
 
 inline runtime::FileOperation AppendToFile(std::string path, std::string data) {
--- a/src/posthatch/storage/log_recovery-fuzz.cc
+++ b/src/posthatch/storage/log_recovery-fuzz.cc
@@ -1,5 +1,5 @@
-// Recovery over arbitrary file contents must end in a log or an error, and a recovered log must
-// have no gaps. The input is split into up to three segments and a snapshot's index and term.
+// Recovery of arbitrary file contents must return a log or an error, and a recovered log must have
+// no gaps. The input gives the contents of two segments and optionally a snapshot's index and term.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -15,7 +15,7 @@
 using posthatch::storage::RecordType;
 using posthatch::storage::SegmentFile;
 
-// Well-framed records whose types and payloads are the fuzzer's, so that replay is reached.
+// Frames the input as valid records with arbitrary types and payloads, so that it reaches replay.
 std::string Framed(uint64_t sequence, const std::string& bytes) {
   std::string contents = EncodeSegmentHeader(sequence);
   size_t at = 0;
--- a/src/posthatch/storage/log_recovery-test.cc
+++ b/src/posthatch/storage/log_recovery-test.cc
@@ -19,7 +19,7 @@
   return entry;
 }
 
-// Builds a segment batch by batch, as the writer does.
+// Builds a segment batch by batch, like LogWriter.
 class SegmentBuilder {
  public:
   explicit SegmentBuilder(uint64_t sequence) : contents_(EncodeSegmentHeader(sequence)) {
@@ -134,7 +134,7 @@
 }
 
 TEST(LogRecoveryTest, DamageInUnsyncedBatchIsTornTail) {
-  // The later record of a batch was written to disk, the earlier one was not.
+  // The later record of a batch reached the disk, a sector of the earlier one did not.
   SegmentBuilder segment(1);
   segment.Batch({NewEntry(1, 1)});
   const size_t begin = segment.contents().size();
--- a/src/posthatch/storage/log_recovery.cc
+++ b/src/posthatch/storage/log_recovery.cc
@@ -31,8 +31,8 @@
   return files;
 }
 
-// The newest snapshot. Older ones, kept until the newer is durable, are no fallback: the log behind
-// them may be gone.
+// Reads the newest snapshot. Older ones, which are kept until a newer one is durable, can't serve
+// as a fallback: the log entries after them may have been removed.
 absl::StatusOr<std::optional<Snapshot>> ReadNewestSnapshot(runtime::FileSystem* file_system,
                                                            const std::string& directory,
                                                            const std::vector<std::string>& names) {
@@ -50,13 +50,13 @@
   absl::StatusOr<Snapshot> snapshot = ParseSnapshot(*contents);
   if (!snapshot.ok()) return snapshot.status();
   if (snapshot->metadata.index() != newest) {
-    return absl::DataLossError("snapshot file holds another index than its name says");
+    return absl::DataLossError("index of the snapshot does not match its file name");
   }
   return std::optional<Snapshot>(*std::move(snapshot));
 }
 
-// Creates the directory and makes it durable, that is, its entry in its parent and so on up to the
-// root of the process's data.
+// Operations that create `directory` and make it durable by syncing each of its parents up to the
+// root of the process's data folder.
 std::vector<FileOperation> DirectoryCreation(const std::string& directory) {
   std::vector<FileOperation> operations{CreateDirectory(directory)};
   for (std::string path = directory; !path.empty();) {
@@ -67,8 +67,8 @@
   return operations;
 }
 
-// A killed process may have renamed a snapshot without syncing the directory, or left a temporary
-// file behind.
+// Adds operations that create and sync the directory and remove temporary files. A killed process
+// may have renamed a snapshot without syncing the directory, or left a temporary file.
 void AddDirectoryRepairs(const std::string& directory, const std::vector<std::string>& names,
                          std::vector<FileOperation>* repairs) {
   const std::vector<FileOperation> creation = DirectoryCreation(directory);
--- a/src/posthatch/storage/log_recovery.h
+++ b/src/posthatch/storage/log_recovery.h
@@ -15,9 +15,9 @@
   std::optional<Snapshot> snapshot;
 };
 
-// Reads a replica's data directory `directory` of `file_system` (blocking) and recovers log and
-// newest snapshot. A missing directory is an empty one. Errors: as for RecoverLog and
-// ParseSnapshot, and those of `file_system`.
+// Reads a replica's data directory `directory` (blocking) and recovers the log and the newest
+// snapshot. A missing directory is treated as empty. Errors: those of RecoverLog, ParseSnapshot and
+// `file_system`.
 absl::StatusOr<RecoveredDirectory> RecoverDirectory(runtime::FileSystem* file_system,
                                                     const std::string& directory);
 
--- a/src/posthatch/storage/log_replay.cc
+++ b/src/posthatch/storage/log_replay.cc
@@ -11,7 +11,8 @@
 namespace posthatch::storage {
 namespace {
 
-// Whether a segment may end in a torn record: only where the writer was when the process ended.
+// Position of a segment in the log. Only the last one may end in a torn record, since the writer
+// appends only to the last segment.
 enum class SegmentPosition { kClosed, kLast };
 
 template <typename Message>
@@ -22,7 +23,7 @@
   return absl::DataLossError("log record does not parse");
 }
 
-// Replays records in the order they were written: an entry replaces everything from its index on.
+// Replays records in the order of writing. An entry replaces all entries from its index on.
 class LogReplay {
  public:
   LogReplay(std::string directory, uint64_t snapshot_index)
@@ -45,11 +46,11 @@
   const absl::StatusOr<ParsedSegment> segment = ParseSegment(file.contents, file.sequence);
   if (!segment.ok()) return segment.status();
   if (segment->torn && position != SegmentPosition::kLast) {
-    return absl::DataLossError(absl::StrCat("log segment ", file.sequence, " is cut short"));
+    return absl::DataLossError(absl::StrCat("log segment ", file.sequence, " is truncated"));
   }
   const std::string path = SegmentPath(directory_, file.sequence);
   log_.next_sequence = file.sequence + 1;
-  if (segment->valid_bytes == 0) {  // not even its header was synced
+  if (segment->valid_bytes == 0) {  // the header was not synced
     log_.next_sequence = file.sequence;
     log_.repairs.push_back(RemoveFile(path));
     return absl::OkStatus();
@@ -88,13 +89,13 @@
   const uint64_t next = log_.base_index + log_.entries.size() + 1;
   if (entry.index() == 0) return absl::DataLossError("log entry with index 0");
   if (entry.index() > next || entry.index() <= log_.base_index) {
-    // Entries between were compacted away: allowed as far as the snapshot reaches.
+    // The entries in between were compacted, which is valid only up to the end of the snapshot.
     if (entry.index() > snapshot_index_ + 1) {
       return absl::DataLossError(absl::StrCat("gap in the log before entry ", entry.index()));
     }
     log_.entries.clear();
     log_.base_index = entry.index() - 1;
-    log_.base_term = 0;  // unknown: AlignWithSnapshot replaces it
+    log_.base_term = 0;  // unknown until AlignWithSnapshot sets it
   } else {
     log_.entries.resize(entry.index() - log_.base_index - 1);
   }
@@ -117,7 +118,7 @@
   log->base_term = snapshot.term();
 }
 
-// Aligns the log with the snapshot: entries that don't continue it are dropped.
+// Aligns the log with the snapshot: entries that don't continue the snapshot are discarded.
 absl::Status AlignWithSnapshot(RecoveredLog* log, const SnapshotMetadata& snapshot) {
   const uint64_t index = snapshot.index();
   const uint64_t last = log->base_index + log->entries.size();
@@ -131,7 +132,8 @@
   }
   const uint64_t term_in_log =
       index == log->base_index ? log->base_term : log->entries[index - log->base_index - 1].term();
-  // An unknown base term can only be that of the snapshot's own index, or stem from compaction.
+  // After compaction the base term is 0, that is, unknown; at the snapshot's index it can only be
+  // the snapshot's term.
   if (term_in_log != snapshot.term() && !(index == log->base_index && log->base_term == 0)) {
     ResetToSnapshot(log, snapshot);
     return absl::OkStatus();
@@ -139,7 +141,7 @@
   if (index == log->base_index) {
     log->base_term = snapshot.term();
   } else if (log->base_index > 0 && log->base_term == 0) {
-    // The first entry's predecessor has an unknown term: keep one entry as the base.
+    // The term before the first entry is unknown, so the first entry becomes the base.
     log->base_index = log->entries.front().index();
     log->base_term = log->entries.front().term();
     log->entries.erase(log->entries.begin());
@@ -165,7 +167,7 @@
   RecoveredLog& log = replay.log();
   log.repairs.push_back(SyncDirectory(directory));
   if (log.hard_state.replica_id() == 0 && (!log.entries.empty() || snapshot.has_value())) {
-    return absl::DataLossError("log or snapshot without the replica's identity");
+    return absl::DataLossError("log or snapshot exists without a replica id");
   }
   if (snapshot.has_value()) {
     if (absl::Status status = AlignWithSnapshot(&log, *snapshot); !status.ok()) return status;
--- a/src/posthatch/storage/log_replay.h
+++ b/src/posthatch/storage/log_replay.h
@@ -16,28 +16,28 @@
   std::string contents;
 };
 
-// A segment that stays on disk, as the writer needs to know it.
+// A recovered segment that stays on disk; input of LogWriter.
 struct SegmentInfo {
   uint64_t sequence = 0;
-  uint64_t max_index = 0;  // highest entry index in it; 0 for none
+  uint64_t max_index = 0;  // highest entry index in the segment; 0 if it has no entries
 };
 
 struct RecoveredLog {
-  HardState hard_state;  // replica_id 0: nothing was ever durable in this directory
-  // Entries from base_index + 1 on, without gaps.
+  HardState hard_state;  // replica_id 0: nothing in this directory was ever durable
+  // Entries from base_index + 1, without gaps.
   std::vector<LogEntry> entries;
   uint64_t base_index = 0;
   uint64_t base_term = 0;
   std::vector<SegmentInfo> segments;
   uint64_t next_sequence = 1;
-  // What must be done (and synced) before the directory is written to: cutting off a torn tail,
+  // Operations that must complete before the directory is written to: truncating a torn tail, and
   // syncing what a killed process wrote but did not sync.
   std::vector<runtime::FileOperation> repairs;
 };
 
-// Replays the segments (rising by sequence) in the order they were written and aligns the log with
-// the newest snapshot's metadata. Pure: reads no files. Errors: DataLoss (corruption, a missing
-// segment, a gap between snapshot and log), FailedPrecondition (unknown format version).
+// Replays the segments, which must be in ascending order of sequence, and aligns the log with the
+// metadata of the newest snapshot. Does no I/O. Errors: DataLoss (corruption, a missing segment, a
+// gap between snapshot and log), FailedPrecondition (unknown format version).
 absl::StatusOr<RecoveredLog> RecoverLog(const std::string& directory,
                                         const std::vector<SegmentFile>& files,
                                         const std::optional<SnapshotMetadata>& snapshot);
--- a/src/posthatch/storage/log_writer-test.cc
+++ b/src/posthatch/storage/log_writer-test.cc
@@ -52,7 +52,7 @@
     recovered_.hard_state.set_replica_id(7);
     writer_ = std::make_unique<LogWriter>(&files_, &clock_, &timers_, options_, recovered_);
   }
-  // Appends entry `index`; its status is stored in outcomes_.
+  // Appends entry `index` and stores the resulting status in outcomes_.
   void Append(uint64_t index) {
     writer_->Append(NewBatch(index),
                     [this, index](const absl::Status& status) { outcomes_[index] = status; });
@@ -140,7 +140,8 @@
       RecoverDirectory(&files_, options_.directory);
   ASSERT_TRUE(directory.ok()) << directory.status();
   EXPECT_EQ(directory->log.entries.back().index(), 20U);
-  EXPECT_EQ(directory->log.hard_state.replica_id(), 7U) << "repeated in each segment";
+  EXPECT_EQ(directory->log.hard_state.replica_id(), 7U)
+      << "the hard state is repeated in each segment";
 }
 
 }  // namespace
--- a/src/posthatch/storage/log_writer.cc
+++ b/src/posthatch/storage/log_writer.cc
@@ -26,7 +26,8 @@
 void LogWriter::Open(Done done) {
   writing_ = true;
   write_started_ = clock_->Now();
-  std::vector<FileOperation> operations = repairs_;  // all are idempotent
+  // Copied, since Open runs again if the disk is full; all operations are idempotent.
+  std::vector<FileOperation> operations = repairs_;
   file_system_->Submit(std::move(operations),
                        lifetime_.Guard([this, done = std::move(done)](const absl::Status& status) {
                          disk_full_ = absl::IsResourceExhausted(status);
@@ -75,7 +76,7 @@
   };
   if (synced_bytes_ == 0) {
     encoded_ = EncodeSegmentHeader(segments_.back().sequence);
-    // Repeated at the head of each segment, since the segments before it may be removed.
+    // Each segment repeats the hard state at its head, since earlier segments may be removed.
     append(RecordType::kHardState, hard_state_.SerializeAsString());
   }
   for (PendingBatch& pending : pending_) {
@@ -128,7 +129,7 @@
   if (sync_observer_) sync_observer_(clock_->Now() - write_started_);
   std::vector<Done> finished = std::move(in_flight_);
   in_flight_.clear();
-  // Start the next write first, so that the disk works while the completions run.
+  // The next write starts before the callbacks run, so that the disk is not idle meanwhile.
   WriteNext();
   for (Done& done : finished) done(absl::OkStatus());
 }
@@ -144,14 +145,14 @@
 
 void LogWriter::RemovePrefix(uint64_t index) {
   std::vector<FileOperation> operations;
-  // Each removal is made durable before the next, so that there is never a gap between segments.
+  // Each removal is made durable before the next one, so that no gap between segments can arise.
   while (segments_.size() > 1 && segments_.front().max_index <= index) {
     operations.push_back(RemoveFile(SegmentPath(options_.directory, segments_.front().sequence)));
     operations.push_back(SyncDirectory(options_.directory));
     segments_.erase(segments_.begin());
   }
   if (operations.empty()) return;
-  // A failed removal is harmless: the segment is replayed at the next start.
+  // Errors are ignored: a segment that was not removed is replayed at the next start.
   file_system_->Submit(std::move(operations), [](const absl::Status&) {});
 }
 
--- a/src/posthatch/storage/log_writer.h
+++ b/src/posthatch/storage/log_writer.h
@@ -16,29 +16,29 @@
 namespace posthatch::storage {
 
 struct LogWriterOptions {
-  std::string directory = "raft";     // below the process's data, holds segments and snapshots
-  uint64_t segment_bytes = 8u << 20;  // a new segment is started once one is this long
-  // From a write that failed because the disk was full to the next attempt.
+  std::string directory = "raft";  // relative to the data folder; contains segments and snapshots
+  uint64_t segment_bytes = 8u << 20;  // a new segment is started at this size
+  // Delay between a write that failed because the disk was full and the next attempt.
   runtime::Duration full_disk_retry_interval = std::chrono::milliseconds(250);
 };
 
-// What is made durable together. Written in this order: reset, entries, hard state.
+// Records that are made durable together, written in this order: reset, entries, hard state.
 struct LogBatch {
   std::optional<LogReset> reset;
   std::vector<LogEntry> entries;
   std::optional<HardState> hard_state;
 };
 
-// Appends to the segmented log with group commit: while one write is in flight, further batches are
-// queued and written by the next, with one sync for all. A full disk is no failure: the segment is
-// truncated to what was synced and the write is retried until it fits. Any other error ends the
-// writer: after a failed sync the content of the file is unknown. Owned by consensus::RaftReplica;
-// event loop thread only. Callbacks pending at destruction are not called.
+// Appends to the segmented log with group commit: while a write is in flight, further batches are
+// queued and written together by the next write, with one sync. If the disk is full, the segment is
+// truncated to its synced size and the write is retried until it succeeds. Any other error stops
+// the writer permanently, since after a failed sync the content of the file is unknown. Owned by
+// consensus::RaftReplica; event loop thread only. Callbacks pending at destruction are not called.
 class LogWriter {
  public:
-  // Called once the batch is durable, or with the error that ended the writer.
+  // Called with OK once the batch is durable, or with the error that stopped the writer.
   using Done = std::function<void(absl::Status)>;
-  // Called after each write with the time that it and its sync took.
+  // Called after each write with its duration, including the sync.
   using SyncObserver = std::function<void(runtime::Duration)>;
 
   // The pointers must outlive this object; `recovered` is what RecoverLog returned for the
@@ -49,15 +49,15 @@
   LogWriter& operator=(const LogWriter&) = delete;
 
   void SetSyncObserver(SyncObserver observer) { sync_observer_ = std::move(observer); }
-  // Runs recovery's repairs, then calls `done`. What was recovered counts as durable only then.
+  // Runs the repairs of recovery, then calls `done`. The recovered state is durable only then.
   void Open(Done done);
   void Append(LogBatch batch, Done done);
-  // Removes segments that hold only entries up to `index`, oldest first. The caller has made a
-  // snapshot durable that reaches at least this far.
+  // Removes the segments that contain only entries up to `index`, oldest first. A snapshot that
+  // covers at least `index` must be durable.
   void RemovePrefix(uint64_t index);
 
   bool disk_full() const { return disk_full_; }
-  // How long the write in flight has taken so far; zero if there is none.
+  // Time that the write in flight has taken so far; zero if there is none.
   runtime::Duration InFlightTime() const;
   uint64_t segment_count() const { return segments_.size(); }
 
@@ -79,18 +79,18 @@
   SyncObserver sync_observer_;
 
   std::vector<runtime::FileOperation> repairs_;
-  HardState hard_state_;  // newest written or pending: repeated at the head of each segment
-  std::vector<SegmentInfo> segments_;  // the last one is being written, if segment_open_
+  HardState hard_state_;  // newest written or pending state, repeated at the head of each segment
+  std::vector<SegmentInfo> segments_;  // the last one is appended to if segment_open_
   uint64_t next_sequence_;
   bool segment_open_ = false;
-  uint64_t synced_bytes_ = 0;  // of the segment being written
+  uint64_t synced_bytes_ = 0;  // synced size of the segment being written
   uint64_t encoded_max_index_ = 0;
 
   std::vector<PendingBatch> pending_;
   std::vector<Done> in_flight_;
-  std::string encoded_;  // bytes of the write in flight, kept for a retry
+  std::string encoded_;  // data of the write in flight, kept for retries
   bool writing_ = false;
-  bool write_attempted_ = false;  // the bytes in flight may already be in the file, in part
+  bool write_attempted_ = false;  // the file may already contain part of `encoded_`
   bool disk_full_ = false;
   absl::Status failure_;
   runtime::MonotonicTime write_started_;
--- a/src/posthatch/storage/record_format.cc
+++ b/src/posthatch/storage/record_format.cc
@@ -39,7 +39,7 @@
   uint32_t payload_crc;
 };
 
-// The record header at `offset`; nullopt if none with a correct checksum is there.
+// Returns the record header at `offset`; nullopt if there is none with a correct checksum.
 std::optional<RecordHeader> ReadRecordHeader(std::string_view contents, size_t offset) {
   if (contents.size() - offset < kRecordHeaderBytes) return std::nullopt;
   const std::string_view header = contents.substr(offset, kRecordHeaderBytes);
@@ -54,7 +54,7 @@
                       endian::load_little_u32(bytes + kPayloadCrcOffset)};
 }
 
-// Whether a record of a batch that began after `offset` follows it.
+// Whether `offset` is followed by a record whose batch begins after `offset`.
 bool LaterBatchFollows(std::string_view contents, size_t offset) {
   std::string marker(sizeof(kRecordMarker), '\0');
   endian::store_little_u32(Bytes(marker), kRecordMarker);
@@ -66,8 +66,8 @@
   return false;
 }
 
-// Whether the part of any sector in [begin, end) is all zero: what a file system leaves where it
-// has extended the file but not yet written the data.
+// Whether [begin, end) contains a sector, or part of one, that is all zero. A file system leaves
+// such sectors when it has extended the file but not yet written the data.
 bool HasUnwrittenSector(std::string_view contents, size_t begin, size_t end) {
   while (begin < end) {
     const size_t sector_end = std::min(end, (begin / kSectorBytes + 1) * kSectorBytes);
@@ -80,7 +80,7 @@
   return false;
 }
 
-// Whether the bad bytes in [offset, end) can come from an interrupted write.
+// Whether the damage in [offset, end) can result from an interrupted write.
 bool LooksTorn(std::string_view contents, size_t offset, size_t end) {
   if (LaterBatchFollows(contents, offset)) return false;
   return end > contents.size() || HasUnwrittenSector(contents, offset, end);
@@ -152,7 +152,7 @@
     return segment;
   }
   if (contents.size() < kSegmentHeaderBytes) {
-    return absl::DataLossError(absl::StrCat("log segment ", sequence, ": cut header"));
+    return absl::DataLossError(absl::StrCat("log segment ", sequence, ": truncated header"));
   }
   if (absl::Status status = CheckSegmentHeader(contents, sequence); !status.ok()) return status;
   size_t offset = kSegmentHeaderBytes;
--- a/src/posthatch/storage/record_format.h
+++ b/src/posthatch/storage/record_format.h
@@ -12,10 +12,10 @@
 // (marker, type, payload length, start of its batch, payload checksum, header checksum) and its
 // payload. All numbers are little-endian, all checksums CRC32C.
 //
-// A batch is what was written between two syncs. Each record holds the offset at which its batch
-// begins, so a damaged record that a record of a later batch follows is known to have been synced:
-// that is corruption. A damaged record that none follows may be a write that a power loss
-// interrupted (a torn tail).
+// A batch is the data written between two syncs. Each record contains the offset at which its batch
+// begins. A damaged record that is followed by a record of a later batch was synced, so it is
+// corruption. Without such a record, it may be a write that was interrupted by a power loss (a torn
+// tail).
 namespace posthatch::storage {
 
 inline constexpr uint32_t kFormatVersion = 1;
@@ -35,7 +35,7 @@
 
 struct ParsedRecord {
   RecordType type;
-  std::string_view payload;  // into the parsed contents
+  std::string_view payload;  // view into the parsed contents
 };
 
 struct ParsedSegment {
@@ -45,9 +45,9 @@
   bool torn = false;
 };
 
-// Reads one segment, which must have been written as number `sequence`. Errors: DataLoss
-// (corruption), FailedPrecondition (unknown format version). A torn tail is no error here: the
-// caller knows whether the segment may have one.
+// Parses one segment, whose header must contain `sequence`. Errors: DataLoss (corruption),
+// FailedPrecondition (unknown format version). A torn tail is not an error here: the caller decides
+// whether the segment may have one.
 absl::StatusOr<ParsedSegment> ParseSegment(std::string_view contents, uint64_t sequence);
 
 }  // namespace posthatch::storage
--- a/src/posthatch/storage/snapshot_file-fuzz.cc
+++ b/src/posthatch/storage/snapshot_file-fuzz.cc
@@ -1,6 +1,6 @@
-// Reading arbitrary bytes as a snapshot must end in an error or in a snapshot that encodes to an
-// equal one. Half of the inputs are taken as they are, the others as edits of a good snapshot whose
-// data is the input.
+// Parsing arbitrary bytes as a snapshot must return an error or a snapshot that survives encoding
+// and parsing. Half of the inputs are parsed as they are; the others become the data of a valid
+// snapshot, of which one byte is changed.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -20,7 +20,7 @@
   }
   const auto snapshot = posthatch::storage::ParseSnapshot(contents);
   if (!snapshot.ok()) return 0;
-  if (edited) std::abort();  // every changed byte must be noticed
+  if (edited) std::abort();  // every changed byte must be detected
   const auto again =
       posthatch::storage::ParseSnapshot(posthatch::storage::EncodeSnapshot(*snapshot));
   if (!again.ok() || again->data != snapshot->data) std::abort();
--- a/src/posthatch/storage/snapshot_file.cc
+++ b/src/posthatch/storage/snapshot_file.cc
@@ -39,7 +39,7 @@
 absl::StatusOr<Snapshot> ParseSnapshot(std::string_view contents) {
   if (contents.size() < kHeaderBytes ||
       contents.substr(0, kSnapshotMagic.size()) != kSnapshotMagic) {
-    return absl::DataLossError("snapshot: cut header or bad magic");
+    return absl::DataLossError("snapshot: truncated header or bad magic");
   }
   const auto* bytes = reinterpret_cast<const unsigned char*>(contents.data());
   if (endian::load_little_u32(bytes + kVersionOffset) != kFormatVersion) {
--- a/src/posthatch/storage/snapshot_file.h
+++ b/src/posthatch/storage/snapshot_file.h
@@ -8,15 +8,16 @@
 
 namespace posthatch::storage {
 
-// A snapshot of the state machine, on disk and when it is sent to a follower.
+// A snapshot of the state machine, as stored on disk and sent to followers.
 struct Snapshot {
   SnapshotMetadata metadata;
   std::string data;
 };
 
-// The snapshot's file form: magic, format version, lengths, checksums, metadata, data.
+// Encodes the contents of a snapshot file: magic, format version, lengths, checksums, metadata,
+// data.
 std::string EncodeSnapshot(const Snapshot& snapshot);
-// Errors: DataLoss (anything damaged or missing), FailedPrecondition (unknown format version).
+// Errors: DataLoss (damaged or truncated), FailedPrecondition (unknown format version).
 absl::StatusOr<Snapshot> ParseSnapshot(std::string_view contents);
 
 }  // namespace posthatch::storage
--- a/src/posthatch/storage/snapshot_writer.cc
+++ b/src/posthatch/storage/snapshot_writer.cc
@@ -11,7 +11,7 @@
 
 using runtime::FileOperation;
 
-// Short enough that a log write that waits behind a chunk is not delayed for long.
+// Small enough that a log write queued behind a chunk is not delayed for long.
 constexpr size_t kChunkBytes = 1u << 20;
 
 }  // namespace
@@ -61,8 +61,8 @@
   done(std::move(status));
 }
 
-// The previous snapshot, or what was written of a failed one. A file that can't be removed does no
-// harm: recovery reads the newest snapshot and removes temporary files.
+// Removes the previous snapshot or, after a failure, the temporary file. Errors are ignored:
+// recovery reads only the newest snapshot and removes temporary files.
 void SnapshotWriter::RemoveObsoleteFile(bool written) {
   std::string path;
   if (!written) {
--- a/src/posthatch/storage/snapshot_writer.h
+++ b/src/posthatch/storage/snapshot_writer.h
@@ -11,9 +11,9 @@
 
 namespace posthatch::storage {
 
-// Writes snapshots: to a temporary file in chunks (so that log writes get in between), synced,
-// renamed, directory synced. One at a time. Event loop thread only. If it is destroyed during a
-// write, `done` is not called.
+// Writes snapshots atomically, one at a time: writes a temporary file in chunks (so that log writes
+// can be interleaved), syncs it, renames it and syncs the directory. Event loop thread only. `done`
+// is not called if the writer is destroyed during a write.
 class SnapshotWriter {
  public:
   using Done = std::function<void(absl::Status)>;
@@ -24,11 +24,11 @@
   SnapshotWriter& operator=(const SnapshotWriter&) = delete;
 
   bool busy() const { return busy_; }
-  // Calls `done` when the snapshot is durable under its final name; the one written before is then
-  // removed. Errors leave the previous snapshot as it was: ResourceExhausted (disk full: may be
+  // Calls `done` when the snapshot is durable under its final name; the previous one is then
+  // removed. Errors leave the previous snapshot unchanged: ResourceExhausted (disk full: may be
   // retried), Internal. Must not be called while busy().
   void Write(const Snapshot& snapshot, Done done);
-  // Index of the snapshot that recovery found (0 for none), to be removed after the next write.
+  // Sets the index of the recovered snapshot (0 for none), which the next write replaces.
   void SetPrevious(uint64_t index) { previous_index_ = index; }
 
  private:
--- a/src/posthatch/storage/steered_file_system-test.h
+++ b/src/posthatch/storage/steered_file_system-test.h
@@ -10,7 +10,7 @@
 
 namespace posthatch::storage {
 
-// A file system in memory whose batches complete only when the test lets them.
+// An in-memory file system whose batches complete only when the test calls FinishOne or FinishAll.
 class SteeredFileSystem : public runtime::FileSystem {
  public:
   void Submit(std::vector<runtime::FileOperation> operations, Done done) override {
@@ -26,7 +26,8 @@
     return names;
   }
 
-  // Runs the oldest batch, or with an error only its first `operations_done` operations.
+  // Completes the oldest batch with `status`, after running at most its first `operations_done`
+  // operations.
   void FinishOne(const absl::Status& status = absl::OkStatus(), size_t operations_done = 99) {
     auto [operations, done] = std::move(batches.front());
     batches.pop_front();
