--- a/src/posthatch/storage/log_recovery-fuzz.cc
+++ b/src/posthatch/storage/log_recovery-fuzz.cc
@@ -16,14 +16,14 @@
 using posthatch::storage::SegmentFile;
 
 // Frames the input as valid records with arbitrary types and payloads, so that it reaches replay.
-std::string Framed(uint64_t sequence, const std::string& bytes) {
+std::string FrameRecords(uint64_t sequence, const std::string& bytes) {
   std::string contents = EncodeSegmentHeader(sequence);
-  size_t at = 0;
-  while (at + 2 <= bytes.size()) {
-    const auto type = static_cast<RecordType>(static_cast<uint8_t>(bytes[at]) % 4);
-    const size_t length = static_cast<uint8_t>(bytes[at + 1]) % 64;
-    AppendRecord(type, bytes.substr(at + 2, length), contents.size(), &contents);
-    at += 2 + length;
+  size_t offset = 0;
+  while (offset + 2 <= bytes.size()) {
+    const auto type = static_cast<RecordType>(static_cast<uint8_t>(bytes[offset]) % 4);
+    const size_t length = static_cast<uint8_t>(bytes[offset + 1]) % 64;
+    AppendRecord(type, bytes.substr(offset + 2, length), contents.size(), &contents);
+    offset += 2 + length;
   }
   return contents;
 }
@@ -39,13 +39,13 @@
     snapshot->set_index(data[1]);
     snapshot->set_term(data[2]);
   }
-  const size_t cut = bytes.size() * data[3] / 256;
+  const size_t split = bytes.size() * data[3] / 256;
   const bool framed = data[0] % 4 < 2;
   std::vector<SegmentFile> files;
-  const std::string parts[] = {bytes.substr(0, cut), bytes.substr(cut)};
+  const std::string parts[] = {bytes.substr(0, split), bytes.substr(split)};
   for (uint64_t sequence = 1; sequence <= 2; ++sequence) {
     const std::string& part = parts[sequence - 1];
-    files.push_back({sequence, framed ? Framed(sequence, part) : part});
+    files.push_back({sequence, framed ? FrameRecords(sequence, part) : part});
   }
   const auto log = posthatch::storage::RecoverLog("raft", files, snapshot);
   if (!log.ok()) return 0;
--- a/src/posthatch/storage/log_recovery-test.cc
+++ b/src/posthatch/storage/log_recovery-test.cc
@@ -156,8 +156,8 @@
   SegmentBuilder third(3);
   third.Batch({NewEntry(3, 1)});
   EXPECT_TRUE(Recover({first.contents(), second.contents(), third.contents()}).ok());
-  const std::string cut = second.contents().substr(0, second.contents().size() - 3);
-  EXPECT_TRUE(absl::IsDataLoss(Recover({first.contents(), cut, third.contents()}).status()));
+  const std::string truncated = second.contents().substr(0, second.contents().size() - 3);
+  EXPECT_TRUE(absl::IsDataLoss(Recover({first.contents(), truncated, third.contents()}).status()));
   EXPECT_TRUE(absl::IsDataLoss(
       RecoverLog("raft", {{1, first.contents()}, {3, third.contents()}}, {}).status()));
   EXPECT_TRUE(absl::IsDataLoss(Recover({second.contents()}, {}, 2).status()))
--- a/src/posthatch/storage/log_writer-test.cc
+++ b/src/posthatch/storage/log_writer-test.cc
@@ -26,7 +26,7 @@
   int64_t WallNanoseconds() const override { return 0; }
 };
 
-class SteeredTimers : public runtime::TimerService {
+class ManualTimers : public runtime::TimerService {
  public:
   runtime::TimerId Schedule(runtime::Duration, std::function<void()> callback) override {
     callbacks.push_back(std::move(callback));
@@ -65,7 +65,7 @@
 
   SteeredFileSystem files_;
   FixedClock clock_;
-  SteeredTimers timers_;
+  ManualTimers timers_;
   LogWriterOptions options_;
   RecoveredLog recovered_;
   std::unique_ptr<LogWriter> writer_;
--- a/src/posthatch/storage/record_format.cc
+++ b/src/posthatch/storage/record_format.cc
@@ -23,7 +23,7 @@
 // Offsets of the record header's fields.
 constexpr size_t kTypeOffset = 4;
 constexpr size_t kLengthOffset = 8;
-constexpr size_t kBatchOffset = 12;
+constexpr size_t kBatchStartOffset = 12;
 constexpr size_t kPayloadCrcOffset = 20;
 constexpr size_t kHeaderCrcOffset = 24;
 
@@ -50,7 +50,7 @@
     return std::nullopt;
   }
   return RecordHeader{bytes[kTypeOffset], endian::load_little_u32(bytes + kLengthOffset),
-                      endian::load_little_u64(bytes + kBatchOffset),
+                      endian::load_little_u64(bytes + kBatchStartOffset),
                       endian::load_little_u32(bytes + kPayloadCrcOffset)};
 }
 
@@ -58,9 +58,10 @@
 bool LaterBatchFollows(std::string_view contents, size_t offset) {
   std::string marker(sizeof(kRecordMarker), '\0');
   endian::store_little_u32(Bytes(marker), kRecordMarker);
-  for (size_t at = contents.find(marker, offset + 1); at != std::string_view::npos;
-       at = contents.find(marker, at + 1)) {
-    const std::optional<RecordHeader> header = ReadRecordHeader(contents, at);
+  for (size_t marker_offset = contents.find(marker, offset + 1);
+       marker_offset != std::string_view::npos;
+       marker_offset = contents.find(marker, marker_offset + 1)) {
+    const std::optional<RecordHeader> header = ReadRecordHeader(contents, marker_offset);
     if (header.has_value() && header->batch_start > offset) return true;
   }
   return false;
@@ -137,7 +138,7 @@
   endian::store_little_u32(bytes, kRecordMarker);
   bytes[kTypeOffset] = static_cast<uint8_t>(type);
   endian::store_little_u32(bytes + kLengthOffset, static_cast<uint32_t>(payload.size()));
-  endian::store_little_u64(bytes + kBatchOffset, batch_start);
+  endian::store_little_u64(bytes + kBatchStartOffset, batch_start);
   endian::store_little_u32(bytes + kPayloadCrcOffset, Crc32c(payload));
   endian::store_little_u32(bytes + kHeaderCrcOffset,
                            Crc32c(std::string_view{header}.substr(0, kHeaderCrcOffset)));
@@ -158,10 +159,11 @@
   size_t offset = kSegmentHeaderBytes;
   while (offset < contents.size()) {
     const std::optional<RecordHeader> header = ReadRecordHeader(contents, offset);
-    const size_t payload_at = offset + kRecordHeaderBytes;
-    const size_t end = payload_at + (header.has_value() ? header->length : 0);
-    const bool intact = header.has_value() && end <= contents.size() &&
-                        Crc32c(contents.substr(payload_at, header->length)) == header->payload_crc;
+    const size_t payload_offset = offset + kRecordHeaderBytes;
+    const size_t end = payload_offset + (header.has_value() ? header->length : 0);
+    const bool intact =
+        header.has_value() && end <= contents.size() &&
+        Crc32c(contents.substr(payload_offset, header->length)) == header->payload_crc;
     if (!intact) {
       if (!LooksTorn(contents, offset, end)) {
         return absl::DataLossError(
@@ -171,7 +173,7 @@
       break;
     }
     segment.records.push_back(
-        {static_cast<RecordType>(header->type), contents.substr(payload_at, header->length)});
+        {static_cast<RecordType>(header->type), contents.substr(payload_offset, header->length)});
     offset = end;
   }
   segment.valid_bytes = offset;
