--- a/src/posthatch/consensus/log_history-test.h
+++ b/src/posthatch/consensus/log_history-test.h
@@ -93,8 +93,8 @@
       const auto found = commands_.find(operation.command);
       const bool took_effect = !operation.is_read && found != commands_.end();
       if (operation.end_ns.has_value() || !took_effect) continue;
-      // An append without a result that is in the log must begin before any operation that observed
-      // it ends.
+      // An append without a result that is in the log must have begun before the end of any
+      // operation that observed it.
       Operation effective = operation;
       effective.position = found->second;
       finished.push_back(effective);
--- a/src/posthatch/consensus/raft_election.cc
+++ b/src/posthatch/consensus/raft_election.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-// The leader lease is shorter than the shortest election timeout by one part in this many, since
+// The leader lease is the shortest election timeout reduced by 1/kClockRateMarginDivisor, since
 // clocks may run at different rates.
-constexpr int kClockRateMargin = 10;
+constexpr int kClockRateMarginDivisor = 10;
 
 }  // namespace
 
@@ -66,7 +66,7 @@
 bool RaftCore::HasQuorum(MonotonicTime now) const {
   if (!IsLeader()) return false;
   const MonotonicTime since =
-      now - options_.election_timeout_min + options_.election_timeout_min / kClockRateMargin;
+      now - options_.election_timeout_min + options_.election_timeout_min / kClockRateMarginDivisor;
   return MajorityHas(configuration(), [this, since](uint64_t id) {
     if (id == replica_id()) return true;
     const auto found = progress_.find(id);
--- a/src/posthatch/consensus/snapshot_manager.h
+++ b/src/posthatch/consensus/snapshot_manager.h
@@ -65,7 +65,7 @@
   runtime::Timer install_retry_timer_;
   bool stopped_ = false;
   uint64_t snapshot_index_;
-  uint64_t applied_bytes_ = 0;  // since the newest snapshot
+  uint64_t applied_bytes_ = 0;  // bytes applied since the newest snapshot
   runtime::MonotonicTime next_attempt_at_;
   std::shared_ptr<const storage::Snapshot> installing_;
 };
--- a/src/posthatch/storage/log_writer.h
+++ b/src/posthatch/storage/log_writer.h
@@ -17,7 +17,7 @@
 
 struct LogWriterOptions {
   std::string directory = "raft";  // relative to the data folder; contains segments and snapshots
-  uint64_t segment_bytes = 8u << 20;  // a new segment is started at this size
+  uint64_t segment_bytes = 8u << 20;  // size from which a new segment is started
   // Delay between a write that failed because the disk was full and the next attempt.
   runtime::Duration full_disk_retry_interval = std::chrono::milliseconds(250);
 };
