--- a/src/posthatch/consensus/bootstrap-test.cc
+++ b/src/posthatch/consensus/bootstrap-test.cc
@@ -25,7 +25,7 @@
                                return std::vector<std::string>{"host10", "host20", "host30"};
                              }}) {}
 
-  // Restarts with only these allowed to form a cluster.
+  // Recreates Bootstrap so that only `bootstrap_voters` may form a cluster.
   void SetBootstrapVoters(const std::vector<std::string>& bootstrap_voters) {
     bootstrap_.emplace(&core_, &random_,
                        BootstrapOptions{.expect = 3,
@@ -49,12 +49,12 @@
     message.set_from_boot_count(1);
     message.mutable_hello()->set_is_response(true);
     message.mutable_hello()->set_unbootstrapped(true);
-    for (uint64_t seen : unbootstrapped_peers)
-      message.mutable_hello()->add_unbootstrapped_peers(seen);
+    for (uint64_t peer_id : unbootstrapped_peers)
+      message.mutable_hello()->add_unbootstrapped_peers(peer_id);
     return message;
   }
 
-  // Lets the replica tick for two seconds and receive `messages` repeatedly.
+  // Runs the replica for two seconds; it receives `messages` every 100 ms.
   void Run(const std::vector<RaftMessage>& messages) {
     for (int i = 0; i < 20; ++i) {
       now_ += milliseconds(100);
@@ -118,10 +118,10 @@
   EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
-TEST_F(BootstrapTest, IgnoresPreviousIdentityOfLostDisk) {
-  RaftMessage second_identity = HelloFrom(21, {10});
-  second_identity.set_from_endpoint("host20");
-  Run({HelloFrom(20, {10, 21}), second_identity});
+TEST_F(BootstrapTest, IgnoresFormerReplicaIdAtEndpoint) {
+  RaftMessage second_replica = HelloFrom(21, {10});
+  second_replica.set_from_endpoint("host20");
+  Run({HelloFrom(20, {10, 21}), second_replica});
   EXPECT_TRUE(core_.IsUnbootstrapped());
 }
 
--- a/src/posthatch/consensus/consensus-bench.cc
+++ b/src/posthatch/consensus/consensus-bench.cc
@@ -1,6 +1,7 @@
-// Prints commits a second and commit latency of 3 and 5 replicas on loopback with real syncs,
-// beside the bare sync rate of the same disk, and how long writes stop when the leader is killed. A
-// "kill" destroys the replica without notifying the others; it restarts from its data directory.
+// Prints commits per second and commit latency of 3 and 5 replicas on loopback with real syncs, the
+// plain sync rate of the same disk for comparison, and how long writes are interrupted when the
+// leader is killed. A "kill" destroys the replica without notifying the others; it restarts from
+// its data directory.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -33,7 +34,7 @@
   int command_bytes = 256;
 };
 
-class CountingMachine : public StateMachine {
+class CountingStateMachine : public StateMachine {
  public:
   std::string Apply(uint64_t, uint64_t, const std::string&) override {
     ++count_;
@@ -49,7 +50,7 @@
   uint64_t count_ = 0;
 };
 
-// One controller: its runtime on a thread of its own, and the replica, which runs on that thread.
+// A controller: a runtime with its own thread, and the replica that runs on that thread.
 class Controller {
  public:
   Controller(const std::string& folder, size_t number) {
@@ -72,8 +73,8 @@
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  // Runs `action` on the event loop thread and waits for it.
-  void OnLoop(const std::function<void()>& action) {
+  // Runs `action` on the event loop thread and waits until it returns.
+  void RunOnLoop(const std::function<void()>& action) {
     std::promise<void> done;
     runtime_->Post([&action, &done] {
       action();
@@ -86,51 +87,54 @@
   RaftReplica* replica() { return replica_.get(); }
 
   void Start(const std::vector<std::string>& peers) {
-    OnLoop([this, &peers] {
-      machine_ = std::make_unique<CountingMachine>();
+    RunOnLoop([this, &peers] {
+      state_machine_ = std::make_unique<CountingStateMachine>();
       ReplicaOptions options;
       options.bootstrap_expect = peers.size();
       options.raft.target_voters = peers.size();
       options.peers = [peers] { return peers; };
-      replica_ = std::make_unique<RaftReplica>(runtime(), options, machine_.get());
+      replica_ = std::make_unique<RaftReplica>(runtime(), options, state_machine_.get());
       const absl::Status started = replica_->Start();
       if (!started.ok()) fmt::print(stderr, "start: {}\n", started.ToString());
     });
   }
   void Kill() {
-    OnLoop([this] {
+    RunOnLoop([this] {
       replica_.reset();
-      machine_.reset();
+      state_machine_.reset();
     });
   }
-  bool Leads() {
-    bool leads = false;
-    OnLoop([this, &leads] { leads = replica_ != nullptr && replica_->IsLeader(); });
-    return leads;
+  bool IsLeader() {
+    bool is_leader = false;
+    RunOnLoop([this, &is_leader] { is_leader = replica_ != nullptr && replica_->IsLeader(); });
+    return is_leader;
   }
 
  private:
   std::unique_ptr<net::AsioRuntime> runtime_;
-  std::unique_ptr<CountingMachine> machine_;
+  std::unique_ptr<CountingStateMachine> state_machine_;
   std::unique_ptr<RaftReplica> replica_;
   std::thread thread_;
 };
 
-void PrintLatencies(const std::string& what, std::vector<double> milliseconds, double seconds) {
-  if (milliseconds.empty()) return fmt::print("{:<36} nothing done\n", what);
+void PrintLatencies(const std::string& label, std::vector<double> milliseconds, double seconds) {
+  if (milliseconds.empty()) return fmt::print("{:<36} no samples\n", label);
   std::sort(milliseconds.begin(), milliseconds.end());
-  const auto at = [&milliseconds](double share) {
-    return milliseconds[static_cast<size_t>(share * static_cast<double>(milliseconds.size() - 1))];
+  const auto percentile = [&milliseconds](double fraction) {
+    return milliseconds[static_cast<size_t>(fraction *
+                                            static_cast<double>(milliseconds.size() - 1))];
   };
-  fmt::print("{:<36} {:>9.0f}/s  p50 {:>8.2f} ms  p95 {:>8.2f} ms  p99 {:>8.2f} ms\n", what,
-             static_cast<double>(milliseconds.size()) / seconds, at(0.5), at(0.95), at(0.99));
+  fmt::print("{:<36} {:>9.0f}/s  p50 {:>8.2f} ms  p95 {:>8.2f} ms  p99 {:>8.2f} ms\n", label,
+             static_cast<double>(milliseconds.size()) / seconds, percentile(0.5), percentile(0.95),
+             percentile(0.99));
 }
 
 double MillisecondsSince(steady_clock::time_point start) {
   return std::chrono::duration<double, std::milli>(steady_clock::now() - start).count();
 }
 
-// Runs `clients` closed loops that call `call` for `seconds`, on the controller's event loop.
+// Runs closed-loop clients that repeat `call` on the controller's event loop. Run returns the
+// latencies of accepted calls in milliseconds.
 class ClosedLoop {
  public:
   using Done = std::function<void(bool accepted)>;
@@ -138,12 +142,12 @@
       : controller_(controller), call_(std::move(call)) {}
 
   std::vector<double> Run(int clients, double seconds) {
-    controller_->OnLoop([this, clients] {
+    controller_->RunOnLoop([this, clients] {
       for (int i = 0; i < clients; ++i) Next();
     });
     std::this_thread::sleep_for(std::chrono::duration<double>(seconds));
     std::vector<double> milliseconds;
-    controller_->OnLoop([this, &milliseconds] {
+    controller_->RunOnLoop([this, &milliseconds] {
       stopped_ = true;
       milliseconds = milliseconds_;
     });
@@ -175,7 +179,7 @@
   std::atomic<int> running_{0};
 };
 
-void MeasureBareSync(const Settings& settings) {
+void MeasureSync(const Settings& settings) {
   Controller controller(settings.folder + "/sync", 0);
   const std::string data(static_cast<size_t>(settings.command_bytes), 'x');
   ClosedLoop loop(&controller, [&controller, data](ClosedLoop::Done done) {
@@ -184,7 +188,8 @@
         {{Kind::kAppend, "file", data, "", 0}, {Kind::kSync, "file", "", "", 0}},
         [done = std::move(done)](const absl::Status& status) { done(status.ok()); });
   });
-  PrintLatencies("bare append and sync", loop.Run(1, settings.seconds), settings.seconds);
+  PrintLatencies("append and sync without consensus", loop.Run(1, settings.seconds),
+                 settings.seconds);
 }
 
 class Cluster {
@@ -199,7 +204,7 @@
   Controller* WaitForLeader() {
     while (true) {
       for (auto& controller : controllers_) {
-        if (controller->Leads()) return controller.get();
+        if (controller->IsLeader()) return controller.get();
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(2));
     }
@@ -209,7 +214,7 @@
   bool Write(Controller* controller) {
     auto outcome = std::make_shared<std::promise<bool>>();
     std::future<bool> accepted = outcome->get_future();
-    controller->OnLoop([controller, outcome] {
+    controller->RunOnLoop([controller, outcome] {
       if (controller->replica() == nullptr) return outcome->set_value(false);
       controller->replica()->Propose("x", [outcome](const absl::StatusOr<std::string>& result) {
         outcome->set_value(result.ok());
@@ -262,13 +267,14 @@
 int main(int argc, char** argv) {
   posthatch::consensus::Settings settings;
   CLI::App app("Commit rate and failover time of the replicated log with real syncs");
-  app.add_option("--folder", settings.folder, "Where to write; removed afterwards");
-  app.add_option("--seconds", settings.seconds, "Length of each measurement");
-  app.add_option("--kills", settings.kills, "Leaders to kill, for 3 and for 5 replicas");
-  app.add_option("--command-bytes", settings.command_bytes, "Bytes of each command");
+  app.add_option("--folder", settings.folder, "Data folder; removed at the end");
+  app.add_option("--seconds", settings.seconds, "Duration of each measurement in seconds");
+  app.add_option("--kills", settings.kills,
+                 "Number of leaders to kill, with 3 and with 5 replicas each");
+  app.add_option("--command-bytes", settings.command_bytes, "Size of each command in bytes");
   CLI11_PARSE(app, argc, argv);
   std::filesystem::create_directories(settings.folder);
-  posthatch::consensus::MeasureBareSync(settings);
+  posthatch::consensus::MeasureSync(settings);
   for (size_t size : {3, 5}) posthatch::consensus::MeasureCommits(settings, size);
   for (size_t size : {3, 5}) posthatch::consensus::MeasureFailover(settings, size);
   std::filesystem::remove_all(settings.folder);
--- a/src/posthatch/consensus/core_harness-test.h
+++ b/src/posthatch/consensus/core_harness-test.h
@@ -14,16 +14,16 @@
 
 namespace posthatch::consensus {
 
-// RaftCores with message passing and disks that the test controls, in virtual time.
+// Runs RaftCores in virtual time, with message delivery and disks controlled by the test.
 class CoreHarness {
  public:
   struct Node {
     std::unique_ptr<RaftCore> core;
     bool up = true;
     bool disk_blocked = false;
-    std::deque<Ready> unsynced;  // in order
+    std::deque<Ready> unsynced;  // batches handed to the disk and not yet synced, oldest first
     storage::HardState hard_state;
-    std::vector<storage::LogEntry> entries;  // durable
+    std::vector<storage::LogEntry> entries;  // durable entries
     std::vector<storage::LogEntry> applied;
     std::vector<uint64_t> reads;
   };
@@ -54,9 +54,9 @@
     return member;
   }
 
-  void AddFresh(uint64_t id) { Boot(id); }
+  void AddUnbootstrapped(uint64_t id) { Boot(id); }
 
-  // Starts node `id` from what is durable on its disk.
+  // Starts node `id` from its durable state.
   void Boot(uint64_t id) {
     Node& node = nodes_[id];
     node.hard_state.set_replica_id(id);
@@ -96,12 +96,12 @@
     }
   }
 
-  // Delivers messages and completes syncs until nothing is left to do; no time passes.
+  // Delivers messages and completes syncs until no work is left, without advancing the clock.
   void RunUntilQuiescent() {
-    bool moved = true;
-    while (moved) {
-      moved = false;
-      for (auto& [id, node] : nodes_) moved = Drive(id, &node) || moved;
+    bool progressed = true;
+    while (progressed) {
+      progressed = false;
+      for (auto& [id, node] : nodes_) progressed = Drive(id, &node) || progressed;
     }
   }
 
@@ -121,7 +121,7 @@
     return Leader();
   }
 
-  // The ids of the two nodes other than `leader` in a cluster of three.
+  // Ids of the two nodes other than `leader` in a cluster of three.
   static std::pair<uint64_t, uint64_t> Others(uint64_t leader) {
     return {leader == 1 ? 2 : 1, leader == 3 ? 2 : 3};
   }
@@ -129,9 +129,9 @@
  private:
   bool Drive(uint64_t id, Node* node) {
     if (!node->up) return false;
-    bool moved = false;
+    bool progressed = false;
     while (node->core->HasReady(now_)) {
-      moved = true;
+      progressed = true;
       Ready ready = node->core->TakeReady(now_);
       for (OutgoingMessage& out : ready.messages) Deliver(id, std::move(out.message));
       node->applied.insert(node->applied.end(), ready.committed.begin(), ready.committed.end());
@@ -139,7 +139,7 @@
       if (ready.persist_id != 0) node->unsynced.push_back(std::move(ready));
     }
     while (!node->disk_blocked && !node->unsynced.empty()) {
-      moved = true;
+      progressed = true;
       const Ready ready = std::move(node->unsynced.front());
       node->unsynced.pop_front();
       if (ready.hard_state.has_value()) node->hard_state = *ready.hard_state;
@@ -150,12 +150,12 @@
       node->core->OnPersisted(ready.persist_id, now_);
     }
     while (!inbox_[id].empty()) {
-      moved = true;
+      progressed = true;
       const RaftMessage message = std::move(inbox_[id].front());
       inbox_[id].pop_front();
       node->core->Step(message, now_);
     }
-    return moved;
+    return progressed;
   }
 
   void Deliver(uint64_t from, RaftMessage message) {
--- a/src/posthatch/consensus/leadership_transfer.cc
+++ b/src/posthatch/consensus/leadership_transfer.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr runtime::Duration kSlowDiskTransferInterval = std::chrono::seconds(10);
-constexpr uint64_t kAnySyncTime = std::numeric_limits<uint64_t>::max();
+constexpr uint64_t kNoSyncLimit = std::numeric_limits<uint64_t>::max();
 
 }  // namespace
 
@@ -18,7 +18,7 @@
     return false;
   }
   if (done_) {
-    done(absl::FailedPreconditionError("already handing over"));
+    done(absl::FailedPreconditionError("leadership transfer already pending"));
     return false;
   }
   done_ = std::move(done);
@@ -32,18 +32,19 @@
   const bool another_leads = !core_->IsLeader() && core_->leader_id() != 0;
   if (!another_leads && Now() < deadline_) {
     if (core_->IsLeader() && !core_->IsTransferring()) {
-      core_->TransferLeadership(kAnySyncTime, Now());
+      core_->TransferLeadership(kNoSyncLimit, Now());
     }
     return;
   }
   ReplicatedLog::ReadDone done = std::exchange(done_, nullptr);
-  done(another_leads ? absl::OkStatus() : absl::DeadlineExceededError("no other replica leads"));
+  done(another_leads ? absl::OkStatus()
+                     : absl::DeadlineExceededError("no other replica became leader in time"));
 }
 
-void LeadershipTransfer::LeaveSlowDisk(uint64_t sync_p95_us) {
+void LeadershipTransfer::TransferFromSlowDisk(uint64_t sync_p95_us) {
   const runtime::MonotonicTime now = Now();
   if (now < next_slow_disk_transfer_at_) return;
-  // Only to a faster disk, or leadership would move back and forth between slow ones.
+  // Requires a faster disk, or leadership would move back and forth between slow ones.
   if (!core_->TransferLeadership(sync_p95_us / 2, now)) return;
   next_slow_disk_transfer_at_ = now + kSlowDiskTransferInterval;
   runtime_->trace->Event(runtime::Severity::kWarning, "LeadershipTransferForSlowDisk",
--- a/src/posthatch/consensus/raft_membership-test.cc
+++ b/src/posthatch/consensus/raft_membership-test.cc
@@ -26,7 +26,7 @@
   CoreHarness cluster(3, options);
   const uint64_t leader = cluster.RunUntilLeader();
   const auto [alive, dead] = CoreHarness::Others(leader);
-  cluster.AddFresh(9);
+  cluster.AddUnbootstrapped(9);
   cluster.node(9).disk_blocked = true;
   RequestJoin(cluster, leader, 9);
   cluster.node(dead).up = false;
@@ -47,7 +47,7 @@
   CoreHarness cluster(3, options);
   const uint64_t leader = cluster.RunUntilLeader();
   const auto [alive, dead] = CoreHarness::Others(leader);
-  cluster.AddFresh(9);
+  cluster.AddUnbootstrapped(9);
   RequestJoin(cluster, leader, 9);
   cluster.node(dead).up = false;
   cluster.Run(seconds(20));
@@ -63,7 +63,7 @@
     before = after;
     ++changes;
   }
-  EXPECT_EQ(changes, 4U) << "first, learner, promotion, removal";
+  EXPECT_EQ(changes, 4U) << "initial configuration, learner, promotion, removal";
 }
 
 TEST(RaftMembershipTest, NewestEndpointWinsAndIsCommitted) {
@@ -82,11 +82,11 @@
 }
 
 TEST(RaftMembershipTest, ReplicaSupersededAtItsEndpointIsReplacedQuickly) {
-  CoreHarness cluster(3);  // with the default of 30 s for unresponsive voters
+  CoreHarness cluster(3);  // unresponsive voters are replaced after the default of 30 s
   const uint64_t leader = cluster.RunUntilLeader();
   const uint64_t lost = CoreHarness::Others(leader).first;
   cluster.node(lost).up = false;
-  cluster.AddFresh(9);
+  cluster.AddUnbootstrapped(9);
   RaftMessage message = cluster.core(9).NewMessage(leader);
   message.set_cluster_id(0);
   message.set_from_endpoint("host" + std::to_string(lost));
@@ -102,11 +102,11 @@
   options.replace_unresponsive_after = seconds(5);
   CoreHarness cluster(3, options);
   const uint64_t leader = cluster.RunUntilLeader();
-  const auto [alive, away] = CoreHarness::Others(leader);
-  cluster.AddFresh(9);
+  const auto [alive, unreachable] = CoreHarness::Others(leader);
+  cluster.AddUnbootstrapped(9);
   RequestJoin(cluster, leader, 9);
   cluster.Run(seconds(1));
-  cluster.Isolate(away);
+  cluster.Isolate(unreachable);
   for (int i = 0; i < 4000 && !IsVoter(cluster.core(leader).configuration(), 9); ++i) {
     cluster.Run(milliseconds(5));
   }
@@ -115,8 +115,8 @@
   EXPECT_EQ(VoterCount(cluster.core(cluster.Leader()).configuration()), 3U);
 }
 
-// target_voters exceeds the number of machines: a replaced voter must still be removed, or two
-// losses in sequence leave two live voters of four.
+// target_voters exceeds the number of machines. A replaced voter must still be removed, or two
+// machines lost in sequence leave only two live voters of four.
 class ReplacementBelowTargetTest : public testing::Test {
  protected:
   static RaftOptions Options() {
@@ -125,9 +125,9 @@
     return options;
   }
 
-  // Joins as the only replica at `endpoint`.
+  // A new replica `id` joins as the only one at `endpoint`.
   void Join(uint64_t id, const std::string& endpoint) {
-    cluster_.AddFresh(id);
+    cluster_.AddUnbootstrapped(id);
     RaftMessage message = cluster_.core(id).NewMessage(leader_);
     message.set_cluster_id(0);
     message.set_from_endpoint(endpoint);
@@ -181,14 +181,14 @@
   cluster_.node(leaving).up = true;
   RequestJoin(cluster_, leader_, leaving);
   cluster_.Run(seconds(3));
-  EXPECT_TRUE(IsVoter(configuration(), leaving)) << "it was only away";
+  EXPECT_TRUE(IsVoter(configuration(), leaving)) << "it was only unreachable";
 }
 
 TEST_F(ReplacementBelowTargetTest, PartitionedVoterRemainsWhileNobodyJoins) {
-  const uint64_t away = CoreHarness::Others(leader_).first;
-  cluster_.Isolate(away);
+  const uint64_t unreachable = CoreHarness::Others(leader_).first;
+  cluster_.Isolate(unreachable);
   cluster_.Run(seconds(6));
-  EXPECT_TRUE(IsVoter(configuration(), away));
+  EXPECT_TRUE(IsVoter(configuration(), unreachable));
 }
 
 }  // namespace
--- a/src/posthatch/consensus/raft_message-fuzz.cc
+++ b/src/posthatch/consensus/raft_message-fuzz.cc
@@ -1,6 +1,6 @@
-// Arbitrary messages, one after another, to a member of a cluster of three: it must neither crash
-// nor lower its commit index, and its log must have no gaps. The message is decoded from bytes and
-// then addressed so that RaftCore accepts it.
+// Sends arbitrary messages in sequence to a member of a cluster of three. It must not crash, lower
+// its commit index or apply entries beyond the end of its log. Each message is decoded from the
+// input and then addressed so that RaftCore accepts it.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -46,17 +46,17 @@
   posthatch::runtime::Random random(1);
   posthatch::runtime::MonotonicTime now(std::chrono::hours(1));
   RaftCore core({}, &random, Member(), now);
-  size_t at = 0;
-  while (at + 3 <= size) {
-    const size_t length = std::min<size_t>(data[at], size - at - 3);
+  size_t offset = 0;
+  while (offset + 3 <= size) {
+    const size_t length = std::min<size_t>(data[offset], size - offset - 3);
     posthatch::consensus::RaftMessage message;
-    if (!message.ParseFromArray(data + at + 3, static_cast<int>(length))) return 0;
+    if (!message.ParseFromArray(data + offset + 3, static_cast<int>(length))) return 0;
     message.set_cluster_id(9);
     message.set_to(1);
-    message.set_from(2 + data[at + 1] % 2);
+    message.set_from(2 + data[offset + 1] % 2);
     message.set_term(std::min<uint64_t>(message.term(), 1000));
-    now += std::chrono::milliseconds(10 * data[at + 2]);
-    at += 3 + length;
+    now += std::chrono::milliseconds(10 * data[offset + 2]);
+    offset += 3 + length;
     const uint64_t commit_before = core.commit_index();
     core.Step(message, now);
     Drive(&core, now);
--- a/src/posthatch/consensus/raft_replica-test.cc
+++ b/src/posthatch/consensus/raft_replica-test.cc
@@ -69,12 +69,12 @@
   EXPECT_EQ(cluster.history().acknowledged(), 0U);
   const int leader = cluster.Leader();
   ASSERT_GE(leader, 0);
-  absl::Status refused;
+  absl::Status rejected;
   cluster.Replica(static_cast<size_t>(leader))
-      ->Propose("x", [&refused](const absl::StatusOr<std::string>& result) {
-        refused = result.status();
+      ->Propose("x", [&rejected](const absl::StatusOr<std::string>& result) {
+        rejected = result.status();
       });
-  EXPECT_TRUE(absl::IsResourceExhausted(refused)) << refused;
+  EXPECT_TRUE(absl::IsResourceExhausted(rejected)) << rejected;
   cluster.RunClients();
   EXPECT_EQ(cluster.HealAndConverge(), "");
   EXPECT_TRUE(cluster.history().Check(cluster.Length(0)).empty());
@@ -93,7 +93,7 @@
   EXPECT_TRUE(result.ok()) << result;
 }
 
-TEST(RaftReplicaTest, WakingLeaderCompletesNoReadAndHasNoQuorum) {
+TEST(RaftReplicaTest, ThawedLeaderCompletesNoReadAndHasNoQuorum) {
   RaftWorld cluster(15, 3);
   ASSERT_TRUE(cluster.RunUntilLeader());
   const auto old_leader = static_cast<size_t>(cluster.Leader());
@@ -134,7 +134,7 @@
 TEST(RaftReplicaTest, BootstrapsOneClusterDespiteCrashesAndLostDisks) {
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     RaftWorld cluster(seed, 3);
-    // One replica crashes while the cluster is formed; at odd seeds its disk is lost too.
+    // One replica crashes while the cluster is formed; with odd seeds it also loses its disk.
     cluster.world().RunFor(cluster.random().Between(milliseconds(500), milliseconds(1500)));
     const size_t i = cluster.random().Uniform(3);
     cluster.nodes()[i].host->PowerLoss();
--- a/src/posthatch/storage/log_recovery-test.cc
+++ b/src/posthatch/storage/log_recovery-test.cc
@@ -19,7 +19,7 @@
   return entry;
 }
 
-// Builds a segment batch by batch, as the writer does.
+// Builds a segment batch by batch, like LogWriter.
 class SegmentBuilder {
  public:
   explicit SegmentBuilder(uint64_t sequence) : contents_(EncodeSegmentHeader(sequence)) {
@@ -134,7 +134,7 @@
 }
 
 TEST(LogRecoveryTest, DamageInUnsyncedBatchIsTornTail) {
-  // The later record of a batch was written to disk, the earlier one was not.
+  // The later record of a batch reached the disk, a sector of the earlier one did not.
   SegmentBuilder segment(1);
   segment.Batch({NewEntry(1, 1)});
   const size_t begin = segment.contents().size();
@@ -156,8 +156,8 @@
   SegmentBuilder third(3);
   third.Batch({NewEntry(3, 1)});
   EXPECT_TRUE(Recover({first.contents(), second.contents(), third.contents()}).ok());
-  const std::string cut = second.contents().substr(0, second.contents().size() - 3);
-  EXPECT_TRUE(absl::IsDataLoss(Recover({first.contents(), cut, third.contents()}).status()));
+  const std::string truncated = second.contents().substr(0, second.contents().size() - 3);
+  EXPECT_TRUE(absl::IsDataLoss(Recover({first.contents(), truncated, third.contents()}).status()));
   EXPECT_TRUE(absl::IsDataLoss(
       RecoverLog("raft", {{1, first.contents()}, {3, third.contents()}}, {}).status()));
   EXPECT_TRUE(absl::IsDataLoss(Recover({second.contents()}, {}, 2).status()))
--- a/src/posthatch/storage/record_format.cc
+++ b/src/posthatch/storage/record_format.cc
@@ -23,7 +23,7 @@
 // Offsets of the record header's fields.
 constexpr size_t kTypeOffset = 4;
 constexpr size_t kLengthOffset = 8;
-constexpr size_t kBatchOffset = 12;
+constexpr size_t kBatchStartOffset = 12;
 constexpr size_t kPayloadCrcOffset = 20;
 constexpr size_t kHeaderCrcOffset = 24;
 
@@ -39,7 +39,7 @@
   uint32_t payload_crc;
 };
 
-// The record header at `offset`; nullopt if none with a correct checksum is there.
+// Returns the record header at `offset`; nullopt if there is none with a correct checksum.
 std::optional<RecordHeader> ReadRecordHeader(std::string_view contents, size_t offset) {
   if (contents.size() - offset < kRecordHeaderBytes) return std::nullopt;
   const std::string_view header = contents.substr(offset, kRecordHeaderBytes);
@@ -50,24 +50,25 @@
     return std::nullopt;
   }
   return RecordHeader{bytes[kTypeOffset], endian::load_little_u32(bytes + kLengthOffset),
-                      endian::load_little_u64(bytes + kBatchOffset),
+                      endian::load_little_u64(bytes + kBatchStartOffset),
                       endian::load_little_u32(bytes + kPayloadCrcOffset)};
 }
 
-// Whether a record of a batch that began after `offset` follows it.
+// Whether `offset` is followed by a record whose batch begins after `offset`.
 bool LaterBatchFollows(std::string_view contents, size_t offset) {
   std::string marker(sizeof(kRecordMarker), '\0');
   endian::store_little_u32(Bytes(marker), kRecordMarker);
-  for (size_t at = contents.find(marker, offset + 1); at != std::string_view::npos;
-       at = contents.find(marker, at + 1)) {
-    const std::optional<RecordHeader> header = ReadRecordHeader(contents, at);
+  for (size_t marker_offset = contents.find(marker, offset + 1);
+       marker_offset != std::string_view::npos;
+       marker_offset = contents.find(marker, marker_offset + 1)) {
+    const std::optional<RecordHeader> header = ReadRecordHeader(contents, marker_offset);
     if (header.has_value() && header->batch_start > offset) return true;
   }
   return false;
 }
 
-// Whether the part of any sector in [begin, end) is all zero: what a file system leaves where it
-// has extended the file but not yet written the data.
+// Whether [begin, end) contains a sector, or part of one, that is all zero. A file system leaves
+// such sectors when it has extended the file but not yet written the data.
 bool HasUnwrittenSector(std::string_view contents, size_t begin, size_t end) {
   while (begin < end) {
     const size_t sector_end = std::min(end, (begin / kSectorBytes + 1) * kSectorBytes);
@@ -80,7 +81,7 @@
   return false;
 }
 
-// Whether the bad bytes in [offset, end) can come from an interrupted write.
+// Whether the damage in [offset, end) can result from an interrupted write.
 bool LooksTorn(std::string_view contents, size_t offset, size_t end) {
   if (LaterBatchFollows(contents, offset)) return false;
   return end > contents.size() || HasUnwrittenSector(contents, offset, end);
@@ -137,7 +138,7 @@
   endian::store_little_u32(bytes, kRecordMarker);
   bytes[kTypeOffset] = static_cast<uint8_t>(type);
   endian::store_little_u32(bytes + kLengthOffset, static_cast<uint32_t>(payload.size()));
-  endian::store_little_u64(bytes + kBatchOffset, batch_start);
+  endian::store_little_u64(bytes + kBatchStartOffset, batch_start);
   endian::store_little_u32(bytes + kPayloadCrcOffset, Crc32c(payload));
   endian::store_little_u32(bytes + kHeaderCrcOffset,
                            Crc32c(std::string_view{header}.substr(0, kHeaderCrcOffset)));
@@ -152,16 +153,17 @@
     return segment;
   }
   if (contents.size() < kSegmentHeaderBytes) {
-    return absl::DataLossError(absl::StrCat("log segment ", sequence, ": cut header"));
+    return absl::DataLossError(absl::StrCat("log segment ", sequence, ": truncated header"));
   }
   if (absl::Status status = CheckSegmentHeader(contents, sequence); !status.ok()) return status;
   size_t offset = kSegmentHeaderBytes;
   while (offset < contents.size()) {
     const std::optional<RecordHeader> header = ReadRecordHeader(contents, offset);
-    const size_t payload_at = offset + kRecordHeaderBytes;
-    const size_t end = payload_at + (header.has_value() ? header->length : 0);
-    const bool intact = header.has_value() && end <= contents.size() &&
-                        Crc32c(contents.substr(payload_at, header->length)) == header->payload_crc;
+    const size_t payload_offset = offset + kRecordHeaderBytes;
+    const size_t end = payload_offset + (header.has_value() ? header->length : 0);
+    const bool intact =
+        header.has_value() && end <= contents.size() &&
+        Crc32c(contents.substr(payload_offset, header->length)) == header->payload_crc;
     if (!intact) {
       if (!LooksTorn(contents, offset, end)) {
         return absl::DataLossError(
@@ -171,7 +173,7 @@
       break;
     }
     segment.records.push_back(
-        {static_cast<RecordType>(header->type), contents.substr(payload_at, header->length)});
+        {static_cast<RecordType>(header->type), contents.substr(payload_offset, header->length)});
     offset = end;
   }
   segment.valid_bytes = offset;
