--- a/src/posthatch/control/server/control_history-test.h
+++ b/src/posthatch/control/server/control_history-test.h
@@ -12,9 +12,9 @@
 
 namespace posthatch::control {
 
-// Events of a run as observed from outside: the versions that gateways decided by, the fencing
-// tokens of their commands to workers, and the operators' changes with their results. Simulated
-// runs are checked by Violations, which is itself tested with histories that break each rule.
+// Records the externally visible events of a run: the configuration versions that gateways decided
+// by, the fencing tokens of their commands to workers, and the operators' changes with their
+// results. Violations() checks simulated runs; its own tests use histories that break each rule.
 class ControlHistory {
  public:
   struct Decision {
@@ -40,9 +40,9 @@
     worker_commands_.push_back(std::move(command));
   }
   void RecordAcknowledgement(Acknowledgement ack) { acks_.push_back(std::move(ack)); }
-  // An operator received a rejection.
+  // Records that an operator received a rejection.
   void RecordRejection(std::string request_id) { rejected_.insert(std::move(request_id)); }
-  // The accepted versions with their request ids, as read at the end of the run.
+  // Sets the accepted versions with their request ids, as read at the end of the run.
   void SetFinalHistory(std::vector<std::pair<uint64_t, std::string>> history) {
     final_history_ = std::move(history);
   }
@@ -87,11 +87,12 @@
     for (const Acknowledgement& ack : acks_) {
       const auto [result, first] = results.try_emplace(ack.request_id, ack.version);
       if (!first && result->second != ack.version) {
-        violations->push_back("N8: another result for a resend of " + ack.request_id);
+        violations->push_back("N8: a resent change got a different result: " + ack.request_id);
       }
       const auto [winner, alone] = winners.try_emplace(ack.version, ack.request_id);
       if (!alone && winner->second != ack.request_id) {
-        violations->push_back(absl::StrCat("N8: two won version ", ack.version));
+        violations->push_back(
+            absl::StrCat("N8: two changes were acknowledged with version ", ack.version));
       }
     }
     std::set<std::string> seen;
@@ -102,13 +103,14 @@
       }
       accepted[version] = request_id;
       if (rejected_.contains(request_id)) {
-        violations->push_back("N8: rejected, though it was applied: " + request_id);
+        violations->push_back("N8: applied but reported as rejected: " + request_id);
       }
     }
     for (const Acknowledgement& ack : acks_) {
       const auto found = accepted.find(ack.version);
       if (found == accepted.end() || found->second != ack.request_id) {
-        violations->push_back("N9: acknowledged and missing: " + ack.request_id);
+        violations->push_back("N9: acknowledged but missing from the final history: " +
+                              ack.request_id);
       }
     }
   }
@@ -128,7 +130,7 @@
     }
   }
 
-  std::vector<Decision> decisions_;  // by time, as are the others
+  std::vector<Decision> decisions_;  // chronological, like the other recorded events
   std::vector<WorkerCommand> worker_commands_;
   std::vector<Acknowledgement> acks_;
   std::set<std::string> rejected_;
--- a/src/posthatch/control/server/control_messenger.h
+++ b/src/posthatch/control/server/control_messenger.h
@@ -16,9 +16,9 @@
   uint64_t incarnation = 0;
 };
 
-// Sends and receives a controller's ControlMessages; those to itself bypass the transport, since a
-// controller's own client may find that the leader is this very process. Takes SERVICE_CONTROL of
-// the runtime's transport. Owned by ControllerService; event loop thread only.
+// Sends and receives a controller's ControlMessages. Messages to the controller itself bypass the
+// transport: the leader that its own client finds may be this process. Registers the receiver of
+// SERVICE_CONTROL at the runtime's transport. Owned by ControllerService; event loop thread only.
 class ControlMessenger {
  public:
   using Receiver = std::function<void(const ControlPeer& sender, const ControlMessage& message)>;
@@ -28,7 +28,7 @@
   ControlMessenger(const ControlMessenger&) = delete;
   ControlMessenger& operator=(const ControlMessenger&) = delete;
 
-  // Never delivers within the call.
+  // Never calls the receiver synchronously.
   void Send(const std::string& endpoint, const ControlMessage& message);
 
  private:
--- a/src/posthatch/control/server/control_plane-test.cc
+++ b/src/posthatch/control/server/control_plane-test.cc
@@ -1,4 +1,4 @@
-// N8 and N9 by seed: real replicated logs under random faults.
+// Checks the invariants N8 and N9 with real replicated logs under random faults, by seed.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -62,7 +62,7 @@
     return leader != nullptr ? leader : AnyController();
   }
 
-  // A change or a race of two, repeatedly until the end of the run.
+  // Sends a change, a race of two or an evacuation, repeatedly until the end of the run.
   void ScheduleChanges() {
     fleet_.world.At(random().Between(milliseconds(50), milliseconds(500)), [this] {
       if (fleet_.world.Now() > end_) return;
--- a/src/posthatch/control/server/controller_service-test.cc
+++ b/src/posthatch/control/server/controller_service-test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Controllers on a log that never fails.
+// Controllers with an in-memory log that never fails.
 class ControllerServiceTest : public testing::TestWithParam<uint64_t> {
  protected:
   ControllerServiceTest()
@@ -22,7 +22,7 @@
         }) {
     Elect(0);
     EXPECT_TRUE(RunUntil([this] { return AllGatewaysHaveLeases(); }, seconds(3)));
-    // Sets a first configuration, and outlasts the wait of a new leader.
+    // Sets a first configuration, which also waits out the session leases of previous leaders.
     fleet_.operator_process->Change(0);
     EXPECT_TRUE(RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(12)));
   }
@@ -48,7 +48,7 @@
     EXPECT_TRUE(RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(15)));
     return fleet_.world.Now() - start;
   }
-  // Checks all that was recorded since the start.
+  // Checks the history recorded since the start of the test.
   void ExpectNoViolation() {
     std::vector<std::pair<uint64_t, std::string>> versions;
     const ControllerProcess* leader = fleet_.Controller(fleet_.Leader());
@@ -140,7 +140,7 @@
 }
 
 TEST_P(ControllerServiceTest, ReassignedWorkerWaitsForPreviousHolderAck) {
-  fleet_.gateway_hosts[2]->Crash();  // its zone's workers are reassigned
+  fleet_.gateway_hosts[2]->Crash();  // the workers of its zone are reassigned
   ASSERT_TRUE(RunUntil([this] { return Session(1).state().leases_size() == 6; }, seconds(5)));
   fleet_.world.RunFor(seconds(10));
   ASSERT_EQ(Session(1).state().leases_size(), 6);
@@ -220,7 +220,7 @@
   ExpectNoViolation();
 }
 
-// As in a rollout of a large fleet: the inventory changes faster than pushes are acknowledged.
+// Simulates a rollout in a large fleet: the inventory changes faster than pushes are acknowledged.
 TEST_P(ControllerServiceTest, ChangePropagatesDuringInventoryChurn) {
   for (int i = 0; i < 4; ++i) {
     fleet_.world.SlowLink(absl::StrCat("g", i), "c0", milliseconds(60));
@@ -314,7 +314,8 @@
   EXPECT_TRUE(Session(0).LeaseValid());
 }
 
-// A refresh of the term before found no reading in the new one, and published an empty inventory.
+// Guards against a refresh of the previous term that found no snapshot in the new term and
+// published an empty inventory.
 TEST_P(ControllerServiceTest, RefreshOfLostTermPublishesNothing) {
   ASSERT_EQ(Session(0).state().inventory().backends_size(), 6);
   fleet_.world.FindHost("inventory")->Crash();
--- a/src/posthatch/control/server/controller_service.h
+++ b/src/posthatch/control/server/controller_service.h
@@ -31,29 +31,29 @@
   // sessions that a previous leader granted: clocks may run at different rates.
   double clock_rate_margin = 0.02;
   InventoryPollerOptions inventory;
-  // Pending proposals, those waiting to come into force included; further ones are rejected with
-  // OVERLOADED.
+  // Limit of pending proposals, including those waiting to come into force; further ones are
+  // rejected with OVERLOADED.
   size_t max_proposals = 2048;
-  // Queries that wait for their read barrier; further ones are rejected.
+  // Limit of queries that wait for their read barrier; further ones are rejected.
   size_t max_queries = 256;
-  // Between two plans of the worker leases.
+  // Interval between two plans of the worker leases.
   runtime::Duration plan_interval = std::chrono::milliseconds(250);
   PushSchedulerOptions push;
   LeaderClientOptions client;
 };
 
-// What a controller does for gateways and operators on top of the replicated log
-// (docs/design-docs/configuration.md). It owns the parts that act while this controller leads,
-// dispatches messages to them, and starts, resets and stops them with its leadership: SessionServer
-// (session leases), PushScheduler (changed sections), ProposalServer (commands), QueryServer
-// (views), InventoryPublisher (platform inventory) and WorkerLeaseManager (worker leases). While
-// another one leads they only name the leader.
+// Serves gateways and operators on top of the replicated log (docs/design-docs/configuration.md).
+// Owns the components that act while this controller leads, dispatches messages to them, and
+// starts, resets and stops them when its leadership changes: SessionServer (session leases),
+// PushScheduler (changed sections), ProposalServer (commands), QueryServer (views),
+// InventoryPublisher (platform inventory) and WorkerLeaseManager (worker leases). On followers the
+// servers only respond with the leader's endpoint.
 //
-// One per controller, on its event loop thread. Takes SERVICE_CONTROL of the runtime's transport,
-// the log's leadership listener and the state's section listener.
+// One per controller, on its event loop thread. Registers the receiver of SERVICE_CONTROL at the
+// runtime's transport, the log's leadership listener and the state's section listener.
 class ControllerService {
  public:
-  // All pointers outlive this object.
+  // Every pointer must outlive this object.
   ControllerService(runtime::Runtime* runtime, const ControllerServiceOptions& options,
                     ControllerHost* host, consensus::ReplicatedLog* log,
                     const LeaderLeaseGuard* leader_lease_guard, ControlState* state);
@@ -61,13 +61,14 @@
   ControllerService(const ControllerService&) = delete;
   ControllerService& operator=(const ControllerService&) = delete;
 
-  // The leader, perhaps this process itself, for this controller's own operators' interface.
+  // Client of the leader, which may be this process, for this controller's own operators'
+  // interface.
   LeaderClient* client() { return &client_; }
   // True if this controller leads and has applied all that earlier leaders acknowledged.
   bool leading() const { return leadership_.active(); }
   size_t session_count() const { return sessions_.sessions().size(); }
   const RevisionTimeline& revision_timeline() const { return revision_timeline_; }
-  // Publishes the last reading of the inventory again, with new annotations.
+  // Publishes the last inventory read again, with new annotations.
   void RefreshInventory() { inventory_.Refresh(); }
 
  private:
@@ -79,13 +80,13 @@
   void OnMessage(const ControlPeer& sender, const ControlMessage& message);
 
   runtime::Runtime* const runtime_;
-  // Longest session of a previous leader, by this controller's clock.
+  // Upper bound of a session lease granted by a previous leader, by this controller's clock.
   const runtime::Duration max_previous_lease_;
   ControllerHost* const host_;
   consensus::ReplicatedLog* const log_;
   ControlState* const state_;
 
-  // Also while this controller follows: a new leader continues the times.
+  // Maintained on followers too, so that a new leader continues with the same times.
   RevisionTimeline revision_timeline_;
   ControllerMetrics metrics_;
   Leadership leadership_;
--- a/src/posthatch/control/server/fleet_harness-test.h
+++ b/src/posthatch/control/server/fleet_harness-test.h
@@ -17,11 +17,11 @@
 #include "posthatch/control/server/static_controller_host-test.h"
 #include "posthatch/simulation/sim_world.h"
 
-// A simulated control plane: controllers, gateways that decide and command workers all the time, a
+// A simulated control plane: controllers, gateways that continuously decide and command workers, a
 // platform inventory, and an operator that sends, races and resends changes over HTTP.
 namespace posthatch::control {
 
-// A controller's log, its lease guard and their owner; made by the test.
+// A controller's log, its lease guard and their owner; created by the test.
 struct LogParts {
   std::shared_ptr<void> owner;
   consensus::ReplicatedLog* log = nullptr;
@@ -63,7 +63,7 @@
   AdminEndpoint port;
 };
 
-// A gateway that decides, and commands the workers that it holds, every 20 ms.
+// A gateway that every 20 ms records a decision, and a command to each worker whose lease it holds.
 struct GatewayProcess {
   GatewayProcess(runtime::Runtime* host_runtime, const simulation::SimHost& host,
                  const LeaderLocator::Endpoints& controllers, ControlHistory* control_history)
@@ -95,7 +95,7 @@
   runtime::Timer timer;
 };
 
-// Changes one tenant at a time; each change is sent until it has a final result.
+// Sends changes of one tenant each, and resends each change until it has a final result.
 class OperatorProcess {
  public:
   OperatorProcess(runtime::Runtime* runtime, std::vector<std::string> nodes,
@@ -109,7 +109,7 @@
                      R"(,"patch":{"upsert":{"tenants":[{"name":"t)", changes_ % 7, R"("}]}}})");
     Send(id);
   }
-  // Two concurrent changes of the same version, to random nodes.
+  // Sends two concurrent changes of the same version to random nodes.
   void Race() {
     const uint64_t version = newest_version_;
     Change(version);
@@ -126,7 +126,7 @@
   uint64_t newest_version() const { return newest_version_; }
   size_t rejected() const { return rejected_; }
 
-  std::string avoid;  // a node that the operator knows to be faulty
+  std::string avoid;  // gets no requests: the operator knows that it is faulty
 
  private:
   void Send(const std::string& id) {
@@ -163,7 +163,7 @@
     if (response.status == 200) {
       if (version > 0) history_->RecordAcknowledgement({runtime_->clock->Now(), id, version});
       if (!resent_.contains(id) && runtime_->random->Chance(0.3)) {
-        resent_.insert(id);  // as if the response had been lost
+        resent_.insert(id);  // simulates a lost response
         SendLater(id);
         return;
       }
@@ -185,7 +185,7 @@
   size_t rejected_ = 0;
 };
 
-// The platform's inventory: `workers` of them, each draining at random, with random 429 responses.
+// Serves an inventory of `workers` workers, each draining at random, with random 429 responses.
 class InventoryProcess {
  public:
   InventoryProcess(runtime::Runtime* runtime, const std::string& endpoint, int workers)
--- a/src/posthatch/control/server/in_force_waiters.h
+++ b/src/posthatch/control/server/in_force_waiters.h
@@ -13,13 +13,13 @@
 // Owned by ProposalServer; event loop thread only.
 class InForceWaiters {
  public:
-  // `in_force` is false if the leadership ended before.
+  // `in_force` is false if the leadership ended first.
   using Done = std::function<void(bool in_force)>;
 
   void Add(uint64_t log_index, Done done) { waiters_.push_back({log_index, std::move(done)}); }
-  // Ends the waits whose change is in force everywhere at `now`.
+  // Completes the waiters whose change is in force at every session at `now`.
   void Check(const SessionTable& sessions, runtime::MonotonicTime now);
-  // Ends all waits with in_force = false.
+  // Completes all waiters with in_force = false.
   void FailAll();
   size_t size() const { return waiters_.size(); }
 
--- a/src/posthatch/control/server/internal_proposer.h
+++ b/src/posthatch/control/server/internal_proposer.h
@@ -13,14 +13,14 @@
 // Owned by ControllerService; event loop thread only.
 class InternalProposer {
  public:
-  // `applied` is true if the command committed and the state machine answered OK.
+  // `applied` is true if the command was committed and the state machine returned OK.
   using Done = std::function<void(bool applied)>;
 
-  // Both outlive this object.
+  // Every pointer must outlive this object.
   InternalProposer(consensus::ReplicatedLog* log, const Leadership* leadership)
       : log_(log), leadership_(leadership) {}
 
-  // `done` is dropped if the term of the proposal ends first: its owner has been reset by then.
+  // `done` isn't called if the proposal's term ends first: the caller has been reset by then.
   void Propose(const Command& command, Done done);
 
  private:
--- a/src/posthatch/control/server/inventory_publisher.cc
+++ b/src/posthatch/control/server/inventory_publisher.cc
@@ -13,10 +13,10 @@
 namespace posthatch::control {
 namespace {
 
-// Annotations that change close together go into one command.
+// Batches annotations that change close together into one command.
 constexpr runtime::Duration kRefreshDelay = std::chrono::milliseconds(40);
-// While workers are outdated. By so much a revision looks younger once all processes have
-// restarted.
+// Interval of saving the model revisions' ages in the log while workers are outdated. After a
+// restart of all processes a revision seems younger by at most this.
 constexpr runtime::Duration kAgesInterval = std::chrono::seconds(1);
 
 }  // namespace
--- a/src/posthatch/control/server/inventory_publisher.h
+++ b/src/posthatch/control/server/inventory_publisher.h
@@ -12,30 +12,31 @@
 
 namespace posthatch::control {
 
-// On the leader: polls the platform's inventory, annotates each reading, and proposes what differs
-// from the replicated one; one proposal is in flight at a time. Owned by ControllerService; event
-// loop thread only.
+// On the leader: polls the platform's inventory, annotates each snapshot, and proposes its
+// differences from the replicated inventory; one proposal is in flight at a time. Owned by
+// ControllerService; event loop thread only.
 class InventoryPublisher {
  public:
-  // All pointers outlive this object.
+  // Every pointer must outlive this object.
   InventoryPublisher(runtime::Runtime* runtime, const InventoryPollerOptions& options,
                      const Leadership* leadership, ControllerHost* host, const ControlState* state,
                      const RevisionTimeline* revisions, InternalProposer* proposer);
 
-  // Forgets what was read in an earlier term.
+  // Discards the snapshot and the pending work of an earlier term.
   void Reset();
   void Start() { poller_.Start(); }
   void Stop() { poller_.Stop(); }
 
-  // Publishes the last reading again, with new annotations.
+  // Publishes the last snapshot again, with new annotations.
   void Refresh();
-  // Age of the reading behind the replicated inventory, in milliseconds, or kInventoryNeverRead.
+  // Age in milliseconds of the snapshot that the replicated inventory reflects, or
+  // kInventoryNeverRead.
   uint32_t InventoryAgeMs() const;
 
  private:
   void OnRead(Inventory inventory, runtime::MonotonicTime requested_at);
   void Propose(const Inventory& inventory, runtime::MonotonicTime requested_at);
-  // Whether the revisions' ages in the log are too old for a roll-out that is under way.
+  // Whether the model revisions' ages in the log are too old for a roll-out in progress.
   bool NeedsNewerAges() const;
   void MarkCurrent(runtime::MonotonicTime requested_at);
 
@@ -48,12 +49,12 @@
   InventoryPoller poller_;
   runtime::Timer refresh_timer_;
 
-  Inventory last_reading_;  // as the platform gave it, without annotations
+  Inventory last_reading_;  // the platform's data, without annotations
   runtime::MonotonicTime last_reading_requested_at_;
   bool proposal_in_flight_ = false;
   bool refresh_pending_ = false;  // requested while a proposal was in flight
   runtime::MonotonicTime ages_proposed_at_;
-  // Whether the replicated inventory reflects a reading of this term, and when that was requested.
+  // Whether the replicated inventory reflects a snapshot of this term, and when that was requested.
   bool is_current_ = false;
   runtime::MonotonicTime current_requested_at_;
 };
--- a/src/posthatch/control/server/leader_lease_guard.h
+++ b/src/posthatch/control/server/leader_lease_guard.h
@@ -2,9 +2,10 @@
 
 namespace posthatch::control {
 
-// Whether this controller holds the leader lease, so that no other one has been elected: true if
-// the replicated log leads and a majority has responded within the shortest election timeout, by
-// the clock now. Implemented by the owner of the replicated log; event loop thread only.
+// Tells whether this controller holds the leader lease, so that no other one can have been elected:
+// its replica of the log is the leader, and a majority has responded within the shortest election
+// timeout before the current time. Implemented by the owner of the replicated log; event loop
+// thread only.
 class LeaderLeaseGuard {
  public:
   virtual ~LeaderLeaseGuard() = default;
--- a/src/posthatch/control/server/leadership.h
+++ b/src/posthatch/control/server/leadership.h
@@ -8,24 +8,25 @@
 
 namespace posthatch::control {
 
-// The leadership of one controller: whether it leads, in which term, since when, and from when on
-// no session of a previous leader is valid any more. The parts of ControllerService check it before
-// each decision. Owned by ControllerService; event loop thread only.
+// Leadership state of one controller: whether it leads, in which term, since when, and when the
+// sessions granted by previous leaders have expired. The components of ControllerService check it
+// before each decision. Owned by ControllerService; event loop thread only.
 class Leadership {
  public:
-  // All three outlive this object.
+  // Every pointer must outlive this object.
   Leadership(const runtime::Clock* clock, const consensus::ReplicatedLog* log,
              const LeaderLeaseGuard* leader_lease_guard)
       : clock_(clock), log_(log), leader_lease_guard_(leader_lease_guard) {}
 
-  // `max_previous_lease` bounds the sessions that previous leaders granted, clock drift included.
+  // `max_previous_lease` bounds the session leases that previous leaders granted, including clock
+  // drift.
   void Begin(uint64_t term, runtime::Duration max_previous_lease);
   void End(uint64_t term);
 
-  // True between the log's notifications that this controller leads, having applied all that
-  // earlier leaders acknowledged, and that it doesn't.
+  // True from the log's notification that this controller leads and has applied all that earlier
+  // leaders acknowledged, until the notification that it no longer leads.
   bool active() const { return active_; }
-  // The log may know of a lost leadership before it notifies.
+  // Unlike active(), false as soon as the log has lost leadership, before it notifies.
   bool IsLeader() const { return active_ && log_->IsLeader(); }
   // Required for every decision that another leader could contradict.
   bool HasLeaderLease() const { return IsLeader() && leader_lease_guard_->HasLeaderLease(); }
--- a/src/posthatch/control/server/memory_log-test.h
+++ b/src/posthatch/control/server/memory_log-test.h
@@ -13,7 +13,7 @@
 
 namespace posthatch::control {
 
-// Log and leadership of a cluster in one place: entries are never lost, and commit at once.
+// In-memory log and leadership of a whole cluster: entries are never lost, and commit at once.
 struct MemoryCluster {
   struct Entry {
     uint64_t term;
@@ -28,12 +28,13 @@
   void Elect(const std::string& endpoint) {
     ++term;
     leader_endpoint = endpoint;
-    entries.push_back({term, ""});  // as Raft's first entry of a term
+    entries.push_back({term, ""});  // empty entry, like the one that starts a Raft term
   }
 };
 
-// One controller's replica of a MemoryCluster: receives entries and leader changes with a delay, so
-// that a deposed leader goes on believing that it leads. Proposals commit after kCommitTime.
+// One controller's replica of a MemoryCluster: receives entries and leader changes with a delay,
+// during which a deposed leader still considers itself the leader. Proposals complete after
+// kCommitTime.
 class MemoryLog : public consensus::ReplicatedLog, public LeaderLeaseGuard {
  public:
   static constexpr runtime::Duration kCommitTime = std::chrono::milliseconds(2);
--- a/src/posthatch/control/server/proposal_server.cc
+++ b/src/posthatch/control/server/proposal_server.cc
@@ -8,7 +8,8 @@
 namespace posthatch::control {
 namespace {
 
-// Waiting changes are checked this long after an acknowledgement, and this often in any case.
+// Delay from an acknowledgement to the check of the waiting changes, and interval of further
+// checks.
 constexpr runtime::Duration kCheckDelay = std::chrono::milliseconds(1);
 constexpr runtime::Duration kCheckInterval = std::chrono::milliseconds(50);
 
@@ -175,7 +176,7 @@
 
 void ProposalServer::CheckInForce() {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  // Gateways may hold sessions of a previous leader, which `sessions_` doesn't list, until then.
+  // Until then, gateways may hold sessions of a previous leader, which `sessions_` doesn't list.
   if (leadership_->PreviousSessionsExpired(now)) waiters_.Check(*sessions_, now);
   if (waiters_.size() == 0) return;
   pushes_->PushAll();
--- a/src/posthatch/control/server/proposal_server.h
+++ b/src/posthatch/control/server/proposal_server.h
@@ -19,32 +19,32 @@
 
 namespace posthatch::control {
 
-// On the leader: brings the commands of gateways and operators into the replicated log and responds
-// once they are applied or, if the proposer wants so, in force at every session. On the others it
-// names the leader. Owned by ControllerService; event loop thread only.
+// On the leader: proposes the commands of gateways and operators to the replicated log and responds
+// once they are applied or, if requested, in force at every session. On followers it responds with
+// the leader's endpoint. Owned by ControllerService; event loop thread only.
 class ProposalServer {
  public:
-  // `max_proposals` bounds the pending proposals, those waiting to come into force included; beyond
-  // it new ones are rejected with OVERLOADED. All pointers outlive this object.
+  // `max_proposals` limits the pending proposals, including those waiting to come into force;
+  // further ones are rejected with OVERLOADED. Every pointer must outlive this object.
   ProposalServer(runtime::Runtime* runtime, size_t max_proposals, consensus::ReplicatedLog* log,
                  const Leadership* leadership, const ControlState* state,
                  const SessionTable* sessions, PushScheduler* pushes, ControlMessenger* messenger,
                  ControllerMetrics* metrics);
 
   void OnRequest(const ControlPeer& sender, const ProposeRequest& request);
-  // Ends the waits for changes to come into force with UNCERTAIN.
+  // Ends the waits for changes to come into force, with the status UNCERTAIN.
   void Reset() { waiters_.FailAll(); }
-  // Control time goes on from where the previous leader left it.
+  // Continues the control time from where the previous leader left it.
   void BeginTerm() { control_time_base_ms_ = state_->delivery_now_ms(); }
-  // A session ended: changes may be in force everywhere now.
+  // Called after a session ended: pending changes may be in force everywhere now.
   void OnSessionEnded();
-  // A session acknowledged sections or was renewed.
+  // Called after a session acknowledged sections or was renewed.
   void OnSessionAcked();
 
  private:
-  // A sent-again request has the key of the first one.
+  // Identifies a proposal: a resent request has the same key as the original one.
   struct ProposalKey {
-    std::string endpoint;  // of the proposer
+    std::string endpoint;  // internal endpoint of the proposer
     uint64_t incarnation = 0;
     std::string request_id;
     bool until_in_force = false;
@@ -53,10 +53,10 @@
   };
 
   ProposalKey MakeKey(const ControlPeer& sender, const ProposeRequest& request);
-  // STATUS_UNSPECIFIED if a proposal can be taken.
+  // STATUS_UNSPECIFIED if a proposal can be accepted.
   ProposeResponse::Status CheckAdmission() const;
   void Reject(const ControlPeer& sender, uint64_t call, ProposeResponse::Status status);
-  // Sets the time of commands whose effect depends on it.
+  // Sets the control time in commands whose effect depends on the time.
   void StampControlTime(Command* command) const;
   void OnProposalDone(const ProposalKey& key, const absl::StatusOr<std::string>& applied);
   void RespondNotApplied(const ProposalKey& key, const absl::Status& status);
@@ -78,8 +78,9 @@
   ControllerMetrics* const metrics_;
 
   InForceWaiters waiters_;
-  std::map<ProposalKey, uint64_t> pending_;  // to the newest call, which gets the response
-  uint64_t anonymous_proposal_count_ = 0;    // tells apart proposals without request id
+  // Number of each pending proposal's newest call, which gets the response.
+  std::map<ProposalKey, uint64_t> pending_;
+  uint64_t anonymous_proposal_count_ = 0;  // distinguishes proposals without a request id
   int64_t control_time_base_ms_ = 0;
   runtime::Timer check_timer_;
   util::Lifetime lifetime_;
--- a/src/posthatch/control/server/push_scheduler.cc
+++ b/src/posthatch/control/server/push_scheduler.cc
@@ -8,7 +8,7 @@
 namespace posthatch::control {
 namespace {
 
-// Changes that come close together go out in one push.
+// Batches changes that occur close together into one push.
 constexpr runtime::Duration kPushDelay = std::chrono::milliseconds(1);
 
 }  // namespace
@@ -37,7 +37,7 @@
   if (!leadership_->active()) return;
   const runtime::MonotonicTime now = runtime_->clock->Now();
   const uint64_t newest_index = HighestIndex(IndicesOf(state_->fleet()));
-  // Most sessions lack the same sections: each message is made and serialized once.
+  // Most sessions lack the same sections: each distinct message is built and serialized once.
   std::map<SectionIndices, std::string> payloads;
   double sent = 0;
   ++last_push_id_;
--- a/src/posthatch/control/server/push_scheduler.h
+++ b/src/posthatch/control/server/push_scheduler.h
@@ -14,7 +14,7 @@
 namespace posthatch::control {
 
 struct PushSchedulerOptions {
-  // An unacknowledged push is sent again after this time.
+  // Time after which an unacknowledged push is sent again.
   runtime::Duration retry_interval = std::chrono::milliseconds(250);
   // Average rate limit over all sessions; changes within one interval share a push.
   double pushes_per_second = 4000;
@@ -25,7 +25,7 @@
 // sections that the first one replaces. Owned by ControllerService; event loop thread only.
 class PushScheduler {
  public:
-  // All pointers outlive this object.
+  // Every pointer must outlive this object.
   PushScheduler(runtime::Runtime* runtime, const PushSchedulerOptions& options,
                 const Leadership* leadership, const ControlState* state,
                 const RevisionTimeline* revisions, const InventoryPublisher* inventory,
@@ -51,7 +51,7 @@
   ControllerMetrics* const metrics_;
 
   uint64_t last_push_id_ = 0;
-  runtime::MonotonicTime next_push_at_;  // by the rate limit
+  runtime::MonotonicTime next_push_at_;  // earliest time allowed by the rate limit
   runtime::Timer timer_;
 };
 
--- a/src/posthatch/control/server/query_server.h
+++ b/src/posthatch/control/server/query_server.h
@@ -15,12 +15,12 @@
 namespace posthatch::control {
 
 // On the leader: renders views of the control state after a read barrier, so that a view is never
-// older than what was acknowledged before the request. On the others it names the leader. Owned by
-// ControllerService; event loop thread only.
+// older than what was acknowledged before the request. On followers it responds with the leader's
+// endpoint. Owned by ControllerService; event loop thread only.
 class QueryServer {
  public:
-  // `max_queries` bounds the queries that wait for their read barrier; further ones are rejected.
-  // All pointers outlive this object.
+  // `max_queries` limits the queries that wait for their read barrier; further ones are rejected.
+  // Every pointer must outlive this object.
   QueryServer(size_t max_queries, consensus::ReplicatedLog* log, const Leadership* leadership,
               const ControllerHost* host, const ControlState* state, ControlMessenger* messenger,
               ControllerMetrics* metrics);
--- a/src/posthatch/control/server/session_server.h
+++ b/src/posthatch/control/server/session_server.h
@@ -15,12 +15,13 @@
 
 namespace posthatch::control {
 
-// On the leader: grants and renews the gateways' session leases and takes in their acknowledgements
-// of pushed sections. On the others it names the leader. Owned by ControllerService; event loop
-// thread only.
+// On the leader: grants and renews the gateways' session leases and processes their
+// acknowledgements of pushed sections. On followers it responds with the leader's endpoint. Owned
+// by ControllerService; event loop thread only.
 class SessionServer {
  public:
-  // `session_lease` is granted with each renewal. All pointers outlive this object.
+  // `session_lease` is the duration granted with each renewal. Every pointer must outlive this
+  // object.
   SessionServer(runtime::Runtime* runtime, runtime::Duration session_lease,
                 const consensus::ReplicatedLog* log, const Leadership* leadership,
                 const ControlState* state, const RevisionTimeline* revisions,
@@ -32,8 +33,8 @@
 
  private:
   void SendLeaderHint(const std::string& endpoint);
-  // Answers a gateway that can't apply the newest configuration (NACK): without a lease it may no
-  // longer decide by the previous one, but it gets newer sections, which may be valid.
+  // Responds to a gateway that can't apply the newest configuration (NACK): without a lease it may
+  // no longer decide by the previous configuration, but it gets newer sections, which may be valid.
   void RejectLease(const ControlPeer& sender, const SessionRenewal& renewal);
   void RenewSession(const ControlPeer& sender, const SessionRenewal& renewal);
   ControlMessage MakeGrant(const SessionRenewal& renewal, runtime::Duration lease) const;
--- a/src/posthatch/control/server/session_table.cc
+++ b/src/posthatch/control/server/session_table.cc
@@ -48,7 +48,7 @@
 }
 
 const Session* SessionTable::FindSuccessor(const SessionKey& holder) const {
-  if (sessions_.contains(holder)) return nullptr;  // it may still be running
+  if (sessions_.contains(holder)) return nullptr;  // `holder` may still be running
   const auto first = sessions_.lower_bound({holder.gateway, 0});
   for (auto entry = first; entry != sessions_.end(); ++entry) {
     if (entry->first.gateway != holder.gateway) break;
--- a/src/posthatch/control/server/session_table.h
+++ b/src/posthatch/control/server/session_table.h
@@ -10,7 +10,7 @@
 
 namespace posthatch::control {
 
-// One incarnation of a gateway process.
+// Identifies one incarnation of a gateway process.
 struct SessionKey {
   std::string gateway;  // node id
   uint64_t incarnation = 0;
@@ -23,31 +23,32 @@
   SessionKey key;
   std::string zone;
   std::string endpoint;
-  // Never before the lease expires by the gateway's own count.
+  // Never earlier than the lease expires by the gateway's own clock.
   runtime::MonotonicTime expiry;
-  uint64_t renewal = 0;  // number of the newest one
+  uint64_t renewal = 0;  // sequence number of the newest renewal
   runtime::MonotonicTime last_renewal_at;
 
-  // Sections that the gateway has reported as being in force.
+  // Versions of the sections that the gateway has reported as in force.
   SectionIndices acked_versions{};
-  // Every change up to this log index is in force at the gateway, or it has no lease.
+  // Every change up to this log index is in force at the gateway, unless the gateway has no lease.
   uint64_t acked_index = 0;
 
-  // The first grant of this session. Once the gateway acknowledges it, this incarnation is known to
-  // have run after `first_granted_at`.
+  // Renewal number and time of the session's first grant. Once the gateway acknowledges it, this
+  // incarnation is known to have run after `first_granted_at`.
   uint64_t first_renewal = 0;
   runtime::MonotonicTime first_granted_at;
   bool grant_acked = false;
 
-  // The state that was last sent to the gateway, by a grant or a push.
+  // Log index of the state last sent to the gateway by a grant or push, and when it was sent.
   uint64_t sent_index = 0;
   runtime::MonotonicTime sent_at;
 
   void Acknowledge(const SectionIndices& in_force);
 };
 
-// The sessions that the leader has granted in its term. In memory only: the next leader waits until
-// they have expired. The caller gives the time. Owned by ControllerService; event loop thread only.
+// The sessions that the leader has granted in its term. Kept in memory only: the next leader waits
+// until they have expired. Callers pass the current time. Owned by ControllerService; event loop
+// thread only.
 class SessionTable {
  public:
   // Renews or starts a session; null if the renewal is older than the last one. A new session is
@@ -56,9 +57,9 @@
   Session* Renew(const SessionRenewal& renewal, const std::string& endpoint,
                  runtime::MonotonicTime now, runtime::Duration lease, uint64_t applied_index,
                  uint64_t term);
-  // Null if there is none.
+  // Null if `key` has no session.
   Session* Find(const SessionKey& key);
-  // No effect without a session.
+  // No effect if `key` has no session.
   void Acknowledge(const SessionKey& key, const SectionIndices& in_force);
   void End(const SessionKey& key) { sessions_.erase(key); }
   void Clear() { sessions_.clear(); }
@@ -75,6 +76,7 @@
   std::map<SessionKey, Session>& mutable_sessions() { return sessions_; }
 
  private:
+  // Removes the sessions of incarnations that last renewed before the first grant of `session`.
   // Requires that `session` has acknowledged a grant.
   void ExpirePreviousIncarnations(const Session& session);
 
--- a/src/posthatch/control/server/state_views.cc
+++ b/src/posthatch/control/server/state_views.cc
@@ -20,7 +20,7 @@
 constexpr int kStatusOk = 200;
 constexpr int kStatusNotFound = 404;
 
-// The JSON mapping of protobuf, with the field names of the .proto files.
+// Protobuf's JSON mapping, with the field names of the .proto files.
 boost::json::value ToJson(const google::protobuf::Message& message) {
   google::protobuf::util::JsonPrintOptions options;
   options.preserve_proto_field_names = true;
@@ -104,7 +104,7 @@
   return Found(boost::json::object{{"isolation", std::move(domains)}});
 }
 
-// In the native format of a platform's inventory (docs/BACKENDS.md).
+// Renders the inventory in a platform's native format (docs/BACKENDS.md).
 View InventoryView(std::string_view /*query*/, const ControlState& state) {
   boost::json::array backends;
   for (const Backend& backend : state.fleet().inventory().backends()) {
--- a/src/posthatch/control/server/static_controller_host-test.h
+++ b/src/posthatch/control/server/static_controller_host-test.h
@@ -10,7 +10,7 @@
 
 namespace posthatch::control {
 
-// A process that knows the controllers' endpoints, and nothing more.
+// A ControllerHost that only provides the controllers' endpoints.
 class StaticControllerHost : public ControllerHost {
  public:
   explicit StaticControllerHost(LeaderLocator::Endpoints controllers)
--- a/src/posthatch/control/server/worker_lease_manager.cc
+++ b/src/posthatch/control/server/worker_lease_manager.cc
@@ -39,8 +39,9 @@
   const FleetState& fleet = state_->fleet();
   GrantWorkerLeases plan = WorkerLeasePlanner::PlanForRestartedGateways(fleet, *sessions_);
   if (!plan.grants().empty()) return plan;
-  // A worker that was released is granted again only once no gateway can believe that it holds the
-  // lease: neither one with a session of a previous leader nor one that lacks the release.
+  // A released worker is granted again only once no gateway can still consider itself the lease
+  // holder: neither one with a session of a previous leader nor one that hasn't acknowledged the
+  // release.
   const bool releases_known = leadership_->PreviousSessionsExpired(now) &&
                               sessions_->AckedByAllSessions(fleet.leases_index(), now);
   if (!releases_known) return {};
--- a/src/posthatch/control/server/worker_lease_manager.h
+++ b/src/posthatch/control/server/worker_lease_manager.h
@@ -14,20 +14,20 @@
 // Owned by ControllerService; event loop thread only.
 class WorkerLeaseManager {
  public:
-  // All pointers outlive this object.
+  // Every pointer must outlive this object.
   WorkerLeaseManager(runtime::Runtime* runtime, runtime::Duration plan_interval,
                      const Leadership* leadership, const ControlState* state,
                      SessionTable* sessions, InternalProposer* proposer,
                      ControllerMetrics* metrics);
 
-  // Forgets a proposal of an earlier term.
+  // Clears the in-flight proposal of an earlier term.
   void Reset() { proposal_in_flight_ = false; }
   void Start();
   void Stop() { timer_.Cancel(); }
 
  private:
   void Plan();
-  // Empty if nothing is to be changed, or nothing may be changed yet.
+  // Empty if no lease needs to be changed, or none may be changed yet.
   GrantWorkerLeases MakePlan(runtime::MonotonicTime now) const;
 
   runtime::Runtime* const runtime_;
--- a/src/posthatch/control/server/worker_lease_planner-test.cc
+++ b/src/posthatch/control/server/worker_lease_planner-test.cc
@@ -23,7 +23,7 @@
       lease->set_holder_incarnation(100);
     }
   }
-  // A renewal of an incarnation of a gateway; `granted` is the last renewal whose grant it
+  // Renews the session of a gateway's incarnation; `granted` is the last renewal whose grant it
   // received.
   void Renew(const std::string& gateway, uint64_t incarnation, uint64_t number, uint64_t granted,
              uint64_t granted_term = kTerm) {
@@ -67,7 +67,8 @@
 TEST_F(RestartedGatewayPlanTest, DelayedRenewalsOfPreviousIncarnationTakeNoLeases) {
   Renew("g1", 100, 1, 0, 0);
   Renew("g1", 100, 2, 1);
-  // Of the previous incarnation, with no grant of this leader, or one of another term.
+  // Renewals of the previous incarnation that acknowledge no grant of this leader, or one of
+  // another term.
   Renew("g1", 3, 1, 0, 0);
   Renew("g1", 3, 2, 1, kTerm - 1);
   EXPECT_EQ(Plan().grants_size(), 0);
--- a/src/posthatch/control/server/worker_lease_planner.cc
+++ b/src/posthatch/control/server/worker_lease_planner.cc
@@ -12,11 +12,12 @@
 // Leases that a gateway may hold above its fair share before some are released.
 constexpr size_t kMaxLeasesAboveFairShare = 1;
 
-// Gateways that may hold the workers of one zone: those of the zone, or all if it has none.
+// Gateways that may hold the leases of one zone's workers: those of the zone, or all if it has
+// none.
 using Candidates = std::vector<const Session*>;
 
-// Makes one plan: first looks at each lease (RetainOrRelease), then, if nothing is to be released,
-// grants the workers without a lease (GrantUnassigned).
+// Computes one plan: first examines each lease (RetainOrRelease), then, if nothing is to be
+// released, grants the workers without a lease (GrantUnassigned).
 class Planner {
  public:
   Planner(const FleetState& fleet, const std::map<SessionKey, Session>& sessions,
@@ -45,14 +46,14 @@
     return found == candidates_by_zone_.end() ? all_candidates_ : found->second;
   }
 
-  // Leases that each of these gateways may hold.
+  // Maximum number of leases of each candidate.
   size_t Capacity(const Candidates& candidates) const {
     const auto workers = worker_counts_.find(&candidates);
     const size_t count = workers == worker_counts_.end() ? 0 : workers->second;
     return (count + candidates.size() - 1) / candidates.size() + kMaxLeasesAboveFairShare;
   }
 
-  // Whether the command has as many changes as it may have.
+  // Whether the command has reached kMaxChanges.
   bool IsFull() const {
     return command_.grants_size() + command_.released_size() >= WorkerLeasePlanner::kMaxChanges;
   }
@@ -88,7 +89,7 @@
     }
   }
 
-  // Rendezvous hashing among those with spare capacity; null if there is none.
+  // Rendezvous hashing among the candidates with spare capacity; null if there is none.
   const Session* SelectHolder(const std::string& worker_id, const Candidates& candidates) {
     std::map<SessionKey, size_t>& lease_counts = lease_counts_[&candidates];
     const Session* best = nullptr;
@@ -105,11 +106,12 @@
 
   std::map<std::string, Candidates> candidates_by_zone_;
   Candidates all_candidates_;
-  // Leases that each gateway holds, by group of candidates.
+  // Number of leases that each gateway holds, keyed by the group of candidates.
   std::map<const Candidates*, std::map<SessionKey, size_t>> lease_counts_;
-  // Zones of the workers whose leases haven't been looked at; at last those without a lease.
+  // Zones of the workers whose leases haven't been examined, keyed by worker id; after all leases,
+  // those of the workers without a lease.
   std::map<std::string, std::string> worker_zones_;
-  std::map<const Candidates*, size_t> worker_counts_;  // by group of candidates
+  std::map<const Candidates*, size_t> worker_counts_;  // workers per group of candidates
   GrantWorkerLeases command_;
 };
 
--- a/src/posthatch/control/server/worker_lease_planner.h
+++ b/src/posthatch/control/server/worker_lease_planner.h
@@ -11,22 +11,21 @@
 
 // Assigns workers to gateways: to one of the worker's zone if there is any, chosen by rendezvous
 // hashing among those with spare capacity, so that few workers move when gateways join and leave.
-// Pure: from the state, the sessions and the time to one command.
+// Stateless: computes one command from the state, the sessions and the time.
 class WorkerLeasePlanner {
  public:
-  // Grants and releases in one command; a large fleet's changes are spread over several.
+  // Maximum of grants and releases in one command; a large fleet's changes are spread over several.
   static constexpr int kMaxChanges = 500;
 
-  // Moves the leases of gateways that have restarted to their new incarnations: released and
-  // granted at once, since the previous incarnation can't act on them any more. Unlike Plan it
-  // needn't wait for the sessions of a previous leader to expire, and no worker changes its
-  // gateway.
+  // Moves the leases of restarted gateways to their new incarnations: releases and grants them in
+  // one command, since the previous incarnation can't act on them any more. Unlike Plan it needn't
+  // wait for the sessions of a previous leader to expire, and no worker changes its gateway.
   static GrantWorkerLeases PlanForRestartedGateways(const FleetState& fleet,
                                                     const SessionTable& sessions);
 
   // Releases first: the leases of expired sessions, of workers that left the inventory, and of
-  // holders with too many or in another zone. If there is anything to release, no grants are made:
-  // they wait until the release is in force. Only sessions that are valid at `now` count.
+  // gateways with too many leases or in another zone. If there is anything to release, no grants
+  // are made: they wait until the release is in force. Only sessions that are valid at `now` count.
   static GrantWorkerLeases Plan(const FleetState& fleet,
                                 const std::map<SessionKey, Session>& sessions,
                                 runtime::MonotonicTime now);
