--- a/src/posthatch/control/server/control_history-test.h
+++ b/src/posthatch/control/server/control_history-test.h
@@ -62,14 +62,14 @@
 
  private:
   void CheckDecisions(runtime::Duration tolerance, std::vector<std::string>* violations) const {
-    std::map<std::pair<std::string, uint64_t>, uint64_t> last;
+    std::map<std::pair<std::string, uint64_t>, uint64_t> last_versions;
     for (const Decision& decision : decisions_) {
-      uint64_t& before = last[{decision.gateway, decision.incarnation}];
-      if (decision.version < before) {
-        violations->push_back(absl::StrCat("N8: ", decision.gateway, " went back from ", before,
-                                           " to ", decision.version));
+      uint64_t& last_version = last_versions[{decision.gateway, decision.incarnation}];
+      if (decision.version < last_version) {
+        violations->push_back(absl::StrCat("N8: ", decision.gateway, " went back from ",
+                                           last_version, " to ", decision.version));
       }
-      before = decision.version;
+      last_version = decision.version;
       for (const Acknowledgement& ack : acks_) {
         if (decision.at < ack.at + tolerance || decision.version >= ack.version) continue;
         violations->push_back(absl::StrCat("N8: ", decision.gateway, " decided by ",
@@ -85,12 +85,12 @@
     std::map<std::string, uint64_t> results;
     std::map<uint64_t, std::string> winners;
     for (const Acknowledgement& ack : acks_) {
-      const auto [result, first] = results.try_emplace(ack.request_id, ack.version);
-      if (!first && result->second != ack.version) {
+      const auto [result, is_new_request] = results.try_emplace(ack.request_id, ack.version);
+      if (!is_new_request && result->second != ack.version) {
         violations->push_back("N8: a resent change got a different result: " + ack.request_id);
       }
-      const auto [winner, alone] = winners.try_emplace(ack.version, ack.request_id);
-      if (!alone && winner->second != ack.request_id) {
+      const auto [winner, is_new_version] = winners.try_emplace(ack.version, ack.request_id);
+      if (!is_new_version && winner->second != ack.request_id) {
         violations->push_back(
             absl::StrCat("N8: two changes were acknowledged with version ", ack.version));
       }
@@ -116,17 +116,18 @@
   }
 
   void CheckWorkerCommands(std::vector<std::string>* violations) const {
-    std::map<std::string, WorkerCommand> last;
+    std::map<std::string, WorkerCommand> last_commands;
     for (const WorkerCommand& command : worker_commands_) {
-      const auto before = last.find(command.worker);
-      if (before != last.end() &&
-          (command.token < before->second.token ||
-           (command.token == before->second.token && command.gateway != before->second.gateway))) {
+      const auto last_command = last_commands.find(command.worker);
+      if (last_command != last_commands.end() &&
+          (command.token < last_command->second.token ||
+           (command.token == last_command->second.token &&
+            command.gateway != last_command->second.gateway))) {
         violations->push_back(absl::StrCat("N6: ", command.gateway, " sent a command to ",
                                            command.worker, " with token ", command.token,
-                                           " after token ", before->second.token));
+                                           " after token ", last_command->second.token));
       }
-      last[command.worker] = command;
+      last_commands[command.worker] = command;
     }
   }
 
--- a/src/posthatch/control/server/control_plane-test.cc
+++ b/src/posthatch/control/server/control_plane-test.cc
@@ -68,7 +68,7 @@
       if (fleet_.world.Now() > end_) return;
       ScheduleChanges();
       OperatorProcess* process = fleet_.operator_process;
-      if (process->open() > 30) return;
+      if (process->pending_changes() > 30) return;
       if (random().Chance(0.3)) {
         process->Race();
       } else if (random().Chance(0.1)) {
@@ -178,10 +178,10 @@
 testing::internal::ParamGenerator<uint64_t> Seeds() {
   uint64_t first = 1;
   uint64_t last = 30;
-  const char* wanted = std::getenv("POSTHATCH_CONTROL_SEEDS");
-  if (wanted != nullptr) {
+  const char* range = std::getenv("POSTHATCH_CONTROL_SEEDS");
+  if (range != nullptr) {
     char* rest = nullptr;
-    first = std::strtoull(wanted, &rest, 10);
+    first = std::strtoull(range, &rest, 10);
     last = *rest == '-' ? std::strtoull(rest + 1, nullptr, 10) : first;
   }
   return testing::Range<uint64_t>(first, last + 1);
@@ -191,16 +191,16 @@
 
 TEST_P(ControlPlaneTest, AcknowledgedChangesSurviveFaults) {
   fleet_.operator_process->Change(0);
-  ASSERT_TRUE(
-      fleet_.world.RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(40)));
+  ASSERT_TRUE(fleet_.world.RunUntil(
+      [this] { return fleet_.operator_process->pending_changes() == 0; }, seconds(40)));
   end_ = fleet_.world.Now() + kRunTime;
   ScheduleChanges();
   ScheduleFaults();
   fleet_.world.RunFor(kRunTime + seconds(30));
   fleet_.world.HealAll();
-  ASSERT_TRUE(
-      fleet_.world.RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(60)))
-      << fleet_.operator_process->open() << " changes without a final result";
+  ASSERT_TRUE(fleet_.world.RunUntil(
+      [this] { return fleet_.operator_process->pending_changes() == 0; }, seconds(60)))
+      << fleet_.operator_process->pending_changes() << " changes without a final result";
   SimHost* leader = nullptr;
   ASSERT_TRUE(
       fleet_.world.RunUntil([&] { return (leader = fleet_.Leader()) != nullptr; }, seconds(20)));
@@ -223,8 +223,8 @@
 // in any partition; a controller without a quorum rejects it.
 TEST_P(ControlPlaneTest, ReadsAreLinearizableAtAnyController) {
   fleet_.operator_process->Change(0);
-  ASSERT_TRUE(
-      fleet_.world.RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(40)));
+  ASSERT_TRUE(fleet_.world.RunUntil(
+      [this] { return fleet_.operator_process->pending_changes() == 0; }, seconds(40)));
   end_ = fleet_.world.Now() + seconds(60);
   ScheduleChanges();
   ScheduleFaults();
--- a/src/posthatch/control/server/controller_service-test.cc
+++ b/src/posthatch/control/server/controller_service-test.cc
@@ -24,7 +24,8 @@
     EXPECT_TRUE(RunUntil([this] { return AllGatewaysHaveLeases(); }, seconds(3)));
     // Sets a first configuration, which also waits out the session leases of previous leaders.
     fleet_.operator_process->Change(0);
-    EXPECT_TRUE(RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(12)));
+    EXPECT_TRUE(
+        RunUntil([this] { return fleet_.operator_process->pending_changes() == 0; }, seconds(12)));
   }
 
   void Elect(int controller) {
@@ -42,10 +43,11 @@
     }
     return true;
   }
-  runtime::Duration TimeOfOneChange() {
+  runtime::Duration MeasureChangeLatency() {
     const runtime::MonotonicTime start = fleet_.world.Now();
     fleet_.operator_process->Change(0);
-    EXPECT_TRUE(RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(15)));
+    EXPECT_TRUE(
+        RunUntil([this] { return fleet_.operator_process->pending_changes() == 0; }, seconds(15)));
     return fleet_.world.Now() - start;
   }
   // Checks the history recorded since the start of the test.
@@ -70,7 +72,8 @@
 
 TEST_P(ControllerServiceTest, AcknowledgedChangeIsInForceEverywhere) {
   for (int i = 0; i < 20; ++i) fleet_.operator_process->Race();
-  ASSERT_TRUE(RunUntil([this] { return fleet_.operator_process->open() == 0; }, seconds(20)));
+  ASSERT_TRUE(
+      RunUntil([this] { return fleet_.operator_process->pending_changes() == 0; }, seconds(20)));
   EXPECT_GT(fleet_.operator_process->rejected(), 0);
   for (int i = 0; i < 4; ++i) {
     EXPECT_EQ(Session(i).state().configuration_version(),
@@ -80,10 +83,10 @@
 }
 
 TEST_P(ControllerServiceTest, FrozenGatewayDelaysAcknowledgementByAtMostItsLease) {
-  EXPECT_LT(TimeOfOneChange(), milliseconds(700));
+  EXPECT_LT(MeasureChangeLatency(), milliseconds(700));
   fleet_.gateway_hosts[0]->Freeze();
-  fleet_.operator_process->avoid = fleet_.gateway_hosts[0]->http_endpoint();
-  const runtime::Duration waited = TimeOfOneChange();
+  fleet_.operator_process->excluded_node = fleet_.gateway_hosts[0]->http_endpoint();
+  const runtime::Duration waited = MeasureChangeLatency();
   EXPECT_GT(waited, seconds(2));
   EXPECT_LT(waited, milliseconds(4500));
   fleet_.world.RunFor(seconds(25));
@@ -100,7 +103,7 @@
   RunUntil([this] { return Session(0).lease_expiry() - fleet_.world.Now() > seconds(3); },
            seconds(3));
   Elect(1);
-  const runtime::Duration waited = TimeOfOneChange();
+  const runtime::Duration waited = MeasureChangeLatency();
   EXPECT_GT(waited, seconds(3));
   EXPECT_FALSE(Session(0).LeaseValid());
   ExpectNoViolation();
@@ -112,9 +115,9 @@
   // No more renewals arrive; grants in flight do.
   fleet_.world.Partition("g0", "c0");
   fleet_.world.Partition("g0", "c1");
-  fleet_.operator_process->avoid = fleet_.gateway_hosts[0]->http_endpoint();
+  fleet_.operator_process->excluded_node = fleet_.gateway_hosts[0]->http_endpoint();
   for (int i = 0; i < 8; ++i) {
-    TimeOfOneChange();
+    MeasureChangeLatency();
     fleet_.world.RunFor(milliseconds(700));
   }
   ExpectNoViolation();
@@ -132,9 +135,9 @@
 TEST_P(ControllerServiceTest, DeposedLeaderGrantsNoLeases) {
   cluster_.partitioned_endpoint = fleet_.controller_hosts[0]->internal_endpoint();
   Elect(1);
-  fleet_.operator_process->avoid = fleet_.controller_hosts[0]->http_endpoint();
-  TimeOfOneChange();
-  TimeOfOneChange();
+  fleet_.operator_process->excluded_node = fleet_.controller_hosts[0]->http_endpoint();
+  MeasureChangeLatency();
+  MeasureChangeLatency();
   EXPECT_TRUE(fleet_.Controller(fleet_.controller_hosts[0])->service.leading());
   ExpectNoViolation();
 }
@@ -298,10 +301,10 @@
   ExpectNoViolation();
 }
 
-TEST_P(ControllerServiceTest, LeavingGatewayIsNotWaitedFor) {
+TEST_P(ControllerServiceTest, ChangesDoNotWaitForLeavingGateway) {
   Session(0).Leave();
   EXPECT_FALSE(Session(0).LeaseValid());
-  EXPECT_LT(TimeOfOneChange(), milliseconds(900));
+  EXPECT_LT(MeasureChangeLatency(), milliseconds(900));
   ExpectNoViolation();
 }
 
--- a/src/posthatch/control/server/controller_service.cc
+++ b/src/posthatch/control/server/controller_service.cc
@@ -68,7 +68,7 @@
 
 void ControllerService::BeginLeadership(uint64_t term) {
   leadership_.Begin(term, max_previous_lease_);
-  ResetTerm();
+  ResetTermState();
   metrics_.leading().Set(1);
   proposals_.BeginTerm();
   inventory_.Start();
@@ -80,14 +80,14 @@
 
 void ControllerService::EndLeadership(uint64_t term) {
   leadership_.End(term);
-  ResetTerm();
+  ResetTermState();
   metrics_.leading().Set(0);
   inventory_.Stop();
   worker_leases_.Stop();
   host_->OnLeadershipChange(false, term);
 }
 
-void ControllerService::ResetTerm() {
+void ControllerService::ResetTermState() {
   sessions_.Clear();
   proposals_.Reset();
   worker_leases_.Reset();
--- a/src/posthatch/control/server/controller_service.h
+++ b/src/posthatch/control/server/controller_service.h
@@ -75,7 +75,7 @@
   void OnLeadership(bool is_leader, uint64_t term);
   void BeginLeadership(uint64_t term);
   void EndLeadership(uint64_t term);
-  void ResetTerm();
+  void ResetTermState();
   void OnSectionsChanged();
   void OnMessage(const ControlPeer& sender, const ControlMessage& message);
 
--- a/src/posthatch/control/server/fleet_harness-test.h
+++ b/src/posthatch/control/server/fleet_harness-test.h
@@ -54,13 +54,13 @@
       : controller_host(std::move(controllers)),
         log(make_log(runtime, &state)),
         service(runtime, options, &controller_host, log.log, log.guard, &state),
-        port(runtime, host.http_endpoint(), service.client(), service.client()) {}
+        admin_endpoint(runtime, host.http_endpoint(), service.client(), service.client()) {}
 
   StaticControllerHost controller_host;
   ControlState state;
   LogParts log;
   ControllerService service;
-  AdminEndpoint port;
+  AdminEndpoint admin_endpoint;
 };
 
 // A gateway that every 20 ms records a decision, and a command to each worker whose lease it holds.
@@ -70,12 +70,12 @@
       : runtime(host_runtime),
         history(control_history),
         session(host_runtime, {.zone = host.zone(), .client = {}}, controllers),
-        port(host_runtime, host.http_endpoint(), &session, &session),
+        admin_endpoint(host_runtime, host.http_endpoint(), &session, &session),
         timer(host_runtime->timers) {
-    Act();
+    Tick();
   }
-  void Act() {
-    timer.Start(std::chrono::milliseconds(20), [this] { Act(); });
+  void Tick() {
+    timer.Start(std::chrono::milliseconds(20), [this] { Tick(); });
     if (!session.LeaseValid()) return;
     const runtime::MonotonicTime now = runtime->clock->Now();
     const std::string& id = runtime->transport->node_id();
@@ -91,7 +91,7 @@
   runtime::Runtime* runtime;
   ControlHistory* history;
   GatewaySession session;
-  AdminEndpoint port;
+  AdminEndpoint admin_endpoint;
   runtime::Timer timer;
 };
 
@@ -104,7 +104,7 @@
 
   void Change(uint64_t expected_version) {
     const std::string id = absl::StrCat("change-", ++changes_);
-    open_[id] =
+    pending_changes_[id] =
         absl::StrCat(R"({"request_id":")", id, R"(","expected_version":)", expected_version,
                      R"(,"patch":{"upsert":{"tenants":[{"name":"t)", changes_ % 7, R"("}]}}})");
     Send(id);
@@ -117,41 +117,41 @@
   }
   void Evacuate() {
     const std::string id = absl::StrCat("evacuate-", ++changes_);
-    open_[id] =
+    pending_changes_[id] =
         absl::StrCat(R"({"request_id":")", id, R"(","name":"e","selector":)",
                      R"({"requirements":[{"key":"zone","operator":"IN","values":["z1"]}]}})");
     Send(id);
   }
-  size_t open() const { return open_.size(); }
+  size_t pending_changes() const { return pending_changes_.size(); }
   uint64_t newest_version() const { return newest_version_; }
   size_t rejected() const { return rejected_; }
 
-  std::string avoid;  // gets no requests: the operator knows that it is faulty
+  std::string excluded_node;  // gets no requests: the operator knows that it is faulty
 
  private:
   void Send(const std::string& id) {
     http::Request request;
     request.method = "POST";
     request.target = id[0] == 'e' ? "/admin/v1/evacuations" : "/admin/v1/configuration";
-    request.body = open_.at(id);
+    request.body = pending_changes_.at(id);
     auto response = std::make_shared<http::Response>();
     http::CallObserver observer;
     observer.on_head = [response](const http::Response& head) { response->status = head.status; };
-    observer.on_chunk = [response](const std::string& piece) { response->body += piece; };
+    observer.on_chunk = [response](const std::string& chunk) { response->body += chunk; };
     observer.on_end = [this, id, response] { OnResponse(id, *response); };
-    observer.on_error = [this, id](const http::CallError&) { SendLater(id); };
+    observer.on_error = [this, id](const http::CallError&) { ScheduleResend(id); };
     http::CallOptions options;
     options.head_timeout = std::chrono::seconds(5);
-    std::string node = avoid;
-    while (node == avoid) node = nodes_[runtime_->random->Uniform(nodes_.size())];
+    std::string node = excluded_node;
+    while (node == excluded_node) node = nodes_[runtime_->random->Uniform(nodes_.size())];
     calls_[id] = runtime_->http_client->Start(node, request, options, std::move(observer));
   }
-  void SendLater(const std::string& id) {
+  void ScheduleResend(const std::string& id) {
     runtime_->timers->Schedule(std::chrono::milliseconds(200), [this, id] { Send(id); });
   }
   void OnResponse(const std::string& id, const http::Response& response) {
     if (response.status == 503) {
-      SendLater(id);
+      ScheduleResend(id);
       return;
     }
     boost::json::error_code error;
@@ -164,20 +164,20 @@
       if (version > 0) history_->RecordAcknowledgement({runtime_->clock->Now(), id, version});
       if (!resent_.contains(id) && runtime_->random->Chance(0.3)) {
         resent_.insert(id);  // simulates a lost response
-        SendLater(id);
+        ScheduleResend(id);
         return;
       }
     } else {
       ++rejected_;
       history_->RecordRejection(id);
     }
-    open_.erase(id);
+    pending_changes_.erase(id);
   }
 
   runtime::Runtime* const runtime_;
   const std::vector<std::string> nodes_;
   ControlHistory* const history_;
-  std::map<std::string, std::string> open_;
+  std::map<std::string, std::string> pending_changes_;
   std::set<std::string> resent_;
   std::map<std::string, std::unique_ptr<http::Call>> calls_;
   uint64_t changes_ = 0;
--- a/src/posthatch/control/server/inventory_publisher.cc
+++ b/src/posthatch/control/server/inventory_publisher.cc
@@ -17,7 +17,7 @@
 constexpr runtime::Duration kRefreshDelay = std::chrono::milliseconds(40);
 // Interval of saving the model revisions' ages in the log while workers are outdated. After a
 // restart of all processes a revision seems younger by at most this.
-constexpr runtime::Duration kAgesInterval = std::chrono::seconds(1);
+constexpr runtime::Duration kRevisionAgesInterval = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -34,14 +34,14 @@
       proposer_(proposer),
       poller_(runtime, options,
               [this](Inventory inventory, runtime::MonotonicTime requested_at) {
-                OnRead(std::move(inventory), requested_at);
+                OnSnapshot(std::move(inventory), requested_at);
               }),
       refresh_timer_(runtime->timers) {}
 
 void InventoryPublisher::Reset() {
   proposal_in_flight_ = false;
   is_current_ = false;
-  last_reading_.Clear();
+  last_snapshot_.Clear();
   refresh_pending_ = false;
   refresh_timer_.Cancel();
 }
@@ -53,32 +53,32 @@
 }
 
 void InventoryPublisher::Refresh() {
-  if (last_reading_.backends().empty() || refresh_timer_.running()) return;
+  if (last_snapshot_.backends().empty() || refresh_timer_.running()) return;
   if (proposal_in_flight_) {
     refresh_pending_ = true;
     return;
   }
   refresh_timer_.Start(kRefreshDelay, [this] {
-    if (leadership_->active()) OnRead(last_reading_, last_reading_requested_at_);
+    if (leadership_->active()) OnSnapshot(last_snapshot_, last_snapshot_requested_at_);
   });
 }
 
-void InventoryPublisher::OnRead(Inventory inventory, runtime::MonotonicTime requested_at) {
+void InventoryPublisher::OnSnapshot(Inventory inventory, runtime::MonotonicTime requested_at) {
   if (!leadership_->HasLeaderLease()) return;
-  last_reading_ = inventory;
-  last_reading_requested_at_ = requested_at;
+  last_snapshot_ = inventory;
+  last_snapshot_requested_at_ = requested_at;
   host_->AnnotateInventory(&inventory);
-  if (SameBackends(inventory, state_->fleet().inventory()) && !NeedsNewerAges()) {
+  if (SameBackends(inventory, state_->fleet().inventory()) && !RevisionAgesOutdated()) {
     MarkCurrent(requested_at);
     return;
   }
   if (!proposal_in_flight_) Propose(inventory, requested_at);
 }
 
-bool InventoryPublisher::NeedsNewerAges() const {
+bool InventoryPublisher::RevisionAgesOutdated() const {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  if (now - ages_proposed_at_ < kAgesInterval) return false;
-  if (now - revisions_->newest_named_at() >= kAgesMatterFor) return false;
+  if (now - revision_ages_proposed_at_ < kRevisionAgesInterval) return false;
+  if (now - revisions_->newest_named_at() >= kRevisionAgesRelevantFor) return false;
   std::map<std::string, uint64_t> newest;
   for (const ModelRevision& named : state_->fleet().revisions()) {
     newest[named.model()] = named.revision();
@@ -95,8 +95,9 @@
   Command command;
   *command.mutable_set_inventory()->mutable_delta() = ComputeDelta(replicated, inventory);
   command.mutable_set_inventory()->set_base_version(replicated.version());
-  ages_proposed_at_ = runtime_->clock->Now();
-  revisions_->SaveAges(ages_proposed_at_, command.mutable_set_inventory()->mutable_revision_ages());
+  revision_ages_proposed_at_ = runtime_->clock->Now();
+  revisions_->SaveAges(revision_ages_proposed_at_,
+                       command.mutable_set_inventory()->mutable_revision_ages());
   proposer_->Propose(command, [this, requested_at](bool applied) {
     proposal_in_flight_ = false;
     if (applied) MarkCurrent(requested_at);
--- a/src/posthatch/control/server/inventory_publisher.h
+++ b/src/posthatch/control/server/inventory_publisher.h
@@ -34,10 +34,10 @@
   uint32_t InventoryAgeMs() const;
 
  private:
-  void OnRead(Inventory inventory, runtime::MonotonicTime requested_at);
+  void OnSnapshot(Inventory inventory, runtime::MonotonicTime requested_at);
   void Propose(const Inventory& inventory, runtime::MonotonicTime requested_at);
   // Whether the model revisions' ages in the log are too old for a roll-out in progress.
-  bool NeedsNewerAges() const;
+  bool RevisionAgesOutdated() const;
   void MarkCurrent(runtime::MonotonicTime requested_at);
 
   runtime::Runtime* const runtime_;
@@ -49,11 +49,11 @@
   InventoryPoller poller_;
   runtime::Timer refresh_timer_;
 
-  Inventory last_reading_;  // the platform's data, without annotations
-  runtime::MonotonicTime last_reading_requested_at_;
+  Inventory last_snapshot_;  // the platform's data, without annotations
+  runtime::MonotonicTime last_snapshot_requested_at_;
   bool proposal_in_flight_ = false;
   bool refresh_pending_ = false;  // requested while a proposal was in flight
-  runtime::MonotonicTime ages_proposed_at_;
+  runtime::MonotonicTime revision_ages_proposed_at_;
   // Whether the replicated inventory reflects a snapshot of this term, and when that was requested.
   bool is_current_ = false;
   runtime::MonotonicTime current_requested_at_;
--- a/src/posthatch/control/server/memory_log-test.h
+++ b/src/posthatch/control/server/memory_log-test.h
@@ -50,7 +50,7 @@
   }
 
   void Propose(std::string command, ProposeDone done) override {
-    if (!leading_) {
+    if (!is_leader_) {
       done(absl::FailedPreconditionError("not leader"));
       return;
     }
@@ -61,18 +61,18 @@
     cluster_->entries.push_back({cluster_->term, std::move(command)});
     runtime_->timers->Schedule(kCommitTime,
                                [this, index = cluster_->entries.size(), done = std::move(done)] {
-                                 if (applied_ < index) ApplyUpTo(index);
+                                 if (applied_index_ < index) ApplyUpTo(index);
                                  done(std::move(results_[index - 1]));
                                });
   }
   void ReadBarrier(ReadDone done) override {
     done(HasLeaderLease() ? absl::OkStatus() : absl::FailedPreconditionError("not leader"));
   }
-  bool IsLeader() const override { return leading_; }
+  bool IsLeader() const override { return is_leader_; }
   uint64_t term() const override { return term_; }
-  uint64_t applied_index() const override { return applied_; }
+  uint64_t applied_index() const override { return applied_index_; }
   consensus::ReplicaRole role() const override {
-    return leading_ ? consensus::ReplicaRole::kLeader : consensus::ReplicaRole::kFollower;
+    return is_leader_ ? consensus::ReplicaRole::kLeader : consensus::ReplicaRole::kFollower;
   }
   std::string leader_endpoint() const override { return cluster_->leader_endpoint; }
   void SetLeadershipListener(LeadershipListener listener) override {
@@ -87,19 +87,19 @@
     timer_.Start(kSyncInterval, [this] { Sync(); });
     if (cluster_->partitioned_endpoint == runtime_->transport->endpoint()) return;
     ApplyUpTo(cluster_->entries.size());
-    const bool leads = cluster_->leader_endpoint == runtime_->transport->endpoint();
-    const bool changed = leads != leading_ || (leads && term_ != cluster_->term);
-    leading_ = leads;
+    const bool is_leader = cluster_->leader_endpoint == runtime_->transport->endpoint();
+    const bool changed = is_leader != is_leader_ || (is_leader && term_ != cluster_->term);
+    is_leader_ = is_leader;
     term_ = cluster_->term;
-    if (changed && listener_) listener_(leading_, term_);
+    if (changed && listener_) listener_(is_leader_, term_);
   }
   void ApplyUpTo(uint64_t index) {
-    while (applied_ < index) {
-      const MemoryCluster::Entry entry = cluster_->entries[applied_];
-      ++applied_;
+    while (applied_index_ < index) {
+      const MemoryCluster::Entry entry = cluster_->entries[applied_index_];
+      ++applied_index_;
       results_.push_back(entry.command.empty()
                              ? std::string()
-                             : state_machine_->Apply(applied_, entry.term, entry.command));
+                             : state_machine_->Apply(applied_index_, entry.term, entry.command));
     }
   }
 
@@ -109,9 +109,9 @@
   runtime::Timer timer_;
   LeadershipListener listener_;
   std::vector<std::string> results_;
-  uint64_t applied_ = 0;
+  uint64_t applied_index_ = 0;
   uint64_t term_ = 0;
-  bool leading_ = false;
+  bool is_leader_ = false;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/server/proposal_server.cc
+++ b/src/posthatch/control/server/proposal_server.cc
@@ -33,8 +33,8 @@
 
 void ProposalServer::OnRequest(const ControlPeer& sender, const ProposeRequest& request) {
   const ProposalKey key = MakeKey(sender, request);
-  const auto pending = pending_.find(key);
-  if (pending != pending_.end()) {
+  const auto pending = pending_calls_.find(key);
+  if (pending != pending_calls_.end()) {
     pending->second = request.call();  // a resend: only the newest call gets the response
     return;
   }
@@ -43,12 +43,12 @@
     Reject(sender, request.call(), rejection);
     return;
   }
-  pending_[key] = request.call();
+  pending_calls_[key] = request.call();
   Command command = request.command();
   StampControlTime(&command);
   log_->Propose(SerializeDeterministically(command),
-                lifetime_.Guard([this, key](const absl::StatusOr<std::string>& applied) {
-                  OnProposalDone(key, applied);
+                lifetime_.Guard([this, key](const absl::StatusOr<std::string>& serialized_result) {
+                  OnProposalDone(key, serialized_result);
                 }));
 }
 
@@ -64,7 +64,7 @@
 
 ProposeResponse::Status ProposalServer::CheckAdmission() const {
   if (!leadership_->IsLeader()) return ProposeResponse::NOT_LEADER;
-  if (pending_.size() >= max_proposals_) return ProposeResponse::OVERLOADED;
+  if (pending_calls_.size() >= max_proposals_) return ProposeResponse::OVERLOADED;
   return ProposeResponse::STATUS_UNSPECIFIED;
 }
 
@@ -91,13 +91,13 @@
 }
 
 void ProposalServer::OnProposalDone(const ProposalKey& key,
-                                    const absl::StatusOr<std::string>& applied) {
-  if (!applied.ok()) {
-    RespondNotApplied(key, applied.status());
+                                    const absl::StatusOr<std::string>& serialized_result) {
+  if (!serialized_result.ok()) {
+    RespondNotApplied(key, serialized_result.status());
     return;
   }
   CommandResult result;
-  if (!result.ParseFromString(*applied)) {
+  if (!result.ParseFromString(*serialized_result)) {
     RespondUncertain(key);
   } else if (key.until_in_force && result.code() == CommandResult::OK) {
     WaitUntilInForce(key, result);
@@ -155,10 +155,10 @@
 }
 
 void ProposalServer::Respond(const ProposalKey& key, ProposeResponse response) {
-  const auto proposal = pending_.find(key);
-  if (proposal == pending_.end()) return;
+  const auto proposal = pending_calls_.find(key);
+  if (proposal == pending_calls_.end()) return;
   response.set_call(proposal->second);
-  pending_.erase(proposal);
+  pending_calls_.erase(proposal);
   ControlMessage message;
   *message.mutable_propose_response() = std::move(response);
   messenger_->Send(key.endpoint, message);
--- a/src/posthatch/control/server/proposal_server.h
+++ b/src/posthatch/control/server/proposal_server.h
@@ -58,7 +58,7 @@
   void Reject(const ControlPeer& sender, uint64_t call, ProposeResponse::Status status);
   // Sets the control time in commands whose effect depends on the time.
   void StampControlTime(Command* command) const;
-  void OnProposalDone(const ProposalKey& key, const absl::StatusOr<std::string>& applied);
+  void OnProposalDone(const ProposalKey& key, const absl::StatusOr<std::string>& serialized_result);
   void RespondNotApplied(const ProposalKey& key, const absl::Status& status);
   void WaitUntilInForce(const ProposalKey& key, const CommandResult& result);
   void Respond(const ProposalKey& key, ProposeResponse response);
@@ -79,7 +79,7 @@
 
   InForceWaiters waiters_;
   // Number of each pending proposal's newest call, which gets the response.
-  std::map<ProposalKey, uint64_t> pending_;
+  std::map<ProposalKey, uint64_t> pending_calls_;
   uint64_t anonymous_proposal_count_ = 0;  // distinguishes proposals without a request id
   int64_t control_time_base_ms_ = 0;
   runtime::Timer check_timer_;
--- a/src/posthatch/control/server/session_table.cc
+++ b/src/posthatch/control/server/session_table.cc
@@ -34,12 +34,12 @@
       renewal.granted_term() == term && renewal.granted_renewal() >= session.first_renewal;
   if (!is_new && acks_grant && !session.grant_acked) {
     session.grant_acked = true;
-    ExpirePreviousIncarnations(session);
+    RemovePreviousIncarnations(session);
   }
   return &session;
 }
 
-void SessionTable::ExpirePreviousIncarnations(const Session& session) {
+void SessionTable::RemovePreviousIncarnations(const Session& session) {
   std::erase_if(sessions_, [&session](const auto& entry) {
     const Session& other = entry.second;
     return other.key.gateway == session.key.gateway && other.key != session.key &&
--- a/src/posthatch/control/server/session_table.h
+++ b/src/posthatch/control/server/session_table.h
@@ -78,7 +78,7 @@
  private:
   // Removes the sessions of incarnations that last renewed before the first grant of `session`.
   // Requires that `session` has acknowledged a grant.
-  void ExpirePreviousIncarnations(const Session& session);
+  void RemovePreviousIncarnations(const Session& session);
 
   std::map<SessionKey, Session> sessions_;
 };
--- a/src/posthatch/control/server/worker_lease_manager.cc
+++ b/src/posthatch/control/server/worker_lease_manager.cc
@@ -42,9 +42,9 @@
   // A released worker is granted again only once no gateway can still consider itself the lease
   // holder: neither one with a session of a previous leader nor one that hasn't acknowledged the
   // release.
-  const bool releases_known = leadership_->PreviousSessionsExpired(now) &&
+  const bool releases_acked = leadership_->PreviousSessionsExpired(now) &&
                               sessions_->AckedByAllSessions(fleet.leases_index(), now);
-  if (!releases_known) return {};
+  if (!releases_acked) return {};
   return WorkerLeasePlanner::Plan(fleet, sessions_->sessions(), now);
 }
 
--- a/src/posthatch/control/server/worker_lease_planner.cc
+++ b/src/posthatch/control/server/worker_lease_planner.cc
@@ -79,7 +79,7 @@
     for (const auto& [worker_id, zone] : worker_zones_) {
       if (IsFull()) return;
       const Candidates& candidates = CandidatesFor(zone);
-      const Session* holder = SelectHolder(worker_id, candidates);
+      const Session* holder = SelectLeaseHolder(worker_id, candidates);
       if (holder == nullptr) return;
       ++lease_counts_[&candidates][holder->key];
       WorkerLease* grant = command_.add_grants();
@@ -90,7 +90,7 @@
   }
 
   // Rendezvous hashing among the candidates with spare capacity; null if there is none.
-  const Session* SelectHolder(const std::string& worker_id, const Candidates& candidates) {
+  const Session* SelectLeaseHolder(const std::string& worker_id, const Candidates& candidates) {
     std::map<SessionKey, size_t>& lease_counts = lease_counts_[&candidates];
     const Session* best = nullptr;
     uint64_t best_score = 0;
