--- a/src/posthatch/control/admin/admin_api-test.cc
+++ b/src/posthatch/control/admin/admin_api-test.cc
@@ -39,7 +39,7 @@
              std::initializer_list<runtime::TraceField>) override {}
 };
 
-// Responds at once with the result that the test set.
+// Responds synchronously with the result that the test has set.
 class FixedClient : public ControlClient, public QueryClient {
  public:
   void Propose(Command command, runtime::Duration, bool until_in_force, ProposeDone done) override {
--- a/src/posthatch/control/admin/admin_api.h
+++ b/src/posthatch/control/admin/admin_api.h
@@ -14,12 +14,12 @@
 struct AdminApiOptions {
   // SHA-256 of the operators' bearer token, hexadecimal; empty: requests need no token.
   std::string admin_token_sha256;
-  // Until a change is reported as uncertain. Longer than a session lease and a leader election
-  // together, since a change is acknowledged only once it is in force.
+  // Time after which a change is reported as uncertain. Longer than a session lease and a leader
+  // election together, since a change is acknowledged only once it is in force.
   runtime::Duration change_timeout = std::chrono::seconds(20);
   runtime::Duration query_timeout = std::chrono::seconds(5);
-  // Returns the JSON body of GET /admin/v1/members, which each process answers from its own view of
-  // the membership; may be empty.
+  // Returns the JSON body of GET /admin/v1/members, which each process renders from its local view
+  // of the membership; may be empty.
   std::function<std::string()> members_view;
 };
 
@@ -27,12 +27,12 @@
 // and reads are forwarded to the leading controller. Owned by the process; event loop thread only.
 class AdminApi {
  public:
-  // All pointers outlive this object.
+  // Every pointer must outlive this object.
   AdminApi(runtime::Runtime* runtime, AdminApiOptions options, ControlClient* control_client,
            QueryClient* query_client);
 
-  // Responds to a request under /admin/v1/, now or later; false, with nothing done, for other
-  // paths. The process handles /admin/v1/log-level and /admin/v1/index itself.
+  // Responds to a request under /admin/v1/, synchronously or later; returns false and does nothing
+  // for other paths. The process handles /admin/v1/log-level and /admin/v1/index itself.
   bool HandleRequest(const http::Request& request, std::shared_ptr<http::ResponseWriter> writer);
 
   // Whether the request carries the operators' token, if one is required; compared in constant
--- a/src/posthatch/control/admin/admin_changes.cc
+++ b/src/posthatch/control/admin/admin_changes.cc
@@ -47,7 +47,7 @@
     return value->is_bool() && value->get_bool();
   }
 
-  // In the JSON mapping of protobuf; false if there is no such field.
+  // Parses a field in protobuf's JSON mapping; false if it is missing.
   bool Message(std::string_view name, google::protobuf::Message* message) {
     const boost::json::value* value = Take(name);
     if (value == nullptr) return false;
--- a/src/posthatch/control/admin/admin_changes.h
+++ b/src/posthatch/control/admin/admin_changes.h
@@ -14,10 +14,10 @@
 // NotFound if there is no such change.
 absl::StatusOr<Command> ReadChange(std::string_view name, const std::string& body);
 
-// The response to a change: 200 acknowledged, or the error that `result` stands for.
+// Renders the response to a change: 200 if it was acknowledged, else the error of `result`.
 http::Response RenderResult(const Command& command, const CommandResult& result);
 
-// A JSON error response; `retry` adds Retry-After.
+// Renders a JSON error response; `retry` adds Retry-After.
 http::Response RenderError(int status, std::string_view code, std::string_view message, bool retry);
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/admin/operator_api.cc
+++ b/src/posthatch/control/admin/operator_api.cc
@@ -7,7 +7,7 @@
 namespace posthatch::control {
 namespace {
 
-// Lifting an evacuation twice is no error for the operator.
+// Lifting an evacuation that is already lifted is reported as a success.
 bool AlreadyLifted(const Command& command, const CommandResult& result) {
   return command.set_evacuation().lifted() && result.code() == CommandResult::NOT_FOUND;
 }
@@ -43,7 +43,7 @@
 }
 
 void OperatorApi::HandleChange(Command command, std::shared_ptr<http::ResponseWriter> writer) {
-  // A new request id for each call: resends are recognised by the command's content.
+  // Each call gets a new request id: resends are recognised by the command's content.
   command.set_request_id(
       absl::StrCat("op-", absl::Hex(runtime_->transport->incarnation()), "-", ++last_change_id_));
   control_client_->Propose(
--- a/src/posthatch/control/admin/operator_api.h
+++ b/src/posthatch/control/admin/operator_api.h
@@ -12,8 +12,8 @@
 namespace posthatch::control {
 
 struct OperatorApiOptions {
-  // Until a change is reported as unavailable. Short, so that a change that its sender has given up
-  // doesn't come into force after a later one.
+  // Time after which a change is reported as unavailable. Short, so that a change that its sender
+  // has abandoned doesn't come into force after a later one.
   runtime::Duration change_timeout = std::chrono::milliseconds(1500);
   runtime::Duration query_timeout = std::chrono::milliseconds(1500);
 };
@@ -23,11 +23,12 @@
 // by a majority of the controllers. Owned by the controller process; event loop thread only.
 class OperatorApi {
  public:
-  // All pointers outlive this object.
+  // Every pointer must outlive this object.
   OperatorApi(runtime::Runtime* runtime, OperatorApiOptions options, const OperatorFormat* format,
               ControlClient* control_client, QueryClient* query_client);
 
-  // Responds to an operator's request, now or later; false, with nothing done, for other requests.
+  // Responds to an operator's request, synchronously or later; returns false and does nothing for
+  // other requests.
   bool HandleRequest(const http::Request& request, std::shared_ptr<http::ResponseWriter> writer);
 
  private:
--- a/src/posthatch/control/admin/operator_format.h
+++ b/src/posthatch/control/admin/operator_format.h
@@ -20,7 +20,7 @@
   std::string error;
 };
 
-// Requests and responses of a platform's operators. Stateless; any thread.
+// Parses the requests of a platform's operators and renders the responses. Stateless; thread-safe.
 class OperatorFormat {
  public:
   virtual ~OperatorFormat() = default;
@@ -29,7 +29,7 @@
   virtual http::Response RenderResult(const Command& command,
                                       const CommandResult& result) const = 0;
   virtual http::Response RenderConfiguration(const TrafficConfiguration& configuration) const = 0;
-  // The outcome is unknown: the request may be sent again, to any controller.
+  // Response if the outcome is unknown: the request may be sent again, to any controller.
   virtual http::Response RenderUnavailable() const = 0;
 };
 
--- a/src/posthatch/control/control-bench.cc
+++ b/src/posthatch/control/control-bench.cc
@@ -1,12 +1,12 @@
-// control-bench: what sessions and changes cost, with one leader and N hollow gateways in one
-// thread over the simulator. Bytes are those of the payloads; processor time is that of the control
-// code alone: the simulated network's own is left out, and so are system calls, which a real
-// process has. Latencies are virtual: a simulated network of 0.2 to 2 ms each way, no processor
-// time.
+// control-bench: measures the cost of sessions and changes, with one leader and N gateways that
+// only keep a session, in one thread on the simulator. Bytes are those of the payloads. CPU time is
+// that of the control code alone: it includes neither the simulated network nor the system calls of
+// a real process. Latencies are virtual: a simulated network of 0.2 to 2 ms each way, no CPU time.
 //
 //   control-bench [SESSIONS TENANTS WORKERS]...
 //
-// One JSON line for each triple; without arguments the sizes of docs/design-docs/configuration.md.
+// Prints one JSON line for each triple; without arguments, for the sizes of
+// docs/design-docs/configuration.md.
 #include <algorithm>
 #include <boost/json.hpp>
 #include <cstdio>
@@ -37,7 +37,7 @@
   return now.tv_sec * 1000000000LL + now.tv_nsec;
 }
 
-// Processor time and bytes of one group of processes.
+// CPU time and bytes of one group of processes.
 struct Meter {
   int64_t cpu_ns = 0;
   int64_t started_ns = 0;
@@ -199,7 +199,7 @@
     });
   }
 
-  // Time until the response, in ms.
+  // Proposes `command`; returns the time until the response, in ms.
   double Change(const Command& command, bool until_in_force) {
     bool answered = false;
     const runtime::MonotonicTime start = world_.Now();
--- a/src/posthatch/control/inventory/inventory_fetch.cc
+++ b/src/posthatch/control/inventory/inventory_fetch.cc
@@ -57,11 +57,11 @@
 
 void InventoryFetch::OnPage() {
   if (response_.status == kStatusTooManyRequests) {
-    return Finish(absl::ResourceExhaustedError("the inventory was read too often"),
+    return Finish(absl::ResourceExhaustedError("the platform rate-limited the inventory read"),
                   format_->RetryAfter(response_));
   }
   if (response_.status != kStatusOk) {
-    return Fail(absl::UnavailableError("the inventory answered with an error"));
+    return Fail(absl::UnavailableError("the platform's inventory responded with an error"));
   }
   absl::StatusOr<InventoryPage> page = format_->ParsePage(response_.body);
   if (!page.ok()) return Fail(page.status());
@@ -78,7 +78,7 @@
 
 void InventoryFetch::Finish(absl::StatusOr<Inventory> inventory, runtime::Duration retry_after) {
   const Done done = std::exchange(done_, nullptr);
-  // The call must outlive its own callback, which this may be.
+  // The call must outlive its own callback, which may be running now.
   next_step_.Start(runtime::Duration::zero(), [this] { call_.reset(); });
   if (done) done({std::move(inventory), retry_after, requested_at_, calls_});
 }
--- a/src/posthatch/control/inventory/inventory_fetch.h
+++ b/src/posthatch/control/inventory/inventory_fetch.h
@@ -15,15 +15,15 @@
 class InventoryFetch {
  public:
   struct Outcome {
-    // All pages, sorted by id. ResourceExhausted: rate-limited by the platform (429); Unavailable:
-    // no response, or another status; InvalidArgument: the body isn't an inventory.
+    // Backends of all pages, sorted by id. ResourceExhausted: rate-limited by the platform (429);
+    // Unavailable: no response, or another status; InvalidArgument: the body isn't an inventory.
     absl::StatusOr<Inventory> inventory;
-    // With ResourceExhausted: the delay that the platform named; zero if it named none.
+    // With ResourceExhausted: the retry delay that the platform requested; zero if none.
     runtime::Duration retry_after{0};
     // When the first page was requested: the inventory is at least as new, except for the
     // platform's own lag.
     runtime::MonotonicTime requested_at;
-    // HTTP calls made, one a page: the platform's rate limit counts each.
+    // Number of HTTP calls, one per page: the platform's rate limit counts each.
     int calls = 0;
   };
   using Done = std::function<void(Outcome)>;
@@ -54,7 +54,7 @@
   Inventory collected_;
   int calls_ = 0;
   runtime::MonotonicTime requested_at_;
-  // Leaves the HTTP call's own callback before the call is replaced or destroyed.
+  // Defers replacing or destroying the HTTP call until its own callback has returned.
   runtime::Timer next_step_;
 };
 
--- a/src/posthatch/control/inventory/inventory_format.h
+++ b/src/posthatch/control/inventory/inventory_format.h
@@ -8,13 +8,14 @@
 
 namespace posthatch::control {
 
-// One page of a platform's inventory, parsed.
+// A parsed page of a platform's inventory.
 struct InventoryPage {
   Inventory inventory;
   std::string next_page;  // empty on the last one
 };
 
-// Requests and responses of a platform's inventory interface. Stateless; any thread.
+// Builds the requests of a platform's inventory interface and parses its responses. Stateless;
+// thread-safe.
 class InventoryFormat {
  public:
   virtual ~InventoryFormat() = default;
@@ -22,7 +23,7 @@
   virtual http::Request PageRequest(const std::string& page) const = 0;
   // InvalidArgument if `body` is not a complete page.
   virtual absl::StatusOr<InventoryPage> ParsePage(const std::string& body) const = 0;
-  // The delay that a 429 names; zero if it names none.
+  // The retry delay of a 429 response; zero if it has none.
   virtual runtime::Duration RetryAfter(const http::Response& response) const = 0;
 };
 
--- a/src/posthatch/control/inventory/inventory_poller.h
+++ b/src/posthatch/control/inventory/inventory_poller.h
@@ -15,7 +15,7 @@
   const InventoryFormat* format = NativeInventoryFormat();
   runtime::Duration poll_interval = std::chrono::milliseconds(500);
   runtime::Duration timeout = std::chrono::milliseconds(1000);
-  // Bound of the platform's own retry delay.
+  // Upper bound of the retry delay that the platform requests.
   runtime::Duration max_retry_after = std::chrono::seconds(5);
 };
 
@@ -23,7 +23,7 @@
 // delays the next one. Owned by InventoryPublisher; event loop thread only.
 class InventoryPoller {
  public:
-  // A complete inventory, and when it was requested: it is at least as new, except for the
+  // Receives a complete inventory and when it was requested: it is at least as new, except for the
   // platform's own lag.
   using ReadCallback =
       std::function<void(Inventory inventory, runtime::MonotonicTime requested_at)>;
--- a/src/posthatch/control/inventory/inventory_watch-test.cc
+++ b/src/posthatch/control/inventory/inventory_watch-test.cc
@@ -22,7 +22,7 @@
 constexpr int kZones = 6;
 constexpr runtime::Duration kDrainBound = seconds(4);
 constexpr runtime::Duration kStaleAge = milliseconds(2500);
-// Rate limit in the gateways' settings, above the platform's actual one.
+// Rate limit in the gateways' settings, higher than the platform's actual limit.
 constexpr double kConfiguredRate = 1000;
 
 // The last state that a gateway received before the controllers became unreachable.
@@ -47,7 +47,7 @@
   const runtime::Clock* const clock_;
 };
 
-// A gateway with nothing but the watch.
+// A gateway that consists of an InventoryWatch only.
 struct WatchingGateway : InventoryWatchHost {
   using PeersSource = std::function<std::vector<ZonePeer>()>;
 
@@ -79,7 +79,7 @@
   InventoryWatch watch;
 };
 
-// The platform's inventory: 20 workers, and a rate limit over all callers.
+// Serves the platform's inventory: 20 workers, with a rate limit over all callers.
 class FakeInventoryServer {
  public:
   FakeInventoryServer(runtime::Runtime* runtime, const std::string& endpoint,
@@ -213,7 +213,7 @@
   fleet.world.RunFor(seconds(5));
   EXPECT_LT(fleet.TimeUntilAllSeeDraining("w3"), kDrainBound);
   fleet.world.RunFor(seconds(10));
-  // One reader a zone, once a second, over at most 19 s.
+  // One reader per zone and one read per second, over at most 19 s.
   EXPECT_LE(fleet.server->calls, 2U * kZones * 19);
   EXPECT_EQ(fleet.server->rate_limited, 0U);
 }
@@ -250,7 +250,8 @@
   fleet.world.RunFor(seconds(5));
   const uint64_t before = fleet.server->calls;
   fleet.world.RunFor(seconds(10));
-  // 300 gateways at a backoff of 4 s and more make 75 calls a second; without growth it were 900.
+  // 300 gateways at a backoff of 4 s and more make 75 calls per second; without growth it would be
+  // 900.
   EXPECT_LE(fleet.server->calls - before, 900U);
 }
 
--- a/src/posthatch/control/inventory/inventory_watch.cc
+++ b/src/posthatch/control/inventory/inventory_watch.cc
@@ -9,11 +9,11 @@
 constexpr runtime::Duration kCheckInterval = std::chrono::milliseconds(100);
 // Spreads the first reads of gateways that lose the controllers at the same moment.
 constexpr runtime::Duration kFirstReadJitter = std::chrono::milliseconds(400);
-// The same where one gateway reads for its zone.
+// Spreads the first reads where one gateway reads for its zone.
 constexpr runtime::Duration kFirstPeerReadJitter = std::chrono::milliseconds(150);
 constexpr runtime::Duration kInitialBackoff = std::chrono::milliseconds(250);
 constexpr runtime::Duration kMaxBackoff = std::chrono::seconds(4);
-// A reading of at most this age is shared with the zone's other gateways without a new read.
+// A snapshot of at most this age is shared with the zone's other gateways without a new read.
 constexpr runtime::Duration kMaxSharedReadingAge = std::chrono::milliseconds(600);
 constexpr double kMinReadsPerSecond = 0.01;
 
@@ -170,7 +170,7 @@
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (!rate_limited) platform_unreachable_at_ = now;
   backoff_until_ = now + NextBackoff(retry_after);
-  // With a zone, its other gateways are tried in the meantime.
+  // With a zone, its other gateways are queried during the backoff.
   if (zone_ == nullptr) {
     next_read_at_ =
         next_read_at_.has_value() ? std::max(*next_read_at_, backoff_until_) : backoff_until_;
--- a/src/posthatch/control/inventory/inventory_watch_host.h
+++ b/src/posthatch/control/inventory/inventory_watch_host.h
@@ -14,7 +14,7 @@
 // Value of the label `result` in the gateways' metric of inventory reads.
 std::string_view MetricLabel(InventoryReadResult result);
 
-// What a gateway contributes to its InventoryWatch, and what it is notified of. Implemented by the
+// Interface through which an InventoryWatch queries and notifies its gateway. Implemented by the
 // gateways; event loop thread only.
 class InventoryWatchHost {
  public:
@@ -24,12 +24,13 @@
   // The other live gateways of this one's zone, in any order. Only called with
   // InventoryWatchOptions::share_within_zone.
   virtual std::vector<ZonePeer> ZonePeers() const = 0;
-  // Whether the inventory is of use now; nothing is read while it isn't. Without this, all gateways
-  // of a fleet that starts at once would read before their first grant brings the inventory.
+  // Whether the gateway needs an inventory now; nothing is read while it doesn't. Without this, all
+  // gateways of a fleet that starts at once would read before their first grant brings the
+  // inventory.
   virtual bool NeedsInventory() const = 0;
-  // InventoryWatch::local_snapshot() changed.
+  // Called after InventoryWatch::local_snapshot() has changed.
   virtual void OnLocalSnapshotChange() = 0;
-  // This gateway read the platform's inventory itself.
+  // Called after this gateway read the platform's inventory itself, or failed to.
   virtual void OnInventoryRead(InventoryReadResult result) = 0;
 };
 
--- a/src/posthatch/control/inventory/zone_inventory.cc
+++ b/src/posthatch/control/inventory/zone_inventory.cc
@@ -128,8 +128,8 @@
   if (response.unreachable()) return OnRequestTimeout();
   unresponsive_until_.erase(pending_request_->node_id);
   std::optional<Inventory> inventory = Reconstruct(response);
-  if (!inventory.has_value()) return Finish(std::nullopt);  // this gateway's base has changed
-  // The peer computed the age after the request was sent: the reading isn't older than this.
+  if (!inventory.has_value()) return Finish(std::nullopt);  // the local base has changed
+  // The peer computed the age after the request was sent: the snapshot isn't older than this.
   const runtime::MonotonicTime requested_at =
       pending_request_->sent_at - std::chrono::milliseconds(response.age_ms());
   Finish(InventoryReading{*std::move(inventory), requested_at});
--- a/src/posthatch/control/inventory/zone_inventory.h
+++ b/src/posthatch/control/inventory/zone_inventory.h
@@ -15,18 +15,18 @@
 
 namespace posthatch::control {
 
-// The platform's inventory as this or another gateway read it.
+// A snapshot of the platform's inventory that this or another gateway has read.
 struct InventoryReading {
   Inventory inventory;
-  // When it was requested from the platform, at the earliest, by this process's clock.
+  // Earliest time at which it may have been requested from the platform, by this process's clock.
   runtime::MonotonicTime requested_at;
 };
 
 struct ZoneInventoryOptions {
-  // The other live gateways of the zone, in any order; called for each request.
+  // Returns the other live gateways of the zone, in any order; called for each request.
   std::function<std::vector<ZonePeer>()> peers;
-  // From a request until the next peer is tried: a read of an inventory of a few pages, and a round
-  // trip within the zone.
+  // Time from a request until the next peer is queried: covers a read of an inventory of a few
+  // pages, and a round trip within the zone.
   runtime::Duration response_timeout = std::chrono::milliseconds(300);
   // How long a peer is skipped after a timeout: by then it responds again, or the membership has
   // removed it.
@@ -34,45 +34,46 @@
 };
 
 // Lets one gateway of a zone read the platform's inventory for all of them while the controllers
-// are unreachable. The platform's rate limit is for the whole fleet, and gateways that each read
-// for themselves make calls in proportion to their number: at some hundred gateways the rejected
-// calls alone keep the leader from reading the inventory.
+// are unreachable. The platform's rate limit applies to the whole fleet, and gateways that each
+// read for themselves make calls in proportion to their number: with a few hundred gateways the
+// rejected calls alone keep the leader from reading the inventory.
 //
-// Requests go to the peer with the lowest node id, and whoever receives one reads. There is no
-// election: gateways that see different members cost a few more reads. Owned by InventoryWatch;
-// event loop thread only. Takes SERVICE_INVENTORY of the runtime's transport.
+// Requests go to the peer with the lowest node id, and any gateway that receives one reads. There
+// is no election: gateways that see different members cause a few more reads. Owned by
+// InventoryWatch; event loop thread only. Registers the receiver of SERVICE_INVENTORY at the
+// runtime's transport.
 class ZoneInventory {
  public:
-  // Nothing if the platform couldn't be read, or the peer didn't respond in time.
+  // Receives nullopt if the platform couldn't be read, or the peer didn't respond in time.
   using ReadCallback = std::function<void(const std::optional<InventoryReading>&)>;
-  // Brings this gateway's own reading up to date and hands it over.
+  // Refreshes this gateway's own snapshot if necessary and passes it to the callback.
   using Reader = std::function<void(ReadCallback)>;
 
-  // `view` outlives this object.
+  // `view` must outlive this object.
   ZoneInventory(runtime::Runtime* runtime, ZoneInventoryOptions options, const FleetView* view,
                 Reader reader);
   ~ZoneInventory();
   ZoneInventory(const ZoneInventory&) = delete;
   ZoneInventory& operator=(const ZoneInventory&) = delete;
 
-  // Requests a reading from the zone's reader; `done` runs once, never within the call. False, with
-  // nothing sent, if this gateway is the one to read, or too many peers are unresponsive.
-  // `may_read` is false for a gateway that can't reach the platform itself: it also requests from
-  // the peers after it. Only one request may be pending.
+  // Requests a snapshot from the zone's reader; `done` runs once, asynchronously. Returns false and
+  // sends nothing if this gateway is the one to read, or too many peers are unresponsive.
+  // `may_read` is false for a gateway that can't reach the platform itself: it also queries peers
+  // with higher node ids. Only one request may be pending.
   bool RequestFromPeer(bool may_read, ReadCallback done);
 
  private:
-  // Unresponsive peers that are skipped before this gateway reads for itself.
+  // Number of unresponsive peers that are skipped before this gateway reads for itself.
   static constexpr size_t kMaxConsecutiveTimeouts = 3;
 
   struct PendingRequest {
     uint64_t request_id = 0;
-    std::string node_id;  // of the peer
+    std::string node_id;  // node id of the queried peer
     runtime::MonotonicTime sent_at;
     ReadCallback done;
   };
 
-  // Nothing if this gateway is to read.
+  // nullopt if this gateway is to read.
   std::optional<ZonePeer> SelectPeer(bool may_read) const;
   bool IsUnresponsive(const ZonePeer& peer) const;
   void OnEnvelope(const runtime::Envelope& envelope);
@@ -82,7 +83,7 @@
   void Finish(const std::optional<InventoryReading>& reading);
   InventoryResponse MakeResponse(const InventoryRequest& request,
                                  const std::optional<InventoryReading>& reading) const;
-  // The inventory of a response; nothing if it is a delta from another base than this gateway's.
+  // The inventory of a response; nullopt if it is a delta from another base than this gateway's.
   std::optional<Inventory> Reconstruct(const InventoryResponse& response) const;
   void Send(const std::string& endpoint, const InventoryMessage& message);
 
@@ -92,7 +93,7 @@
   const Reader reader_;
   std::optional<PendingRequest> pending_request_;
   uint64_t last_request_id_ = 0;
-  absl::flat_hash_map<std::string, runtime::MonotonicTime> unresponsive_until_;  // by node id
+  absl::flat_hash_map<std::string, runtime::MonotonicTime> unresponsive_until_;  // keyed by node id
   runtime::Timer response_timer_;
   util::Lifetime lifetime_;
 };
--- a/src/posthatch/control/inventory/zone_peer.h
+++ b/src/posthatch/control/inventory/zone_peer.h
@@ -4,7 +4,7 @@
 
 namespace posthatch::control {
 
-// Another live gateway of the same zone.
+// Identifies another live gateway of the same zone.
 struct ZonePeer {
   std::string node_id;
   std::string endpoint;  // internal, "ip:port"
