--- a/src/posthatch/control/admin/admin_api.cc
+++ b/src/posthatch/control/admin/admin_api.cc
@@ -18,8 +18,8 @@
 namespace posthatch::control {
 namespace {
 
-constexpr std::string_view kPrefix = "/admin/v1/";
-constexpr std::string_view kBearer = "Bearer ";
+constexpr std::string_view kPathPrefix = "/admin/v1/";
+constexpr std::string_view kBearerPrefix = "Bearer ";
 constexpr int kStatusUnauthorized = 401;
 constexpr int kStatusMethodNotAllowed = 405;
 constexpr int kStatusUnavailable = 503;
@@ -59,8 +59,8 @@
   const std::string_view target = request.target;
   const size_t query_start = std::min(target.find('?'), target.size());
   const std::string_view path = target.substr(0, query_start);
-  if (path.substr(0, kPrefix.size()) != kPrefix) return false;
-  const std::string_view name = path.substr(kPrefix.size());
+  if (path.substr(0, kPathPrefix.size()) != kPathPrefix) return false;
+  const std::string_view name = path.substr(kPathPrefix.size());
   if (!Contains(kViews, name)) return false;
   if (!Authorized(request)) {
     http::Response response =
@@ -87,8 +87,8 @@
   const std::string expected =
       absl::HexStringToBytes(absl::AsciiStrToLower(options_.admin_token_sha256));
   const std::string_view header = request.headers.Get("Authorization");
-  if (!absl::StartsWithIgnoreCase(util::ToAbsl(header), util::ToAbsl(kBearer))) return false;
-  const std::string_view token = header.substr(kBearer.size());
+  if (!absl::StartsWithIgnoreCase(util::ToAbsl(header), util::ToAbsl(kBearerPrefix))) return false;
+  const std::string_view token = header.substr(kBearerPrefix.size());
   std::array<unsigned char, SHA256_DIGEST_LENGTH> digest;
   SHA256(reinterpret_cast<const unsigned char*>(token.data()), token.size(), digest.data());
   return expected.size() == digest.size() &&
@@ -97,12 +97,12 @@
 
 void AdminApi::HandleChange(std::string_view name, const http::Request& request,
                             std::shared_ptr<http::ResponseWriter> writer) {
-  absl::StatusOr<Command> command = ReadChange(name, request.body);
+  absl::StatusOr<Command> command = ParseChange(name, request.body);
   if (!command.ok()) {
-    CommandResult refusal;
-    refusal.set_code(CommandResult::INVALID);
-    refusal.add_errors(absl::StrCat(command.status().message()));
-    writer->SendResponse(RenderResult(Command(), refusal));
+    CommandResult rejection;
+    rejection.set_code(CommandResult::INVALID);
+    rejection.add_errors(absl::StrCat(command.status().message()));
+    writer->SendResponse(RenderResult(Command(), rejection));
     return;
   }
   runtime_->trace->Event(runtime::Severity::kInfo, "OperatorChangeReceived",
--- a/src/posthatch/control/admin/admin_changes.cc
+++ b/src/posthatch/control/admin/admin_changes.cc
@@ -24,7 +24,7 @@
   explicit FieldReader(const boost::json::object& object) : object_(object) {}
 
   std::string Text(std::string_view name) {
-    const boost::json::value* value = Take(name);
+    const boost::json::value* value = Consume(name);
     if (value == nullptr) return {};
     if (value->is_string()) return {value->get_string().data(), value->get_string().size()};
     Fail(name, "must be a string");
@@ -32,7 +32,7 @@
   }
 
   uint64_t Number(std::string_view name) {
-    const boost::json::value* value = Take(name);
+    const boost::json::value* value = Consume(name);
     if (value == nullptr) return 0;
     boost::json::error_code error;
     const uint64_t number = value->is_number() ? value->to_number<uint64_t>(error) : 0;
@@ -41,7 +41,7 @@
   }
 
   bool Flag(std::string_view name) {
-    const boost::json::value* value = Take(name);
+    const boost::json::value* value = Consume(name);
     if (value == nullptr) return false;
     if (!value->is_bool()) Fail(name, "must be true or false");
     return value->is_bool() && value->get_bool();
@@ -49,7 +49,7 @@
 
   // Parses a field in protobuf's JSON mapping; false if it is missing.
   bool Message(std::string_view name, google::protobuf::Message* message) {
-    const boost::json::value* value = Take(name);
+    const boost::json::value* value = Consume(name);
     if (value == nullptr) return false;
     const auto status =
         google::protobuf::util::JsonStringToMessage(boost::json::serialize(*value), message);
@@ -59,16 +59,16 @@
 
   absl::Status Finish() const {
     if (!error_.empty()) return absl::InvalidArgumentError(error_);
-    if (taken_ != object_.size()) {
+    if (consumed_ != object_.size()) {
       return absl::InvalidArgumentError("body: unknown or wrong fields");
     }
     return absl::OkStatus();
   }
 
  private:
-  const boost::json::value* Take(std::string_view name) {
+  const boost::json::value* Consume(std::string_view name) {
     const boost::json::value* value = object_.if_contains(name);
-    if (value != nullptr) ++taken_;
+    if (value != nullptr) ++consumed_;
     return value;
   }
   void Fail(std::string_view name, std::string_view rule) {
@@ -76,7 +76,7 @@
   }
 
   const boost::json::object& object_;
-  size_t taken_ = 0;
+  size_t consumed_ = 0;
   std::string error_;
 };
 
@@ -149,7 +149,7 @@
 
 }  // namespace
 
-absl::StatusOr<Command> ReadChange(std::string_view name, const std::string& body) {
+absl::StatusOr<Command> ParseChange(std::string_view name, const std::string& body) {
   boost::json::error_code error;
   const boost::json::value document = boost::json::parse(body, error);
   if (error || !document.is_object()) {
--- a/src/posthatch/control/admin/admin_changes.h
+++ b/src/posthatch/control/admin/admin_changes.h
@@ -12,7 +12,7 @@
 
 // Parses the body of a POST to /admin/v1/`name`. InvalidArgument names the first bad field;
 // NotFound if there is no such change.
-absl::StatusOr<Command> ReadChange(std::string_view name, const std::string& body);
+absl::StatusOr<Command> ParseChange(std::string_view name, const std::string& body);
 
 // Renders the response to a change: 200 if it was acknowledged, else the error of `result`.
 http::Response RenderResult(const Command& command, const CommandResult& result);
--- a/src/posthatch/control/admin/operator_api.cc
+++ b/src/posthatch/control/admin/operator_api.cc
@@ -48,12 +48,13 @@
       absl::StrCat("op-", absl::Hex(runtime_->transport->incarnation()), "-", ++last_change_id_));
   control_client_->Propose(
       command, options_.change_timeout, /*until_in_force=*/false,
-      [this, command, writer = std::move(writer)](const absl::StatusOr<CommandResult>& applied) {
-        if (!applied.ok()) {
+      [this, command,
+       writer = std::move(writer)](const absl::StatusOr<CommandResult>& proposal_result) {
+        if (!proposal_result.ok()) {
           writer->SendResponse(format_->RenderUnavailable());
           return;
         }
-        CommandResult result = *applied;
+        CommandResult result = *proposal_result;
         if (AlreadyLifted(command, result)) result.set_code(CommandResult::OK);
         runtime_->trace->Event(runtime::Severity::kInfo, "OperatorChangeCompleted",
                                {{"request_id", command.request_id()},
--- a/src/posthatch/control/control-bench.cc
+++ b/src/posthatch/control/control-bench.cc
@@ -133,9 +133,9 @@
   ControllerService service;
 };
 
-struct HollowGateway {
-  HollowGateway(runtime::Runtime* host_runtime, Meter* meter, const std::string& zone,
-                const std::string& leader)
+struct SessionOnlyGateway {
+  SessionOnlyGateway(runtime::Runtime* host_runtime, Meter* meter, const std::string& zone,
+                     const std::string& leader)
       : metered(host_runtime, meter),
         session(&metered.runtime, {.zone = zone, .client = {}},
                 [leader] { return std::vector<std::string>{leader}; }) {}
@@ -174,7 +174,7 @@
   void Print() {
     MeasureIdle();
     MeasureChanges();
-    std::printf("%s\n", boost::json::serialize(line_).c_str());
+    std::printf("%s\n", boost::json::serialize(result_).c_str());
     std::fflush(stdout);
   }
 
@@ -193,7 +193,7 @@
                        absl::StrCat("10.1.", number / 200, ".", number % 200 + 1));
     host->SetBoot([this, zone](runtime::Runtime* runtime) {
       auto gateway =
-          std::make_shared<HollowGateway>(runtime, &gateway_meter_, zone, "10.0.0.1:7000");
+          std::make_shared<SessionOnlyGateway>(runtime, &gateway_meter_, zone, "10.0.0.1:7000");
       gateways_.push_back(gateway);
       return gateway;
     });
@@ -201,15 +201,15 @@
 
   // Proposes `command`; returns the time until the response, in ms.
   double Change(const Command& command, bool until_in_force) {
-    bool answered = false;
+    bool responded = false;
     const runtime::MonotonicTime start = world_.Now();
     gateways_.front()->session.Propose(command, std::chrono::seconds(60), until_in_force,
-                                       [&answered](const absl::StatusOr<CommandResult>& result) {
-                                         answered = true;
+                                       [&responded](const absl::StatusOr<CommandResult>& result) {
+                                         responded = true;
                                          if (!result.ok() || result->code() != CommandResult::OK)
                                            std::abort();
                                        });
-    world_.RunUntil([&answered] { return answered; }, std::chrono::seconds(60));
+    world_.RunUntil([&responded] { return responded; }, std::chrono::seconds(60));
     return runtime::ToMilliseconds(world_.Now() - start);
   }
 
@@ -218,18 +218,18 @@
     gateway_meter_.Reset();
     world_.RunFor(std::chrono::seconds(kIdleSeconds));
     const double session_seconds = static_cast<double>(sessions_) * kIdleSeconds;
-    line_["sessions"] = sessions_;
-    line_["tenants"] = tenants_;
-    line_["workers"] = workers_;
-    line_["idle_bytes_up_per_session_s"] =
+    result_["sessions"] = sessions_;
+    result_["tenants"] = tenants_;
+    result_["workers"] = workers_;
+    result_["idle_bytes_up_per_session_s"] =
         static_cast<double>(gateway_meter_.sent_bytes) / session_seconds;
-    line_["idle_bytes_down_per_session_s"] =
+    result_["idle_bytes_down_per_session_s"] =
         static_cast<double>(gateway_meter_.received_bytes) / session_seconds;
-    line_["idle_gateway_cpu_us_per_s"] =
+    result_["idle_gateway_cpu_us_per_s"] =
         static_cast<double>(gateway_meter_.cpu_ns) / 1e3 / session_seconds;
-    line_["idle_leader_cpu_us_per_session_s"] =
+    result_["idle_leader_cpu_us_per_session_s"] =
         static_cast<double>(leader_meter_.cpu_ns) / 1e3 / session_seconds;
-    line_["idle_leader_core_percent"] =
+    result_["idle_leader_core_percent"] =
         static_cast<double>(leader_meter_.cpu_ns) / 1e7 / kIdleSeconds;
   }
 
@@ -243,14 +243,14 @@
           PatchChange(absl::StrCat("c", i), 0, absl::StrCat("tenant-", i % tenants_), 5), true));
     }
     std::sort(latencies.begin(), latencies.end());
-    line_["in_force_ms_p50"] = latencies[kChanges / 2];
-    line_["in_force_ms_p99"] = latencies[kChanges * 99 / 100];
-    line_["change_bytes_down_per_session"] =
+    result_["in_force_ms_p50"] = latencies[kChanges / 2];
+    result_["in_force_ms_p99"] = latencies[kChanges * 99 / 100];
+    result_["change_bytes_down_per_session"] =
         static_cast<double>(gateway_meter_.received_bytes) / (sessions_ * kChanges);
-    line_["change_leader_cpu_ms"] = static_cast<double>(leader_meter_.cpu_ns) / 1e6 / kChanges;
-    line_["change_gateway_cpu_us"] =
+    result_["change_leader_cpu_ms"] = static_cast<double>(leader_meter_.cpu_ns) / 1e6 / kChanges;
+    result_["change_gateway_cpu_us"] =
         static_cast<double>(gateway_meter_.cpu_ns) / 1e3 / (sessions_ * kChanges);
-    line_["changes"] = kChanges;
+    result_["changes"] = kChanges;
   }
 
   const int sessions_;
@@ -261,8 +261,8 @@
   Meter gateway_meter_;
   simulation::SimWorld world_;
   std::shared_ptr<Leader> leader_;
-  std::vector<std::shared_ptr<HollowGateway>> gateways_;
-  boost::json::object line_;
+  std::vector<std::shared_ptr<SessionOnlyGateway>> gateways_;
+  boost::json::object result_;
 };
 
 }  // namespace
--- a/src/posthatch/control/inventory/inventory_fetch.cc
+++ b/src/posthatch/control/inventory/inventory_fetch.cc
@@ -20,7 +20,7 @@
       endpoint_(std::move(endpoint)),
       format_(format),
       timeout_(timeout),
-      next_step_(runtime->timers) {}
+      deferral_timer_(runtime->timers) {}
 
 void InventoryFetch::Start(Done done) {
   Cancel();
@@ -33,7 +33,7 @@
 
 void InventoryFetch::Cancel() {
   call_.reset();
-  next_step_.Cancel();
+  deferral_timer_.Cancel();
 }
 
 void InventoryFetch::RequestPage(const std::string& page) {
@@ -46,7 +46,7 @@
   options.max_body_bytes = kMaxBodyBytes;
   http::CallObserver observer;
   observer.on_head = [this](const http::Response& head) { response_ = head; };
-  observer.on_chunk = [this](const std::string& piece) { response_.body.append(piece); };
+  observer.on_chunk = [this](const std::string& chunk) { response_.body.append(chunk); };
   observer.on_end = [this] { OnPage(); };
   observer.on_error = [this](const http::CallError& error) {
     Fail(absl::UnavailableError(error.status.message()));
@@ -72,14 +72,14 @@
     SortBackends(&collected_);
     return Finish(std::move(collected_), runtime::Duration::zero());
   }
-  next_step_.Start(runtime::Duration::zero(),
-                   [this, next_page = std::move(page->next_page)] { RequestPage(next_page); });
+  deferral_timer_.Start(runtime::Duration::zero(),
+                        [this, next_page = std::move(page->next_page)] { RequestPage(next_page); });
 }
 
 void InventoryFetch::Finish(absl::StatusOr<Inventory> inventory, runtime::Duration retry_after) {
   const Done done = std::exchange(done_, nullptr);
   // The call must outlive its own callback, which may be running now.
-  next_step_.Start(runtime::Duration::zero(), [this] { call_.reset(); });
+  deferral_timer_.Start(runtime::Duration::zero(), [this] { call_.reset(); });
   if (done) done({std::move(inventory), retry_after, requested_at_, calls_});
 }
 
--- a/src/posthatch/control/inventory/inventory_fetch.h
+++ b/src/posthatch/control/inventory/inventory_fetch.h
@@ -55,7 +55,7 @@
   int calls_ = 0;
   runtime::MonotonicTime requested_at_;
   // Defers replacing or destroying the HTTP call until its own callback has returned.
-  runtime::Timer next_step_;
+  runtime::Timer deferral_timer_;
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/inventory/inventory_watch-test.cc
+++ b/src/posthatch/control/inventory/inventory_watch-test.cc
@@ -66,9 +66,9 @@
   void OnInventoryRead(InventoryReadResult) override {}
 
   bool SeesDraining(const std::string& id) const {
-    const Inventory& list =
+    const Inventory& newest_inventory =
         watch.local_snapshot() == nullptr ? view.state().inventory() : *watch.local_snapshot();
-    for (const Backend& backend : list.backends()) {
+    for (const Backend& backend : newest_inventory.backends()) {
       if (backend.id() == id) return backend.draining();
     }
     return false;
@@ -96,12 +96,12 @@
   void Respond(http::ResponseWriter* writer) {
     ++calls;
     const runtime::MonotonicTime now = runtime_->clock->Now();
-    if (now - second_ >= seconds(1)) {
-      second_ = now;
-      in_second_ = 0;
+    if (now - window_start_ >= seconds(1)) {
+      window_start_ = now;
+      calls_in_window_ = 0;
     }
     http::Response response;
-    if (++in_second_ > calls_per_second_) {
+    if (++calls_in_window_ > calls_per_second_) {
       ++rate_limited;
       response.status = 429;
       return writer->SendResponse(response);
@@ -119,8 +119,8 @@
 
   runtime::Runtime* const runtime_;
   const double calls_per_second_;
-  runtime::MonotonicTime second_;
-  double in_second_ = 0;
+  runtime::MonotonicTime window_start_;
+  double calls_in_window_ = 0;
   std::unique_ptr<http::HttpServer> server_;
 };
 
@@ -137,10 +137,10 @@
     }
     SortBackends(&initial_inventory_);
     initial_inventory_.set_version(7);
-    simulation::SimHost* list = world.AddHost("list", "z0", "10.0.3.1");
-    list->SetBoot([this, list, calls_per_second](runtime::Runtime* runtime) {
-      auto process =
-          std::make_shared<FakeInventoryServer>(runtime, list->http_endpoint(), calls_per_second);
+    simulation::SimHost* inventory_host = world.AddHost("list", "z0", "10.0.3.1");
+    inventory_host->SetBoot([this, inventory_host, calls_per_second](runtime::Runtime* runtime) {
+      auto process = std::make_shared<FakeInventoryServer>(runtime, inventory_host->http_endpoint(),
+                                                           calls_per_second);
       server = process.get();
       return process;
     });
--- a/src/posthatch/control/inventory/inventory_watch.cc
+++ b/src/posthatch/control/inventory/inventory_watch.cc
@@ -14,7 +14,7 @@
 constexpr runtime::Duration kInitialBackoff = std::chrono::milliseconds(250);
 constexpr runtime::Duration kMaxBackoff = std::chrono::seconds(4);
 // A snapshot of at most this age is shared with the zone's other gateways without a new read.
-constexpr runtime::Duration kMaxSharedReadingAge = std::chrono::milliseconds(600);
+constexpr runtime::Duration kMaxSharedSnapshotAge = std::chrono::milliseconds(600);
 constexpr double kMinReadsPerSecond = 0.01;
 
 }  // namespace
@@ -45,7 +45,7 @@
   return std::min(leader_age, runtime_->clock->Now() - local_snapshot_->requested_at);
 }
 
-InventoryReading InventoryWatch::NewestReading() const {
+InventorySnapshot InventoryWatch::NewestSnapshot() const {
   const runtime::MonotonicTime leader_requested_at = runtime_->clock->Now() - view_->InventoryAge();
   if (local_snapshot_.has_value() && local_snapshot_->requested_at > leader_requested_at) {
     return *local_snapshot_;
@@ -58,10 +58,10 @@
   if (Age() <= options_.max_age) return true;
   if (!platform_unreachable_at_.has_value()) return false;
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  const bool tried_recently =
+  const bool attempted_recently =
       now - *platform_unreachable_at_ <= std::max(options_.max_age, 2 * ReadInterval());
   const bool backing_off = now <= backoff_until_ + 2 * options_.timeout;
-  return tried_recently || backing_off;
+  return attempted_recently || backing_off;
 }
 
 runtime::Duration InventoryWatch::ReadInterval() const {
@@ -117,24 +117,24 @@
       !platform_unreachable_at_.has_value() && runtime_->clock->Now() >= backoff_until_;
   peer_read_in_flight_ =
       zone_ != nullptr &&
-      zone_->RequestFromPeer(may_read, [this](const std::optional<InventoryReading>& reading) {
-        OnPeerReading(reading);
+      zone_->RequestFromPeer(may_read, [this](const std::optional<InventorySnapshot>& snapshot) {
+        OnPeerSnapshot(snapshot);
       });
   if (!peer_read_in_flight_) ReadPlatform();
 }
 
-void InventoryWatch::OnPeerReading(const std::optional<InventoryReading>& reading) {
+void InventoryWatch::OnPeerSnapshot(const std::optional<InventorySnapshot>& snapshot) {
   peer_read_in_flight_ = false;
-  if (!reading.has_value()) {
+  if (!snapshot.has_value()) {
     next_read_at_ = runtime_->clock->Now();  // the next check tries the zone's next gateway
     return;
   }
-  AdoptLocalSnapshot(*reading);
+  AdoptLocalSnapshot(*snapshot);
 }
 
-void InventoryWatch::AdoptLocalSnapshot(InventoryReading reading) {
-  if (local_snapshot_.has_value() && reading.requested_at <= local_snapshot_->requested_at) return;
-  local_snapshot_ = std::move(reading);
+void InventoryWatch::AdoptLocalSnapshot(InventorySnapshot snapshot) {
+  if (local_snapshot_.has_value() && snapshot.requested_at <= local_snapshot_->requested_at) return;
+  local_snapshot_ = std::move(snapshot);
   host_->OnLocalSnapshotChange();
 }
 
@@ -178,20 +178,21 @@
 }
 
 void InventoryWatch::ServePeer(ZoneInventory::ReadCallback done) {
-  if (Age() <= kMaxSharedReadingAge) {
-    done(NewestReading());
+  if (Age() <= kMaxSharedSnapshotAge) {
+    done(NewestSnapshot());
     return;
   }
   waiting_peers_.push_back(std::move(done));
-  const bool read_lost = runtime_->clock->Now() - platform_read_started_at_ >= 2 * options_.timeout;
-  if (!platform_read_in_flight_ || read_lost) ReadPlatform();
+  const bool read_timed_out =
+      runtime_->clock->Now() - platform_read_started_at_ >= 2 * options_.timeout;
+  if (!platform_read_in_flight_ || read_timed_out) ReadPlatform();
 }
 
 void InventoryWatch::RespondToWaitingPeers() {
   const std::vector<ZoneInventory::ReadCallback> waiting = std::exchange(waiting_peers_, {});
   for (const ZoneInventory::ReadCallback& done : waiting) {
-    if (Age() <= kMaxSharedReadingAge) {
-      done(NewestReading());
+    if (Age() <= kMaxSharedSnapshotAge) {
+      done(NewestSnapshot());
     } else {
       done(std::nullopt);
     }
--- a/src/posthatch/control/inventory/inventory_watch.h
+++ b/src/posthatch/control/inventory/inventory_watch.h
@@ -61,13 +61,13 @@
   void ReadPlatform();
   void OnReadDone(InventoryFetch::Outcome outcome);
   void OnReadFailed(const absl::Status& status, runtime::Duration retry_after);
-  void OnPeerReading(const std::optional<InventoryReading>& reading);
+  void OnPeerSnapshot(const std::optional<InventorySnapshot>& snapshot);
   // Responds to a gateway of the zone with a fresh enough snapshot, or reads one first.
   void ServePeer(ZoneInventory::ReadCallback done);
   void RespondToWaitingPeers();
-  void AdoptLocalSnapshot(InventoryReading reading);
+  void AdoptLocalSnapshot(InventorySnapshot snapshot);
   // The newer one of this gateway's and the leader's snapshots, and its age.
-  InventoryReading NewestReading() const;
+  InventorySnapshot NewestSnapshot() const;
   runtime::Duration Age() const;
   runtime::Duration ReadInterval() const;
   // Doubles with each failure since the last success, up to a maximum, but is never shorter than
@@ -82,7 +82,7 @@
   std::unique_ptr<ZoneInventory> zone_;  // null without `share_within_zone`
   runtime::Timer check_timer_;
 
-  std::optional<InventoryReading> local_snapshot_;
+  std::optional<InventorySnapshot> local_snapshot_;
   // Unset while the leader's snapshot is fresh: the first read after that gets its own jitter.
   std::optional<runtime::MonotonicTime> next_read_at_;
   bool peer_read_in_flight_ = false;
--- a/src/posthatch/control/inventory/zone_inventory.cc
+++ b/src/posthatch/control/inventory/zone_inventory.cc
@@ -64,11 +64,11 @@
   Finish(std::nullopt);
 }
 
-void ZoneInventory::Finish(const std::optional<InventoryReading>& reading) {
+void ZoneInventory::Finish(const std::optional<InventorySnapshot>& snapshot) {
   response_timer_.Cancel();
   const ReadCallback done = std::move(pending_request_->done);
   pending_request_.reset();
-  done(reading);
+  done(snapshot);
 }
 
 void ZoneInventory::OnEnvelope(const runtime::Envelope& envelope) {
@@ -83,30 +83,30 @@
 
 void ZoneInventory::OnRequest(const std::string& endpoint, const InventoryRequest& request) {
   reader_(
-      lifetime_.Guard([this, endpoint, request](const std::optional<InventoryReading>& reading) {
+      lifetime_.Guard([this, endpoint, request](const std::optional<InventorySnapshot>& snapshot) {
         InventoryMessage message;
-        *message.mutable_response() = MakeResponse(request, reading);
+        *message.mutable_response() = MakeResponse(request, snapshot);
         Send(endpoint, message);
       }));
 }
 
 InventoryResponse ZoneInventory::MakeResponse(
-    const InventoryRequest& request, const std::optional<InventoryReading>& reading) const {
+    const InventoryRequest& request, const std::optional<InventorySnapshot>& snapshot) const {
   InventoryResponse response;
   response.set_request_id(request.request_id());
-  if (!reading.has_value()) {
+  if (!snapshot.has_value()) {
     response.set_unreachable(true);
     return response;
   }
-  const runtime::Duration age = runtime_->clock->Now() - reading->requested_at;
+  const runtime::Duration age = runtime_->clock->Now() - snapshot->requested_at;
   response.set_age_ms(static_cast<uint32_t>(std::max(0.0, runtime::ToMilliseconds(age)) + 1));
   const Inventory& base = view_->state().inventory();
   if (base.version() != request.base_version()) {
-    *response.mutable_snapshot() = reading->inventory;
+    *response.mutable_snapshot() = snapshot->inventory;
     return response;
   }
   response.set_base_version(base.version());
-  *response.mutable_delta() = ComputeDelta(base, reading->inventory);
+  *response.mutable_delta() = ComputeDelta(base, snapshot->inventory);
   return response;
 }
 
@@ -132,7 +132,7 @@
   // The peer computed the age after the request was sent: the snapshot isn't older than this.
   const runtime::MonotonicTime requested_at =
       pending_request_->sent_at - std::chrono::milliseconds(response.age_ms());
-  Finish(InventoryReading{*std::move(inventory), requested_at});
+  Finish(InventorySnapshot{*std::move(inventory), requested_at});
 }
 
 void ZoneInventory::Send(const std::string& endpoint, const InventoryMessage& message) {
--- a/src/posthatch/control/inventory/zone_inventory.h
+++ b/src/posthatch/control/inventory/zone_inventory.h
@@ -16,7 +16,7 @@
 namespace posthatch::control {
 
 // A snapshot of the platform's inventory that this or another gateway has read.
-struct InventoryReading {
+struct InventorySnapshot {
   Inventory inventory;
   // Earliest time at which it may have been requested from the platform, by this process's clock.
   runtime::MonotonicTime requested_at;
@@ -45,7 +45,7 @@
 class ZoneInventory {
  public:
   // Receives nullopt if the platform couldn't be read, or the peer didn't respond in time.
-  using ReadCallback = std::function<void(const std::optional<InventoryReading>&)>;
+  using ReadCallback = std::function<void(const std::optional<InventorySnapshot>&)>;
   // Refreshes this gateway's own snapshot if necessary and passes it to the callback.
   using Reader = std::function<void(ReadCallback)>;
 
@@ -80,9 +80,9 @@
   void OnRequest(const std::string& endpoint, const InventoryRequest& request);
   void OnResponse(const InventoryResponse& response);
   void OnRequestTimeout();
-  void Finish(const std::optional<InventoryReading>& reading);
+  void Finish(const std::optional<InventorySnapshot>& snapshot);
   InventoryResponse MakeResponse(const InventoryRequest& request,
-                                 const std::optional<InventoryReading>& reading) const;
+                                 const std::optional<InventorySnapshot>& snapshot) const;
   // The inventory of a response; nullopt if it is a delta from another base than this gateway's.
   std::optional<Inventory> Reconstruct(const InventoryResponse& response) const;
   void Send(const std::string& endpoint, const InventoryMessage& message);
