--- a/src/posthatch/control/admin/operator_api.cc
+++ b/src/posthatch/control/admin/operator_api.cc
@@ -71,10 +71,10 @@
       "traffic", "", options_.query_timeout,
       [this, writer = std::move(writer)](const absl::StatusOr<QueryResponse>& response) {
         TrafficConfiguration configuration;
-        const bool known = response.ok() && configuration.ParseFromString(response->payload()) &&
-                           configuration.version() > 0;
-        writer->SendResponse(known ? format_->RenderConfiguration(configuration)
-                                   : format_->RenderUnavailable());
+        const bool is_valid = response.ok() && configuration.ParseFromString(response->payload()) &&
+                              configuration.version() > 0;
+        writer->SendResponse(is_valid ? format_->RenderConfiguration(configuration)
+                                      : format_->RenderUnavailable());
       });
 }
 
--- a/src/posthatch/control/inventory/inventory_watch.cc
+++ b/src/posthatch/control/inventory/inventory_watch.cc
@@ -126,7 +126,7 @@
 void InventoryWatch::OnPeerSnapshot(const std::optional<InventorySnapshot>& snapshot) {
   peer_read_in_flight_ = false;
   if (!snapshot.has_value()) {
-    next_read_at_ = runtime_->clock->Now();  // the next check tries the zone's next gateway
+    next_read_at_ = runtime_->clock->Now();  // the next check queries the zone's next gateway
     return;
   }
   AdoptLocalSnapshot(*snapshot);
--- a/src/posthatch/control/server/session_table.cc
+++ b/src/posthatch/control/server/session_table.cc
@@ -47,11 +47,11 @@
   });
 }
 
-const Session* SessionTable::FindSuccessor(const SessionKey& holder) const {
-  if (sessions_.contains(holder)) return nullptr;  // `holder` may still be running
-  const auto first = sessions_.lower_bound({holder.gateway, 0});
+const Session* SessionTable::FindSuccessor(const SessionKey& predecessor) const {
+  if (sessions_.contains(predecessor)) return nullptr;  // `predecessor` may still be running
+  const auto first = sessions_.lower_bound({predecessor.gateway, 0});
   for (auto entry = first; entry != sessions_.end(); ++entry) {
-    if (entry->first.gateway != holder.gateway) break;
+    if (entry->first.gateway != predecessor.gateway) break;
     if (entry->second.grant_acked) return &entry->second;
   }
   return nullptr;
--- a/src/posthatch/control/server/session_table.h
+++ b/src/posthatch/control/server/session_table.h
@@ -65,10 +65,10 @@
   void Clear() { sessions_.clear(); }
   void RemoveExpired(runtime::MonotonicTime now);
 
-  // The incarnation of `holder`'s gateway that is known to have started after `holder` ended; null
-  // if there is none. A node runs one process at a time: of two incarnations, the one that ran
-  // after the other one's last renewal is the later one.
-  const Session* FindSuccessor(const SessionKey& holder) const;
+  // The incarnation of `predecessor`'s gateway that is known to have started after `predecessor`
+  // ended; null if there is none. A node runs one process at a time: of two incarnations, the one
+  // that ran after the other one's last renewal is the later one.
+  const Session* FindSuccessor(const SessionKey& predecessor) const;
 
   // True if every session that is valid at `now` has acknowledged all changes up to `log_index`.
   bool AckedByAllSessions(uint64_t log_index, runtime::MonotonicTime now) const;
--- a/src/posthatch/control/server/worker_lease_planner.cc
+++ b/src/posthatch/control/server/worker_lease_planner.cc
@@ -59,15 +59,15 @@
   }
 
   void RetainOrRelease(const WorkerLease& lease) {
-    const SessionKey holder{lease.holder(), lease.holder_incarnation()};
+    const SessionKey lease_holder{lease.holder(), lease.holder_incarnation()};
     const auto zone = worker_zones_.find(lease.worker_id());
     bool keep = false;
     if (zone != worker_zones_.end()) {
       const Candidates& candidates = CandidatesFor(zone->second);
-      const bool is_candidate =
-          std::any_of(candidates.begin(), candidates.end(),
-                      [&holder](const Session* session) { return session->key == holder; });
-      size_t& lease_count = lease_counts_[&candidates][holder];
+      const bool is_candidate = std::any_of(
+          candidates.begin(), candidates.end(),
+          [&lease_holder](const Session* session) { return session->key == lease_holder; });
+      size_t& lease_count = lease_counts_[&candidates][lease_holder];
       keep = is_candidate && lease_count < Capacity(candidates);
       if (keep) ++lease_count;
       worker_zones_.erase(zone);
@@ -79,13 +79,13 @@
     for (const auto& [worker_id, zone] : worker_zones_) {
       if (IsFull()) return;
       const Candidates& candidates = CandidatesFor(zone);
-      const Session* holder = SelectLeaseHolder(worker_id, candidates);
-      if (holder == nullptr) return;
-      ++lease_counts_[&candidates][holder->key];
+      const Session* lease_holder = SelectLeaseHolder(worker_id, candidates);
+      if (lease_holder == nullptr) return;
+      ++lease_counts_[&candidates][lease_holder->key];
       WorkerLease* grant = command_.add_grants();
       grant->set_worker_id(worker_id);
-      grant->set_holder(holder->key.gateway);
-      grant->set_holder_incarnation(holder->key.incarnation);
+      grant->set_holder(lease_holder->key.gateway);
+      grant->set_holder_incarnation(lease_holder->key.incarnation);
     }
   }
 
