--- a/src/posthatch/control/admin/operator_api.cc
+++ b/src/posthatch/control/admin/operator_api.cc
@@ -7,7 +7,7 @@
 namespace posthatch::control {
 namespace {
 
-// Lifting an evacuation twice is no error for the operator.
+// Lifting an evacuation that is already lifted is reported as a success.
 bool AlreadyLifted(const Command& command, const CommandResult& result) {
   return command.set_evacuation().lifted() && result.code() == CommandResult::NOT_FOUND;
 }
@@ -43,17 +43,18 @@
 }
 
 void OperatorApi::HandleChange(Command command, std::shared_ptr<http::ResponseWriter> writer) {
-  // A new request id for each call: resends are recognised by the command's content.
+  // Each call gets a new request id: resends are recognised by the command's content.
   command.set_request_id(
       absl::StrCat("op-", absl::Hex(runtime_->transport->incarnation()), "-", ++last_change_id_));
   control_client_->Propose(
       command, options_.change_timeout, /*until_in_force=*/false,
-      [this, command, writer = std::move(writer)](const absl::StatusOr<CommandResult>& applied) {
-        if (!applied.ok()) {
+      [this, command,
+       writer = std::move(writer)](const absl::StatusOr<CommandResult>& proposal_result) {
+        if (!proposal_result.ok()) {
           writer->SendResponse(format_->RenderUnavailable());
           return;
         }
-        CommandResult result = *applied;
+        CommandResult result = *proposal_result;
         if (AlreadyLifted(command, result)) result.set_code(CommandResult::OK);
         runtime_->trace->Event(runtime::Severity::kInfo, "OperatorChangeCompleted",
                                {{"request_id", command.request_id()},
@@ -70,10 +71,10 @@
       "traffic", "", options_.query_timeout,
       [this, writer = std::move(writer)](const absl::StatusOr<QueryResponse>& response) {
         TrafficConfiguration configuration;
-        const bool known = response.ok() && configuration.ParseFromString(response->payload()) &&
-                           configuration.version() > 0;
-        writer->SendResponse(known ? format_->RenderConfiguration(configuration)
-                                   : format_->RenderUnavailable());
+        const bool is_valid = response.ok() && configuration.ParseFromString(response->payload()) &&
+                              configuration.version() > 0;
+        writer->SendResponse(is_valid ? format_->RenderConfiguration(configuration)
+                                      : format_->RenderUnavailable());
       });
 }
 
--- a/src/posthatch/control/inventory/inventory_watch-test.cc
+++ b/src/posthatch/control/inventory/inventory_watch-test.cc
@@ -22,7 +22,7 @@
 constexpr int kZones = 6;
 constexpr runtime::Duration kDrainBound = seconds(4);
 constexpr runtime::Duration kStaleAge = milliseconds(2500);
-// Rate limit in the gateways' settings, above the platform's actual one.
+// Rate limit in the gateways' settings, higher than the platform's actual limit.
 constexpr double kConfiguredRate = 1000;
 
 // The last state that a gateway received before the controllers became unreachable.
@@ -47,7 +47,7 @@
   const runtime::Clock* const clock_;
 };
 
-// A gateway with nothing but the watch.
+// A gateway that consists of an InventoryWatch only.
 struct WatchingGateway : InventoryWatchHost {
   using PeersSource = std::function<std::vector<ZonePeer>()>;
 
@@ -66,9 +66,9 @@
   void OnInventoryRead(InventoryReadResult) override {}
 
   bool SeesDraining(const std::string& id) const {
-    const Inventory& list =
+    const Inventory& newest_inventory =
         watch.local_snapshot() == nullptr ? view.state().inventory() : *watch.local_snapshot();
-    for (const Backend& backend : list.backends()) {
+    for (const Backend& backend : newest_inventory.backends()) {
       if (backend.id() == id) return backend.draining();
     }
     return false;
@@ -79,7 +79,7 @@
   InventoryWatch watch;
 };
 
-// The platform's inventory: 20 workers, and a rate limit over all callers.
+// Serves the platform's inventory: 20 workers, with a rate limit over all callers.
 class FakeInventoryServer {
  public:
   FakeInventoryServer(runtime::Runtime* runtime, const std::string& endpoint,
@@ -96,12 +96,12 @@
   void Respond(http::ResponseWriter* writer) {
     ++calls;
     const runtime::MonotonicTime now = runtime_->clock->Now();
-    if (now - second_ >= seconds(1)) {
-      second_ = now;
-      in_second_ = 0;
+    if (now - window_start_ >= seconds(1)) {
+      window_start_ = now;
+      calls_in_window_ = 0;
     }
     http::Response response;
-    if (++in_second_ > calls_per_second_) {
+    if (++calls_in_window_ > calls_per_second_) {
       ++rate_limited;
       response.status = 429;
       return writer->SendResponse(response);
@@ -119,8 +119,8 @@
 
   runtime::Runtime* const runtime_;
   const double calls_per_second_;
-  runtime::MonotonicTime second_;
-  double in_second_ = 0;
+  runtime::MonotonicTime window_start_;
+  double calls_in_window_ = 0;
   std::unique_ptr<http::HttpServer> server_;
 };
 
@@ -137,10 +137,10 @@
     }
     SortBackends(&initial_inventory_);
     initial_inventory_.set_version(7);
-    simulation::SimHost* list = world.AddHost("list", "z0", "10.0.3.1");
-    list->SetBoot([this, list, calls_per_second](runtime::Runtime* runtime) {
-      auto process =
-          std::make_shared<FakeInventoryServer>(runtime, list->http_endpoint(), calls_per_second);
+    simulation::SimHost* inventory_host = world.AddHost("list", "z0", "10.0.3.1");
+    inventory_host->SetBoot([this, inventory_host, calls_per_second](runtime::Runtime* runtime) {
+      auto process = std::make_shared<FakeInventoryServer>(runtime, inventory_host->http_endpoint(),
+                                                           calls_per_second);
       server = process.get();
       return process;
     });
@@ -213,7 +213,7 @@
   fleet.world.RunFor(seconds(5));
   EXPECT_LT(fleet.TimeUntilAllSeeDraining("w3"), kDrainBound);
   fleet.world.RunFor(seconds(10));
-  // One reader a zone, once a second, over at most 19 s.
+  // One reader per zone and one read per second, over at most 19 s.
   EXPECT_LE(fleet.server->calls, 2U * kZones * 19);
   EXPECT_EQ(fleet.server->rate_limited, 0U);
 }
@@ -250,7 +250,8 @@
   fleet.world.RunFor(seconds(5));
   const uint64_t before = fleet.server->calls;
   fleet.world.RunFor(seconds(10));
-  // 300 gateways at a backoff of 4 s and more make 75 calls a second; without growth it were 900.
+  // 300 gateways at a backoff of 4 s and more make 75 calls per second; without growth it would be
+  // 900.
   EXPECT_LE(fleet.server->calls - before, 900U);
 }
 
--- a/src/posthatch/control/server/control_history-test.h
+++ b/src/posthatch/control/server/control_history-test.h
@@ -12,9 +12,9 @@
 
 namespace posthatch::control {
 
-// Events of a run as observed from outside: the versions that gateways decided by, the fencing
-// tokens of their commands to workers, and the operators' changes with their results. Simulated
-// runs are checked by Violations, which is itself tested with histories that break each rule.
+// Records the externally visible events of a run: the configuration versions that gateways decided
+// by, the fencing tokens of their commands to workers, and the operators' changes with their
+// results. Violations() checks simulated runs; its own tests use histories that break each rule.
 class ControlHistory {
  public:
   struct Decision {
@@ -40,9 +40,9 @@
     worker_commands_.push_back(std::move(command));
   }
   void RecordAcknowledgement(Acknowledgement ack) { acks_.push_back(std::move(ack)); }
-  // An operator received a rejection.
+  // Records that an operator received a rejection.
   void RecordRejection(std::string request_id) { rejected_.insert(std::move(request_id)); }
-  // The accepted versions with their request ids, as read at the end of the run.
+  // Sets the accepted versions with their request ids, as read at the end of the run.
   void SetFinalHistory(std::vector<std::pair<uint64_t, std::string>> history) {
     final_history_ = std::move(history);
   }
@@ -62,14 +62,14 @@
 
  private:
   void CheckDecisions(runtime::Duration tolerance, std::vector<std::string>* violations) const {
-    std::map<std::pair<std::string, uint64_t>, uint64_t> last;
+    std::map<std::pair<std::string, uint64_t>, uint64_t> last_versions;
     for (const Decision& decision : decisions_) {
-      uint64_t& before = last[{decision.gateway, decision.incarnation}];
-      if (decision.version < before) {
-        violations->push_back(absl::StrCat("N8: ", decision.gateway, " went back from ", before,
-                                           " to ", decision.version));
+      uint64_t& last_version = last_versions[{decision.gateway, decision.incarnation}];
+      if (decision.version < last_version) {
+        violations->push_back(absl::StrCat("N8: ", decision.gateway, " went back from ",
+                                           last_version, " to ", decision.version));
       }
-      before = decision.version;
+      last_version = decision.version;
       for (const Acknowledgement& ack : acks_) {
         if (decision.at < ack.at + tolerance || decision.version >= ack.version) continue;
         violations->push_back(absl::StrCat("N8: ", decision.gateway, " decided by ",
@@ -85,13 +85,14 @@
     std::map<std::string, uint64_t> results;
     std::map<uint64_t, std::string> winners;
     for (const Acknowledgement& ack : acks_) {
-      const auto [result, first] = results.try_emplace(ack.request_id, ack.version);
-      if (!first && result->second != ack.version) {
-        violations->push_back("N8: another result for a resend of " + ack.request_id);
+      const auto [result, is_new_request] = results.try_emplace(ack.request_id, ack.version);
+      if (!is_new_request && result->second != ack.version) {
+        violations->push_back("N8: a resent change got a different result: " + ack.request_id);
       }
-      const auto [winner, alone] = winners.try_emplace(ack.version, ack.request_id);
-      if (!alone && winner->second != ack.request_id) {
-        violations->push_back(absl::StrCat("N8: two won version ", ack.version));
+      const auto [winner, is_new_version] = winners.try_emplace(ack.version, ack.request_id);
+      if (!is_new_version && winner->second != ack.request_id) {
+        violations->push_back(
+            absl::StrCat("N8: two changes were acknowledged with version ", ack.version));
       }
     }
     std::set<std::string> seen;
@@ -102,33 +103,35 @@
       }
       accepted[version] = request_id;
       if (rejected_.contains(request_id)) {
-        violations->push_back("N8: rejected, though it was applied: " + request_id);
+        violations->push_back("N8: applied but reported as rejected: " + request_id);
       }
     }
     for (const Acknowledgement& ack : acks_) {
       const auto found = accepted.find(ack.version);
       if (found == accepted.end() || found->second != ack.request_id) {
-        violations->push_back("N9: acknowledged and missing: " + ack.request_id);
+        violations->push_back("N9: acknowledged but missing from the final history: " +
+                              ack.request_id);
       }
     }
   }
 
   void CheckWorkerCommands(std::vector<std::string>* violations) const {
-    std::map<std::string, WorkerCommand> last;
+    std::map<std::string, WorkerCommand> last_commands;
     for (const WorkerCommand& command : worker_commands_) {
-      const auto before = last.find(command.worker);
-      if (before != last.end() &&
-          (command.token < before->second.token ||
-           (command.token == before->second.token && command.gateway != before->second.gateway))) {
+      const auto last_command = last_commands.find(command.worker);
+      if (last_command != last_commands.end() &&
+          (command.token < last_command->second.token ||
+           (command.token == last_command->second.token &&
+            command.gateway != last_command->second.gateway))) {
         violations->push_back(absl::StrCat("N6: ", command.gateway, " sent a command to ",
                                            command.worker, " with token ", command.token,
-                                           " after token ", before->second.token));
+                                           " after token ", last_command->second.token));
       }
-      last[command.worker] = command;
+      last_commands[command.worker] = command;
     }
   }
 
-  std::vector<Decision> decisions_;  // by time, as are the others
+  std::vector<Decision> decisions_;  // chronological, like the other recorded events
   std::vector<WorkerCommand> worker_commands_;
   std::vector<Acknowledgement> acks_;
   std::set<std::string> rejected_;
--- a/src/posthatch/control/server/session_table.cc
+++ b/src/posthatch/control/server/session_table.cc
@@ -34,12 +34,12 @@
       renewal.granted_term() == term && renewal.granted_renewal() >= session.first_renewal;
   if (!is_new && acks_grant && !session.grant_acked) {
     session.grant_acked = true;
-    ExpirePreviousIncarnations(session);
+    RemovePreviousIncarnations(session);
   }
   return &session;
 }
 
-void SessionTable::ExpirePreviousIncarnations(const Session& session) {
+void SessionTable::RemovePreviousIncarnations(const Session& session) {
   std::erase_if(sessions_, [&session](const auto& entry) {
     const Session& other = entry.second;
     return other.key.gateway == session.key.gateway && other.key != session.key &&
@@ -47,11 +47,11 @@
   });
 }
 
-const Session* SessionTable::FindSuccessor(const SessionKey& holder) const {
-  if (sessions_.contains(holder)) return nullptr;  // it may still be running
-  const auto first = sessions_.lower_bound({holder.gateway, 0});
+const Session* SessionTable::FindSuccessor(const SessionKey& predecessor) const {
+  if (sessions_.contains(predecessor)) return nullptr;  // `predecessor` may still be running
+  const auto first = sessions_.lower_bound({predecessor.gateway, 0});
   for (auto entry = first; entry != sessions_.end(); ++entry) {
-    if (entry->first.gateway != holder.gateway) break;
+    if (entry->first.gateway != predecessor.gateway) break;
     if (entry->second.grant_acked) return &entry->second;
   }
   return nullptr;
