--- a/src/posthatch/routing/outlier_detector-test.cc
+++ b/src/posthatch/routing/outlier_detector-test.cc
@@ -11,7 +11,7 @@
   Worker worker_;
 };
 
-TEST_F(OutlierDetectorTest, UnreachableWorkerIsEjectedAtOnceForADoublingTime) {
+TEST_F(OutlierDetectorTest, UnreachableWorkerIsEjectedAtOnceForDoublingDuration) {
   EXPECT_TRUE(detector_.IsHealthy(worker_));
   for (const int ejection_ms : {1000, 2000, 4000, 8000, 8000}) {
     const milliseconds ejection(ejection_ms);
@@ -24,10 +24,10 @@
   detector_.RecordSuccess(&worker_);
   detector_.RecordFailure(&worker_, WorkerFailure::kUnreachable);
   clock_.now += milliseconds(1000);
-  EXPECT_TRUE(detector_.IsHealthy(worker_)) << "a success ends the doubling";
+  EXPECT_TRUE(detector_.IsHealthy(worker_)) << "a success resets the duration";
 }
 
-TEST_F(OutlierDetectorTest, SecondFailureInARowEjects) {
+TEST_F(OutlierDetectorTest, SecondConsecutiveFailureEjects) {
   detector_.RecordFailure(&worker_, WorkerFailure::kRequestFailed);
   EXPECT_TRUE(detector_.IsHealthy(worker_));
   detector_.RecordFailure(&worker_, WorkerFailure::kRequestFailed);
--- a/src/posthatch/routing/outlier_detector.h
+++ b/src/posthatch/routing/outlier_detector.h
@@ -8,17 +8,18 @@
 // How a dispatch to a worker failed, as far as it concerns the worker's health.
 enum class WorkerFailure {
   kUnreachable,    // no connection, or another incarnation has the address
-  kRequestFailed,  // the request was sent and brought no usable response
+  kRequestFailed,  // the request was sent, and no usable response was received
 };
 
-// Outlier ejection by what dispatches bring: a worker that is unreachable, or fails repeatedly,
-// gets nothing for a time that doubles with each consecutive ejection; one that rejects requests
-// backs off briefly. Keeps its state in the workers. Owned by WorkerPool; event loop thread only.
+// Outlier ejection by the results of dispatches: a worker that is unreachable, or fails repeatedly,
+// gets no requests for a time that doubles with each consecutive ejection; a worker that rejects
+// requests gets none for a short backoff. Keeps its state in Worker. Owned by WorkerPool; event
+// loop thread only.
 class OutlierDetector {
  public:
   explicit OutlierDetector(runtime::Runtime* runtime) : runtime_(runtime) {}
 
-  // Neither ejected nor backing off.
+  // Whether the worker is neither ejected nor in backoff after a rejection.
   bool IsHealthy(const Worker& worker) const;
   void RecordSuccess(Worker* worker) const;
   // Ejects an unreachable worker at once, any other after several recent failures.
--- a/src/posthatch/routing/placement_cost.cc
+++ b/src/posthatch/routing/placement_cost.cc
@@ -5,33 +5,35 @@
 namespace posthatch::routing {
 namespace {
 
-// Tunables of the cost model. Times in milliseconds; measured or derived as
-// docs/design-docs/platform.md says.
+// Parameters of the cost model; times are in milliseconds. docs/design-docs/platform.md describes
+// how they were measured or derived.
 
-// A worker in another zone must be this much sooner: bytes between zones cost.
+// Penalty for a worker in another zone: traffic between zones has a cost.
 constexpr double kCrossZonePenaltyMs = 8;
-// Where load reports of other zones are delayed: the worker may be taken already.
+// Penalty for a worker in another zone if load reports of other zones are delayed: the worker may
+// be busy by now.
 constexpr double kDelayedZonePenaltyMs = 60;
-// Workers take few connections, and opening one costs them a moment: a worker to which a pooled
-// connection is open is preferred as if it were this much sooner.
+// Penalty for a worker without a pooled connection: workers accept few connections, and opening one
+// takes time.
 constexpr double kNewConnectionPenaltyMs = 20;
-// A prefill delays the streams that run at the same worker: each of them gets one token in the time
-// of a whole prefill step. Weighted as this fraction of the prefill time per stream; a prompt of a
-// step or two costs them nothing.
+// A prefill delays the streams that run at the same worker: each of them gets only one token per
+// prefill step. The cost per stream is this fraction of the prefill time; a prompt of one or two
+// steps costs nothing.
 constexpr double kPrefillInterferenceFraction = 0.35;
 constexpr uint64_t kNegligiblePrefillTokens = 4096;
-// Short prompts are gathered where streams run already, which costs those next to nothing and
-// leaves other workers free for long prefills. The saving per stream there, and for how many.
+// Short prompts are batched at workers that already run streams, which hardly delays these streams
+// and leaves other workers free for long prefills. The bonus per running stream, and the maximum
+// number of streams that count.
 constexpr double kDecodeBatchingBonusMs = 4;
 constexpr uint32_t kMaxBatchedStreams = 12;
-// Segments that are fetched to a second worker evict as much of what is cached there, some of which
-// has to be prefilled again: weighted as this fraction of prefilling them.
+// Segments fetched to a second worker evict as many tokens from its cache, some of which must be
+// prefilled again. The cost is this fraction of the time to prefill the fetched segments.
 constexpr double kEvictionCostFraction = 0.3;
 constexpr double kFetchOverheadMs = 4;
-// How likely the store has shared segments that the index knows no holder of.
+// Probability that the store has shared segments for which the index knows no cache holder.
 constexpr double kStoreHitPrior = 0.6;
-// No worker can transfer: no plan is slower.
-constexpr double kNeverMs = 1e9;
+// Time of a fetch if workers can't transfer: slower than every feasible plan.
+constexpr double kInfeasibleFetchMs = 1e9;
 constexpr double kBitsPerByte = 8;
 constexpr double kKilobitsPerMegabit = 1000;
 
@@ -79,7 +81,7 @@
 void PlacementCost::ConsiderHolders(const PlacementQuery& query,
                                     const PlacementCandidate& candidate, PrefillPlan* plan) const {
   for (const index::PrefixHolder& holder : query.holders) {
-    // A worker can't use what was made under another revision.
+    // A worker can't use segments that were cached under another model revision.
     if (holder.model_revision != candidate.worker->revision) continue;
     ConsiderSource(query, candidate, holder.backend_id, query.prompt->TokensInFirst(holder.blocks),
                    plan);
@@ -141,7 +143,7 @@
 
 double PlacementCost::FetchMs(const control::WorkerEngine& engine, uint64_t tokens,
                               bool same_zone) const {
-  if (engine.link_mbps() <= 0 || engine.kv_token_bytes() == 0) return kNeverMs;
+  if (engine.link_mbps() <= 0 || engine.kv_token_bytes() == 0) return kInfeasibleFetchMs;
   const double bits =
       static_cast<double>(tokens) * static_cast<double>(engine.kv_token_bytes()) * kBitsPerByte;
   const double milliseconds = bits / (engine.link_mbps() * kKilobitsPerMegabit);
--- a/src/posthatch/routing/placement_cost.h
+++ b/src/posthatch/routing/placement_cost.h
@@ -12,13 +12,13 @@
 
 namespace posthatch::routing {
 
-// The cost model of placement: what a prompt's way through a candidate costs, in milliseconds of
-// expected time to its first event, with penalties for what it does to others. It also decides from
-// where the candidate fetches cached segments, since that is where it is cheapest. Owned by Placer;
-// event loop thread only.
+// The cost model of placement: the cost of running a prompt at a candidate worker, in milliseconds
+// of expected time to its first event, plus penalties for its effect on other requests. It also
+// selects where the candidate fetches cached segments from: the source with the lowest cost. Owned
+// by Placer; event loop thread only.
 class PlacementCost {
  public:
-  // `pool` and `prefill_rate` outlive it.
+  // `runtime`, `pool` and `prefill_rate` must outlive this object.
   PlacementCost(runtime::Runtime* runtime, std::string zone, const WorkerPool* pool,
                 const PrefillRate* prefill_rate, const RoutingSwitches& switches)
       : runtime_(runtime),
@@ -27,24 +27,25 @@
         prefill_rate_(prefill_rate),
         switches_(switches) {}
 
-  // Cost of a prompt at the candidate. Sets all of `placement` but `save_endpoint`.
+  // Returns the cost of a prompt at the candidate. Sets every field of `placement` except
+  // `save_endpoint`.
   double Estimate(const PlacementQuery& query, const PlacementCandidate& candidate,
                   Placement* placement) const;
   // Whether a call to the worker needs a new connection.
   bool NeedsNewConnection(const PlacementQuery& query, const Worker& worker) const;
 
  private:
-  // What a candidate fetches of a prompt before it prefills the rest.
+  // Which part of a prompt a candidate fetches before it prefills the rest.
   struct PrefillPlan {
-    double ms = 0;              // both together
-    uint64_t fetch_tokens = 0;  // 0 with a store, whose contents are not known
+    double ms = 0;              // time to fetch and prefill
+    uint64_t fetch_tokens = 0;  // 0 for a store, whose contents are unknown
     std::string fetch_endpoint;
   };
 
-  // The quickest plan.
+  // Returns the fastest plan.
   PrefillPlan PlanPrefill(const PlacementQuery& query, const PlacementCandidate& candidate) const;
-  // Each replaces `plan` by its own where that is quicker: with a fetch from workers that have
-  // cached the prompt's beginning; from one that has just prefilled the shared segments; from the
+  // Each replaces `plan` if a plan with its kind of fetch is faster: from workers that cache a
+  // prefix of the prompt; from workers that have just prefilled the shared segments; from the
   // store.
   void ConsiderHolders(const PlacementQuery& query, const PlacementCandidate& candidate,
                        PrefillPlan* plan) const;
@@ -52,21 +53,23 @@
                                 PrefillPlan* plan) const;
   void ConsiderStore(const PlacementQuery& query, const PlacementCandidate& candidate,
                      PrefillPlan* plan) const;
-  // A fetch from the worker `source_id`, which has the prompt's first `available_tokens`.
+  // Considers a fetch from worker `source_id`, which has cached the prompt's first
+  // `available_tokens`.
   void ConsiderSource(const PlacementQuery& query, const PlacementCandidate& candidate,
                       const std::string& source_id, uint64_t available_tokens,
                       PrefillPlan* plan) const;
-  // The store may have the shared segments or not: the mean over both.
+  // Expected time of a fetch from the store, averaged over a cache hit and a cache miss.
   double ExpectedMsWithStore(const PlacementQuery& query,
                              const PlacementCandidate& candidate) const;
   double FetchMs(const control::WorkerEngine& engine, uint64_t tokens, bool same_zone) const;
 
   double ZonePenaltyMs(const Worker& worker) const;
-  // What a prefill of `tokens` costs the streams that run there; negative: what batching saves.
+  // Cost of a prefill of `tokens` to the streams that run at the worker; negative if batching saves
+  // time.
   double InterferenceMs(const Load& load, uint64_t tokens) const;
 
   runtime::Runtime* const runtime_;
-  const std::string zone_;  // of this gateway
+  const std::string zone_;  // this gateway's zone
   const WorkerPool* const pool_;
   const PrefillRate* const prefill_rate_;
   const RoutingSwitches switches_;
--- a/src/posthatch/routing/placer-test.cc
+++ b/src/posthatch/routing/placer-test.cc
@@ -20,8 +20,8 @@
     store_.zone = "a";
   }
 
-  void SetPrompt(uint64_t shared, uint64_t own) {
-    prompt_.cumulative_tokens = {shared, shared + own};
+  void SetPrompt(uint64_t shared, uint64_t unshared) {
+    prompt_.cumulative_tokens = {shared, shared + unshared};
     prompt_.shared_tokens = shared;
   }
   WorkerPointer Find(const std::string& id) {
@@ -102,7 +102,7 @@
   SetPrompt(2000, 300);
   std::map<std::string, int> chosen;
   for (int i = 0; i < 50; ++i) ++chosen[placer.Choose(query_).worker->backend.id()];
-  EXPECT_EQ(chosen["w3"], 0) << "the only one of another zone";
+  EXPECT_EQ(chosen["w3"], 0) << "the only worker of another zone";
   EXPECT_EQ(chosen["w1"] + chosen["w2"], 50);
 }
 
@@ -123,8 +123,8 @@
   EXPECT_EQ(placement_.save_endpoint, "");
 }
 
-// During a rollout: what w2 cached under revision 1 is useful to workers that serve revision 1
-// only.
+// During a rollout: segments that w2 cached under revision 1 are usable only by workers that serve
+// revision 1.
 TEST_F(PlacerTest, IgnoresEntriesOfOtherRevisions) {
   SetPrompt(20000, 500);
   Find("w2")->revision = 2;
--- a/src/posthatch/routing/placer.cc
+++ b/src/posthatch/routing/placer.cc
@@ -9,23 +9,26 @@
 namespace posthatch::routing {
 namespace {
 
-// Tunables of the choice of candidates.
+// Parameters of candidate selection.
 constexpr size_t kRankedCandidates = 3;
 constexpr size_t kRandomCandidates = 2;
-// How likely a worker has a prompt's shared segments, by its rank, when the index knows of no
-// holder: all gateways send them to the same first workers, and index entries take a moment.
+// Probability that a worker has cached a prompt's shared segments if the index knows no cache
+// holder, by the worker's rank: all gateways prefer the same workers, and index entries arrive with
+// a delay.
 constexpr std::array<double, kRankedCandidates> kCacheHitPrior = {0.6, 0.2, 0.05};
-// Opening a connection, in requests in flight: for calls that are no prompts.
-constexpr double kNewConnectionPenaltyCalls = 1.5;
+// Penalty for a new connection, for calls that are not prompts: a request in flight counts 2,
+// another zone 1.
+constexpr double kCallNewConnectionPenalty = 1.5;
 constexpr uint64_t kMinTokensToSave = 1024;
 
-// Whether the worker is the holder that the entry names, and still serves the entry's revision.
+// Whether the index entry `holder` names this worker, and the worker still serves the entry's
+// revision.
 bool MatchesHolder(const Worker& worker, const index::PrefixHolder& holder) {
   return holder.backend_id == worker.backend.id() && holder.model_revision == worker.revision;
 }
 
-// Whether any holder of the prompt's beginning is known among workers of a revision, or one that
-// prefills it now.
+// Whether any worker of a revision is known to cache a prefix of the prompt, or to be prefilling
+// its shared segments now.
 bool HasKnownHolder(const PlacementQuery& query, uint64_t revision) {
   const bool cached =
       std::any_of(query.holders.begin(), query.holders.end(),
@@ -65,10 +68,10 @@
   const auto cost = [this, &query](const Worker& worker) {
     const double zone = worker.backend.zone() == zone_ ? 0 : 1;
     const double connection =
-        cost_.NeedsNewConnection(query, worker) ? kNewConnectionPenaltyCalls : 0;
+        cost_.NeedsNewConnection(query, worker) ? kCallNewConnectionPenalty : 0;
     return static_cast<double>(pool_->TotalLoad(worker).in_flight) * 2 + zone + connection;
   };
-  // From a random one on, so that equal ones are chosen evenly.
+  // Starts at a random worker, so that ties are broken evenly.
   WorkerPointer best;
   const size_t start = runtime_->random->Uniform(usable.size());
   for (size_t i = 0; i < usable.size(); ++i) {
@@ -107,10 +110,10 @@
   }
   if (cached >= query.prompt->shared_tokens || query.in_flight_prefills == nullptr) return cached;
   const auto locations = query.in_flight_prefills->Find(query.prompt->affinity, worker.revision);
-  const bool prefills_there = std::any_of(
+  const bool is_prefilling = std::any_of(
       locations.begin(), locations.end(),
       [&worker](const auto& location) { return location.worker_id == worker.backend.id(); });
-  return prefills_there ? query.prompt->shared_tokens : cached;
+  return is_prefilling ? query.prompt->shared_tokens : cached;
 }
 
 std::vector<PlacementCandidate> Placer::MakeCandidates(const PlacementQuery& query,
@@ -123,7 +126,8 @@
   for (size_t i = 0; i < ranked.size(); ++i) {
     AddCandidate(query, ranked[i], kCacheHitPrior[i], &candidates);
   }
-  // A long prompt goes where it is cached: a further worker for it would evict other prompts.
+  // A long prompt goes to workers that cache it: prefilling it at another one would evict other
+  // prompts.
   if (query.prompt->shared_tokens < kMinTokensToSave) {
     const WorkerPointer connected = LeastLoadedConnected(query, usable);
     if (connected != nullptr) AddCandidate(query, connected, 0, &candidates);
@@ -147,7 +151,7 @@
 }
 
 Placer::Workers Placer::RankedWorkers(const PlacementQuery& query, const Workers& usable) const {
-  std::vector<std::pair<uint64_t, size_t>> ranks;  // with the position in `usable`
+  std::vector<std::pair<uint64_t, size_t>> ranks;  // rank, position in `usable`
   ranks.reserve(usable.size());
   for (size_t i = 0; i < usable.size(); ++i) {
     ranks.emplace_back(RendezvousRank(query.prompt->affinity, usable[i]->backend.id()), i);
@@ -181,7 +185,7 @@
     all.push_back(i);
     if (usable[i]->backend.zone() == zone_) in_zone.push_back(i);
   }
-  // Load reports of other zones are too old to find an idle worker by.
+  // Load reports of other zones are too old to identify an idle worker.
   const bool only_in_zone = switches_.near_candidates && pool_->RemoteZoneLoadIsDelayed() &&
                             in_zone.size() >= kRandomCandidates;
   return only_in_zone ? in_zone : all;
--- a/src/posthatch/routing/placer.h
+++ b/src/posthatch/routing/placer.h
@@ -16,13 +16,13 @@
 namespace posthatch::routing {
 
 // Chooses the worker for a call. For a prompt: the cheapest of a few candidates by PlacementCost.
-// Candidates are the holders of a prefix, a few workers that every gateway ranks first for the
-// prompt (rendezvous hashing, so that calls which share a prefix meet without any message), and two
-// at random. For any other call: the worker with the fewest requests in flight. Owned by
-// TrafficGateway; event loop thread only.
+// Candidates are the cache holders of a prefix, a few workers that every gateway ranks first for
+// the prompt (by rendezvous hashing, so that calls with a common prefix reach the same worker
+// without coordination), and two random workers. For any other call: the worker with the fewest
+// requests in flight. Owned by TrafficGateway; event loop thread only.
 class Placer {
  public:
-  // `runtime` and `pool` outlive it; `zone` is this gateway's.
+  // `runtime` and `pool` must outlive this object; `zone` is this gateway's zone.
   Placer(runtime::Runtime* runtime, std::string zone, WorkerPool* pool,
          const RoutingSwitches& switches = RoutingSwitches())
       : runtime_(runtime),
@@ -33,7 +33,7 @@
   Placer(const Placer&) = delete;
   Placer& operator=(const Placer&) = delete;
 
-  // A placement without a worker if none may get new work.
+  // Returns a placement without a worker if no worker is eligible.
   Placement Choose(const PlacementQuery& query);
   PrefillRate* prefill_rate() { return &prefill_rate_; }
 
@@ -48,8 +48,8 @@
 
   std::vector<PlacementCandidate> MakeCandidates(const PlacementQuery& query,
                                                  const Workers& usable) const;
-  // Adds the worker unless it is a candidate already. `likelihood`: that it has the shared segments
-  // cached if no holder is known.
+  // Adds the worker unless it is a candidate already. `likelihood` is the probability that the
+  // worker has cached the shared segments, for the case that no cache holder is known.
   static void AddCandidate(const PlacementQuery& query, const WorkerPointer& worker,
                            double likelihood, std::vector<PlacementCandidate>* candidates);
   // The workers that all gateways rank first for the prompt, best first.
@@ -57,14 +57,14 @@
   // The worker of this zone with the fewest pending tokens among those with a pooled connection;
   // null if there is none.
   WorkerPointer LeastLoadedConnected(const PlacementQuery& query, const Workers& usable) const;
-  // Positions in `usable` among which those candidates are drawn that may just be free.
+  // Positions in `usable` from which the random candidates are drawn; these may happen to be idle.
   std::vector<size_t> RandomCandidatePool(const Workers& usable) const;
 
   // Tokens of the prompt that the worker has cached, or is prefilling already.
   static uint64_t CachedTokens(const PlacementQuery& query, const Worker& worker);
-  // Names as fetch source where the shared segments may be cached though the index knows no holder:
-  // at the worker that all gateways rank first among those of the same revision. A miss there costs
-  // next to nothing.
+  // Sets the fetch source to the worker that all gateways rank first among those of the same
+  // revision: the shared segments may be cached there although the index knows no cache holder. A
+  // miss costs next to nothing.
   void GuessFetchSource(const PlacementQuery& query, const Workers& usable,
                         Placement* placement) const;
 
--- a/src/posthatch/routing/retry_budget.h
+++ b/src/posthatch/routing/retry_budget.h
@@ -11,20 +11,21 @@
 namespace posthatch::routing {
 
 struct RetryBudgetOptions {
-  // Bound on the dispatches beyond the first of each request that all gateways together may send in
-  // any `window`: this fraction of the requests, plus `slack`.
+  // Limit on the retries (dispatches beyond the first of a request) that all gateways together may
+  // send in any `window`: this fraction of the requests, plus `slack`.
   double ratio = 0.2;
   double slack = 20;
   runtime::Duration window = std::chrono::seconds(10);
-  // Fraction of both that is used: the rest covers gateways that count the fleet differently.
+  // Fraction of the limit that is used; the rest is a margin for gateways that see a different
+  // number of live gateways.
   double utilization = 0.6;
-  // Live gateways of the fleet with this one.
+  // Returns the number of the fleet's live gateways, including this one.
   std::function<uint32_t()> live_gateways;
 };
 
-// This gateway's share of the fleet's retry budget, service by service: the slack is divided among
-// the live gateways. (gateway::RetryBudget is the budget of the other data plane; it has no slack
-// and takes first attempts back.) Owned by TrafficGateway; event loop thread only.
+// This gateway's share of the fleet's retry budget, per service: the slack is divided among the
+// live gateways. (gateway::RetryBudget is the budget of the other data plane; it has no slack, and
+// reverts first attempts that were never sent.) Owned by TrafficGateway; event loop thread only.
 class RetryBudget {
  public:
   RetryBudget(const runtime::Clock* clock, RetryBudgetOptions options)
--- a/src/posthatch/routing/retry_state-test.cc
+++ b/src/posthatch/routing/retry_state-test.cc
@@ -33,14 +33,19 @@
 }
 
 constexpr RetryCase kRetryCases[] = {
-    {"UnreachableOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kUnreachable, true},
-    {"NotExecutedOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kNotExecuted, true},
-    {"MisdirectedOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kMisdirected, true},
-    {"LostOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kLost, false},
-    {"TruncatedOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kTruncated, false},
-    {"MismatchedOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kMismatched, false},
-    {"ServerErrorOnce", control::NON_IDEMPOTENT, false, DispatchFailure::kServerError, false},
-    {"LostRepeatable", control::IDEMPOTENT, false, DispatchFailure::kLost, true},
+    {"UnreachableNonIdempotent", control::NON_IDEMPOTENT, false, DispatchFailure::kUnreachable,
+     true},
+    {"NotExecutedNonIdempotent", control::NON_IDEMPOTENT, false, DispatchFailure::kNotExecuted,
+     true},
+    {"MisdirectedNonIdempotent", control::NON_IDEMPOTENT, false, DispatchFailure::kMisdirected,
+     true},
+    {"LostNonIdempotent", control::NON_IDEMPOTENT, false, DispatchFailure::kLost, false},
+    {"TruncatedNonIdempotent", control::NON_IDEMPOTENT, false, DispatchFailure::kTruncated, false},
+    {"MismatchedNonIdempotent", control::NON_IDEMPOTENT, false, DispatchFailure::kMismatched,
+     false},
+    {"ServerErrorNonIdempotent", control::NON_IDEMPOTENT, false, DispatchFailure::kServerError,
+     false},
+    {"LostIdempotent", control::IDEMPOTENT, false, DispatchFailure::kLost, true},
     {"LostStream", control::STREAMING, false, DispatchFailure::kLost, false},
     {"LostResumableStream", control::STREAMING, true, DispatchFailure::kLost, true},
 };
--- a/src/posthatch/routing/retry_state.cc
+++ b/src/posthatch/routing/retry_state.cc
@@ -5,7 +5,7 @@
 namespace posthatch::routing {
 namespace {
 
-// Dispatches of one request that have provably not run.
+// Maximum number of dispatches of one request that provably have not run.
 constexpr uint32_t kMaxUnexecutedAttempts = 4;
 
 }  // namespace
--- a/src/posthatch/routing/retry_state.h
+++ b/src/posthatch/routing/retry_state.h
@@ -11,9 +11,9 @@
 namespace posthatch::routing {
 
 // The failed dispatches of one request, and whether another one may follow them. Invariant: a
-// request that is not idempotent is dispatched again only while no dispatch of it may have run.
-// Time, the fleet's retry budget (RetryBudget) and the choice of a worker are the request's to
-// check. Owned by TrafficRequest; event loop thread only.
+// request that is not idempotent is dispatched again only while no dispatch of it may have run. The
+// request itself checks its deadline, the fleet's retry budget (RetryBudget) and whether a worker
+// is eligible. Owned by TrafficRequest; event loop thread only.
 class RetryState {
  public:
   // `route` and `switches` outlive it.
@@ -22,7 +22,7 @@
 
   // Whether the request may run more than once.
   bool IsIdempotent() const;
-  // Whether a stream of it may continue at another worker.
+  // Whether the request's stream may be resumed at another worker.
   bool IsResumable() const;
 
   // A dispatch to `worker_id` has failed.
@@ -30,24 +30,24 @@
   // A dispatch was abandoned and may have run.
   void RecordPossibleExecution() { ++possible_executions_; }
 
-  // Whether another dispatch is allowed after those recorded, and after `unrecorded_executions`
-  // further ones that may have run.
+  // Whether another dispatch is allowed after the recorded ones and `unrecorded_executions` further
+  // ones that may have run.
   bool MayRetry(bool stream_started, uint32_t unrecorded_executions = 0) const;
 
-  // Dispatches that may have run.
+  // Number of dispatches that may have run.
   uint32_t possible_executions() const { return possible_executions_; }
   // Whether a dispatch has reached a worker.
   bool HasReachedWorker() const { return possible_executions_ + unexecuted_attempts_ > 0; }
-  // Worker ids of the failed dispatches, in order; a worker may stand there twice.
+  // Worker ids of the failed dispatches, in order; may contain duplicates.
   const std::vector<std::string>& attempted_workers() const { return attempted_workers_; }
-  // Label of the newest failure; empty: none.
+  // Label of the newest failure; empty if there is none.
   const char* last_failure() const { return last_failure_; }
 
  private:
   const control::TrafficRoute* const route_;
   const RoutingSwitches* const switches_;
   uint32_t possible_executions_ = 0;
-  uint32_t unexecuted_attempts_ = 0;  // rejected by workers, which proves that they have not run
+  uint32_t unexecuted_attempts_ = 0;  // reached a worker and provably have not run
   std::vector<std::string> attempted_workers_;
   const char* last_failure_ = "";
 };
--- a/src/posthatch/routing/traffic_fixture-test.h
+++ b/src/posthatch/routing/traffic_fixture-test.h
@@ -8,7 +8,7 @@
 #include "posthatch/gateway/gateway_fakes-test.h"
 #include "posthatch/routing/traffic_gateway.h"
 
-// A traffic gateway over fakes, driven by the test.
+// A traffic gateway with fake dependencies, for tests.
 namespace posthatch::routing {
 
 using std::chrono::milliseconds;
@@ -45,8 +45,8 @@
     ResponseClassification classification;
     classification.matches_request = head.headers.Get("Id") == call.request_id;
     classification.misdirected = head.status == 421;
-    const bool refused = head.headers.Has("Refused") || classification.misdirected;
-    classification.execution = refused ? Execution::kNotExecuted : Execution::kRan;
+    const bool rejected = head.headers.Has("Refused") || classification.misdirected;
+    classification.execution = rejected ? Execution::kNotExecuted : Execution::kRan;
     if (head.headers.Has("Revision")) {
       classification.revision = std::stoull(std::string(head.headers.Get("Revision")));
     }
@@ -208,12 +208,12 @@
   }
 
   gateway::FakeCall& Last() { return *client_.calls.back(); }
-  // Head of a response to the last call, by its own id unless another one is given.
-  void Head(int status, const std::string& id = "", bool refused = false) {
+  // Delivers the head of a response to the last call, with the call's own id unless `id` is given.
+  void Head(int status, const std::string& id = "", bool rejected = false) {
     http::Response head;
     head.status = status;
     head.headers.Add("Id", id.empty() ? Last().Field("Id") : id);
-    if (refused) head.headers.Add("Refused", "1");
+    if (rejected) head.headers.Add("Refused", "1");
     const auto call = client_.calls.back();
     if (!call->cancelled) call->observer.on_head(head);
   }
--- a/src/posthatch/routing/traffic_gateway-test.cc
+++ b/src/posthatch/routing/traffic_gateway-test.cc
@@ -41,7 +41,7 @@
   view_.fleet = fleet;
   view_.Changed();
   timers_.Advance(seconds(1));
-  EXPECT_GE(client_.calls.size(), 1U) << "no controller has read it for long";
+  EXPECT_GE(client_.calls.size(), 1U) << "no controller has read the inventory recently";
   EXPECT_EQ(Last().endpoint, "inventory:1");
 }
 
@@ -121,7 +121,8 @@
   view_.Changed();
   Send("stream");
   EXPECT_EQ(client_.calls.size(), 1U);
-  EXPECT_EQ(Send("stream")->whole.status, 503) << "a second one at once would be too much";
+  EXPECT_EQ(Send("stream")->whole.status, 503)
+      << "a second request at once exceeds the slow start rate";
   timers_.Advance(milliseconds(800));
   Send("stream");
   EXPECT_EQ(client_.calls.size(), 2U);
@@ -145,12 +146,13 @@
   view_.fleet.mutable_revisions(0)->set_revision(2);
   view_.Changed();
   Send("stream");
-  EXPECT_EQ(client_.calls.size(), 1U) << "until then workers serve on at the revision they have";
+  EXPECT_EQ(client_.calls.size(), 1U)
+      << "before the deadline, workers of the older revision still serve";
   timers_.Advance(milliseconds(8800));
   EXPECT_EQ(Send("stream")->whole.status, 503);
 }
 
-// Incident 34: a further revision gave workers of the oldest one the whole time again.
+// Incident 34: each further revision restarted the deadline for workers of the oldest one.
 TEST_F(TrafficGatewayTest, LaterRevisionDoesNotExtendDeadlineOfOlderOnes) {
   options_.revision_deadline = seconds(10);
   Start();
@@ -194,12 +196,14 @@
   transport_.receiver(envelope);
   Send("stream");
   EXPECT_NE(Last().Field("Instance"), preferred);
-  EXPECT_FALSE(Last().Field("Source").empty()) << "what the preferred one keeps may be fetched";
+  EXPECT_FALSE(Last().Field("Source").empty())
+      << "segments cached at the preferred worker may be fetched";
 }
 
 TEST_F(TrafficGatewayTest, SlowTransfersBackOff) {
   Start();
-  // Load on every worker but one moves calls there, with the preferred worker as fetch source.
+  // Load on the preferred worker moves calls to another one, with the preferred worker as fetch
+  // source.
   Send("stream");
   const std::string preferred = Last().Field("Instance");
   TrafficMessage message;
@@ -215,12 +219,12 @@
   Send("stream");
   const std::string target = Last().Field("Instance");
   ASSERT_FALSE(Last().Field("Source").empty());
-  const size_t slow = client_.calls.size() - 1;
+  const size_t slow_call = client_.calls.size() - 1;
   timers_.Advance(milliseconds(900));
   http::Response head;
-  head.headers.Add("Id", client_.calls[slow]->Field("Id"));
-  client_.calls[slow]->observer.on_head(head);
-  client_.calls[slow]->observer.on_chunk("id: 1\n\n");
+  head.headers.Add("Id", client_.calls[slow_call]->Field("Id"));
+  client_.calls[slow_call]->observer.on_head(head);
+  client_.calls[slow_call]->observer.on_chunk("id: 1\n\n");
   Send("stream");
   EXPECT_NE(Last().Field("Instance"), preferred);
   EXPECT_EQ(Last().Field("Source"), "");
--- a/src/posthatch/routing/traffic_gateway.cc
+++ b/src/posthatch/routing/traffic_gateway.cc
@@ -8,13 +8,14 @@
 namespace posthatch::routing {
 namespace {
 
-// A gateway reads the inventory itself when the leader's is older than the drain bound less this
-// time, which is for the spread of the gateways' reads, a rejection over the rate, and the read.
+// A gateway reads the inventory itself when the leader's copy is older than the drain bound minus
+// this time, which allows for the spread of the gateways' reads, a rejection by the rate limit, and
+// the read itself.
 constexpr runtime::Duration kInventoryReadAllowance = std::chrono::milliseconds(1500);
-// State that depends on time alone (slow start, deadlines of revisions) is applied this often.
+// Interval of applying state that depends on time alone (slow start, revision deadlines).
 constexpr runtime::Duration kRefreshInterval = std::chrono::milliseconds(500);
 constexpr runtime::Duration kRetryAfter = std::chrono::milliseconds(300);
-// Controllers that start together take about so long to elect a leader.
+// Controllers that start together take about this long to elect a leader.
 constexpr runtime::Duration kRetryAfterWithoutConfiguration = std::chrono::milliseconds(1200);
 
 }  // namespace
@@ -154,7 +155,7 @@
 }
 
 void TrafficGateway::CheckRevisionDeadlines() {
-  std::vector<std::shared_ptr<TrafficRequest>> running;  // requests_ changes when one ends
+  std::vector<std::shared_ptr<TrafficRequest>> running;  // a copy, since ended ones are erased
   running.reserve(requests_.size());
   for (const auto& [key, request] : requests_) running.push_back(request);
   for (const std::shared_ptr<TrafficRequest>& request : running) request->CheckRevisionDeadline();
--- a/src/posthatch/routing/traffic_gateway.h
+++ b/src/posthatch/routing/traffic_gateway.h
@@ -30,23 +30,24 @@
   double retry_budget_slack = 20;
   double inventory_reads_per_second = 4;
   runtime::Duration revision_deadline = std::chrono::seconds(12);
-  // From when the inventory shows a worker as draining until it gets no new work; above 1.5 s.
+  // Maximum time from when the inventory shows a worker as draining until it gets no new work; must
+  // be above 1.5 s.
   runtime::Duration drain_bound = std::chrono::seconds(3);
   const index::KvEventFormat* cache_event_format = index::NativeKvEventFormat();
   RoutingSwitches switches;
-  // Requests in flight; further ones are rejected.
+  // Maximum number of requests in flight; further ones are rejected.
   size_t max_concurrent_requests = 4096;
-  // Ids of the live gateways of the fleet, with this one; called often.
+  // Returns the ids of the fleet's live gateways, including this one; called often.
   std::function<std::vector<std::string>()> gateways;
-  // The other live gateways; called often.
+  // Returns the other live gateways; called often.
   LoadReporter::Peers peers;
 };
 
 // The data plane for routed traffic, as posthatch-platform's gateways serve it: finds the route,
 // tenant and service of each call and hands it to a TrafficRequest (docs/design-docs/platform.md).
 // Continues with the last configuration when no controller can be reached. (gateway::Gateway is the
-// other data plane, for posthatch's own API.) Owned by the process; everything given to the
-// constructor outlives it. Event loop thread only.
+// other data plane, for posthatch's own API.) Owned by the process; all constructor arguments must
+// outlive it. Event loop thread only.
 class TrafficGateway : private TrafficRequestOwner, private control::InventoryWatchHost {
  public:
   TrafficGateway(runtime::Runtime* runtime, TrafficGatewayOptions options, control::FleetView* view,
@@ -65,8 +66,8 @@
  private:
   LoadReporterOptions MakeLoadReporterOptions() const;
   control::InventoryWatchOptions MakeInventoryWatchOptions() const;
-  // control::InventoryWatchHost. Without a configuration nothing is served, and the first grant
-  // carries the inventory.
+  // control::InventoryWatchHost. The inventory is not read without a configuration: nothing is
+  // served then, and the first grant includes the inventory.
   uint32_t LiveGateways() override { return live_gateways_.Get(); }
   std::vector<control::ZonePeer> ZonePeers() const override;
   bool NeedsInventory() const override { return configuration_ != nullptr; }
@@ -88,10 +89,11 @@
   // Why a call is not admitted.
   struct Rejection {
     LocalReplyReason reason = LocalReplyReason::kUnavailable;
-    std::string detail;  // for people
+    std::string detail;  // human-readable
   };
 
-  // Fills in all of `admitted` but its request, writer and time; or says why the call is rejected.
+  // Fills in every field of `admitted` except request, writer and received_at; or returns why the
+  // call is rejected.
   std::optional<Rejection> Admit(const http::Request& request, AdmittedCall* admitted);
   // The service for the next call of a route, by its weights; null if there is none.
   const control::TrafficService* PickService(const control::TrafficRoute& route);
@@ -113,12 +115,12 @@
   control::InventoryWatch inventory_;
   TrafficContext context_;
 
-  // The applied configuration, which routes_ refers into; null: none is known yet.
+  // The applied configuration, which routes_ points into; null while none is known.
   std::shared_ptr<const control::TrafficConfiguration> configuration_;
   RouteTable routes_;
   WeightedSplit split_;
   uint64_t traffic_index_ = 0;
-  // Of the sections as last applied.
+  // Indices of the fleet state's sections that were last applied.
   control::SectionIndices indices_{};
 
   absl::flat_hash_map<TrafficRequest*, std::shared_ptr<TrafficRequest>> requests_;
@@ -128,7 +130,7 @@
   runtime::Timer sweep_timer_;
   runtime::Timer refresh_timer_;
   std::function<void()> on_idle_;
-  // Expires with this object, for the listener that stays with the view.
+  // Expires with this object; lets the listener, which stays registered with the view, detect that.
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/posthatch/routing/traffic_request-test.cc
+++ b/src/posthatch/routing/traffic_request-test.cc
@@ -35,7 +35,7 @@
 TEST_F(TrafficRequestTest, NonIdempotentIsRetriedIfNotExecuted) {
   const auto writer = Send("once");
   const std::string first = Last().endpoint;
-  Head(503, "", /*refused=*/true);
+  Head(503, "", /*rejected=*/true);
   ASSERT_EQ(client_.calls.size(), 2U);
   EXPECT_NE(Last().endpoint, first);
   Respond(200, "answer");
@@ -44,7 +44,7 @@
 
 TEST_F(TrafficRequestTest, OnlyRejectionsEndAsUnavailableWithRetryAfter) {
   const auto writer = Send("once");
-  for (int i = 0; i < 10 && writer->responses == 0; ++i) Head(503, "", /*refused=*/true);
+  for (int i = 0; i < 10 && writer->responses == 0; ++i) Head(503, "", /*rejected=*/true);
   EXPECT_EQ(writer->whole.status, 503);
   EXPECT_TRUE(writer->whole.headers.Has("Retry"));
 }
@@ -53,7 +53,7 @@
   const auto writer = Send("often");
   Last().Error(CallProgress::kSent);
   ASSERT_EQ(client_.calls.size(), 2U);
-  for (int i = 0; i < 10 && writer->responses == 0; ++i) Head(503, "", /*refused=*/true);
+  for (int i = 0; i < 10 && writer->responses == 0; ++i) Head(503, "", /*rejected=*/true);
   EXPECT_EQ(writer->whole.status, 502);
 }
 
@@ -84,14 +84,14 @@
 
 TEST_F(TrafficRequestTest, UnreachableWorkerIsEjectedAndCostsNoExecution) {
   const auto writer = Send("once");
-  const std::string dead = Last().endpoint;
+  const std::string unreachable = Last().endpoint;
   Last().Error(CallProgress::kNotSent);
   ASSERT_EQ(client_.calls.size(), 2U);
   Respond(200, "answer");
   EXPECT_EQ(writer->whole.status, 200);
   for (int i = 0; i < 10; ++i) {
     Send("once");
-    EXPECT_NE(Last().endpoint, dead);
+    EXPECT_NE(Last().endpoint, unreachable);
     Respond(200, "answer");
   }
 }
@@ -254,13 +254,13 @@
   head.status = 421;
   head.headers.Add("Id", Last().Field("Id"));
   head.headers.Add("Revision", "2");
-  const std::string refused = Last().endpoint;
+  const std::string rejecting_worker = Last().endpoint;
   client_.calls.back()->observer.on_head(head);
   timers_.Advance(milliseconds(700));
   std::string expected;
   for (int i = 0; i < 30; ++i) {
     Send("stream");
-    if (Last().endpoint == refused) expected = Last().Field("Revision");
+    if (Last().endpoint == rejecting_worker) expected = Last().Field("Revision");
   }
   EXPECT_TRUE(expected.empty() || expected == "2");
 }
--- a/src/posthatch/routing/traffic_request.cc
+++ b/src/posthatch/routing/traffic_request.cc
@@ -7,26 +7,28 @@
 namespace {
 
 constexpr runtime::Duration kConnectTimeout = std::chrono::milliseconds(300);
-// With less time than this a further attempt can't succeed.
+// With less time than this, another attempt can't succeed.
 constexpr runtime::Duration kMinTimeForRetry = std::chrono::milliseconds(40);
-// A resumable stream without an event for so long is resumed at another worker.
+// A resumable stream without data for this long is resumed at another worker.
 constexpr runtime::Duration kStreamIdleTimeout = std::chrono::milliseconds(1800);
 constexpr size_t kMaxResponseBytes = size_t{32} * 1024 * 1024;
-// Sent to callers when no worker may take the call: workers become free, end their slow start, or
-// become known again within this. Spread, so that callers don't return all at once.
+// Retry-after time sent to callers when no worker is eligible: within this time workers become
+// free, end their slow start, or are discovered again. Jittered, so that callers don't all retry at
+// once.
 constexpr runtime::Duration kRetryAfter = std::chrono::milliseconds(200);
-constexpr runtime::Duration kRetryAfterSpread = std::chrono::milliseconds(200);
+constexpr runtime::Duration kRetryAfterJitter = std::chrono::milliseconds(200);
 // A pooled connection that has been idle for longer may be closed by its server at any moment,
-// which loses a request that must not be repeated.
+// which would lose a request that must not be retried.
 constexpr double kMaxIdleFractionNonIdempotent = 0.4;
 constexpr double kMaxIdleFractionIdempotent = 0.75;
 constexpr uint32_t kLowestPriority = 9;
-// A first event that is so much later than expected, after a transfer of cached segments, means
-// that transfers are slow there.
+// A first event this much later than expected, after a transfer of cached segments, means that
+// transfers to the worker are slow.
 constexpr double kSlowTransferExcessMs = 800;
-// A first event that is so much later, after a fetch from a store, counts against the store.
+// A first event this much later than expected, after a fetch from a store, counts as a delayed
+// fetch from the store.
 constexpr double kDelayedFetchMs = 250;
-// A prefill of fewer shared tokens is over before an announcement of it could be of use.
+// A prefill of fewer shared tokens ends before its announcement could be useful.
 constexpr uint64_t kMinTokensToAnnounce = 1024;
 constexpr int kFirstServerError = 500;
 constexpr int kStatusTimeout = 408;
@@ -55,7 +57,7 @@
   runtime::Duration timeout = std::chrono::milliseconds(admitted_.route.timeout_ms());
   if (admitted_.call.time_left.has_value()) timeout = std::min(timeout, *admitted_.call.time_left);
   deadline_ = admitted_.received_at + timeout;
-  if (!admitted_.call.resume_after.empty()) events_.SetLastEventId(admitted_.call.resume_after);
+  if (!admitted_.call.resume_after.empty()) sse_framer_.SetLastEventId(admitted_.call.resume_after);
 }
 
 runtime::Duration TrafficRequest::TimeRemaining() const {
@@ -78,11 +80,11 @@
 
 void TrafficRequest::DispatchAttempt() {
   if (TimeRemaining() < kMinTimeForRetry) {
-    return EndUnserved(LocalReplyReason::kTimeout, RequestOutcome::kTimedOut);
+    return EndWithFailure(LocalReplyReason::kTimeout, RequestOutcome::kTimedOut);
   }
   Placement placement = context_->placer->Choose(MakePlacementQuery());
   if (placement.worker == nullptr || !RetryBudgetAllows()) {
-    return EndUnserved(LocalReplyReason::kFailed, RequestOutcome::kRejected);
+    return EndWithFailure(LocalReplyReason::kFailed, RequestOutcome::kRejected);
   }
   Dispatch(std::move(placement));
 }
@@ -106,7 +108,8 @@
     context_->retry_budget->CountRequest(service);
     return true;
   }
-  // The budget bounds what workers receive: an attempt that reached none costs nothing.
+  // The budget limits the requests that workers receive: retries are free until an attempt has
+  // reached a worker.
   return !retries_.HasReachedWorker() || context_->retry_budget->TryRetry(service);
 }
 
@@ -134,7 +137,7 @@
   fields.instance_id = placement.worker->backend.id();
   fields.tenant = admitted_.tenant;
   fields.time_left = TimeRemaining();
-  fields.resume_after = events_.last_event_id();
+  fields.resume_after = sse_framer_.last_event_id();
   if (!admitted_.IsPrompt()) return fields;
   fields.expected_revision = placement.worker->revision;
   if (context_->switches.priorities) {
@@ -203,14 +206,14 @@
   const bool waits = !ended_ && attempt_.worker != nullptr && !attempt_.first_event_seen;
   if (!waits || !admitted_.IsPrompt()) return;
   const std::optional<runtime::Duration> time_left =
-      context_->pool->TimeToBegin(attempt_.worker->backend.model(), attempt_.revision);
+      context_->pool->TimeUntilCancellation(attempt_.worker->backend.model(), attempt_.revision);
   if (!time_left.has_value()) return;
   if (*time_left <= runtime::Duration::zero()) return OnAttemptFailed(DispatchFailure::kOutdated);
   revision_timer_.Start(*time_left, [this] { CheckRevisionDeadline(); });
 }
 
-// Announces to all gateways that the worker is about to cache the shared segments, unless it has
-// them already.
+// Announces to all gateways that the worker is about to cache the shared segments, unless they are
+// cached there already.
 void TrafficRequest::AnnouncePrefill() {
   const PromptShape& shape = prompt_.shape();
   const uint64_t unshared_tokens = shape.total_tokens() - shape.shared_tokens;
@@ -261,9 +264,9 @@
 }
 
 void TrafficRequest::RelayEvents(const std::string& chunk) {
-  const uint64_t events_before = events_.events();
-  std::string complete_events = events_.Feed(chunk);
-  if (events_.events() == events_before) return;
+  const uint64_t events_before = sse_framer_.events();
+  std::string complete_events = sse_framer_.Feed(chunk);
+  if (sse_framer_.events() == events_before) return;
   if (!attempt_.first_event_seen) OnFirstEvent();
   admitted_.writer->WriteChunk(std::move(complete_events));
 }
@@ -274,7 +277,7 @@
   if (!admitted_.IsPrompt()) return;
   const runtime::Duration elapsed = context_->runtime->clock->Now() - attempt_.started_at;
   CountOutdatedStart(elapsed);
-  LearnFromFirstEvent(elapsed);
+  UpdateEstimates(elapsed);
   prompt_.RecordCached(attempt_.worker->backend.id(), attempt_.revision);
 }
 
@@ -282,13 +285,13 @@
   const std::optional<runtime::Duration> outdated_for =
       context_->pool->OutdatedFor(attempt_.worker->backend.model(), attempt_.revision);
   if (!outdated_for.has_value()) return;
-  const bool late = context_->pool->IsPastRevisionDeadline(*outdated_for);
-  context_->metrics->outdated_prompts.Increment(late ? "began_late" : "began");
-  if (!late) return;
+  const bool past_deadline = context_->pool->IsPastRevisionDeadline(*outdated_for);
+  context_->metrics->outdated_prompts.Increment(past_deadline ? "began_late" : "began");
+  if (!past_deadline) return;
   trace_.OutdatedPromptBegan(attempt_.placement, attempt_.revision, elapsed, *outdated_for);
 }
 
-void TrafficRequest::LearnFromFirstEvent(runtime::Duration elapsed) {
+void TrafficRequest::UpdateEstimates(runtime::Duration elapsed) {
   const Placement& placement = attempt_.placement;
   const double excess_ms = runtime::ToMilliseconds(elapsed) - placement.expected_ms;
   context_->pool->RecordWait(attempt_.worker.get(), excess_ms);
@@ -310,7 +313,7 @@
 }
 
 void TrafficRequest::OnStreamEnd() {
-  if (!events_.at_event_boundary()) return OnAttemptFailed(DispatchFailure::kTruncated);
+  if (!sse_framer_.at_event_boundary()) return OnAttemptFailed(DispatchFailure::kTruncated);
   context_->pool->OnSuccess(attempt_.worker.get());
   admitted_.writer->FinishStream();
   End(RequestOutcome::kOk);
@@ -321,7 +324,7 @@
   if (worker_failed && MayRetry(/*unrecorded_executions=*/1)) {
     return OnAttemptFailed(DispatchFailure::kServerError);
   }
-  // The worker ran it, so the status must not say that it did not.
+  // The worker ran the request, so the status must not say that it did not run.
   if (GuaranteesNotExecuted(attempt_.response.status)) {
     return OnAttemptFailed(DispatchFailure::kServerError);
   }
@@ -367,9 +370,9 @@
   ReportFailureToPool(failure);
   retries_.RecordFailure(failure, attempt_.worker->backend.id());
   ReleaseWorker();
-  events_.DiscardPartial();
+  sse_framer_.DiscardPartial();
   if (MayRetry(/*unrecorded_executions=*/0)) return DispatchAttempt();
-  EndUnserved(LocalReplyReason::kFailed, RequestOutcome::kFailed);
+  EndWithFailure(LocalReplyReason::kFailed, RequestOutcome::kFailed);
 }
 
 bool TrafficRequest::MayRetry(uint32_t unrecorded_executions) const {
@@ -382,7 +385,7 @@
   ReleasePendingTokens();
   context_->pool->OnRequestEnded(attempt_.worker.get());
   attempt_.worker = nullptr;
-  ++attempt_number_;  // later callbacks of this call are ignored
+  ++attempt_number_;  // callbacks of this call are ignored from now on
   context_->owner->DestroyLater(std::move(attempt_.call));
 }
 
@@ -397,7 +400,7 @@
     retries_.RecordPossibleExecution();
     ReleaseWorker();
   }
-  EndUnserved(LocalReplyReason::kTimeout, RequestOutcome::kTimedOut);
+  EndWithFailure(LocalReplyReason::kTimeout, RequestOutcome::kTimedOut);
 }
 
 void TrafficRequest::OnCallerDisconnected() {
@@ -406,7 +409,7 @@
   End(RequestOutcome::kDisconnected);
 }
 
-void TrafficRequest::EndUnserved(LocalReplyReason reason, RequestOutcome outcome) {
+void TrafficRequest::EndWithFailure(LocalReplyReason reason, RequestOutcome outcome) {
   if (stream_started_) {
     admitted_.writer->Abort();
     return End(RequestOutcome::kTruncated);
@@ -415,7 +418,7 @@
     return SendLocalReply({reason, runtime::Duration::zero(), ""}, outcome);
   }
   const runtime::Duration retry_after =
-      context_->runtime->random->Between(kRetryAfter, kRetryAfter + kRetryAfterSpread);
+      context_->runtime->random->Between(kRetryAfter, kRetryAfter + kRetryAfterJitter);
   SendLocalReply({LocalReplyReason::kUnavailable, retry_after, "no worker may take it now"},
                  RequestOutcome::kRejected);
 }
--- a/src/posthatch/routing/traffic_request.h
+++ b/src/posthatch/routing/traffic_request.h
@@ -18,11 +18,11 @@
 namespace posthatch::routing {
 
 // One request from its admission to its end: dispatches it, classifies the response, retries where
-// RetryState allows, and relays. Invariants on every path through it:
+// RetryState allows, and relays the response. Invariants on every path:
 //   - a request that is not idempotent is dispatched a second time only if the first dispatch is
 //     proved not to have run;
 //   - "unavailable, retry after" is sent only if no dispatch may have run;
-//   - a response is relayed as complete only if it is this request's, and complete;
+//   - a response is relayed as complete only if it belongs to this request and is complete;
 //   - when the caller disconnects, the worker's call is cancelled.
 // Owned by TrafficGateway; event loop thread only.
 class TrafficRequest : public std::enable_shared_from_this<TrafficRequest> {
@@ -32,25 +32,26 @@
   TrafficRequest& operator=(const TrafficRequest&) = delete;
 
   void Start();
-  // The times of model revisions may have changed: ends an attempt that must not begin any more.
+  // Fails the running attempt if it may no longer start under its model revision. Called when the
+  // deadlines of model revisions may have changed.
   void CheckRevisionDeadline();
 
  private:
-  // One dispatch; its worker is released when it ends.
+  // One dispatch of the request; the worker is released when the attempt ends.
   struct Attempt {
     std::unique_ptr<http::Call> call;
-    WorkerPointer worker;  // null: no dispatch is running
+    WorkerPointer worker;  // null if no dispatch is running
     Placement placement;
-    uint64_t revision = 0;         // of the model that the worker served; 0: the call is no prompt
-    bool prefill_pending = false;  // counted by the pool, and not taken back yet
+    uint64_t revision = 0;         // model revision that the worker served; 0 if not a prompt
+    bool prefill_pending = false;  // its pending tokens are still counted by the pool
     bool first_event_seen = false;
     bool streaming = false;
     runtime::MonotonicTime started_at;
-    http::Response response;  // collected; of a stream only the head
+    http::Response response;  // buffered; of a stream only the head
   };
 
   runtime::Duration TimeRemaining() const;
-  // How long a pooled connection may have been idle for this request; see http::CallOptions.
+  // The request's http::CallOptions::max_idle_fraction.
   double MaxIdleFraction() const;
 
   void DispatchAttempt();
@@ -68,16 +69,17 @@
   void OnBodyChunk(const std::string& chunk);
   void RelayEvents(const std::string& chunk);
   void OnFirstEvent();
-  // Counts and reports a prompt that began under an outdated model revision.
+  // Counts and logs a prompt that began under an outdated model revision.
   void CountOutdatedStart(runtime::Duration elapsed);
-  // Corrects what is believed of worker, stores and prefill rate by when the first event came.
-  void LearnFromFirstEvent(runtime::Duration elapsed);
+  // Updates the estimates for the worker, the stores and the prefill rate from the time of the
+  // first event.
+  void UpdateEstimates(runtime::Duration elapsed);
   void OnEnd();
   void OnStreamEnd();
   void OnResponseComplete();
   void OnCallError(const http::CallError& error);
   void OnAttemptFailed(DispatchFailure failure);
-  // Tells the pool what the failure of the running attempt says of its worker.
+  // Records the running attempt's failure in the pool, as far as it concerns the worker's health.
   void ReportFailureToPool(DispatchFailure failure);
   bool MayRetry(uint32_t unrecorded_executions) const;
   void ReleaseWorker();
@@ -85,9 +87,10 @@
 
   void OnDeadline();
   void OnCallerDisconnected();
-  // Ends without a complete response: aborts a stream that has begun; else promises that nothing
-  // has run if that is so, and else says `reason`.
-  void EndUnserved(LocalReplyReason reason, RequestOutcome outcome);
+  // Ends the request without a complete response: aborts a stream that has started; otherwise
+  // replies that the request has not run, if no dispatch may have run, or else replies with
+  // `reason`.
+  void EndWithFailure(LocalReplyReason reason, RequestOutcome outcome);
   void SendLocalReply(const LocalReply& reply, RequestOutcome outcome);
   void End(RequestOutcome outcome);
 
@@ -100,9 +103,10 @@
   runtime::Timer deadline_timer_;
   runtime::Timer revision_timer_;  // runs while the attempt waits under an outdated revision
   bool ended_ = false;
-  bool stream_started_ = false;  // the caller has got the head of a stream
-  SseFramer events_;
-  // Rises when an attempt starts and when it ends; callbacks under another number are ignored.
+  bool stream_started_ = false;  // the head of a stream was sent to the caller
+  SseFramer sse_framer_;
+  // Incremented when an attempt starts and when it ends; callbacks with an older number are
+  // ignored.
   uint64_t attempt_number_ = 0;
   Attempt attempt_;
 };
--- a/src/posthatch/routing/worker_pool.cc
+++ b/src/posthatch/routing/worker_pool.cc
@@ -9,15 +9,15 @@
 namespace posthatch::routing {
 namespace {
 
-// Tunables of the measured wait.
-constexpr double kWaitWeight = 0.3;  // of a new measurement in the average
+// Parameters of the decaying average of measured waits.
+constexpr double kWaitWeight = 0.3;  // weight of a new measurement
 constexpr double kWaitHalfLifeMs = 1500;
 constexpr runtime::Duration kSlowTransferBackoff = std::chrono::seconds(2);
-// Workers of an older revision get no new work from so long before the deadline on: this gateway
-// may have learnt of the revision one session renewal later than its sender was acknowledged.
+// Workers of an outdated revision get no new work from this long before the deadline: this gateway
+// may have received the new revision one session renewal after its sender was acknowledged.
 constexpr runtime::Duration kRevisionSafetyMargin = std::chrono::milliseconds(1300);
-// A prompt that waits for its first token under an older revision is cancelled so long before the
-// deadline: the worker has to hear of it.
+// A prompt that waits for its first token under an outdated revision is cancelled this long before
+// the deadline, so that the worker is notified in time.
 constexpr runtime::Duration kCancellationMargin = std::chrono::milliseconds(300);
 
 }  // namespace
@@ -46,8 +46,8 @@
 
 void WorkerPool::Update(const control::FleetState& state, const control::Inventory* local_inventory,
                         runtime::Duration leader_inventory_age) {
-  for (const control::ModelRevision& named : state.revisions()) {
-    target_revisions_[named.model()] = named.revision();
+  for (const control::ModelRevision& target : state.revisions()) {
+    target_revisions_[target.model()] = target.revision();
   }
   slow_starts_.clear();
   for (const control::TrafficService& service : state.traffic().services()) {
@@ -106,7 +106,7 @@
                     [&labels](const control::Evacuation& evacuation) {
                       return control::SelectorMatches(evacuation.selector(), labels);
                     });
-    // It may have restarted while it got no work, with an empty cache.
+    // The worker may have restarted during the evacuation, and have an empty cache.
     const SlowStart* slow_start = SlowStartOf(*worker);
     if (worker->evacuated && !evacuated && slow_start != nullptr) {
       worker->slow_start_until = now + slow_start->duration;
@@ -204,8 +204,8 @@
   return runtime_->clock->Now() - *since;
 }
 
-std::optional<runtime::Duration> WorkerPool::TimeToBegin(const std::string& model,
-                                                         uint64_t revision) const {
+std::optional<runtime::Duration> WorkerPool::TimeUntilCancellation(const std::string& model,
+                                                                   uint64_t revision) const {
   const std::optional<runtime::Duration> outdated_for = OutdatedFor(model, revision);
   if (!outdated_for.has_value()) return std::nullopt;
   return options_.revision_deadline - kCancellationMargin - *outdated_for;
--- a/src/posthatch/routing/worker_pool.h
+++ b/src/posthatch/routing/worker_pool.h
@@ -18,54 +18,58 @@
 namespace posthatch::routing {
 
 struct WorkerPoolOptions {
-  // From when a model revision is named until no request may start on an older one.
+  // Time from the order of a new model revision until no request may start on an older one.
   runtime::Duration revision_deadline = std::chrono::seconds(12);
-  // The leader's marks of workers that load weights count while its inventory is younger than this.
+  // The leader's loading marks (workers that are loading weights) apply only while its inventory is
+  // younger than this.
   runtime::Duration loading_mark_ttl = std::chrono::seconds(4);
   RoutingSwitches switches;
 };
 
-// Which workers each service has, and which of them may get new work: by inventory, draining marks,
-// evacuations, model revisions, slow start, and health as dispatches show it (outlier ejection).
-// Owned by TrafficGateway; event loop thread only.
+// Tracks the workers of each service and which of them are eligible for new work, by inventory,
+// draining marks, evacuations, model revisions, slow start, and health as observed in dispatches
+// (outlier ejection). Owned by TrafficGateway; event loop thread only.
 class WorkerPool {
  public:
-  // All outlive it.
+  // All pointers must outlive this object.
   WorkerPool(runtime::Runtime* runtime, WorkerPoolOptions options, SlowStartLimiter* limiter,
              LoadReporter* loads, const control::RevisionTimeline* revisions);
 
-  // Applies the fleet's state, together with the inventory as this gateway has read it itself
-  // (null: not newer than the one in `state`). `leader_inventory_age` is the age of the one in
+  // Applies the fleet state and the inventory that this gateway has read itself (null if it is not
+  // newer than the inventory in `state`). `leader_inventory_age` is the age of the inventory in
   // `state`.
   void Update(const control::FleetState& state, const control::Inventory* local_inventory,
               runtime::Duration leader_inventory_age);
 
-  // Workers of a service that are in the inventory and neither draining nor evacuated, by id. Valid
-  // until the next Update.
+  // Workers of a service that are in the inventory and neither draining nor evacuated, sorted by
+  // worker id. Valid until the next Update.
   const std::vector<WorkerPointer>& WorkersOf(const std::string& service) const;
 
-  // Model revisions that they serve, without repetition, as far as known.
+  // Distinct model revisions that the workers of a service are known to serve.
   std::vector<uint64_t> RevisionsServed(const std::string& service) const;
 
-  // Whether new work may go there now; checked right before each dispatch.
+  // Whether the worker may get new work now; checked right before each dispatch.
   bool IsEligible(const Worker& worker) const;
-  // The same for when no worker is eligible: accepts ejected and overloaded workers too.
+  // Whether the worker may get new work if no worker is eligible: ejected and overloaded workers
+  // are accepted too.
   bool IsEligibleAsLastResort(const Worker& worker) const;
   bool InSlowStart(const Worker& worker) const;
-  // Milliseconds by which first events came later there than expected; a decaying average.
+  // Decaying average of how much later than expected the worker's first events came, in
+  // milliseconds.
   double ExpectedWait(const Worker& worker) const;
-  // Whether other zones' loads come by way of aggregators, and so later.
+  // Whether loads of other zones are received through aggregators, and so with a delay.
   bool RemoteZoneLoadIsDelayed() const { return load_reporter_->RemoteZoneLoadIsDelayed(); }
-  // The load of all gateways there.
+  // The worker's load from all gateways.
   Load TotalLoad(const Worker& worker) const;
   // The newest revision that was ordered for `model`; 0 if none is known.
   uint64_t TargetRevision(const std::string& model) const;
-  // For how long `revision` of `model` has been outdated, as far as this gateway knows; nothing if
-  // it is the newest.
+  // How long `revision` of `model` has been outdated, as far as this gateway knows; nullopt if it
+  // is the newest.
   std::optional<runtime::Duration> OutdatedFor(const std::string& model, uint64_t revision) const;
-  // For how long yet a prompt that has been dispatched under `revision` may wait there for its
-  // first token; negative: it must be cancelled. Nothing if it is the newest.
-  std::optional<runtime::Duration> TimeToBegin(const std::string& model, uint64_t revision) const;
+  // Remaining time that a prompt dispatched under `revision` may wait for its first token; if not
+  // positive, the prompt must be cancelled. nullopt if `revision` is the newest.
+  std::optional<runtime::Duration> TimeUntilCancellation(const std::string& model,
+                                                         uint64_t revision) const;
   bool IsPastRevisionDeadline(runtime::Duration outdated_for) const {
     return outdated_for > options_.revision_deadline;
   }
@@ -75,14 +79,14 @@
   void OnPrefillDone(Worker* worker, uint64_t pending_tokens);
   void OnRequestEnded(Worker* worker);
   void RecordWait(Worker* worker, double milliseconds);
-  // A transfer of cached segments to it from the worker at `source_endpoint` took much too long.
+  // A transfer of cached segments to the worker from `source_endpoint` was much too slow.
   void OnSlowTransfer(Worker* worker, const std::string& source_endpoint);
-  // Whether cached segments may be transferred to or from it now.
+  // Whether cached segments may be transferred to or from the worker now.
   bool MayTransfer(const Worker& worker) const;
   void OnSuccess(Worker* worker);
-  // A dispatch failed.
+  // A dispatch to the worker failed.
   void OnFailure(Worker* worker, WorkerFailure failure);
-  // It rejected a request without running it.
+  // The worker rejected a request without running it.
   void OnRejected(Worker* worker);
   void OnRevisionSeen(Worker* worker, uint64_t revision);
 
@@ -107,8 +111,8 @@
   const OutlierDetector outlier_detector_;
   absl::flat_hash_map<std::string, WorkerPointer> workers_;
   absl::flat_hash_map<std::string, std::vector<WorkerPointer>> services_;
-  absl::flat_hash_map<std::string, SlowStart> slow_starts_;      // by service
-  absl::flat_hash_map<std::string, uint64_t> target_revisions_;  // by model
+  absl::flat_hash_map<std::string, SlowStart> slow_starts_;      // keyed by service name
+  absl::flat_hash_map<std::string, uint64_t> target_revisions_;  // keyed by model name
   bool inventory_known_ = false;
 };
 
