--- a/src/posthatch/routing/call_format.h
+++ b/src/posthatch/routing/call_format.h
@@ -22,10 +22,10 @@
 struct InboundCall {
   std::string request_id;
   std::string credential;                      // the caller's key; empty if there is none
-  std::string model;                           // empty if the call is no prompt
+  std::string model;                           // empty if the call is not a prompt
   std::vector<PromptSegment> segments;         // segments of the prompt, in order
   std::optional<runtime::Duration> time_left;  // how long the caller will wait
-  std::string resume_after;                    // id of the last event the caller has; may be empty
+  std::string resume_after;                    // id of the last event received; may be empty
 };
 
 // The fields that a dispatch adds to the caller's request.
@@ -36,23 +36,23 @@
   std::string cache_salt;            // empty: none
   uint64_t expected_revision = 0;    // 0: any
   std::optional<uint32_t> priority;  // 0 is the highest
-  std::string fetch_endpoint;        // where cached segments may be fetched from; empty: nowhere
-  std::string save_endpoint;         // where segments are to be saved as well; empty: nowhere
+  std::string fetch_endpoint;        // source to fetch cached segments from; empty: none
+  std::string save_endpoint;         // store to save segments to; empty: none
   std::string resume_after;          // id of the last event relayed; empty: from the start
 };
 
 // Whether a worker ran a call.
 enum class Execution {
-  kRan,          // the worker ran it
+  kRan,          // the worker ran the call
   kNotExecuted,  // the worker says that it did not and will not run it
-  kUnknown,      // the worker may have run it
+  kUnknown,      // the worker may have run the call
 };
 
 // Classification of a response by its head.
 struct ResponseClassification {
   bool matches_request = true;  // whether it is the response to this call
   Execution execution = Execution::kUnknown;
-  bool misdirected = false;  // another incarnation or model revision is at the address
+  bool misdirected = false;  // the address belongs to another incarnation or revision
   uint64_t revision = 0;     // model revision that the worker serves; 0: not given
   std::string instance_id;   // id of the worker that responded; empty: not given
 };
--- a/src/posthatch/routing/in_flight_prefills.h
+++ b/src/posthatch/routing/in_flight_prefills.h
@@ -40,7 +40,7 @@
   InFlightPrefills(const runtime::Clock* clock, Options options)
       : clock_(clock), options_(options) {}
 
-  // A prefill has started, of this gateway or as announced by another.
+  // Adds a prefill that this gateway has started or another gateway has announced.
   void Add(const PrefillStart& start);
   // Locations of the segments under a model revision, newest first.
   std::vector<PrefillLocation> Find(uint64_t affinity, uint64_t revision) const;
--- a/src/posthatch/routing/load_reporter-test.cc
+++ b/src/posthatch/routing/load_reporter-test.cc
@@ -149,7 +149,7 @@
     reporters_[0].lock()->SetLocalLoad("w", {i, uint64_t{5000} * i});
     world_.RunFor(milliseconds(2));
   }
-  // 49 peers at 1,000 datagrams a second: reported every 49 ms, over two seconds.
+  // 49 peers at 1,000 datagrams per second: reported every 49 ms, over two seconds.
   EXPECT_GE(datagrams, 30U);
   EXPECT_LE(datagrams, 45U);
 }
@@ -202,7 +202,7 @@
   world_.RunFor(milliseconds(300));
   EXPECT_EQ(alive, std::vector<int>(40, 1));
   std::fill(alive.begin(), alive.end(), -1);
-  world_.RunFor(seconds(4));  // no gateway checks it any more
+  world_.RunFor(seconds(4));  // no gateway checks the store any more
   std::fill(alive.begin(), alive.end(), -1);
   world_.RunFor(seconds(3));
   EXPECT_EQ(alive, std::vector<int>(40, -1));
@@ -219,7 +219,7 @@
   world_.RunFor(seconds(3));
   EXPECT_EQ(GatewaysReachedByPrefill(3, milliseconds(40)), 13U);  // the rest of the sender's zone
   EXPECT_EQ(GatewaysReachedByPrefill(3, milliseconds(400)), 39U);
-  EXPECT_EQ(GatewaysReachedByPrefill(0, milliseconds(400)), 39U);  // an aggregator
+  EXPECT_EQ(GatewaysReachedByPrefill(0, milliseconds(400)), 39U);  // from an aggregator
 }
 
 TEST_F(LoadReporterTest, LargeZoneAnnouncesByAggregator) {
--- a/src/posthatch/routing/load_reporter_options.h
+++ b/src/posthatch/routing/load_reporter_options.h
@@ -10,7 +10,7 @@
 
 // Parameters of load reports (LoadReporter, LoadAggregator, LoadTopology).
 struct LoadReporterOptions {
-  std::string zone;  // this gateway's zone
+  std::string zone;  // zone of this gateway
   // Delay before reporting a change that other gateways need for good placement.
   runtime::Duration urgent_period = std::chrono::milliseconds(10);
   // Delay before reporting any other change.
--- a/src/posthatch/routing/outlier_detector.h
+++ b/src/posthatch/routing/outlier_detector.h
@@ -7,7 +7,7 @@
 
 // How a dispatch to a worker failed, as far as it concerns the worker's health.
 enum class WorkerFailure {
-  kUnreachable,    // no connection, or another incarnation has the address
+  kUnreachable,    // no connection, or the address belongs to another incarnation
   kRequestFailed,  // the request was sent, and no usable response was received
 };
 
--- a/src/posthatch/routing/placement.h
+++ b/src/posthatch/routing/placement.h
@@ -33,7 +33,7 @@
   // Cache holders of a prefix of the prompt, under any model revision that workers serve. Only
   // those for which the index is trusted.
   std::vector<index::PrefixHolder> holders;
-  // Workers that prompts with the same shared segments were recently dispatched to; null if
+  // Workers to which prompts with the same shared segments were recently dispatched; null if
   // unknown.
   const InFlightPrefills* in_flight_prefills = nullptr;
   // Ids of workers at which this call has failed; chosen again only if no other worker is eligible.
--- a/src/posthatch/routing/placement_cost.h
+++ b/src/posthatch/routing/placement_cost.h
@@ -69,7 +69,7 @@
   double InterferenceMs(const Load& load, uint64_t tokens) const;
 
   runtime::Runtime* const runtime_;
-  const std::string zone_;  // this gateway's zone
+  const std::string zone_;  // zone of this gateway
   const WorkerPool* const pool_;
   const PrefillRate* const prefill_rate_;
   const RoutingSwitches switches_;
--- a/src/posthatch/routing/placer-test.cc
+++ b/src/posthatch/routing/placer-test.cc
@@ -74,7 +74,7 @@
   int at_pooled = 0;
   for (int i = 0; i < 20; ++i) at_pooled += Choose() == "w2" ? 1 : 0;
   EXPECT_EQ(at_pooled, 20);
-  pool_.OnDispatched(Find("w2").get(), 3000);  // some 100 ms of prefill
+  pool_.OnDispatched(Find("w2").get(), 3000);  // about 100 ms of prefill
   for (int i = 0; i < 20; ++i) EXPECT_NE(Choose(), "w2");
 }
 
--- a/src/posthatch/routing/prefix_stores.h
+++ b/src/posthatch/routing/prefix_stores.h
@@ -29,7 +29,7 @@
  public:
   explicit PrefixStores(runtime::Runtime* runtime) : runtime_(runtime) {}
 
-  // Applies the configuration; the health of stores that stay is kept.
+  // Applies the configuration; the state of remaining stores is kept.
   void Rebuild(const control::TrafficConfiguration& configuration);
   std::vector<std::string> Endpoints() const;
   // Records the store's health as an aggregator reports it. Unknown stores are ignored.
--- a/src/posthatch/routing/remote_load_table.h
+++ b/src/posthatch/routing/remote_load_table.h
@@ -17,9 +17,9 @@
   RemoteLoadTable(const runtime::Clock* clock, runtime::Duration entry_ttl)
       : clock_(clock), entry_ttl_(entry_ttl) {}
 
-  // Applies a report of gateway `from_node`, of its own load or of a zone's. Reports that are not
-  // newer than the last one of the same incarnation are ignored; a new incarnation replaces all
-  // loads of the sender.
+  // Applies a report from gateway `from_node`, of its load or of a zone's total load. Reports that
+  // are not newer than the last one of the same incarnation are ignored; a new incarnation replaces
+  // all loads of the sender.
   void Apply(const std::string& from_node, const LoadReport& report);
   // Removes expired senders.
   void EvictExpired();
--- a/src/posthatch/routing/reported_loads.h
+++ b/src/posthatch/routing/reported_loads.h
@@ -12,7 +12,7 @@
 // since. Not thread-safe.
 class ReportedLoads {
  public:
-  // Whether a load must be reported after the one that was reported last.
+  // Whether `current` differs enough from the last reported load to be reported.
   using Differs = absl::FunctionRef<bool(const Load& current, const Load& reported)>;
 
   // The last reported load at the worker; zero if none was reported.
--- a/src/posthatch/routing/request_outcome.h
+++ b/src/posthatch/routing/request_outcome.h
@@ -21,7 +21,7 @@
 enum class DispatchFailure {
   kUnreachable,  // "unreachable": no byte of the request was sent
   kNotExecuted,  // "not_executed": the worker says that it has not run and will not run it
-  kMisdirected,  // "misdirected": another incarnation or revision is at the address; not run
+  kMisdirected,  // "misdirected": the address belongs to another incarnation or revision; not run
   kLost,         // "lost": sent, and no response head was received
   kTruncated,    // "broken": the response was truncated or is too large
   kMismatched,   // "foreign_answer": the response belongs to another request
--- a/src/posthatch/routing/request_trace.h
+++ b/src/posthatch/routing/request_trace.h
@@ -24,8 +24,8 @@
                   const Placement& placement) const;
   // The first event of a stream came `elapsed` after the dispatch.
   void FirstEvent(const Placement& placement, runtime::Duration elapsed) const;
-  // The first event of a prompt came under `revision`, which a newer one outdated `outdated_for`
-  // ago, after the deadline for the older revision.
+  // The first event of a prompt came after the deadline of `revision`, which has been outdated for
+  // `outdated_for`.
   void OutdatedPromptBegan(const Placement& placement, uint64_t revision, runtime::Duration elapsed,
                            runtime::Duration outdated_for) const;
   void Ended(RequestOutcome outcome, const RetryState& retries, bool stream_started) const;
--- a/src/posthatch/routing/retry_state.h
+++ b/src/posthatch/routing/retry_state.h
@@ -16,7 +16,7 @@
 // is eligible. Owned by TrafficRequest; event loop thread only.
 class RetryState {
  public:
-  // `route` and `switches` outlive it.
+  // `route` and `switches` must outlive this object.
   RetryState(const control::TrafficRoute* route, const RoutingSwitches* switches)
       : route_(route), switches_(switches) {}
 
--- a/src/posthatch/routing/routing_switches.h
+++ b/src/posthatch/routing/routing_switches.h
@@ -10,7 +10,7 @@
   bool older_revisions = true;   // also use caches of workers that a rollout has not reached yet
   bool announcements = true;     // announce prefills, and consider announced ones in placement
   bool rank = true;              // prefer the workers that all gateways rank first for a prompt
-  bool guessed_source = true;    // fetch from the worker ranked first if no holder is known
+  bool guessed_source = true;    // fetch from the top-ranked worker if no cache holder is known
   bool peer_moves = true;        // fetch cached segments from another worker
   bool stores = true;            // save to and fetch from stores
   bool loads = true;             // count the loads of other gateways
--- a/src/posthatch/routing/traffic_gateway.h
+++ b/src/posthatch/routing/traffic_gateway.h
@@ -124,7 +124,7 @@
   control::SectionIndices indices_{};
 
   absl::flat_hash_map<TrafficRequest*, std::shared_ptr<TrafficRequest>> requests_;
-  // Ended in this turn of the event loop; destroyed in the next one.
+  // Requests and calls that ended in this turn of the event loop; destroyed in the next one.
   std::vector<std::shared_ptr<TrafficRequest>> ended_requests_;
   std::vector<std::unique_ptr<http::Call>> ended_calls_;
   runtime::Timer sweep_timer_;
--- a/src/posthatch/routing/weighted_split.h
+++ b/src/posthatch/routing/weighted_split.h
@@ -11,7 +11,7 @@
 namespace posthatch::routing {
 
 // Divides the requests of a route among its targets by their weights. Independent random draws
-// would leave the shares off by some percent over a few hundred requests, and each gateway sees
+// would leave the shares off by several percent over a few hundred requests, and each gateway sees
 // few. So each route follows a low-discrepancy sequence (the golden ratio's multiples, modulo 1)
 // from a random start: one gateway's shares are off by a request or two, and those of many gateways
 // by less. Owned by TrafficGateway; event loop thread only.
--- a/src/posthatch/routing/worker.h
+++ b/src/posthatch/routing/worker.h
@@ -22,7 +22,7 @@
   uint64_t pending_tokens = 0;  // prompt tokens of these requests, not prefilled yet
   double wait_ms = 0;           // decaying average of measured waits, as of `wait_measured_at`
   runtime::MonotonicTime wait_measured_at;
-  double failure_score = 0;  // rises by one with each failure, decays with each success
+  double failure_score = 0;  // increases by one with each failure, decays with each success
   uint32_t ejections = 0;    // consecutive
   runtime::MonotonicTime ejected_until;
   uint32_t rejections = 0;  // consecutive
--- a/src/posthatch/routing/worker_pool.cc
+++ b/src/posthatch/routing/worker_pool.cc
@@ -91,7 +91,7 @@
   worker->draining = draining;
   worker->revision = std::max(worker->revision, backend.model_revision());
   const SlowStart* slow_start = SlowStartOf(*worker);
-  // A worker that appears while this gateway serves has just started.
+  // A worker that appears when the inventory is known already has just started.
   const bool just_started = is_new && inventory_known_;
   if (slow_start != nullptr && just_started) worker->slow_start_until = now + slow_start->duration;
 }
