--- a/src/posthatch/routing/placement_cost.cc
+++ b/src/posthatch/routing/placement_cost.cc
@@ -72,14 +72,15 @@
   const uint64_t total = query.prompt->total_tokens();
   PrefillPlan plan;
   plan.ms = prefill_rate_->MillisecondsFor(total - std::min(total, candidate.cached_tokens));
-  ConsiderHolders(query, candidate, &plan);
+  ConsiderCacheHolders(query, candidate, &plan);
   ConsiderFinishedPrefills(query, candidate, &plan);
   ConsiderStore(query, candidate, &plan);
   return plan;
 }
 
-void PlacementCost::ConsiderHolders(const PlacementQuery& query,
-                                    const PlacementCandidate& candidate, PrefillPlan* plan) const {
+void PlacementCost::ConsiderCacheHolders(const PlacementQuery& query,
+                                         const PlacementCandidate& candidate,
+                                         PrefillPlan* plan) const {
   for (const index::PrefixHolder& holder : query.holders) {
     // A worker can't use segments that were cached under another model revision.
     if (holder.model_revision != candidate.worker->revision) continue;
--- a/src/posthatch/routing/placement_cost.h
+++ b/src/posthatch/routing/placement_cost.h
@@ -47,8 +47,8 @@
   // Each replaces `plan` if a plan with its kind of fetch is faster: from workers that cache a
   // prefix of the prompt; from workers that have just prefilled the shared segments; from the
   // store.
-  void ConsiderHolders(const PlacementQuery& query, const PlacementCandidate& candidate,
-                       PrefillPlan* plan) const;
+  void ConsiderCacheHolders(const PlacementQuery& query, const PlacementCandidate& candidate,
+                            PrefillPlan* plan) const;
   void ConsiderFinishedPrefills(const PlacementQuery& query, const PlacementCandidate& candidate,
                                 PrefillPlan* plan) const;
   void ConsiderStore(const PlacementQuery& query, const PlacementCandidate& candidate,
--- a/src/posthatch/routing/placer-test.cc
+++ b/src/posthatch/routing/placer-test.cc
@@ -33,7 +33,7 @@
   void RunStreams(const std::string& id, int count) {
     for (int i = 0; i < count; ++i) pool_.OnDispatched(Find(id).get(), 0);
   }
-  void AddHolder(const std::string& id, uint32_t segments, uint64_t revision = 1) {
+  void AddCacheHolder(const std::string& id, uint32_t segments, uint64_t revision = 1) {
     index::PrefixHolder holder;
     holder.backend_id = id;
     holder.blocks = segments;
@@ -115,7 +115,7 @@
 
 TEST_F(PlacerTest, PrefersPrefixHolderWithoutSaving) {
   SetPrompt(20000, 500);
-  AddHolder("w2", 1);
+  AddCacheHolder("w2", 1);
   query_.store = &store_;
   EXPECT_EQ(Choose(), "w2");
   EXPECT_EQ(placement_.uncached_tokens, 500U);
@@ -128,7 +128,7 @@
 TEST_F(PlacerTest, IgnoresEntriesOfOtherRevisions) {
   SetPrompt(20000, 500);
   Find("w2")->revision = 2;
-  AddHolder("w2", 1, 1);
+  AddCacheHolder("w2", 1, 1);
   for (int i = 0; i < 10; ++i) {
     Choose();
     EXPECT_EQ(placement_.uncached_tokens, 20500U);
@@ -140,7 +140,7 @@
 TEST_F(PlacerTest, PrefersHolderOfOlderRevisionWhileServed) {
   SetPrompt(20000, 500);
   Find("w1")->revision = 2;
-  AddHolder("w2", 1, 1);
+  AddCacheHolder("w2", 1, 1);
   EXPECT_EQ(Choose(), "w2");
   EXPECT_EQ(placement_.uncached_tokens, 500U);
 }
@@ -181,7 +181,7 @@
 
 TEST_F(PlacerTest, FetchesFromLoadedHolder) {
   SetPrompt(20000, 500);
-  AddHolder("w2", 1);
+  AddCacheHolder("w2", 1);
   pool_.OnDispatched(Find("w2").get(), 100000);
   EXPECT_NE(Choose(), "w2");
   EXPECT_EQ(placement_.fetch_endpoint, "w2:80");
--- a/src/posthatch/routing/placer.cc
+++ b/src/posthatch/routing/placer.cc
@@ -23,13 +23,13 @@
 
 // Whether the index entry `holder` names this worker, and the worker still serves the entry's
 // revision.
-bool MatchesHolder(const Worker& worker, const index::PrefixHolder& holder) {
+bool IsCacheHolder(const Worker& worker, const index::PrefixHolder& holder) {
   return holder.backend_id == worker.backend.id() && holder.model_revision == worker.revision;
 }
 
 // Whether any worker of a revision is known to cache a prefix of the prompt, or to be prefilling
 // its shared segments now.
-bool HasKnownHolder(const PlacementQuery& query, uint64_t revision) {
+bool HasKnownCacheHolder(const PlacementQuery& query, uint64_t revision) {
   const bool cached =
       std::any_of(query.holders.begin(), query.holders.end(),
                   [&](const auto& holder) { return holder.model_revision == revision; });
@@ -105,7 +105,7 @@
 uint64_t Placer::CachedTokens(const PlacementQuery& query, const Worker& worker) {
   uint64_t cached = 0;
   for (const index::PrefixHolder& holder : query.holders) {
-    if (!MatchesHolder(worker, holder)) continue;
+    if (!IsCacheHolder(worker, holder)) continue;
     cached = std::max(cached, query.prompt->TokensInFirst(holder.blocks));
   }
   if (cached >= query.prompt->shared_tokens || query.in_flight_prefills == nullptr) return cached;
@@ -147,7 +147,7 @@
   const auto likely_tokens =
       static_cast<uint64_t>(likelihood * static_cast<double>(query.prompt->shared_tokens));
   candidates->push_back({worker, CachedTokens(query, *worker),
-                         HasKnownHolder(query, worker->revision) ? 0 : likely_tokens});
+                         HasKnownCacheHolder(query, worker->revision) ? 0 : likely_tokens});
 }
 
 Placer::Workers Placer::RankedWorkers(const PlacementQuery& query, const Workers& usable) const {
--- a/src/posthatch/routing/traffic_request-test.cc
+++ b/src/posthatch/routing/traffic_request-test.cc
@@ -61,7 +61,7 @@
   const auto writer = Send("once");
   const auto call = client_.calls.back();
   Head(200, "someone-else");
-  call->Piece("not yours");
+  call->Piece("another response");
   call->End();
   timers_.Advance(milliseconds(1));
   EXPECT_EQ(writer->whole.status, 502);
@@ -70,7 +70,7 @@
 
 TEST_F(TrafficRequestTest, UnavailableAfterExecutionBecomesFailure) {
   const auto writer = Send("once");
-  Respond(503, "I did run it");
+  Respond(503, "executed");
   EXPECT_EQ(writer->whole.status, 502);
 }
 
