--- a/src/posthatch/routing/placer-test.cc
+++ b/src/posthatch/routing/placer-test.cc
@@ -20,8 +20,8 @@
     store_.zone = "a";
   }
 
-  void SetPrompt(uint64_t shared, uint64_t own) {
-    prompt_.cumulative_tokens = {shared, shared + own};
+  void SetPrompt(uint64_t shared, uint64_t unshared) {
+    prompt_.cumulative_tokens = {shared, shared + unshared};
     prompt_.shared_tokens = shared;
   }
   WorkerPointer Find(const std::string& id) {
@@ -33,7 +33,7 @@
   void RunStreams(const std::string& id, int count) {
     for (int i = 0; i < count; ++i) pool_.OnDispatched(Find(id).get(), 0);
   }
-  void AddHolder(const std::string& id, uint32_t segments, uint64_t revision = 1) {
+  void AddCacheHolder(const std::string& id, uint32_t segments, uint64_t revision = 1) {
     index::PrefixHolder holder;
     holder.backend_id = id;
     holder.blocks = segments;
@@ -74,7 +74,7 @@
   int at_pooled = 0;
   for (int i = 0; i < 20; ++i) at_pooled += Choose() == "w2" ? 1 : 0;
   EXPECT_EQ(at_pooled, 20);
-  pool_.OnDispatched(Find("w2").get(), 3000);  // some 100 ms of prefill
+  pool_.OnDispatched(Find("w2").get(), 3000);  // about 100 ms of prefill
   for (int i = 0; i < 20; ++i) EXPECT_NE(Choose(), "w2");
 }
 
@@ -102,7 +102,7 @@
   SetPrompt(2000, 300);
   std::map<std::string, int> chosen;
   for (int i = 0; i < 50; ++i) ++chosen[placer.Choose(query_).worker->backend.id()];
-  EXPECT_EQ(chosen["w3"], 0) << "the only one of another zone";
+  EXPECT_EQ(chosen["w3"], 0) << "the only worker of another zone";
   EXPECT_EQ(chosen["w1"] + chosen["w2"], 50);
 }
 
@@ -115,7 +115,7 @@
 
 TEST_F(PlacerTest, PrefersPrefixHolderWithoutSaving) {
   SetPrompt(20000, 500);
-  AddHolder("w2", 1);
+  AddCacheHolder("w2", 1);
   query_.store = &store_;
   EXPECT_EQ(Choose(), "w2");
   EXPECT_EQ(placement_.uncached_tokens, 500U);
@@ -123,12 +123,12 @@
   EXPECT_EQ(placement_.save_endpoint, "");
 }
 
-// During a rollout: what w2 cached under revision 1 is useful to workers that serve revision 1
-// only.
+// During a rollout: segments that w2 cached under revision 1 are usable only by workers that serve
+// revision 1.
 TEST_F(PlacerTest, IgnoresEntriesOfOtherRevisions) {
   SetPrompt(20000, 500);
   Find("w2")->revision = 2;
-  AddHolder("w2", 1, 1);
+  AddCacheHolder("w2", 1, 1);
   for (int i = 0; i < 10; ++i) {
     Choose();
     EXPECT_EQ(placement_.uncached_tokens, 20500U);
@@ -140,7 +140,7 @@
 TEST_F(PlacerTest, PrefersHolderOfOlderRevisionWhileServed) {
   SetPrompt(20000, 500);
   Find("w1")->revision = 2;
-  AddHolder("w2", 1, 1);
+  AddCacheHolder("w2", 1, 1);
   EXPECT_EQ(Choose(), "w2");
   EXPECT_EQ(placement_.uncached_tokens, 500U);
 }
@@ -181,7 +181,7 @@
 
 TEST_F(PlacerTest, FetchesFromLoadedHolder) {
   SetPrompt(20000, 500);
-  AddHolder("w2", 1);
+  AddCacheHolder("w2", 1);
   pool_.OnDispatched(Find("w2").get(), 100000);
   EXPECT_NE(Choose(), "w2");
   EXPECT_EQ(placement_.fetch_endpoint, "w2:80");
--- a/src/posthatch/routing/weighted_split.h
+++ b/src/posthatch/routing/weighted_split.h
@@ -11,7 +11,7 @@
 namespace posthatch::routing {
 
 // Divides the requests of a route among its targets by their weights. Independent random draws
-// would leave the shares off by some percent over a few hundred requests, and each gateway sees
+// would leave the shares off by several percent over a few hundred requests, and each gateway sees
 // few. So each route follows a low-discrepancy sequence (the golden ratio's multiples, modulo 1)
 // from a random start: one gateway's shares are off by a request or two, and those of many gateways
 // by less. Owned by TrafficGateway; event loop thread only.
@@ -26,7 +26,7 @@
 
  private:
   runtime::Random* const random_;
-  absl::flat_hash_map<std::string, double> positions_;  // by route, in [0, 1)
+  absl::flat_hash_map<std::string, double> positions_;  // keyed by route name, in [0, 1)
 };
 
 }  // namespace posthatch::routing
