--- a/src/posthatch/control/state/commands-test.h
+++ b/src/posthatch/control/state/commands-test.h
@@ -7,7 +7,7 @@
 #include "posthatch/control/state/selector.h"
 #include "posthatch/runtime/random.h"
 
-// Commands for tests and measurements.
+// Builders of commands for tests and benchmarks.
 namespace posthatch::control {
 
 inline Configuration SmallConfiguration() {
@@ -121,7 +121,7 @@
   return command;
 }
 
-// A random command, valid or not, with the request id of `number`.
+// Returns a random command, valid or not. `number` determines its request id and its time.
 inline Command RandomCommand(runtime::Random* random, uint64_t number) {
   const std::string id = absl::StrCat("r", number);
   const std::string key = absl::StrCat("k", random->Uniform(20));
--- a/src/posthatch/control/state/configuration_history.h
+++ b/src/posthatch/control/state/configuration_history.h
@@ -10,16 +10,16 @@
 namespace posthatch::control {
 
 // The accepted versions of the operators' configuration, newest last. Optimistic concurrency: a
-// change may name the version that it is based on, and is rejected once that isn't the newest. Part
-// of the replicated state: deterministic, no clock. Owned by ControlState.
+// change may name the version that it is based on, and is rejected if that is no longer the newest.
+// Part of the replicated state: deterministic, reads no clock. Owned by ControlState.
 class ConfigurationHistory {
  public:
-  // Retained for reads and rollbacks; the newest version always is.
+  // Limits on the versions retained for reads and rollbacks; the newest one is always retained.
   static constexpr size_t kMaxVersions = 1000;
   static constexpr size_t kMaxBytes = size_t{32} * 1024 * 1024;
 
-  // OK (with the new version), INVALID (all errors), VERSION_CONFLICT or NOT_FOUND (rollback to a
-  // version that isn't retained). Nothing is changed unless it is OK.
+  // Returns OK (with the new version), INVALID (all errors), VERSION_CONFLICT or NOT_FOUND
+  // (rollback to a version that isn't retained). Nothing changes unless the result is OK.
   CommandResult Apply(uint64_t log_index, const std::string& request_id,
                       const ChangeConfiguration& change);
 
@@ -37,7 +37,8 @@
   void Restore(const google::protobuf::RepeatedPtrField<ConfigurationVersion>& history);
 
  private:
-  // The configuration that `change` results in; false with `result` set if there is none.
+  // Sets `candidate` to the configuration that `change` results in. False, with `result` set, if
+  // there is none.
   bool MakeCandidate(const ChangeConfiguration& change, Configuration* candidate,
                      CommandResult* result) const;
   void Append(ConfigurationVersion version);
--- a/src/posthatch/control/state/configuration_patch.cc
+++ b/src/posthatch/control/state/configuration_patch.cc
@@ -56,23 +56,23 @@
 }
 
 template <typename Entries>
-void DescribeEntries(const std::string& what, const Entries& from, const Entries& to,
+void DescribeEntries(const std::string& kind, const Entries& from, const Entries& to,
                      std::vector<std::string>* lines) {
   std::map<std::string, std::string> before;
   for (const auto& entry : from) before[entry.name()] = SerializeDeterministically(entry);
   for (const auto& entry : to) {
     const auto old = before.find(entry.name());
     if (old == before.end()) {
-      lines->push_back(absl::StrCat(what, " ", entry.name(), ": added"));
+      lines->push_back(absl::StrCat(kind, " ", entry.name(), ": added"));
       continue;
     }
     if (old->second != SerializeDeterministically(entry)) {
-      lines->push_back(absl::StrCat(what, " ", entry.name(), ": changed"));
+      lines->push_back(absl::StrCat(kind, " ", entry.name(), ": changed"));
     }
     before.erase(old);
   }
   for (const auto& [name, bytes] : before) {
-    lines->push_back(absl::StrCat(what, " ", name, ": removed"));
+    lines->push_back(absl::StrCat(kind, " ", name, ": removed"));
   }
 }
 
--- a/src/posthatch/control/state/configuration_validator.cc
+++ b/src/posthatch/control/state/configuration_validator.cc
@@ -15,9 +15,9 @@
 
 constexpr size_t kMaxNameLength = 64;
 constexpr size_t kMaxLabelLength = 128;
-constexpr int kMaxLabels = 64;
-constexpr int kMaxKeys = 64;
-constexpr size_t kHashDigits = 64;  // SHA-256, hexadecimal
+constexpr int kMaxLabelsPerTenant = 64;
+constexpr int kMaxKeysPerTenant = 64;
+constexpr size_t kHashHexDigits = 64;  // SHA-256, hexadecimal
 constexpr uint32_t kMaxPriority = 9;
 constexpr uint32_t kMaxCount = 1000000;
 constexpr double kMaxRate = 1e6;
@@ -27,19 +27,21 @@
 constexpr uint32_t kMinDeliveryWindowMs = 60000;
 constexpr uint32_t kMaxDeliveryWindowMs = 86400000;
 
-constexpr std::string_view kNameRule = "1 to 64 letters, digits or ._- and a letter or digit first";
+constexpr std::string_view kNameConstraint =
+    "1 to 64 letters, digits or ._- and a letter or digit first";
 
-bool IsName(const std::string& name, std::string_view extra) {
+bool IsName(const std::string& name, std::string_view extra_characters) {
   if (name.empty() || name.size() > kMaxNameLength) return false;
   if (!absl::ascii_isalnum(static_cast<unsigned char>(name.front()))) return false;
-  return std::all_of(name.begin(), name.end(), [extra](char character) {
+  return std::all_of(name.begin(), name.end(), [extra_characters](char character) {
     return absl::ascii_isalnum(static_cast<unsigned char>(character)) || character == '.' ||
-           character == '_' || character == '-' || extra.find(character) != std::string_view::npos;
+           character == '_' || character == '-' ||
+           extra_characters.find(character) != std::string_view::npos;
   });
 }
 
 bool IsHexHash(const std::string& text) {
-  return text.size() == kHashDigits && std::all_of(text.begin(), text.end(), [](char character) {
+  return text.size() == kHashHexDigits && std::all_of(text.begin(), text.end(), [](char character) {
            return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'f');
          });
 }
@@ -49,99 +51,100 @@
  public:
   explicit Validator(const Configuration& configuration) : configuration_(configuration) {}
 
-  std::vector<std::string> Run() {
+  std::vector<std::string> Validate() {
     if (configuration_.ByteSizeLong() > kMaxConfigurationBytes) {
-      Add("configuration", absl::StrCat("at most ", kMaxConfigurationBytes, " bytes"));
+      AddError("configuration", absl::StrCat("at most ", kMaxConfigurationBytes, " bytes"));
     }
     for (int i = 0; i < configuration_.tenants_size(); ++i) CheckTenant(i);
     CheckDuplicates(configuration_.tenants(), "tenants");
-    for (int i = 0; i < configuration_.isolation_rules_size(); ++i) CheckRule(i);
+    for (int i = 0; i < configuration_.isolation_rules_size(); ++i) CheckIsolationRule(i);
     CheckDuplicates(configuration_.isolation_rules(), "isolation_rules");
     for (int i = 0; i < configuration_.services_size(); ++i) CheckService(i);
     CheckDuplicates(configuration_.services(), "services");
     for (int i = 0; i < configuration_.models_size(); ++i) CheckModel(i);
     CheckDuplicates(configuration_.models(), "models");
     CheckRouting();
-    return Limit();
+    return TruncatedErrors();
   }
 
  private:
-  void Add(const std::string& where, std::string_view rule) {
-    errors_.push_back(where + ": " + std::string(rule));
+  void AddError(const std::string& path, std::string_view constraint) {
+    errors_.push_back(path + ": " + std::string(constraint));
   }
-  void Require(bool holds, const std::string& where, std::string_view rule) {
-    if (!holds) Add(where, rule);
+  void Require(bool satisfied, const std::string& path, std::string_view constraint) {
+    if (!satisfied) AddError(path, constraint);
   }
 
   template <typename Entries>
-  void CheckDuplicates(const Entries& entries, const std::string& where) {
+  void CheckDuplicates(const Entries& entries, const std::string& path) {
     std::set<std::string> seen;
     for (int i = 0; i < entries.size(); ++i) {
-      Require(seen.insert(entries[i].name()).second, absl::StrCat(where, "[", i, "].name"),
+      Require(seen.insert(entries[i].name()).second, absl::StrCat(path, "[", i, "].name"),
               "the name stands twice: " + entries[i].name());
     }
   }
 
   void CheckTenant(int position) {
     const Tenant& tenant = configuration_.tenants(position);
-    const std::string where = absl::StrCat("tenants[", position, "]");
-    Require(IsValidName(tenant.name()), where + ".name", kNameRule);
-    Require(tenant.key_sha256_size() <= kMaxKeys, where + ".key_sha256", "at most 64 keys");
-    for (const std::string& hash : tenant.key_sha256()) CheckKey(hash, where);
-    CheckLabels(tenant, where);
+    const std::string path = absl::StrCat("tenants[", position, "]");
+    Require(IsValidName(tenant.name()), path + ".name", kNameConstraint);
+    Require(tenant.key_sha256_size() <= kMaxKeysPerTenant, path + ".key_sha256", "at most 64 keys");
+    for (const std::string& hash : tenant.key_sha256()) CheckKey(hash, path);
+    CheckLabels(tenant, path);
     Require(std::isfinite(tenant.rate_limit()) && tenant.rate_limit() >= 0 &&
                 tenant.rate_limit() <= kMaxRate,
-            where + ".rate_limit", "0 (no limit) to 1000000 a second");
-    Require(tenant.burst() <= kMaxCount, where + ".burst", "0 to 1000000");
-    Require(tenant.max_concurrency() <= kMaxCount, where + ".max_concurrency", "0 to 1000000");
-    Require(tenant.priority() <= kMaxPriority, where + ".priority", "0 to 9");
+            path + ".rate_limit", "0 (no limit) to 1000000 a second");
+    Require(tenant.burst() <= kMaxCount, path + ".burst", "0 to 1000000");
+    Require(tenant.max_concurrency() <= kMaxCount, path + ".max_concurrency", "0 to 1000000");
+    Require(tenant.priority() <= kMaxPriority, path + ".priority", "0 to 9");
   }
 
-  void CheckKey(const std::string& hash, const std::string& where) {
+  void CheckKey(const std::string& hash, const std::string& path) {
     if (!IsHexHash(hash)) {
-      Add(where + ".key_sha256", "SHA-256 as 64 lower-case hexadecimal digits");
+      AddError(path + ".key_sha256", "SHA-256 as 64 lower-case hexadecimal digits");
     } else if (!keys_.insert(hash).second) {
-      Add(where + ".key_sha256", "a key stands twice");
+      AddError(path + ".key_sha256", "a key stands twice");
     }
   }
 
-  void CheckLabels(const Tenant& tenant, const std::string& where) {
-    Require(tenant.labels_size() <= kMaxLabels, where + ".labels", "at most 64");
+  void CheckLabels(const Tenant& tenant, const std::string& path) {
+    Require(tenant.labels_size() <= kMaxLabelsPerTenant, path + ".labels", "at most 64");
     const std::map<std::string, std::string> sorted(tenant.labels().begin(), tenant.labels().end());
     for (const auto& [key, value] : sorted) {
-      Require(IsName(key, "/"), where + ".labels", "a label's name is " + std::string(kNameRule));
-      Require(key != "name", where + ".labels", "'name' is set by posthatch");
-      Require(value.size() <= kMaxLabelLength, where + ".labels", "values of at most 128 bytes");
+      Require(IsName(key, "/"), path + ".labels",
+              "a label's name is " + std::string(kNameConstraint));
+      Require(key != "name", path + ".labels", "'name' is set by posthatch");
+      Require(value.size() <= kMaxLabelLength, path + ".labels", "values of at most 128 bytes");
     }
   }
 
-  void CheckRule(int position) {
+  void CheckIsolationRule(int position) {
     const IsolationRule& rule = configuration_.isolation_rules(position);
-    const std::string where = absl::StrCat("isolation_rules[", position, "]");
-    Require(IsValidName(rule.name()), where + ".name", kNameRule);
-    ValidateSelector(rule.isolated(), where + ".isolated", &errors_);
+    const std::string path = absl::StrCat("isolation_rules[", position, "]");
+    Require(IsValidName(rule.name()), path + ".name", kNameConstraint);
+    ValidateSelector(rule.isolated(), path + ".isolated", &errors_);
   }
 
   void CheckService(int position) {
     const ServiceRoute& service = configuration_.services(position);
-    const std::string where = absl::StrCat("services[", position, "]");
-    Require(IsValidName(service.name()), where + ".name", kNameRule);
-    Require(!service.operations().empty(), where + ".operations", "at least one");
-    Require(service.timeout_ms() <= kMaxTimeoutMs, where + ".timeout_ms", "0 to 600000");
+    const std::string path = absl::StrCat("services[", position, "]");
+    Require(IsValidName(service.name()), path + ".name", kNameConstraint);
+    Require(!service.operations().empty(), path + ".operations", "at least one");
+    Require(service.timeout_ms() <= kMaxTimeoutMs, path + ".timeout_ms", "0 to 600000");
     for (int i = 0; i < service.operations_size(); ++i) {
       Require(IsValidName(service.operations(i).name()),
-              absl::StrCat(where, ".operations[", i, "].name"), kNameRule);
+              absl::StrCat(path, ".operations[", i, "].name"), kNameConstraint);
     }
-    CheckDuplicates(service.operations(), where + ".operations");
+    CheckDuplicates(service.operations(), path + ".operations");
   }
 
   void CheckModel(int position) {
     const Model& model = configuration_.models(position);
-    const std::string where = absl::StrCat("models[", position, "]");
-    Require(IsName(model.name(), "/:"), where + ".name",
+    const std::string path = absl::StrCat("models[", position, "]");
+    Require(IsName(model.name(), "/:"), path + ".name",
             "1 to 64 letters, digits or ._-/: and a letter or digit first");
     Require(model.block_tokens() >= 1 && model.block_tokens() <= kMaxBlockTokens,
-            where + ".block_tokens", "1 to 4096");
+            path + ".block_tokens", "1 to 4096");
   }
 
   void CheckRouting() {
@@ -164,11 +167,11 @@
             "routing.delivery_window_ms", "0 (default) or 60000 to 86400000");
   }
 
-  std::vector<std::string> Limit() {
+  std::vector<std::string> TruncatedErrors() {
     if (errors_.size() > kMaxReportedErrors) {
-      const size_t rest = errors_.size() - kMaxReportedErrors;
+      const size_t omitted = errors_.size() - kMaxReportedErrors;
       errors_.resize(kMaxReportedErrors);
-      errors_.push_back(absl::StrCat("and ", rest, " more"));
+      errors_.push_back(absl::StrCat("and ", omitted, " more"));
     }
     return std::move(errors_);
   }
@@ -181,7 +184,7 @@
 }  // namespace
 
 std::vector<std::string> ValidateConfiguration(const Configuration& configuration) {
-  return Validator(configuration).Run();
+  return Validator(configuration).Validate();
 }
 
 bool IsValidName(const std::string& name) { return IsName(name, ""); }
--- a/src/posthatch/control/state/control_state-test.cc
+++ b/src/posthatch/control/state/control_state-test.cc
@@ -96,11 +96,11 @@
 TEST_F(ControlStateTest, ReportsAllConfigurationErrors) {
   Configuration configuration = SmallConfiguration();
   configuration.mutable_tenants(0)->set_priority(10);
-  configuration.mutable_tenants(1)->set_name("alpha");           // twice
+  configuration.mutable_tenants(1)->set_name("alpha");           // duplicate name
   configuration.mutable_tenants(1)->add_key_sha256("ABC");       // not a hash
   configuration.mutable_models(0)->set_block_tokens(0);          // out of range
-  configuration.mutable_routing()->set_retry_budget_ratio(0.5);  // more than a fifth
-  configuration.add_isolation_rules()->set_name("-bad");         // and no selector
+  configuration.mutable_routing()->set_retry_budget_ratio(0.5);  // above a fifth
+  configuration.add_isolation_rules()->set_name("-bad");         // bad name, no selector
   configuration.add_services()->set_name("empty");               // no operation
   const CommandResult result = Apply(FullChange("bad", 0, configuration));
   ASSERT_EQ(result.code(), CommandResult::INVALID);
@@ -227,7 +227,7 @@
   EXPECT_TRUE(ApplyConfigurationDelta(state, &changed));
 }
 
-// Random commands with resends and races.
+// Applies random commands, some resent, some based on outdated versions.
 class ControlStateSeedTest : public testing::TestWithParam<uint64_t> {};
 
 TEST_P(ControlStateSeedTest, ApplyIsDeterministicAndRestoreEqualsReplay) {
--- a/src/posthatch/control/state/control_state.cc
+++ b/src/posthatch/control/state/control_state.cc
@@ -11,15 +11,15 @@
 
 constexpr size_t kMaxRequestIdLength = 128;
 
-// Names of objects (invalidation.proto).
+// Names of objects with a version (see invalidation.proto).
 std::string ModelObject(const std::string& model) { return "model/" + model; }
 std::string TenantObject(const std::string& tenant) { return "tenant/" + tenant; }
 std::string WorkerObject(const std::string& backend_id) { return "worker/" + backend_id; }
 std::string StoreObject(const std::string& name) { return "store/" + name; }
 std::string DrainObject(const std::string& backend_id) { return "drain/" + backend_id; }
 
-// Whether a resend is recognised by its request id. The other commands are idempotent by
-// themselves: a delivery's by their attempt, the leader's own by their content.
+// Whether a resend of `command` is recognised by its request id. Other commands are idempotent by
+// themselves: delivery commands by their attempt, the leader's own commands by their content.
 bool IsDeduplicated(const Command& command) {
   switch (command.command_case()) {
     case Command::kChangeConfiguration:
@@ -32,7 +32,7 @@
   }
 }
 
-// Equal for a resend: covers everything but the request id.
+// Hash of everything but the request id, which is equal for a resend.
 std::string ContentHash(const Command& command) {
   Command content = command;
   content.clear_request_id();
--- a/src/posthatch/control/state/control_state.h
+++ b/src/posthatch/control/state/control_state.h
@@ -50,13 +50,13 @@
   }
   void AddListener(Listener listener) override { objects_.AddListener(std::move(listener)); }
 
-  // The sections that gateways decide by, as of the last applied command.
+  // The sections on which gateways base their decisions, as of the last applied command.
   const FleetState& fleet() const { return fleet_; }
   const ConfigurationHistory& history() const { return history_; }
   const WorkerLeaseTable& worker_leases() const { return leases_; }
   // The traffic configuration in force, including the entries' sources.
   const TrafficConfiguration& traffic() const { return traffic_.newest(); }
-  // The latest changes of the inventory and traffic sections, for messages to gateways.
+  // Recent changes of the inventory and traffic sections, for messages to gateways.
   const SectionDeltas& deltas() const { return deltas_; }
   // Control time of the last delivery command, in ms (see DeliveryRecords).
   int64_t delivery_now_ms() const { return deliveries_.now_ms(); }
@@ -64,7 +64,7 @@
   void SetSectionListener(SectionListener listener) { section_listener_ = std::move(listener); }
 
  private:
-  // Answers a resent request with its first result.
+  // Returns the first result for a resent request.
   CommandResult ApplyCommand(uint64_t index, const Command& command);
   CommandResult Dispatch(uint64_t index, const Command& command);
   CommandResult ApplyConfiguration(uint64_t index, const Command& command);
@@ -74,7 +74,8 @@
   CommandResult ApplyInventory(uint64_t index, const SetInventory& command);
   CommandResult ApplyWorkerLeases(uint64_t index, const GrantWorkerLeases& command);
 
-  // The update functions below bring sections and objects in line with a change at `index`.
+  // The Update functions bring the sections of fleet_ and the object versions up to date after a
+  // change; `index` is the log index of the change.
   void UpdateIsolation(uint64_t index);
   void UpdateTrafficSection(uint64_t index, const ChangeTraffic& change);
   void UpdateTrafficObjects(uint64_t index);
@@ -96,7 +97,7 @@
   FleetState fleet_;
 
   SectionListener section_listener_;
-  bool sections_changed_ = false;  // by the command that is being applied
+  bool sections_changed_ = false;  // whether the command being applied changed a section
 };
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/state/delivery_records.cc
+++ b/src/posthatch/control/state/delivery_records.cc
@@ -8,7 +8,7 @@
 namespace posthatch::control {
 namespace {
 
-// The length makes ("ab", "c") and ("a", "bc") different.
+// The length prefix keeps ("ab", "c") and ("a", "bc") apart.
 std::string RecordKey(const std::string& tenant, const std::string& idempotency_key) {
   return absl::StrCat(tenant.size(), ":", tenant, "/", idempotency_key);
 }
--- a/src/posthatch/control/state/delivery_records.h
+++ b/src/posthatch/control/state/delivery_records.h
@@ -18,8 +18,8 @@
 // where the previous leader stopped. Time between two leaders isn't counted, so that a window is
 // never shorter than configured. A record is evicted after one window, or earlier if there are more
 // than kMaxRecords records or kMaxOutcomeBytes of bodies. After that its key is rejected
-// (WINDOW_PASSED) for kExpiredWindows more windows, as long as kMaxExpired keys suffice; an older
-// key would be accepted as new. Part of the replicated state; owned by ControlState.
+// (WINDOW_PASSED) for kExpiredWindows more windows, or until kMaxExpired further keys have expired;
+// an older key is accepted as new. Part of the replicated state; owned by ControlState.
 class DeliveryRecords {
  public:
   static constexpr int64_t kDefaultWindowMs = 3600000;
@@ -27,13 +27,13 @@
   static constexpr size_t kMaxOutcomeBytes = size_t{64} * 1024 * 1024;
   static constexpr size_t kMaxExpired = 500000;
   static constexpr int64_t kExpiredWindows = 12;
-  // A larger body isn't stored: the record ends as UNKNOWN, and that is what a resend gets.
+  // A larger body isn't stored: the outcome becomes UNKNOWN, which a resend gets as well.
   static constexpr size_t kMaxBodyBytes = size_t{1024} * 1024;
   static constexpr size_t kMaxKeyLength = 512;
 
   CommandResult Begin(const DeliveryBegin& begin, int64_t window_ms);
-  // NOT_EXECUTED for a key without a record creates a finished one: a begin that is still in flight
-  // will not be granted. Any other outcome needs the record, and the attempt that began it.
+  // NOT_EXECUTED for a key without a record creates a finished one, so that a begin that is still
+  // in flight isn't granted. Any other outcome requires a record, begun by the same attempt.
   CommandResult Finish(const DeliveryFinish& finish, int64_t window_ms);
 
   int64_t now_ms() const { return now_ms_; }
--- a/src/posthatch/control/state/evacuation_set.h
+++ b/src/posthatch/control/state/evacuation_set.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::control {
 
-// Active evacuations by name. Part of the replicated state; owned by ControlState.
+// Active evacuations, keyed by name. Part of the replicated state; owned by ControlState.
 class EvacuationSet {
  public:
   static constexpr size_t kMaxEvacuations = 1000;
--- a/src/posthatch/control/state/expired_keys.h
+++ b/src/posthatch/control/state/expired_keys.h
@@ -12,8 +12,8 @@
 namespace posthatch::control {
 
 // Fingerprints of keys whose records were evicted, oldest first, so that a late resend is rejected
-// instead of being accepted as new. Bounded by count. Part of the replicated state; owned by
-// DeliveryRecords or RequestRecords.
+// instead of being accepted as new. Keeps at most `max_keys`. Part of the replicated state; owned
+// by DeliveryRecords or RequestRecords.
 class ExpiredKeys {
  public:
   explicit ExpiredKeys(size_t max_keys) : max_keys_(max_keys) {}
--- a/src/posthatch/control/state/fleet_sections.cc
+++ b/src/posthatch/control/state/fleet_sections.cc
@@ -137,8 +137,8 @@
                         FleetState* state) {
   bool any_newer = false;
   for (const Section section : kSections) {
-    const bool named = std::find(names.begin(), names.end(), SectionName(section)) != names.end();
-    if (!named || IndexOf(changed, section) <= IndexOf(*state, section)) continue;
+    const bool listed = std::find(names.begin(), names.end(), SectionName(section)) != names.end();
+    if (!listed || IndexOf(changed, section) <= IndexOf(*state, section)) continue;
     CopySection(changed, section, state);
     any_newer = true;
   }
--- a/src/posthatch/control/state/fleet_sections.h
+++ b/src/posthatch/control/state/fleet_sections.h
@@ -12,7 +12,7 @@
 // pushes carry the sections that are newer than the receiver's.
 namespace posthatch::control {
 
-// In the order of SectionIndices and of StatePushAck.section_indices, which must not change.
+// The order, which must not change, is that of SectionIndices and of StatePushAck.section_indices.
 enum class Section {
   kConfiguration,
   kIsolation,
@@ -44,15 +44,15 @@
 SectionIndices IndicesOf(const StatePushAck& ack);
 void SetIndices(const SectionIndices& indices, StatePushAck* ack);
 
-// The log index up to which the owner of these sections has every change: all changed sections are
-// sent together, as of one log index, so this is the highest of them.
+// The log index up to which a replica with these section versions has every change: all changed
+// sections are sent together, as of one log index, so this is the highest of them.
 uint64_t HighestIndex(const SectionIndices& indices);
 
 // Copies the sections of `state` that are newer than `acked_versions` and appends their names.
 void CopyNewerSections(const FleetState& state, const SectionIndices& acked_versions,
                        FleetState* changed, google::protobuf::RepeatedPtrField<std::string>* names);
 
-// Copies the sections `names` of `changed` to `state` where they are newer; true if any was.
+// Copies the sections `names` of `changed` to `state` where they are newer. True if any was newer.
 bool ApplyNewerSections(const FleetState& changed,
                         const google::protobuf::RepeatedPtrField<std::string>& names,
                         FleetState* state);
--- a/src/posthatch/control/state/inventory_state.h
+++ b/src/posthatch/control/state/inventory_state.h
@@ -12,12 +12,11 @@
  public:
   static constexpr int kMaxBackends = 200000;
 
-  // What a command changed, for the object versions.
+  // The changes of one command; ControlState updates the object versions by them.
   struct Change {
     bool changed = false;
-    std::vector<Backend> added;  // backends that the previous inventory lacks
-    std::vector<std::string>
-        drain_started;  // ids of backends that are draining and were not before
+    std::vector<Backend> added;              // backends that the previous inventory lacks
+    std::vector<std::string> drain_started;  // ids of backends that started draining
   };
 
   // OK with the version (the same one if nothing changed), VERSION_CONFLICT for a delta from
@@ -31,7 +30,7 @@
   Inventory inventory_;
 };
 
-// Sorts by id, so that two readings with the same content compare equal.
+// Sorts by id, so that two inventories with the same content compare equal.
 void SortBackends(Inventory* inventory);
 // True if both list the same backends; versions are not compared.
 bool SameBackends(const Inventory& first, const Inventory& second);
--- a/src/posthatch/control/state/isolation_registry.cc
+++ b/src/posthatch/control/state/isolation_registry.cc
@@ -35,12 +35,12 @@
     present.insert(name);
     const auto [entry, is_new] = tenants_.try_emplace(name);
     Domain& domain = entry->second;
-    const bool flipped = !is_new && domain.isolated != isolated;
-    if (is_new || flipped || (domain.removed && isolated)) {
+    const bool isolation_changed = !is_new && domain.isolated != isolated;
+    if (is_new || isolation_changed || (domain.removed && isolated)) {
       domain.generation = log_index;
       changed.insert(name);
     }
-    shared_changed = shared_changed || flipped;
+    shared_changed = shared_changed || isolation_changed;
     domain.isolated = isolated;
     domain.removed = false;
   }
--- a/src/posthatch/control/state/isolation_registry.h
+++ b/src/posthatch/control/state/isolation_registry.h
@@ -12,8 +12,8 @@
 
 // Which tenants are isolated, and the generation of each isolation domain (see TenantIsolation). A
 // generation is the log index of the domain's last change. When a tenant enters or leaves isolation
-// both its own domain and the shared one get a new generation: what it put into the shared domain
-// before must not be used by others, nor the other way round. Removed tenants are remembered, so
+// both its own domain and the shared one get a new generation: its blocks in the shared domain must
+// no longer be used by other tenants, nor theirs by this tenant. Removed tenants are remembered, so
 // that a new tenant of the same name can't reach the blocks of the removed one. Part of the
 // replicated state; owned by ControlState.
 class IsolationRegistry {
@@ -23,11 +23,11 @@
     bool isolated = false;
   };
 
-  // Takes over the tenants in force since `log_index`. Returns the sorted names of those whose
+  // Applies the tenants in force since `log_index`. Returns the sorted names of those whose
   // domain or generation changed, "" for the shared domain.
   std::vector<std::string> Update(uint64_t log_index, const std::vector<TenantStatus>& tenants);
 
-  // The tenants of a configuration with the outcome of its isolation rules.
+  // The tenants of a configuration, with whether its isolation rules isolate them.
   static std::vector<TenantStatus> EvaluateTenants(const Configuration& configuration);
 
   void Save(google::protobuf::RepeatedPtrField<TenantIsolation>* isolation) const;
--- a/src/posthatch/control/state/model_revisions.h
+++ b/src/posthatch/control/state/model_revisions.h
@@ -19,7 +19,7 @@
                       const Configuration& configuration);
 
   // Sets a revision under the operator's own number: OK with the newest revision, or INVALID. A
-  // number that isn't above the newest changes nothing, so that resends are harmless.
+  // number that isn't above the newest changes nothing, so that resends are idempotent.
   CommandResult SetNumberedRevision(const std::string& request_id, const SetModelRevision& command);
 
   // Sets kFirstRevision for a model without a revision; returns whether it did.
--- a/src/posthatch/control/state/object_versions.h
+++ b/src/posthatch/control/state/object_versions.h
@@ -50,7 +50,7 @@
   };
 
   std::map<std::string, Version> versions_;
-  std::vector<std::string> changed_;  // names, not yet reported
+  std::vector<std::string> changed_;  // names of objects whose change isn't reported yet
   std::vector<Listener> listeners_;
 };
 
--- a/src/posthatch/control/state/request_records.h
+++ b/src/posthatch/control/state/request_records.h
@@ -17,7 +17,8 @@
 // ControlState.
 class RequestRecords {
  public:
-  // At 8,500 changes a day: results for more than a day, WINDOW_PASSED for eleven more days.
+  // With 8,500 changes a day, results are kept for more than a day and WINDOW_PASSED is returned
+  // for eleven more days.
   static constexpr size_t kMaxRecords = 10000;
   static constexpr size_t kMaxExpired = 100000;
 
--- a/src/posthatch/control/state/revision_timeline-test.cc
+++ b/src/posthatch/control/state/revision_timeline-test.cc
@@ -11,38 +11,39 @@
 
 constexpr MonotonicTime kStart{seconds(1000)};
 
-FleetState Named(uint64_t revision) {
+FleetState StateWithRevision(uint64_t revision) {
   FleetState state;
-  ModelRevision* named = state.add_revisions();
-  named->set_model("m");
-  named->set_revision(revision);
+  ModelRevision* newest = state.add_revisions();
+  newest->set_model("m");
+  newest->set_revision(revision);
   return state;
 }
 
 TEST(RevisionTimelineTest, NewestIsNotOutdated) {
   RevisionTimeline timeline;
   EXPECT_EQ(timeline.OutdatedSince("m", 1), std::nullopt);
-  timeline.Observe(Named(2), kStart);
+  timeline.Observe(StateWithRevision(2), kStart);
   EXPECT_EQ(timeline.OutdatedSince("m", 2), std::nullopt);
   EXPECT_EQ(timeline.OutdatedSince("m", 1), kStart);
   EXPECT_EQ(timeline.OutdatedSince("other", 1), std::nullopt);
 }
 
-// Incident 34: the time of a worker two revisions behind began anew with the second one.
-TEST(RevisionTimelineTest, LaterRevisionDoesNotSetTimeBack) {
+// Incident 34: the second of two new revisions restarted the deadline of workers that were outdated
+// since the first one.
+TEST(RevisionTimelineTest, LaterRevisionDoesNotRestartDeadline) {
   RevisionTimeline timeline;
-  timeline.Observe(Named(2), kStart);
-  timeline.Observe(Named(3), kStart + seconds(8));
+  timeline.Observe(StateWithRevision(2), kStart);
+  timeline.Observe(StateWithRevision(3), kStart + seconds(8));
   EXPECT_EQ(timeline.OutdatedSince("m", 1), kStart);
   EXPECT_EQ(timeline.OutdatedSince("m", 2), kStart + seconds(8));
 }
 
-// Incident 34: a restarted process counted from its own first sight.
-TEST(RevisionTimelineTest, ReportedAgeReachesBackBeforeThisProcess) {
+// Incident 34: a restarted process counted the deadline from when it first received the revision.
+TEST(RevisionTimelineTest, ReportedAgeMayPrecedeProcessStart) {
   RevisionTimeline leader;
-  leader.Observe(Named(2), kStart);
-  leader.Observe(Named(3), kStart + seconds(3));
-  FleetState grant = Named(3);
+  leader.Observe(StateWithRevision(2), kStart);
+  leader.Observe(StateWithRevision(3), kStart + seconds(3));
+  FleetState grant = StateWithRevision(3);
   leader.SaveAges(kStart + seconds(9), grant.mutable_revision_ages());
 
   constexpr MonotonicTime kOtherClock{seconds(50)};
@@ -52,9 +53,9 @@
   EXPECT_EQ(restarted.OutdatedSince("m", 2), kOtherClock - seconds(6));
 }
 
-TEST(RevisionTimelineTest, OldestReportHolds) {
+TEST(RevisionTimelineTest, LargestReportedAgeApplies) {
   RevisionTimeline timeline;
-  timeline.Observe(Named(2), kStart);
+  timeline.Observe(StateWithRevision(2), kStart);
   FleetState report;
   RevisionAge* age = report.add_revision_ages();
   age->set_model("m");
@@ -67,10 +68,10 @@
   EXPECT_EQ(timeline.OutdatedSince("m", 1), kStart - milliseconds(500));
 }
 
-TEST(RevisionTimelineTest, ForgetsOldestRevisionsOnTheSafeSide) {
+TEST(RevisionTimelineTest, MergesOldestRevisionsWithoutExtendingDeadline) {
   RevisionTimeline timeline;
   for (int revision = 1; revision <= 40; ++revision) {
-    timeline.Observe(Named(revision), kStart + seconds(revision));
+    timeline.Observe(StateWithRevision(revision), kStart + seconds(revision));
   }
   google::protobuf::RepeatedPtrField<RevisionAge> ages;
   timeline.SaveAges(kStart + seconds(60), &ages);
--- a/src/posthatch/control/state/revision_timeline.cc
+++ b/src/posthatch/control/state/revision_timeline.cc
@@ -6,18 +6,19 @@
 namespace posthatch::control {
 namespace {
 
-// Per model. Beyond it the two oldest become one.
+// Revisions kept per model. Beyond that the two oldest are merged.
 constexpr size_t kMaxRevisions = 8;
 
 }  // namespace
 
 void RevisionTimeline::Observe(const FleetState& state, runtime::MonotonicTime now) {
   ObserveAges(state.revision_ages(), now);
-  for (const ModelRevision& named : state.revisions()) {
-    Revisions& revisions = models_[named.model()];
-    // Of a revision below the newest known one, this process may have forgotten the time.
-    const bool is_newest = revisions.empty() || named.revision() > revisions.rbegin()->first;
-    if (is_newest) Record(named.revision(), now, &revisions);
+  for (const ModelRevision& newest : state.revisions()) {
+    Revisions& revisions = models_[newest.model()];
+    // A revision below the newest known one was set earlier, but its time may have been merged into
+    // that of another one.
+    const bool is_newest = revisions.empty() || newest.revision() > revisions.rbegin()->first;
+    if (is_newest) Record(newest.revision(), now, &revisions);
   }
 }
 
@@ -29,13 +30,13 @@
   }
 }
 
-void RevisionTimeline::Record(uint64_t revision, runtime::MonotonicTime named_at,
+void RevisionTimeline::Record(uint64_t revision, runtime::MonotonicTime set_at,
                               Revisions* revisions) {
-  const auto [entry, is_new] = revisions->try_emplace(revision, named_at);
-  entry->second = std::min(entry->second, named_at);
+  const auto [entry, is_new] = revisions->try_emplace(revision, set_at);
+  entry->second = std::min(entry->second, set_at);
   if (revisions->size() <= kMaxRevisions) return;
-  // What is older than both is outdated since the earlier time. What lies between them is taken for
-  // outdated too early, which is safe.
+  // Revisions older than both have been outdated since the earlier time. Revisions between the two
+  // count as outdated too early, which is safe.
   const auto oldest = revisions->begin();
   const auto next = std::next(oldest);
   next->second = std::min(oldest->second, next->second);
@@ -56,7 +57,7 @@
 runtime::MonotonicTime RevisionTimeline::newest_named_at() const {
   runtime::MonotonicTime newest{};
   for (const auto& [model, revisions] : models_) {
-    for (const auto& [revision, named_at] : revisions) newest = std::max(newest, named_at);
+    for (const auto& [revision, set_at] : revisions) newest = std::max(newest, set_at);
   }
   return newest;
 }
@@ -64,8 +65,8 @@
 void RevisionTimeline::SaveAges(runtime::MonotonicTime now,
                                 google::protobuf::RepeatedPtrField<RevisionAge>* ages) const {
   for (const auto& [model, revisions] : models_) {
-    for (const auto& [revision, named_at] : revisions) {
-      const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - named_at);
+    for (const auto& [revision, set_at] : revisions) {
+      const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - set_at);
       RevisionAge* saved = ages->Add();
       saved->set_model(model);
       saved->set_revision(revision);
--- a/src/posthatch/control/state/revision_timeline.h
+++ b/src/posthatch/control/state/revision_timeline.h
@@ -10,31 +10,32 @@
 
 namespace posthatch::control {
 
-// When each model revision was named, by this process's monotonic clock: from then on the time runs
-// until no request may begin under an older one. A process that learns of a revision late, or after
-// a restart, takes the age that others report; of several reports the oldest holds, so that the
-// time is never set back. Owned by the process; event loop thread only.
+// When each model revision was set, by this process's monotonic clock. The deadline after which no
+// request may begin under an older revision counts from then. A process that learns of a revision
+// late, or after a restart, adopts the age that other processes report. The largest reported age
+// applies, so that the deadline is never extended. Owned by the process; event loop thread only.
 class RevisionTimeline {
  public:
-  // Takes in a state that this process has applied: a revision not known yet is named now.
+  // Records the revisions of a state that this process has applied. One above all known ones counts
+  // as set at `now`, unless the state reports its age.
   void Observe(const FleetState& state, runtime::MonotonicTime now);
-  // Takes in ages that were true at `sent_at` or later.
+  // Records reported ages that were correct at `sent_at` or later.
   void ObserveAges(const google::protobuf::RepeatedPtrField<RevisionAge>& ages,
                    runtime::MonotonicTime sent_at);
 
-  // When `revision` became outdated: when the first known one above it was named. Nothing if it is
-  // the newest. Later revisions don't change it.
+  // When `revision` became outdated, that is, when the first known revision above it was set;
+  // nullopt if it is the newest. Later revisions don't change it.
   std::optional<runtime::MonotonicTime> OutdatedSince(const std::string& model,
                                                       uint64_t revision) const;
-  // When the last one of any model was named; the clock's epoch if none is known.
+  // When the latest revision of any model was set; the clock's epoch if none is known.
   runtime::MonotonicTime newest_named_at() const;
   void SaveAges(runtime::MonotonicTime now,
                 google::protobuf::RepeatedPtrField<RevisionAge>* ages) const;
 
  private:
-  using Revisions = std::map<uint64_t, runtime::MonotonicTime>;  // revision -> named at
+  using Revisions = std::map<uint64_t, runtime::MonotonicTime>;  // revision -> when it was set
 
-  static void Record(uint64_t revision, runtime::MonotonicTime named_at, Revisions* revisions);
+  static void Record(uint64_t revision, runtime::MonotonicTime set_at, Revisions* revisions);
 
   std::map<std::string, Revisions> models_;
 };
--- a/src/posthatch/control/state/section_deltas.cc
+++ b/src/posthatch/control/state/section_deltas.cc
@@ -11,7 +11,7 @@
 namespace posthatch::control {
 namespace {
 
-// The first of the deltas that lead from the section at `base_index` to the current one.
+// The first of the recorded deltas that lead from the section at `base_index` to the current one.
 template <typename Deltas>
 auto FindBase(const Deltas& deltas, uint64_t base_index) {
   return std::find_if(deltas.begin(), deltas.end(),
--- a/src/posthatch/control/state/section_deltas.h
+++ b/src/posthatch/control/state/section_deltas.h
@@ -13,12 +13,12 @@
 // to every gateway, so that grants and pushes carry deltas where the receiver's version is known.
 namespace posthatch::control {
 
-// The latest changes of the inventory and of the traffic configuration. In memory of each
-// controller, not replicated: after a restart complete sections are sent until changes are known
-// again. Owned by ControlState.
+// The latest changes of the inventory and of the traffic configuration. Kept in the memory of each
+// controller and not replicated: after a restart complete sections are sent until changes have been
+// recorded again. Owned by ControlState.
 class SectionDeltas {
  public:
-  // Kept for each section; a gateway that lags further behind gets the complete section.
+  // Limit per section; a gateway that lags further behind gets the complete section.
   static constexpr size_t kMaxDeltas = 512;
 
   // Each delta leads from the section at log index `base_index` to the next recorded one, the last
@@ -30,7 +30,8 @@
   void Clear();
 
   // Replaces a complete section in `changed` by the delta from `acked_index`, the log index of the
-  // receiver's section, if that is recorded and the delta is worth it.
+  // receiver's section, if the changes since then are recorded. The inventory stays complete if
+  // more than half of its backends changed.
   void EncodeInventoryDelta(uint64_t acked_index, FleetState* changed) const;
   void EncodeTrafficDelta(uint64_t acked_index, FleetState* changed) const;
 
@@ -53,8 +54,9 @@
 void EncodeConfigurationDelta(const ConfigurationHistory& history, uint64_t acked_index,
                               FleetState* changed);
 
-// The receiver's side: replace a delta in `changed` by the complete section, made from `state`'s.
-// False if the delta has another base than `state`'s section: `changed` can't be used.
+// Called by the receiver: replaces a delta in `changed` by the complete section, computed from that
+// of `state`. False if the delta has another base than the section of `state`; `changed` can't be
+// used then.
 bool ApplyConfigurationDelta(const FleetState& state, FleetState* changed);
 bool ApplyInventoryDelta(const FleetState& state, FleetState* changed);
 bool ApplyTrafficDelta(const FleetState& state, FleetState* changed);
--- a/src/posthatch/control/state/selector.cc
+++ b/src/posthatch/control/state/selector.cc
@@ -45,7 +45,8 @@
   }
 }
 
-// Recursive-descent parser of the grammar in the header; `position_` is the next character.
+// Recursive-descent parser of the grammar in the header. `position_` is the index of the next
+// character.
 class SelectorParser {
  public:
   explicit SelectorParser(std::string_view text) : text_(text) {}
@@ -53,62 +54,62 @@
   absl::StatusOr<Selector> Parse() {
     Selector selector;
     SkipSpaces();
-    if (Take("*")) {
+    if (Consume("*")) {
       selector.set_match_all(true);
       return AtEnd() ? absl::StatusOr<Selector>(selector) : Error("nothing may follow '*'");
     }
     do {
       absl::Status status = ParseRequirement(selector.add_requirements());
       if (!status.ok()) return status;
-    } while (Take(","));
+    } while (Consume(","));
     if (!AtEnd()) return Error("expected ',' or the end");
     return selector;
   }
 
  private:
   absl::Status ParseRequirement(Requirement* requirement) {
-    const bool negated = Take("!");
-    absl::Status status = ReadToken("a label's name", requirement->mutable_key());
+    const bool negated = Consume("!");
+    absl::Status status = ParseToken("a label's name", requirement->mutable_key());
     if (!status.ok()) return status;
     if (negated) {
       requirement->set_operator_(Requirement::NOT_EXISTS);
       return absl::OkStatus();
     }
-    if (Take("!=")) return ReadValue(Requirement::NOT_IN, requirement);
-    if (Take("==") || Take("=")) return ReadValue(Requirement::IN, requirement);
-    if (TakeKeyword("in")) return ReadValues(Requirement::IN, requirement);
-    if (TakeKeyword("notin")) return ReadValues(Requirement::NOT_IN, requirement);
+    if (Consume("!=")) return ParseValue(Requirement::NOT_IN, requirement);
+    if (Consume("==") || Consume("=")) return ParseValue(Requirement::IN, requirement);
+    if (ConsumeKeyword("in")) return ParseValues(Requirement::IN, requirement);
+    if (ConsumeKeyword("notin")) return ParseValues(Requirement::NOT_IN, requirement);
     requirement->set_operator_(Requirement::EXISTS);
     return absl::OkStatus();
   }
 
-  absl::Status ReadValue(Requirement::Operator kind, Requirement* requirement) {
+  absl::Status ParseValue(Requirement::Operator kind, Requirement* requirement) {
     requirement->set_operator_(kind);
-    return ReadToken("a value", requirement->add_values());
+    return ParseToken("a value", requirement->add_values());
   }
 
-  absl::Status ReadValues(Requirement::Operator kind, Requirement* requirement) {
+  absl::Status ParseValues(Requirement::Operator kind, Requirement* requirement) {
     requirement->set_operator_(kind);
-    if (!Take("(")) return Error("expected '('");
+    if (!Consume("(")) return Error("expected '('");
     do {
-      absl::Status status = ReadToken("a value", requirement->add_values());
+      absl::Status status = ParseToken("a value", requirement->add_values());
       if (!status.ok()) return status;
-    } while (Take(","));
-    return Take(")") ? absl::OkStatus() : Error("expected ')'");
+    } while (Consume(","));
+    return Consume(")") ? absl::OkStatus() : Error("expected ')'");
   }
 
-  absl::Status ReadToken(std::string_view what, std::string* token) {
+  absl::Status ParseToken(std::string_view expected, std::string* token) {
     SkipSpaces();
     const size_t start = position_;
     while (position_ < text_.size() && IsTokenCharacter(text_[position_])) ++position_;
     *token = std::string(text_.substr(start, position_ - start));
     SkipSpaces();
     if (IsToken(*token)) return absl::OkStatus();
-    return Error(absl::StrCat("expected ", util::ToAbsl(what), " of 1 to ", kMaxTokenLength,
+    return Error(absl::StrCat("expected ", util::ToAbsl(expected), " of 1 to ", kMaxTokenLength,
                               " letters, digits or ._-/:"));
   }
 
-  bool Take(std::string_view token) {
+  bool Consume(std::string_view token) {
     SkipSpaces();
     if (text_.substr(position_, token.size()) != token) return false;
     position_ += token.size();
@@ -116,48 +117,48 @@
     return true;
   }
 
-  bool TakeKeyword(std::string_view keyword) {
+  bool ConsumeKeyword(std::string_view keyword) {
     const size_t end = position_ + keyword.size();
     if (end < text_.size() && IsTokenCharacter(text_[end])) return false;
-    return Take(keyword);
+    return Consume(keyword);
   }
 
   void SkipSpaces() {
     while (position_ < text_.size() && text_[position_] == ' ') ++position_;
   }
   bool AtEnd() const { return position_ == text_.size(); }
-  absl::Status Error(const std::string& what) const {
+  absl::Status Error(const std::string& reason) const {
     return absl::InvalidArgumentError(
-        absl::StrCat("selector, character ", position_ + 1, ": ", what));
+        absl::StrCat("selector, character ", position_ + 1, ": ", reason));
   }
 
   std::string_view text_;
   size_t position_ = 0;
 };
 
-void ValidateRequirement(const Requirement& requirement, const std::string& where,
+void ValidateRequirement(const Requirement& requirement, const std::string& path,
                          std::vector<std::string>* errors) {
   if (!IsToken(requirement.key())) {
     errors->push_back(
-        absl::StrCat(where, ".key: 1 to ", kMaxTokenLength, " letters, digits or ._-/:"));
+        absl::StrCat(path, ".key: 1 to ", kMaxTokenLength, " letters, digits or ._-/:"));
   }
-  const bool wants_values =
+  const bool takes_values =
       requirement.operator_() == Requirement::IN || requirement.operator_() == Requirement::NOT_IN;
   if (requirement.operator_() == Requirement::OPERATOR_UNSPECIFIED ||
       !Requirement::Operator_IsValid(requirement.operator_())) {
-    errors->push_back(absl::StrCat(where, ".operator: one of IN, NOT_IN, EXISTS, NOT_EXISTS"));
-  } else if (wants_values && requirement.values().empty()) {
-    errors->push_back(absl::StrCat(where, ".values: IN and NOT_IN need at least one"));
-  } else if (!wants_values && !requirement.values().empty()) {
-    errors->push_back(absl::StrCat(where, ".values: EXISTS and NOT_EXISTS take none"));
+    errors->push_back(absl::StrCat(path, ".operator: one of IN, NOT_IN, EXISTS, NOT_EXISTS"));
+  } else if (takes_values && requirement.values().empty()) {
+    errors->push_back(absl::StrCat(path, ".values: IN and NOT_IN need at least one"));
+  } else if (!takes_values && !requirement.values().empty()) {
+    errors->push_back(absl::StrCat(path, ".values: EXISTS and NOT_EXISTS take none"));
   }
   if (requirement.values_size() > kMaxValues) {
-    errors->push_back(absl::StrCat(where, ".values: at most ", kMaxValues));
+    errors->push_back(absl::StrCat(path, ".values: at most ", kMaxValues));
   }
   for (const std::string& value : requirement.values()) {
     if (IsToken(value)) continue;
     errors->push_back(
-        absl::StrCat(where, ".values: 1 to ", kMaxTokenLength, " letters, digits or ._-/:"));
+        absl::StrCat(path, ".values: 1 to ", kMaxTokenLength, " letters, digits or ._-/:"));
     break;
   }
 }
@@ -194,9 +195,9 @@
   return SelectorParser(text).Parse();
 }
 
-void ValidateSelector(const Selector& selector, std::string_view where,
+void ValidateSelector(const Selector& selector, std::string_view path,
                       std::vector<std::string>* errors) {
-  const std::string prefix(where);
+  const std::string prefix(path);
   if (selector.match_all() && !selector.requirements().empty()) {
     errors->push_back(prefix + ": either match_all or requirements");
   }
--- a/src/posthatch/control/state/selector.h
+++ b/src/posthatch/control/state/selector.h
@@ -30,11 +30,12 @@
 // Labels of a tenant: those of its entry, and "name".
 LabelMap TenantLabels(const Tenant& tenant);
 
-// Parses the written form. InvalidArgument says what is wrong and where.
+// Parses the written form. InvalidArgument with the position and the reason of an error.
 absl::StatusOr<Selector> ParseSelector(std::string_view text);
 
-// Appends all errors of a selector to `errors`, each line starting with `where`.
-void ValidateSelector(const Selector& selector, std::string_view where,
+// Appends all errors of a selector to `errors`, each line starting with `path`, the path of its
+// field.
+void ValidateSelector(const Selector& selector, std::string_view path,
                       std::vector<std::string>* errors);
 
 }  // namespace posthatch::control
--- a/src/posthatch/control/state/traffic_state-test.cc
+++ b/src/posthatch/control/state/traffic_state-test.cc
@@ -176,7 +176,7 @@
   uint64_t index_ = 0;
 };
 
-TEST_F(TrafficControlTest, OnlyReadersGetSources) {
+TEST_F(TrafficControlTest, FleetStateOmitsSources) {
   ApplyTraffic(FullChange(0, 1, SmallTraffic()));
   EXPECT_EQ(state_.fleet().traffic().services(0).source(), "");
   EXPECT_EQ(state_.traffic().services(0).source(), "{\"name\":\"llm\"}");
@@ -203,7 +203,7 @@
   }
 }
 
-// Gateways at any earlier version become equal to the leader's state.
+// Deltas bring gateways at any earlier version to the leader's state.
 TEST_F(TrafficControlTest, DeltasEqualCompleteSections) {
   ApplyTraffic(FullChange(0, 1, SmallTraffic()));
   std::vector<FleetState> gateways = {state_.fleet()};
--- a/src/posthatch/control/state/traffic_state.cc
+++ b/src/posthatch/control/state/traffic_state.cc
@@ -106,7 +106,7 @@
 }
 
 bool TrafficState::FindAccepted(const AcceptedTrafficChange& identity, uint64_t* version) const {
-  // Newest first. The linter would have std::views here, which clang 14 cannot compile.
+  // Searches the newest first. The linter suggests std::views, which clang 14 can't compile.
   // NOLINTNEXTLINE(modernize-loop-convert)
   for (auto accepted = accepted_.rbegin(); accepted != accepted_.rend(); ++accepted) {
     if (accepted->high() != identity.high() || accepted->low() != identity.low()) continue;
--- a/src/posthatch/control/state/traffic_state.h
+++ b/src/posthatch/control/state/traffic_state.h
@@ -8,12 +8,12 @@
 namespace posthatch::control {
 
 // The traffic configuration in force and the changes that led to it. Compare-and-set on versions
-// that operators choose; an accepted change that is sent again is recognised by its content,
-// whoever sends it and whatever was accepted since. Part of the replicated state: deterministic, no
-// clock. Owned by ControlState.
+// that operators choose; a resend of an accepted change is recognised by its content, whoever sends
+// it and whatever was accepted since. Part of the replicated state: deterministic, reads no clock.
+// Owned by ControlState.
 class TrafficState {
  public:
-  // Accepted changes that are recognised when they are sent again.
+  // Newest accepted changes whose resends are recognised.
   static constexpr size_t kMaxAccepted = 4096;
 
   // OK with the change's version, VERSION_CONFLICT with the one in force, or INVALID with all
--- a/src/posthatch/control/state/traffic_validator.cc
+++ b/src/posthatch/control/state/traffic_validator.cc
@@ -44,7 +44,7 @@
 void CheckRoutes(const TrafficConfiguration& configuration,
                  const absl::flat_hash_set<std::string>& services, Errors* errors) {
   CheckNames(configuration.routes(), "route", errors);
-  absl::flat_hash_set<std::string> places;
+  absl::flat_hash_set<std::string> hosts_and_prefixes;
   for (const TrafficRoute& route : configuration.routes()) {
     CheckTargets(route, services, errors);
     if (route.timeout_ms() == 0) {
@@ -57,7 +57,7 @@
       errors->push_back(
           absl::StrCat("route ", route.name(), ": the path prefix must begin and end with '/'"));
     }
-    if (!places.insert(absl::StrCat(route.host(), " ", route.path_prefix())).second) {
+    if (!hosts_and_prefixes.insert(absl::StrCat(route.host(), " ", route.path_prefix())).second) {
       errors->push_back(
           absl::StrCat("route ", route.name(), ": another one has the same host and prefix"));
     }
--- a/src/posthatch/control/state/worker_lease_table.h
+++ b/src/posthatch/control/state/worker_lease_table.h
@@ -15,8 +15,9 @@
 // replicated state; owned by ControlState.
 class WorkerLeaseTable {
  public:
-  // Releases first, then grants. OK if all grants were made; VERSION_CONFLICT with an error for
-  // each that was rejected, the others being made. `changed` tells whether any lease changed.
+  // Applies the releases, then the grants. OK if all grants were made; otherwise INVALID or
+  // VERSION_CONFLICT, with an error for each rejected grant; the others are made. Sets `changed` if
+  // any lease changed.
   CommandResult Apply(uint64_t log_index, const GrantWorkerLeases& command, bool* changed);
 
   // Null if there is no lease on the worker.
