--- a/src/posthatch/control/client/control_client.h
+++ b/src/posthatch/control/client/control_client.h
@@ -11,8 +11,8 @@
 
 namespace posthatch::control {
 
-// A gateway's replica of the fleet state, and whether it may still decide by it (implementation:
-// GatewaySession). Event loop thread only.
+// A gateway's replica of the fleet state, and whether decisions may still be based on it
+// (implementation: GatewaySession). Event loop thread only.
 class FleetView {
  public:
   // Called after any section changed, with the new state.
@@ -26,7 +26,7 @@
   virtual const FleetState& state() const = 0;
   // Time since the inventory in state() was requested from the platform.
   virtual runtime::Duration InventoryAge() const = 0;
-  // When the model revisions were named. Outlives every caller's use.
+  // When the model revisions were set. The reference outlives every caller's use.
   virtual const RevisionTimeline& revision_timeline() const = 0;
   virtual void AddListener(Listener listener) = 0;
 };
--- a/src/posthatch/control/client/fleet_state_replica.cc
+++ b/src/posthatch/control/client/fleet_state_replica.cc
@@ -10,10 +10,10 @@
 
 FleetStateReplica::UpdateOutcome FleetStateReplica::Apply(
     FleetState changed, const google::protobuf::RepeatedPtrField<std::string>& names) {
-  const bool complete = ApplyConfigurationDelta(state_, &changed) &&
-                        ApplyInventoryDelta(state_, &changed) &&
-                        ApplyTrafficDelta(state_, &changed);
-  if (!complete) return UpdateOutcome::kBaseMismatch;
+  const bool bases_match = ApplyConfigurationDelta(state_, &changed) &&
+                           ApplyInventoryDelta(state_, &changed) &&
+                           ApplyTrafficDelta(state_, &changed);
+  if (!bases_match) return UpdateOutcome::kBaseMismatch;
   const bool new_configuration = changed.configuration_index() > state_.configuration_index();
   if (new_configuration && !ValidateNewConfiguration(changed)) return UpdateOutcome::kRejected;
   const bool any_changed = ApplyNewerSections(changed, names, &state_);
--- a/src/posthatch/control/client/fleet_state_replica.h
+++ b/src/posthatch/control/client/fleet_state_replica.h
@@ -23,11 +23,11 @@
     kBaseMismatch,  // a delta from another version than this replica's: nothing was applied
   };
 
-  // Both pointers outlive this object.
+  // `trace` and `metrics` must outlive this object.
   FleetStateReplica(runtime::TraceSink* trace, GatewaySessionMetrics* metrics)
       : trace_(trace), metrics_(metrics) {}
 
-  // Applies the sections `names` of `changed`, as far as they are newer.
+  // Applies those of the sections `names` of `changed` that are newer than this replica's.
   UpdateOutcome Apply(FleetState changed,
                       const google::protobuf::RepeatedPtrField<std::string>& names);
 
--- a/src/posthatch/control/client/gateway_session.cc
+++ b/src/posthatch/control/client/gateway_session.cc
@@ -9,10 +9,10 @@
 namespace posthatch::control {
 namespace {
 
-// A lease longer than this can only come from a damaged message.
+// A grant of a longer lease can only come from a corrupted message.
 constexpr uint32_t kMaxLeaseMs = 60000;
-// Before a renewal that should go out at once: several reasons for it share one.
-constexpr runtime::Duration kPromptRenewalDelay = std::chrono::milliseconds(5);
+// Delay of a renewal that is due at once, so that several reasons for it share one renewal.
+constexpr runtime::Duration kImmediateRenewalDelay = std::chrono::milliseconds(5);
 
 }  // namespace
 
@@ -144,8 +144,8 @@
   const UpdateOutcome outcome = replica_.Apply(grant.changed(), grant.changed_sections());
   revision_timeline_.Observe(replica_.state(), runtime_->clock->Now());
   if (outcome == UpdateOutcome::kBaseMismatch) {
-    // A push came in between; the next renewal reports what is in force now.
-    ScheduleRenewal(kPromptRenewalDelay);
+    // A push was applied in between; the next renewal reports the versions in force now.
+    ScheduleRenewal(kImmediateRenewalDelay);
     return;
   }
   if (outcome == UpdateOutcome::kRejected) return;
@@ -163,7 +163,7 @@
 void GatewaySession::ExtendLease(const std::string& from_endpoint, const SessionGrant& grant,
                                  runtime::MonotonicTime sent_at) {
   if (grant.inventory_age_ms() != kInventoryNeverRead) {
-    // The leader computed the age after the renewal was sent: the reading isn't older than this.
+    // The leader computed the age after the renewal was sent: the inventory isn't older than this.
     inventory_requested_at_ = sent_at - std::chrono::milliseconds(grant.inventory_age_ms());
   }
   const bool first_grant_of_leader = granted_term_ != grant.term();
@@ -177,7 +177,7 @@
   // Once a leader knows that its first grant arrived, it knows that previous incarnations of this
   // gateway have ended, and needn't wait for their leases to expire.
   const runtime::Duration until_due = options_.renew_interval - (runtime_->clock->Now() - sent_at);
-  ScheduleRenewal(first_grant_of_leader ? kPromptRenewalDelay
+  ScheduleRenewal(first_grant_of_leader ? kImmediateRenewalDelay
                                         : std::max(until_due, runtime::Duration::zero()));
 }
 
@@ -200,7 +200,7 @@
   if (hint == locator_.Target()) return;
   locator_.FollowHint(hint);
   if (lease_.ended()) return;
-  if (!LeaseValid() || lease_.AwaitsResponse()) ScheduleRenewal(kPromptRenewalDelay);
+  if (!LeaseValid() || lease_.AwaitsResponse()) ScheduleRenewal(kImmediateRenewalDelay);
 }
 
 void GatewaySession::Acknowledge(const std::string& endpoint, uint64_t push) {
--- a/src/posthatch/control/client/gateway_session.h
+++ b/src/posthatch/control/client/gateway_session.h
@@ -17,11 +17,12 @@
 
 struct GatewaySessionOptions {
   std::string zone;
-  // From the sending of a granted renewal to the next one.
+  // Time from the sending of a granted renewal to the sending of the next one.
   runtime::Duration renew_interval = std::chrono::seconds(1);
-  // While a renewal has no response, or there is no lease.
+  // Time between renewals while one has no response, or there is no lease.
   runtime::Duration retry_interval = std::chrono::milliseconds(250);
-  // The same before the first lease: without a configuration nothing can be served.
+  // Time between renewals before the first lease; shorter, since nothing can be served without a
+  // configuration.
   runtime::Duration first_retry_interval = std::chrono::milliseconds(80);
   // Fraction by which a granted lease is shortened: clocks may run at different rates.
   double clock_rate_margin = 0.02;
@@ -29,12 +30,12 @@
 };
 
 // A gateway's side of the control plane (docs/DESIGN.md, "The session lease"): renews the session
-// lease, applies the sections that the leader sends, and takes commands and queries to the leader.
-// One per gateway, on its event loop thread. Takes SERVICE_CONTROL of the runtime's transport.
+// lease, applies the sections that the leader sends, and sends commands and queries to the leader.
+// One per gateway, on its event loop thread. Receives SERVICE_CONTROL of the runtime's transport.
 class GatewaySession : public FleetView, public ControlClient, public QueryClient {
  public:
-  // `controllers` returns the internal endpoints of the controllers believed to exist. Sends the
-  // first renewal at once.
+  // `controllers` returns the internal endpoints of the known controllers. Sends the first renewal
+  // at once.
   GatewaySession(runtime::Runtime* runtime, GatewaySessionOptions options,
                  LeaderLocator::Endpoints controllers);
   ~GatewaySession() override;
@@ -57,7 +58,7 @@
              QueryDone done) override;
 
   // Whether this gateway holds the worker's lease, under a valid session; sets the fencing token
-  // that goes with every command to the worker. Callers check right before each command is sent.
+  // that goes with every command to the worker. To be called right before each command is sent.
   bool HoldsWorker(const std::string& worker_id, uint64_t* fencing_token) const;
 
   // Internal endpoint of the leader that granted the lease; empty without a valid lease.
@@ -95,11 +96,11 @@
   SessionLease lease_;
   runtime::Timer renew_timer_;
 
-  uint64_t term_ = 0;          // highest seen in a grant
-  uint64_t granted_term_ = 0;  // of the newest applied grant
-  uint64_t granted_renewal_ = 0;
+  uint64_t term_ = 0;             // highest term of a grant
+  uint64_t granted_term_ = 0;     // term of the newest applied grant
+  uint64_t granted_renewal_ = 0;  // renewal that the newest applied grant responds to
   std::string leader_endpoint_;
-  std::string renewal_target_;  // where the last renewal was sent
+  std::string renewal_target_;  // endpoint that the last renewal was sent to
   // When the inventory in state() was requested from the platform, at the earliest.
   std::optional<runtime::MonotonicTime> inventory_requested_at_;
 };
--- a/src/posthatch/control/client/gateway_session_metrics.cc
+++ b/src/posthatch/control/client/gateway_session_metrics.cc
@@ -10,9 +10,8 @@
                                 "Session renewals sent to controllers");
   grants_ = &util::AddCounter(registry, "posthatch_session_grants_total",
                               "Session leases received from the leading controller");
-  rejections_ =
-      &util::AddCounter(registry, "posthatch_session_rejections_total",
-                        "Configurations that this gateway refused to put in force (NACK)");
+  rejections_ = &util::AddCounter(registry, "posthatch_session_rejections_total",
+                                  "Configurations that this gateway rejected as invalid (NACK)");
   configuration_version_ = &util::AddGauge(registry, "posthatch_configuration_version",
                                            "Version of the configuration in force at this gateway");
 }
--- a/src/posthatch/control/client/gateway_session_metrics.h
+++ b/src/posthatch/control/client/gateway_session_metrics.h
@@ -8,8 +8,8 @@
 
 namespace posthatch::control {
 
-// Metrics of a gateway's session; each family's help text says what it counts. Without a registry
-// nothing is counted.
+// Metrics of a gateway's session; each family's help text says what it counts. Does nothing without
+// a registry.
 class GatewaySessionMetrics {
  public:
   explicit GatewaySessionMetrics(prometheus::Registry* registry);
--- a/src/posthatch/control/client/leader_client.cc
+++ b/src/posthatch/control/client/leader_client.cc
@@ -8,10 +8,10 @@
 namespace posthatch::control {
 namespace {
 
-// After a rejection that named another leader, and after one that didn't.
+// Backoff after a rejection with and without the endpoint of another leader.
 constexpr runtime::Duration kRedirectBackoff = std::chrono::milliseconds(5);
 constexpr runtime::Duration kRejectedBackoff = std::chrono::milliseconds(100);
-// Lower bound; up to twice as long.
+// Lower bound of the random backoff; the upper bound is twice as long.
 constexpr runtime::Duration kOverloadBackoff = std::chrono::milliseconds(200);
 constexpr runtime::Duration kNoControllerBackoff = std::chrono::milliseconds(100);
 
@@ -116,7 +116,7 @@
   switch (response.status()) {
     case ProposeResponse::DONE: {
       locator_->OnLeaderResponse(from_endpoint);
-      std::unique_ptr<Operation> operation = Remove(operation_id);
+      std::unique_ptr<Operation> operation = RemoveOperation(operation_id);
       if (operation->propose_done) operation->propose_done(response.result());
       return;
     }
@@ -125,7 +125,7 @@
       ScheduleSend(operation_id, kRejectedBackoff);
       return;
     case ProposeResponse::OVERLOADED: {
-      ForgetCall(operation_id, response.call());
+      RemoveCall(operation_id, response.call());
       const runtime::Duration backoff =
           runtime_->random->Between(kOverloadBackoff, 2 * kOverloadBackoff);
       ScheduleSend(operation_id, backoff);
@@ -145,14 +145,14 @@
     return;
   }
   locator_->OnLeaderResponse(from_endpoint);
-  std::unique_ptr<Operation> operation = Remove(operation_id);
+  std::unique_ptr<Operation> operation = RemoveOperation(operation_id);
   if (operation->query_done) operation->query_done(response);
 }
 
 void LeaderClient::OnRejected(uint64_t call, const std::string& from_endpoint,
                               const std::string& hint) {
   const uint64_t operation_id = FindOperationByCall(call);
-  ForgetCall(operation_id, call);
+  RemoveCall(operation_id, call);
   const bool redirected = !hint.empty() && hint != from_endpoint;
   if (redirected) {
     locator_->FollowHint(hint);
@@ -163,7 +163,7 @@
 }
 
 void LeaderClient::Finish(uint64_t operation_id, const absl::Status& status) {
-  std::unique_ptr<Operation> operation = Remove(operation_id);
+  std::unique_ptr<Operation> operation = RemoveOperation(operation_id);
   if (operation->propose_done) operation->propose_done(status);
   if (operation->query_done) operation->query_done(status);
 }
@@ -173,12 +173,12 @@
   return owner == operation_by_call_.end() ? 0 : owner->second;
 }
 
-void LeaderClient::ForgetCall(uint64_t operation_id, uint64_t call) {
+void LeaderClient::RemoveCall(uint64_t operation_id, uint64_t call) {
   operations_.at(operation_id)->outstanding_calls.erase(call);
   operation_by_call_.erase(call);
 }
 
-std::unique_ptr<LeaderClient::Operation> LeaderClient::Remove(uint64_t operation_id) {
+std::unique_ptr<LeaderClient::Operation> LeaderClient::RemoveOperation(uint64_t operation_id) {
   auto found = operations_.find(operation_id);
   std::unique_ptr<Operation> operation = std::move(found->second);
   operations_.erase(found);
--- a/src/posthatch/control/client/session_lease-test.cc
+++ b/src/posthatch/control/client/session_lease-test.cc
@@ -18,7 +18,7 @@
   EXPECT_TRUE(lease.granted());
 }
 
-TEST(SessionLeaseTest, NeverShrinks) {
+TEST(SessionLeaseTest, ExpiryNeverDecreases) {
   SessionLease lease;
   lease.Extend(kStart + seconds(4));
   lease.Extend(kStart + seconds(2));
@@ -37,7 +37,7 @@
   EXPECT_EQ(lease.SentAt(second), std::nullopt);
 }
 
-TEST(SessionLeaseTest, ForgetsRenewalsBeyondLimit) {
+TEST(SessionLeaseTest, DropsOldestPendingRenewals) {
   SessionLease lease;
   const uint64_t first = lease.StartRenewal(kStart);
   for (int i = 0; i < 32; ++i) lease.StartRenewal(kStart);
@@ -45,7 +45,7 @@
   EXPECT_EQ(lease.SentAt(lease.last_renewal()), kStart);
 }
 
-TEST(SessionLeaseTest, EndsForGood) {
+TEST(SessionLeaseTest, EndIsFinal) {
   SessionLease lease;
   lease.Extend(kStart + seconds(4));
   lease.End();
--- a/src/posthatch/control/state/revision_timeline.cc
+++ b/src/posthatch/control/state/revision_timeline.cc
@@ -13,12 +13,12 @@
 
 void RevisionTimeline::Observe(const FleetState& state, runtime::MonotonicTime now) {
   ObserveAges(state.revision_ages(), now);
-  for (const ModelRevision& newest : state.revisions()) {
-    Revisions& revisions = models_[newest.model()];
+  for (const ModelRevision& applied : state.revisions()) {
+    Revisions& revisions = models_[applied.model()];
     // A revision below the newest known one was set earlier, but its time may have been merged into
     // that of another one.
-    const bool is_newest = revisions.empty() || newest.revision() > revisions.rbegin()->first;
-    if (is_newest) Record(newest.revision(), now, &revisions);
+    const bool is_newest = revisions.empty() || applied.revision() > revisions.rbegin()->first;
+    if (is_newest) Record(applied.revision(), now, &revisions);
   }
 }
 
