--- a/src/posthatch/rollout/revision_enforcer-test.cc
+++ b/src/posthatch/rollout/revision_enforcer-test.cc
@@ -44,8 +44,8 @@
   std::string body;
 };
 
-// One gateway host with the enforcer, one worker host that records commands and responds
-// with `next_status`.
+// A gateway host with the enforcer, and a worker host that records commands and responds with
+// `next_status_`.
 class RevisionEnforcerTest : public ::testing::Test {
  protected:
   RevisionEnforcerTest() : world_(1) {
@@ -144,7 +144,7 @@
   fleet_.SetRevision(3);
   world_.RunFor(seconds(1));
   gateway_->Freeze();
-  holds_worker_lease_ = false;  // the session has expired meanwhile
+  holds_worker_lease_ = false;  // the session expires during the freeze
   const size_t before = orders_.size();
   world_.RunFor(seconds(25));
   gateway_->Thaw();
--- a/src/posthatch/rollout/revision_enforcer.cc
+++ b/src/posthatch/rollout/revision_enforcer.cc
@@ -59,7 +59,7 @@
       scan_timer_(runtime->timers) {
   commands_counter_ = &prometheus::BuildCounter()
                            .Name("posthatch_revision_orders_total")
-                           .Help("Orders to load weights that this gateway sent, by result")
+                           .Help("Commands to load weights that this gateway sent, by result")
                            .Register(*runtime->metrics);
 }
 
--- a/src/posthatch/rollout/revision_enforcer.h
+++ b/src/posthatch/rollout/revision_enforcer.h
@@ -13,23 +13,24 @@
 namespace posthatch::rollout {
 
 struct RevisionEnforcerOptions {
-  // Before the command is sent again to a worker that is still loading or did not respond.
+  // Delay before the command is repeated to a worker that is still loading or did not respond.
   runtime::Duration retry_interval = std::chrono::milliseconds(500);
-  // Before it is sent again to a worker that serves the newest revision: it may have restarted with
-  // older weights.
+  // Delay before the command is repeated to a worker that serves the newest revision, since the
+  // worker may have restarted with older weights.
   runtime::Duration check_interval = std::chrono::seconds(2);
-  // Between scans for due commands; also at each change of the fleet state.
+  // Interval between scans for due commands. Each change of the fleet state starts a scan as well.
   runtime::Duration scan_interval = std::chrono::milliseconds(250);
   runtime::Duration command_timeout = std::chrono::seconds(2);
-  // Commands in flight at one time, over all workers.
+  // Maximum commands in flight, over all workers.
   size_t max_in_flight = 64;
 };
 
-// Brings workers to the newest model revision, on gateways of posthatch's own API. (On the platform
-// RolloutCoordinator does so.) Commands (POST /admin/load_weights, docs/BACKENDS.md) go only to
-// workers whose lease this gateway holds, with the lease's fencing token; the lease is checked
-// right before each command. A command repeated to a worker that serves the revision already gets
-// status 200 and changes nothing. Owned by the gateway process; event loop thread only.
+// Brings workers to the newest model revision, on gateways that serve posthatch's own API. (On the
+// users' platform, RolloutCoordinator does this.) Commands (POST /admin/load_weights,
+// docs/BACKENDS.md) go only to workers whose lease this gateway holds, with the lease's fencing
+// token; the lease is checked right before each command. A command repeated to a worker that serves
+// the revision already gets status 200 and changes nothing. Owned by the gateway process; event
+// loop thread only.
 class RevisionEnforcer {
  public:
   // Whether this gateway holds the worker's lease now; sets the fencing token.
@@ -42,10 +43,10 @@
 
  private:
   struct WorkerProgress {
-    uint64_t commanded_revision = 0;  // of the newest command; a newer revision doesn't wait
+    uint64_t commanded_revision = 0;  // revision in the last command; a newer one is sent at once
     runtime::MonotonicTime next_command_at;
-    std::unique_ptr<http::Call> call;  // null: none in flight
-    uint64_t command_number = 0;       // of the newest command; other responses are ignored
+    std::unique_ptr<http::Call> call;  // null: no command in flight
+    uint64_t command_number = 0;       // number of the last command; older responses are ignored
   };
 
   void ScheduleScan();
--- a/src/posthatch/rollout/rollout_coordinator-test.cc
+++ b/src/posthatch/rollout/rollout_coordinator-test.cc
@@ -45,7 +45,7 @@
   }
 };
 
-// A controller that leads, and workers that take `load_time_` to load.
+// A leading controller, and workers that take `load_time_` to load weights.
 class RolloutCoordinatorTest : public testing::Test {
  protected:
   static constexpr int kWorkers = 10;
@@ -102,7 +102,7 @@
     tokens_.emplace_back(request.headers.Get("Token"));
     response.status = order_status_;
     if (order_status_ != 202) return response;
-    EXPECT_TRUE(MarkedLoading(id)) << "gateways must keep away before the worker is ordered";
+    EXPECT_TRUE(MarkedLoading(id)) << "a worker must be marked as loading before it gets a command";
     loading_[id] = std::stoull(request.target.substr(7));
     most_loading_ = std::max(most_loading_, loading_.size());
     if (never_loads_.contains(id)) return response;
@@ -119,7 +119,8 @@
         [&](const control::Backend& backend) { return backend.id() == id && backend.loading(); });
   }
 
-  // Replicates an inventory as the control state does; the platform's lags and has old revisions.
+  // Replicates an inventory as the control state does. Its revisions are outdated, like those of
+  // the platform's inventory, which lags behind.
   void Publish() {
     if (!publishing_) return;
     control::Inventory reading = fleet_.inventory();
@@ -256,7 +257,7 @@
   EXPECT_EQ(CommandedWorkers(), static_cast<size_t>(kWorkers));
 }
 
-// Incident 34: a worker in progress that never finished kept its place for good.
+// Incident 34: a worker whose load never finished occupied its slot forever.
 TEST_F(RolloutCoordinatorTest, StuckCanaryDoesNotHoldUpOthers) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
@@ -267,8 +268,8 @@
   EXPECT_EQ(revisions_["w9"], 2U);
 }
 
-// It is overdue for good; the next revision goes out with a canary and a few at a time all the
-// same.
+// A worker that never finishes loading stays overdue. The next revision must still go to a canary
+// first, and then to a few workers at a time.
 TEST_F(RolloutCoordinatorTest, WorkerLeftBehindDoesNotHurryNextRevision) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
@@ -280,13 +281,13 @@
   orders_.clear();
   Name(3);
   world_.RunFor(milliseconds(800));
-  EXPECT_LE(CommandedWorkers(), 2U) << "the canary, and the one that was left behind";
+  EXPECT_LE(CommandedWorkers(), 2U) << "the canary and the overdue worker";
   world_.RunFor(seconds(9));
   EXPECT_EQ(CommandedWorkers(), static_cast<size_t>(kWorkers));
   EXPECT_LE(most_loading_, 5U);
 }
 
-// A new leader continues the time of its predecessor.
+// A new leader must keep the deadline that began under its predecessor.
 TEST_F(RolloutCoordinatorTest, NewLeaderMeetsDeadlineOfRevisionNamedBefore) {
   load_time_ = seconds(3);
   Name(2);
--- a/src/posthatch/rollout/rollout_coordinator.cc
+++ b/src/posthatch/rollout/rollout_coordinator.cc
@@ -10,7 +10,7 @@
 constexpr int kStatusOk = 200;
 constexpr double kMillisecondsPerSecond = 1000;
 constexpr size_t kMaxStatusBytes = size_t{1} << 20;
-// Between ticks while no worker is in progress.
+// Interval between ticks while no worker is in progress.
 constexpr runtime::Duration kIdleTickInterval = std::chrono::milliseconds(200);
 
 }  // namespace
@@ -43,8 +43,8 @@
   for (const control::Backend& backend : dependencies_.fleet().inventory().backends()) {
     published[backend.id()] = &backend;
   }
-  // Commands of the previous leader may still run: its marks stay until this one may send commands
-  // to those workers.
+  // Commands of the previous leader may still be in progress, so its marks are kept until this
+  // leader may send commands to those workers.
   const bool in_handover = InLeaderHandover();
   for (control::Backend& backend : *inventory->mutable_backends()) {
     const auto known = published.find(backend.id());
@@ -125,7 +125,7 @@
 void RolloutCoordinator::SurveyProgress(const std::string& worker_id, ModelSurvey* model) const {
   ++model->in_progress;
   const auto found = active_.find(worker_id);
-  if (found == active_.end()) {  // the previous leader commanded it
+  if (found == active_.end()) {  // commanded by the previous leader
     ++model->places_occupied;
     return;
   }
@@ -241,8 +241,8 @@
   const runtime::MonotonicTime now = runtime_->clock->Now();
   switch (progress->stage) {
     case Stage::kAnnounced:
-      // Only once the marks are replicated: a new leader must see that this one may have commanded
-      // the worker.
+      // The command waits until the marks are replicated, so that a new leader sees that this one
+      // may have commanded the worker.
       if (!published->loading() || !published->recently_ordered()) {
         progress->stage_started_at = now;
       } else if (now - progress->stage_started_at >= options_.announce_period) {
@@ -250,7 +250,7 @@
       }
       return;
     case Stage::kCommandSent:
-      return;  // the call's own time-out ends it
+      return;  // ended by the time-out of the call
     case Stage::kLoading:
       if (now - progress->stage_started_at >= options_.load_timeout) {
         SendCommand(worker_id, progress);
@@ -271,7 +271,7 @@
                     done = std::move(done)](const http::Response* complete) {
     const auto found = active_.find(worker_id);
     if (found == active_.end() || found->second.call_number != number) return;
-    // The call outlives its own callback.
+    // The call must not be destroyed within its own callback.
     runtime_->timers->Schedule(
         runtime::Duration::zero(),
         [call = std::shared_ptr<http::Call>(std::move(found->second.call))] {});
@@ -327,7 +327,7 @@
   progress.stage = Stage::kLoading;
   progress.stage_started_at = now;
   progress.next_poll_at = now + options_.poll_interval;
-  // Rejected: polls its status once or twice, and then sends the command again.
+  // After a rejection, the status is polled once or twice before the command is sent again.
   const bool may_have_started =
       result == WorkerCommandResult::kAccepted || result == WorkerCommandResult::kUnknown;
   if (!may_have_started)
--- a/src/posthatch/rollout/rollout_coordinator.h
+++ b/src/posthatch/rollout/rollout_coordinator.h
@@ -18,22 +18,22 @@
 namespace posthatch::rollout {
 
 struct RolloutOptions {
-  std::string issuer;  // this controller's node id, sent with commands
+  std::string issuer;  // node id of this controller, sent with commands
   // How long a new leader sends no command to workers that the previous leader may have commanded:
-  // those commands have ended by then. Other workers need no wait.
+  // those commands have ended by then. Other workers are commanded without this delay.
   runtime::Duration handover_period = std::chrono::seconds(3);
-  // From the mark that keeps new requests away from a worker until it gets its command: the mark
-  // has reached the gateways by then.
+  // Time from publishing the mark that stops new requests to a worker until its command is sent.
+  // The mark has reached the gateways by then.
   runtime::Duration announce_period = std::chrono::milliseconds(150);
   runtime::Duration tick_interval = std::chrono::milliseconds(50);
   runtime::Duration poll_interval = std::chrono::milliseconds(200);
   runtime::Duration call_timeout = std::chrono::milliseconds(600);
-  // A worker that has not loaded by then gets its command again.
+  // Time after which the command is repeated to a worker that has not finished loading.
   runtime::Duration load_timeout = std::chrono::seconds(6);
-  // A worker that was first commanded so long ago gives its place to another; it is polled and
-  // commanded on.
+  // Time since its first command after which a worker counts as stuck. It no longer occupies a
+  // slot, but is still polled and commanded.
   runtime::Duration stuck_after = std::chrono::seconds(6);
-  // From when a revision is named until no worker may begin a request under an older one.
+  // Time from naming a revision until no worker may begin a request under an older one.
   runtime::Duration revision_deadline = std::chrono::seconds(12);
   RolloutPaceOptions pace;
 };
@@ -41,34 +41,34 @@
 // Rolls model revisions out to workers, a few at a time: a canary first, and the others once it
 // serves the new revision, or once waiting would miss the deadline (rollout_pace.h). Active on the
 // leading controller only, whose term is the fencing token of its commands. Keeps no state that
-// must survive: a worker gets its command only once its marks (loading, recently_ordered) are in
-// the replicated inventory, so a new leader sees there how far the rollout got and which workers
-// the previous leader may have commanded.
+// must survive a change of leader: a command is sent only once the worker's marks (loading,
+// recently_ordered) are in the replicated inventory, from which a new leader learns the progress of
+// the rollout and which workers the previous leader may have commanded.
 //
-// A worker's way: announced (marked, and drained of new requests) -> command sent -> loading
-// (polled for its status) -> finished. A command that is lost or rejected is sent again.
+// Stages of a worker: announced (marked; gets no new requests) -> command sent -> loading (polled
+// for its status) -> finished. A command that is lost or rejected is sent again.
 //
 // Owned by the controller process; event loop thread only.
 class RolloutCoordinator {
  public:
   struct Dependencies {
     const WorkerCommandFormat* format = nullptr;
-    // The control state's fleet, as of the last applied command.
+    // The fleet state as of the last applied command.
     std::function<const control::FleetState&()> fleet;
-    // When the revisions were named; outlives the coordinator.
+    // The times at which revisions were named; outlives the coordinator.
     const control::RevisionTimeline* revisions = nullptr;
-    // Whether this controller may send commands now: it leads, and a majority confirms it.
+    // Whether this controller may send commands now: it is the leader, confirmed by a majority.
     std::function<bool()> may_command;
-    // Publishes the inventory again: the marks have changed.
+    // Publishes the inventory again, after a change of the marks.
     std::function<void()> publish;
   };
 
   RolloutCoordinator(runtime::Runtime* runtime, RolloutOptions options, Dependencies dependencies);
 
-  // This controller has become the leader of `term`, or is leader no more. Resets everything.
+  // Called when the controller becomes leader of `term` or stops leading. Resets all state.
   void OnLeadership(bool is_leader, uint64_t term);
-  // Adds to an inventory, as read from the platform, what this coordinator knows: revisions, and
-  // the marks of workers that load or are about to.
+  // Adds the known revisions, and the marks of workers in progress, to an inventory read from the
+  // platform.
   void Annotate(control::Inventory* inventory) const;
 
   size_t workers_in_progress() const { return active_.size(); }
@@ -77,27 +77,27 @@
   enum class Stage {
     kAnnounced,    // marked; no command yet
     kCommandSent,  // waiting for the worker's response
-    kLoading,      // polled until it serves the target, or `load_timeout` is over
+    kLoading,      // polled until it serves the target or `load_timeout` expires
   };
-  // A worker in progress.
+  // State of a worker in progress.
   struct Progress {
     std::string model;
     std::string endpoint;
     uint64_t target = 0;
     Stage stage = Stage::kAnnounced;
     runtime::MonotonicTime stage_started_at;
-    runtime::MonotonicTime next_poll_at;  // while loading
+    runtime::MonotonicTime next_poll_at;  // next status poll, while loading
     std::optional<runtime::MonotonicTime> first_commanded_at;
-    bool overdue = false;      // when it was started
-    uint64_t call_number = 0;  // of the running call; responses to others are ignored
+    bool overdue = false;      // whether the worker was overdue when it was started
+    uint64_t call_number = 0;  // number of the call in flight; other responses are ignored
     std::unique_ptr<http::Call> call;
   };
-  // A roll-out as this leader has seen it.
+  // Progress of a model's rollout as observed by this leader.
   struct Rollout {
     uint64_t target = 0;
     runtime::MonotonicTime seen_at;
     bool finished = false;
-    size_t loads = 0;  // that have ended
+    size_t loads = 0;  // number of finished loads
     runtime::Duration loads_took{0};
   };
 
@@ -108,32 +108,32 @@
     const control::Backend* backend = nullptr;
     runtime::Duration time_left{0};
   };
-  // What stands in the replicated inventory of one model.
+  // Summary of a model's workers in the replicated inventory.
   struct ModelSurvey {
     uint64_t target_revision = 0;
     size_t workers = 0;
     size_t in_progress = 0;
-    size_t places_occupied = 0;  // of those in progress; not by stuck or overdue ones
-    size_t outdated = 0;         // and not in progress
-    std::vector<runtime::Duration> times_left;  // of outdated workers that are not overdue
-    runtime::Duration least_time_left{0};       // of all that have not finished
-    runtime::Duration longest_load{0};          // under way, of those that occupy a place
+    size_t places_occupied = 0;                 // in_progress without stuck and overdue workers
+    size_t outdated = 0;                        // excludes workers in progress
+    std::vector<runtime::Duration> times_left;  // excludes overdue workers
+    runtime::Duration least_time_left{0};       // includes workers in progress
+    runtime::Duration longest_load{0};          // elapsed time of a load that occupies a slot
   };
   struct Survey {
     std::map<std::string, ModelSurvey> models;
-    std::vector<OutdatedWorker> outdated;  // that may be started, in the inventory's order
+    std::vector<OutdatedWorker> outdated;  // workers that may be started, in inventory order
   };
 
-  // Also records which revisions are proven.
+  // Summarizes the inventory; also updates proven_revisions_.
   Survey SurveyFleet();
-  // Tells operators when a roll-out begins and ends, and how far it is.
+  // Updates metrics, and writes an event when a rollout starts or finishes.
   void ReportProgress(const Survey& survey);
   void SurveyProgress(const std::string& worker_id, ModelSurvey* model) const;
-  // Until no request may begin under `revision`; the whole time while it is the newest.
+  // Time until no request may begin under `revision`; revision_deadline if it is the newest.
   runtime::Duration TimeLeft(const std::string& model, uint64_t revision) const;
-  // Since its first command; zero before it.
+  // Zero if the worker has not been commanded yet.
   runtime::Duration LoadingFor(const Progress& progress) const;
-  // How many of a model's workers may occupy places at one time.
+  // Maximum number of a model's workers that may occupy slots at one time.
   size_t MaxConcurrentWorkers(const std::string& model, const ModelSurvey& survey) const;
   void StartWorker(const control::Backend& worker, uint64_t target, bool overdue);
   bool InLeaderHandover() const { return runtime_->clock->Now() < handover_until_; }
@@ -143,8 +143,8 @@
   void Advance(const std::string& worker_id, Progress* progress);
   void SendCommand(const std::string& worker_id, Progress* progress);
   void RequestStatus(const std::string& worker_id, Progress* progress);
-  // `done` gets null if the call failed; it isn't called if the worker is no more in progress or a
-  // newer call was started.
+  // `done` gets null if the call failed. It is not called if the worker is no longer in progress or
+  // a newer call was started.
   void StartCall(const std::string& worker_id, Progress* progress, http::Request request,
                  std::function<void(const http::Response*)> done);
   void OnCommandResult(const std::string& worker_id, WorkerCommandResult result);
@@ -160,10 +160,10 @@
   runtime::MonotonicTime handover_until_;
   uint64_t last_call_ = 0;
   std::map<std::string, Progress> active_;
-  std::map<std::string, runtime::MonotonicTime> commanded_at_;  // by worker, its last command
-  std::map<std::string, uint64_t> revisions_;                   // by worker, as its status said
-  std::map<std::string, uint64_t> proven_revisions_;            // by model: some worker serves it
-  std::map<std::string, Rollout> rollouts_;                     // by model
+  std::map<std::string, runtime::MonotonicTime> commanded_at_;  // keyed by worker id: last command
+  std::map<std::string, uint64_t> revisions_;         // keyed by worker id: last reported revision
+  std::map<std::string, uint64_t> proven_revisions_;  // keyed by model: newest revision served
+  std::map<std::string, Rollout> rollouts_;           // keyed by model
   RolloutMetrics metrics_;
   runtime::Timer tick_timer_;
 };
--- a/src/posthatch/rollout/rollout_metrics.h
+++ b/src/posthatch/rollout/rollout_metrics.h
@@ -8,22 +8,21 @@
 
 namespace posthatch::rollout {
 
-// How far the roll-outs of all models are; all 0 unless this controller leads. Owned by
-// RolloutCoordinator; event loop thread only.
+// Progress of the rollouts, summed over all models; the worker gauges are 0 unless this controller
+// leads. Owned by RolloutCoordinator; event loop thread only.
 class RolloutMetrics {
  public:
   // With a null registry the metrics are kept but not exposed.
   explicit RolloutMetrics(prometheus::Registry* registry)
       : unexposed_(registry == nullptr ? std::make_unique<prometheus::Registry>() : nullptr),
         outdated_(&util::AddGauge(Exposed(registry), "posthatch_rollout_outdated_workers",
-                                  "Workers with an older model revision than the newest named, "
-                                  "without those in progress")),
-        in_progress_(
-            &util::AddGauge(Exposed(registry), "posthatch_rollout_workers_in_progress",
-                            "Workers that are about to load a model revision, or load it")),
+                                  "Workers that serve an older model revision than the newest, "
+                                  "excluding workers in progress")),
+        in_progress_(&util::AddGauge(Exposed(registry), "posthatch_rollout_workers_in_progress",
+                                     "Workers that are loading a model revision or are about to")),
         time_left_(&util::AddGauge(Exposed(registry), "posthatch_rollout_seconds_left",
-                                   "To the deadline of the oldest revision that a worker serves; "
-                                   "the whole time while none is outdated")),
+                                   "Seconds to the deadline of the oldest revision that a worker "
+                                   "serves; the full period while no worker is outdated")),
         finished_(
             &util::AddCounter(Exposed(registry), "posthatch_rollout_loads_finished_total",
                               "Workers that serve the revision they were commanded to load")) {}
--- a/src/posthatch/rollout/rollout_pace-test.cc
+++ b/src/posthatch/rollout/rollout_pace-test.cc
@@ -30,7 +30,7 @@
 
 // Incident 34: with workers that load slowly the last ones were commanded past the deadline.
 TEST(RolloutPaceTest, RisesWithSlowLoads) {
-  // Two turns: at once, and when the first ones have ended.
+  // Time for two batches: one immediately, one when the first loads have ended.
   EXPECT_EQ(MaxWorkersInProgress({}, Standing(16, milliseconds(6500), seconds(4))), 8U);
 }
 
@@ -40,14 +40,15 @@
   EXPECT_TRUE(IsOverdue({}, seconds(-5)));
 }
 
-// A worker two revisions behind is due sooner than the others, which go on at their pace.
+// Workers two revisions behind have an earlier deadline, which must not raise the concurrency of
+// the others.
 TEST(RolloutPaceTest, FewUrgentWorkersDontHurryTheOthers) {
   RolloutStanding standing = Standing(14, seconds(11), seconds(2));
   standing.times_left.insert(standing.times_left.end(), 3, milliseconds(3000));
   EXPECT_EQ(MaxWorkersInProgress({}, standing), 6U);
 }
 
-// Incident 34: a canary that never finished kept all others waiting.
+// Incident 34: a canary that never finished blocked all other workers.
 TEST(RolloutPaceTest, DoesNotWaitForCanaryPastTheOrdinaryPace) {
   RolloutStanding standing = Standing(17, seconds(7), seconds(5));
   standing.places_occupied = 1;
@@ -55,7 +56,7 @@
   EXPECT_GT(MaxWorkersInProgress({}, standing), 6U);
 }
 
-// Whatever the loads take, following the pace starts every worker in time.
+// With any load duration, the limits must let every worker start in time.
 TEST(RolloutPaceTest, FollowedFromAnyMomentItStartsAllInTime) {
   for (size_t workers = 1; workers <= 300; workers += 13) {
     for (int load_ms = 100; load_ms <= 20000; load_ms += 700) {
--- a/src/posthatch/rollout/rollout_pace.cc
+++ b/src/posthatch/rollout/rollout_pace.cc
@@ -7,7 +7,7 @@
 namespace posthatch::rollout {
 namespace {
 
-// Below it a measured duration says nothing: commands and polls take as long.
+// Shorter measured durations are rounded up to this: commands and polls alone take as long.
 constexpr runtime::Duration kMinLoadDuration = std::chrono::milliseconds(500);
 
 size_t OrdinaryPace(const RolloutPaceOptions& options, size_t workers) {
@@ -16,14 +16,14 @@
   return 2 * std::max<size_t>(loading, 1);
 }
 
-// So many places that workers which become overdue after `time_to_start` start before, if each
-// place is free again after one load.
+// Number of slots with which `workers` workers can all be started within `time_to_start`, if each
+// slot becomes free after one load.
 size_t PlacesNeeded(size_t workers, runtime::Duration time_to_start, double load_ms) {
   const double turns = 1 + runtime::ToMilliseconds(time_to_start) / load_ms;
   return static_cast<size_t>(std::ceil(static_cast<double>(workers) / turns));
 }
 
-// The most that the workers of any deadline need, together with those of earlier ones.
+// Maximum over all deadlines of the slots needed by the workers due by then.
 size_t PaceForDeadlines(const RolloutPaceOptions& options, RolloutStanding standing) {
   std::sort(standing.times_left.begin(), standing.times_left.end());
   const double load_ms =
--- a/src/posthatch/rollout/rollout_pace.h
+++ b/src/posthatch/rollout/rollout_pace.h
@@ -8,31 +8,31 @@
 namespace posthatch::rollout {
 
 struct RolloutPaceOptions {
-  // Workers that load at one time, as a fraction of all workers of the model; twice as many may be
-  // in progress, since a worker finishes its running requests first.
+  // Maximum fraction of a model's workers that load at one time. Twice as many may be in progress,
+  // since a worker finishes its running requests before it loads.
   double max_loading_fraction = 0.2;
-  // The last worker is to be started so long before the deadline: it may take the command at the
-  // second attempt, and prompts that it reads already have to get their first token.
+  // Time before the deadline by which the last worker must be started. It leaves time for a second
+  // attempt at the command, and for the first token of prompts already in prefill.
   runtime::Duration reserve = std::chrono::milliseconds(2500);
 };
 
-// How a model's roll-out stands. Overdue workers (IsOverdue) are left out: they start at once.
+// State of a model's rollout. Excludes overdue workers (IsOverdue), which start immediately.
 struct RolloutStanding {
-  size_t workers = 0;          // all of the model
-  size_t places_occupied = 0;  // by workers in progress
-  // Time to the deadline of each worker that has not been started.
+  size_t workers = 0;          // including finished ones
+  size_t places_occupied = 0;  // slots of workers in progress
+  // Time to the deadline, for each worker that has not been started.
   std::vector<runtime::Duration> times_left;
   bool is_proven = false;              // some worker serves the target revision
-  runtime::Duration load_duration{0};  // from the first command to the end, as seen so far
+  runtime::Duration load_duration{0};  // measured from first command to end of loading
 };
 
-// Whether a worker must be started whatever else is in progress. It can't serve much longer, so
-// that waiting would save nothing.
+// Whether a worker must be started regardless of how many are in progress. It can't serve much
+// longer, so delaying it would save no capacity.
 bool IsOverdue(const RolloutPaceOptions& options, runtime::Duration time_left);
 
-// How many workers may be in progress at one time, beside overdue ones: one while the revision is
-// unproven, then a fraction of all, and more once that pace would not start each worker before it
-// is overdue. Stateless; any thread.
+// Maximum number of workers in progress at one time, not counting overdue ones: one while the
+// revision is unproven, then a fraction of all, and more if that would not start each worker before
+// it is overdue. Stateless; any thread.
 size_t MaxWorkersInProgress(const RolloutPaceOptions& options, RolloutStanding standing);
 
 }  // namespace posthatch::rollout
--- a/src/posthatch/rollout/worker_command_format.h
+++ b/src/posthatch/rollout/worker_command_format.h
@@ -21,16 +21,16 @@
 enum class WorkerCommandResult {
   kAccepted,          // accepted: the worker loads the weights now
   kAlreadyServed,     // the worker serves the revision already
-  kBusy,              // another command is in progress
-  kFenced,            // a command with a newer fencing token has come
-  kWrongIncarnation,  // another incarnation has the address
-  kRejected,          // the worker can't do it
-  kUnknown,           // no such response: it may have been accepted
+  kBusy,              // the worker is executing another command
+  kFenced,            // a command with a newer fencing token was received
+  kWrongIncarnation,  // the address belongs to another incarnation
+  kRejected,          // the worker can't execute the command
+  kUnknown,           // any other response: it may have been accepted
 };
 
-// A worker's status, as it reports it.
+// Status reported by a worker.
 struct WorkerStatus {
-  uint64_t revision = 0;  // of the requested model; 0: it doesn't serve that model
+  uint64_t revision = 0;  // revision of the requested model; 0: model not served
   bool busy = false;      // a command is in progress
   uint32_t running = 0;
   uint32_t waiting = 0;
@@ -42,7 +42,7 @@
  public:
   virtual ~WorkerCommandFormat() = default;
   virtual http::Request MakeLoadWeightsRequest(const LoadWeightsCommand& command) const = 0;
-  // By the response's status alone.
+  // Depends only on the HTTP status of the response.
   virtual WorkerCommandResult ParseCommandResult(const http::Response& head) const = 0;
   virtual http::Request MakeStatusRequest(const std::string& worker_id) const = 0;
   // InvalidArgument if `body` is not a status.
