--- a/src/posthatch/rollout/revision_enforcer-test.cc
+++ b/src/posthatch/rollout/revision_enforcer-test.cc
@@ -38,7 +38,7 @@
   std::vector<Listener> listeners_;
 };
 
-struct Order {
+struct ReceivedCommand {
   runtime::MonotonicTime time;
   std::string fencing_token;
   std::string body;
@@ -66,9 +66,9 @@
     auto server = runtime->http_servers->Listen(
         worker_->http_endpoint(), {},
         [this](const http::Request& request, const std::shared_ptr<http::ResponseWriter>& writer) {
-          orders_.push_back({world_.Now(),
-                             std::string(request.headers.Get("X-Posthatch-Fencing-Token")),
-                             request.body});
+          commands_.push_back({world_.Now(),
+                               std::string(request.headers.Get("X-Posthatch-Fencing-Token")),
+                               request.body});
           http::Response response;
           response.status = next_status_;
           writer->SendResponse(response);
@@ -90,7 +90,7 @@
   simulation::SimHost* gateway_;
   simulation::SimHost* worker_;
   FakeFleet fleet_;
-  std::vector<Order> orders_;
+  std::vector<ReceivedCommand> commands_;
   int next_status_ = 200;
   bool holds_worker_lease_ = true;
   uint64_t token_ = 41;
@@ -99,45 +99,45 @@
 TEST_F(RevisionEnforcerTest, CommandsNewRevisionWithFencingToken) {
   fleet_.SetRevision(3);
   world_.RunFor(milliseconds(300));
-  ASSERT_EQ(orders_.size(), 1u);
-  EXPECT_EQ(orders_[0].fencing_token, "41");
-  EXPECT_NE(orders_[0].body.find("\"revision\":3"), std::string::npos) << orders_[0].body;
+  ASSERT_EQ(commands_.size(), 1u);
+  EXPECT_EQ(commands_[0].fencing_token, "41");
+  EXPECT_NE(commands_[0].body.find("\"revision\":3"), std::string::npos) << commands_[0].body;
   fleet_.SetRevision(4);
   world_.RunFor(milliseconds(50));
-  ASSERT_EQ(orders_.size(), 2u) << "a newer revision must not wait for the next check";
+  ASSERT_EQ(commands_.size(), 2u) << "a newer revision must not wait for the next check";
 }
 
 TEST_F(RevisionEnforcerTest, CommandsNothingWithoutLease) {
   holds_worker_lease_ = false;
   fleet_.SetRevision(3);
   world_.RunFor(seconds(10));
-  EXPECT_TRUE(orders_.empty());
+  EXPECT_TRUE(commands_.empty());
   holds_worker_lease_ = true;
   world_.RunFor(seconds(1));
-  EXPECT_FALSE(orders_.empty());
+  EXPECT_FALSE(commands_.empty());
 }
 
 TEST_F(RevisionEnforcerTest, RetriesUntilServed) {
   next_status_ = 202;
   fleet_.SetRevision(3);
   world_.RunFor(seconds(3));
-  EXPECT_GE(orders_.size(), 4u);
+  EXPECT_GE(commands_.size(), 4u);
   next_status_ = 200;
   world_.RunFor(seconds(1));
-  const size_t before = orders_.size();
+  const size_t before = commands_.size();
   world_.RunFor(seconds(10));
-  EXPECT_GE(orders_.size() - before, 4u) << "a served revision is checked every two seconds";
-  EXPECT_LE(orders_.size() - before, 6u);
+  EXPECT_GE(commands_.size() - before, 4u) << "a served revision is checked every two seconds";
+  EXPECT_LE(commands_.size() - before, 6u);
 }
 
 TEST_F(RevisionEnforcerTest, CommandsReturnedWorker) {
   worker_->Crash();
   fleet_.SetRevision(3);
   world_.RunFor(seconds(5));
-  EXPECT_TRUE(orders_.empty());
+  EXPECT_TRUE(commands_.empty());
   worker_->Start();
   world_.RunFor(seconds(3));
-  EXPECT_FALSE(orders_.empty());
+  EXPECT_FALSE(commands_.empty());
 }
 
 TEST_F(RevisionEnforcerTest, ChecksLeaseAfterFreeze) {
@@ -145,11 +145,11 @@
   world_.RunFor(seconds(1));
   gateway_->Freeze();
   holds_worker_lease_ = false;  // the session expires during the freeze
-  const size_t before = orders_.size();
+  const size_t before = commands_.size();
   world_.RunFor(seconds(25));
   gateway_->Thaw();
   world_.RunFor(seconds(5));
-  EXPECT_EQ(orders_.size(), before);
+  EXPECT_EQ(commands_.size(), before);
 }
 
 }  // namespace
--- a/src/posthatch/rollout/rollout_coordinator-test.cc
+++ b/src/posthatch/rollout/rollout_coordinator-test.cc
@@ -38,10 +38,10 @@
   }
   absl::StatusOr<WorkerStatus> ParseStatus(const std::string& body,
                                            const std::string&) const override {
-    WorkerStatus report;
-    report.revision = std::stoull(body);
-    report.busy = report.revision == 0;
-    return report;
+    WorkerStatus status;
+    status.revision = std::stoull(body);
+    status.busy = status.revision == 0;
+    return status;
   }
 };
 
@@ -60,7 +60,7 @@
       dependencies.format = &format_;
       dependencies.fleet = [this]() -> const control::FleetState& { return fleet_; };
       dependencies.revisions = &revision_timeline_;
-      dependencies.may_command = [this] { return may_order_; };
+      dependencies.may_command = [this] { return may_command_; };
       dependencies.publish = [this] { Publish(); };
       coordinator_ = std::make_shared<RolloutCoordinator>(runtime, options, dependencies);
       return coordinator_;
@@ -79,7 +79,7 @@
           host->http_endpoint(), {},
           [this, id](const http::Request& request,
                      const std::shared_ptr<http::ResponseWriter>& writer) {
-            writer->SendResponse(AnswerFor(id, request));
+            writer->SendResponse(RespondTo(id, request));
           });
       return std::shared_ptr<http::HttpServer>(std::move(*server));
     });
@@ -92,20 +92,20 @@
     backend->set_model_revision(1);
   }
 
-  http::Response AnswerFor(const std::string& id, const http::Request& request) {
+  http::Response RespondTo(const std::string& id, const http::Request& request) {
     http::Response response;
     if (request.target == "/report") {
       response.body = std::to_string(loading_.contains(id) ? 0 : revisions_[id]);
       return response;
     }
-    orders_.push_back(id);
+    commanded_workers_.push_back(id);
     tokens_.emplace_back(request.headers.Get("Token"));
-    response.status = order_status_;
-    if (order_status_ != 202) return response;
+    response.status = command_status_;
+    if (command_status_ != 202) return response;
     EXPECT_TRUE(MarkedLoading(id)) << "a worker must be marked as loading before it gets a command";
     loading_[id] = std::stoull(request.target.substr(7));
-    most_loading_ = std::max(most_loading_, loading_.size());
-    if (never_loads_.contains(id)) return response;
+    max_concurrent_loads_ = std::max(max_concurrent_loads_, loading_.size());
+    if (stuck_workers_.contains(id)) return response;
     world_.At(load_time_, [this, id] {
       revisions_[id] = loading_[id];
       loading_.erase(id);
@@ -123,17 +123,19 @@
   // the platform's inventory, which lags behind.
   void Publish() {
     if (!publishing_) return;
-    control::Inventory reading = fleet_.inventory();
-    for (control::Backend& backend : *reading.mutable_backends()) backend.set_model_revision(1);
-    coordinator_->Annotate(&reading);
-    *fleet_.mutable_inventory() = reading;
+    control::Inventory inventory = fleet_.inventory();
+    for (control::Backend& backend : *inventory.mutable_backends()) backend.set_model_revision(1);
+    coordinator_->Annotate(&inventory);
+    *fleet_.mutable_inventory() = inventory;
   }
 
-  void Name(uint64_t revision) {
+  void SetNewestRevision(uint64_t revision) {
     fleet_.mutable_revisions(0)->set_revision(revision);
     revision_timeline_.Observe(fleet_, world_.Now());
   }
-  size_t CommandedWorkers() const { return std::set(orders_.begin(), orders_.end()).size(); }
+  size_t CommandedWorkers() const {
+    return std::set(commanded_workers_.begin(), commanded_workers_.end()).size();
+  }
   bool AllServe(uint64_t revision) const {
     return std::all_of(revisions_.begin(), revisions_.end(),
                        [&](const auto& entry) { return entry.second == revision; });
@@ -147,30 +149,30 @@
   std::shared_ptr<RolloutCoordinator> coordinator_;
   std::map<std::string, uint64_t> revisions_;
   std::map<std::string, uint64_t> loading_;
-  std::vector<std::string> orders_;
+  std::vector<std::string> commanded_workers_;
   std::vector<std::string> tokens_;
-  size_t most_loading_ = 0;
+  size_t max_concurrent_loads_ = 0;
   runtime::Duration load_time_ = milliseconds(700);
-  std::set<std::string> never_loads_;
-  int order_status_ = 202;
-  bool may_order_ = true;
+  std::set<std::string> stuck_workers_;
+  int command_status_ = 202;
+  bool may_command_ = true;
   bool publishing_ = true;
 };
 
 TEST_F(RolloutCoordinatorTest, RollsOutInBatchesWithOneCommandEach) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  Name(2);
+  SetNewestRevision(2);
   world_.RunFor(seconds(9));
   EXPECT_TRUE(AllServe(2));
-  EXPECT_EQ(orders_.size(), static_cast<size_t>(kWorkers));
-  EXPECT_LE(most_loading_, 4U);
+  EXPECT_EQ(commanded_workers_.size(), static_cast<size_t>(kWorkers));
+  EXPECT_LE(max_concurrent_loads_, 4U);
   for (const std::string& token : tokens_) EXPECT_EQ(token, "7");
 }
 
-TEST_F(RolloutCoordinatorTest, ReportsBeginningProgressAndEnd) {
+TEST_F(RolloutCoordinatorTest, WritesEventsForStartProgressAndFinish) {
   coordinator_->OnLeadership(true, 7);
-  Name(2);
+  SetNewestRevision(2);
   world_.RunFor(seconds(9));
   std::map<std::string, int> events;
   for (const std::string& line : world_.RecentTrace()) {
@@ -186,63 +188,63 @@
 TEST_F(RolloutCoordinatorTest, CanaryGoesFirst) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  Name(2);
+  SetNewestRevision(2);
   world_.RunFor(milliseconds(900));
-  EXPECT_EQ(orders_.size(), 1U);
+  EXPECT_EQ(commanded_workers_.size(), 1U);
 }
 
 TEST_F(RolloutCoordinatorTest, NewLeaderSkipsRecentlyCommandedWorkers) {
   for (control::Backend& backend : *fleet_.mutable_inventory()->mutable_backends()) {
     backend.set_recently_ordered(true);
   }
-  Name(2);
+  SetNewestRevision(2);
   coordinator_->OnLeadership(true, 7);
   Publish();
   world_.RunFor(milliseconds(2900));
-  EXPECT_TRUE(orders_.empty());
+  EXPECT_TRUE(commanded_workers_.empty());
   world_.RunFor(seconds(1));
-  EXPECT_FALSE(orders_.empty());
+  EXPECT_FALSE(commanded_workers_.empty());
 }
 
 TEST_F(RolloutCoordinatorTest, NewLeaderContinuesWithOtherWorkers) {
-  control::Backend* ordered = fleet_.mutable_inventory()->mutable_backends(0);
-  ordered->set_recently_ordered(true);
-  ordered->set_model_revision(2);
+  control::Backend* commanded = fleet_.mutable_inventory()->mutable_backends(0);
+  commanded->set_recently_ordered(true);
+  commanded->set_model_revision(2);
   revisions_["w0"] = 2;
-  Name(2);
+  SetNewestRevision(2);
   coordinator_->OnLeadership(true, 8);
   world_.RunFor(milliseconds(2000));
-  EXPECT_GE(orders_.size(), 4U);
-  EXPECT_EQ(std::count(orders_.begin(), orders_.end(), "w0"), 0);
+  EXPECT_GE(commanded_workers_.size(), 4U);
+  EXPECT_EQ(std::count(commanded_workers_.begin(), commanded_workers_.end(), "w0"), 0);
 }
 
 TEST_F(RolloutCoordinatorTest, CommandsOnlyAfterMarkIsReplicated) {
   publishing_ = false;
   coordinator_->OnLeadership(true, 7);
-  Name(2);
+  SetNewestRevision(2);
   world_.RunFor(seconds(5));
-  EXPECT_TRUE(orders_.empty());
+  EXPECT_TRUE(commanded_workers_.empty());
   publishing_ = true;
   Publish();
   world_.RunFor(seconds(1));
-  EXPECT_EQ(orders_.size(), 1U);
+  EXPECT_EQ(commanded_workers_.size(), 1U);
 }
 
 TEST_F(RolloutCoordinatorTest, CommandsNothingWithoutQuorum) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  may_order_ = false;
-  Name(2);
+  may_command_ = false;
+  SetNewestRevision(2);
   world_.RunFor(seconds(3));
-  EXPECT_TRUE(orders_.empty());
+  EXPECT_TRUE(commanded_workers_.empty());
 }
 
 TEST_F(RolloutCoordinatorTest, ReachesRevisionNamedDuringRollout) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  Name(2);
+  SetNewestRevision(2);
   world_.RunFor(milliseconds(1500));
-  Name(3);
+  SetNewestRevision(3);
   world_.RunFor(seconds(14));
   EXPECT_TRUE(AllServe(3));
 }
@@ -252,17 +254,17 @@
   load_time_ = seconds(5);
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  Name(2);
+  SetNewestRevision(2);
   world_.RunFor(seconds(10));
   EXPECT_EQ(CommandedWorkers(), static_cast<size_t>(kWorkers));
 }
 
 // Incident 34: a worker whose load never finished occupied its slot forever.
-TEST_F(RolloutCoordinatorTest, StuckCanaryDoesNotHoldUpOthers) {
+TEST_F(RolloutCoordinatorTest, StuckCanaryDoesNotBlockOthers) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  never_loads_ = {"w0"};
-  Name(2);
+  stuck_workers_ = {"w0"};
+  SetNewestRevision(2);
   world_.RunFor(seconds(12));
   EXPECT_EQ(CommandedWorkers(), static_cast<size_t>(kWorkers));
   EXPECT_EQ(revisions_["w9"], 2U);
@@ -270,27 +272,27 @@
 
 // A worker that never finishes loading stays overdue. The next revision must still go to a canary
 // first, and then to a few workers at a time.
-TEST_F(RolloutCoordinatorTest, WorkerLeftBehindDoesNotHurryNextRevision) {
+TEST_F(RolloutCoordinatorTest, OverdueWorkerDoesNotSpeedUpNextRevision) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  never_loads_ = {"w0"};
-  Name(2);
+  stuck_workers_ = {"w0"};
+  SetNewestRevision(2);
   world_.RunFor(seconds(20));
-  most_loading_ = 0;
+  max_concurrent_loads_ = 0;
   loading_.clear();
-  orders_.clear();
-  Name(3);
+  commanded_workers_.clear();
+  SetNewestRevision(3);
   world_.RunFor(milliseconds(800));
   EXPECT_LE(CommandedWorkers(), 2U) << "the canary and the overdue worker";
   world_.RunFor(seconds(9));
   EXPECT_EQ(CommandedWorkers(), static_cast<size_t>(kWorkers));
-  EXPECT_LE(most_loading_, 5U);
+  EXPECT_LE(max_concurrent_loads_, 5U);
 }
 
 // A new leader must keep the deadline that began under its predecessor.
 TEST_F(RolloutCoordinatorTest, NewLeaderMeetsDeadlineOfRevisionNamedBefore) {
   load_time_ = seconds(3);
-  Name(2);
+  SetNewestRevision(2);
   world_.RunFor(seconds(7));
   coordinator_->OnLeadership(true, 8);
   Publish();
@@ -301,10 +303,10 @@
 TEST_F(RolloutCoordinatorTest, FencedLeaderBacksOff) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  order_status_ = 412;
-  Name(2);
+  command_status_ = 412;
+  SetNewestRevision(2);
   world_.RunFor(seconds(3));
-  EXPECT_LE(orders_.size(), 8U);
+  EXPECT_LE(commanded_workers_.size(), 8U);
 }
 
 TEST_F(RolloutCoordinatorTest, KeepsMarksDuringHandover) {
--- a/src/posthatch/rollout/rollout_coordinator.cc
+++ b/src/posthatch/rollout/rollout_coordinator.cc
@@ -65,9 +65,9 @@
 
 bool RolloutCoordinator::RecentlyCommanded(const std::string& worker_id) const {
   if (active_.contains(worker_id)) return true;
-  const auto ordered = commanded_at_.find(worker_id);
-  return ordered != commanded_at_.end() &&
-         runtime_->clock->Now() - ordered->second < options_.handover_period;
+  const auto commanded = commanded_at_.find(worker_id);
+  return commanded != commanded_at_.end() &&
+         runtime_->clock->Now() - commanded->second < options_.handover_period;
 }
 
 const control::Backend* RolloutCoordinator::FindPublished(const std::string& worker_id) const {
@@ -101,23 +101,23 @@
 
 size_t RolloutCoordinator::MaxConcurrentWorkers(const std::string& model,
                                                 const ModelSurvey& survey) const {
-  RolloutStanding standing;
-  standing.workers = survey.workers;
-  standing.places_occupied = survey.places_occupied;
-  standing.times_left = survey.times_left;
+  RolloutState state;
+  state.workers = survey.workers;
+  state.occupied_slots = survey.occupied_slots;
+  state.times_left = survey.times_left;
   const auto proven = proven_revisions_.find(model);
-  standing.is_proven =
-      proven != proven_revisions_.end() && proven->second >= survey.target_revision;
-  standing.load_duration = survey.longest_load;
+  state.is_proven = proven != proven_revisions_.end() && proven->second >= survey.target_revision;
+  state.load_duration = survey.max_load_duration;
   const auto rollout = rollouts_.find(model);
-  if (rollout != rollouts_.end() && rollout->second.loads > 0) {
-    const auto loads = static_cast<int64_t>(rollout->second.loads);
-    standing.load_duration = std::max(standing.load_duration, rollout->second.loads_took / loads);
+  if (rollout != rollouts_.end() && rollout->second.finished_loads > 0) {
+    const auto finished_loads = static_cast<int64_t>(rollout->second.finished_loads);
+    state.load_duration =
+        std::max(state.load_duration, rollout->second.total_load_duration / finished_loads);
   }
-  return MaxWorkersInProgress(options_.pace, std::move(standing));
+  return MaxWorkersInProgress(options_.pace, std::move(state));
 }
 
-runtime::Duration RolloutCoordinator::LoadingFor(const Progress& progress) const {
+runtime::Duration RolloutCoordinator::TimeSinceFirstCommand(const Progress& progress) const {
   if (!progress.first_commanded_at.has_value()) return runtime::Duration::zero();
   return runtime_->clock->Now() - *progress.first_commanded_at;
 }
@@ -126,13 +126,13 @@
   ++model->in_progress;
   const auto found = active_.find(worker_id);
   if (found == active_.end()) {  // commanded by the previous leader
-    ++model->places_occupied;
+    ++model->occupied_slots;
     return;
   }
-  const runtime::Duration elapsed = LoadingFor(found->second);
+  const runtime::Duration elapsed = TimeSinceFirstCommand(found->second);
   if (found->second.overdue || elapsed >= options_.stuck_after) return;
-  ++model->places_occupied;
-  model->longest_load = std::max(model->longest_load, elapsed);
+  ++model->occupied_slots;
+  model->max_load_duration = std::max(model->max_load_duration, elapsed);
 }
 
 RolloutCoordinator::Survey RolloutCoordinator::SurveyFleet() {
@@ -140,7 +140,7 @@
   for (const control::ModelRevision& revision : dependencies_.fleet().revisions()) {
     ModelSurvey& model = survey.models[revision.model()];
     model.target_revision = revision.revision();
-    model.least_time_left = options_.revision_deadline;
+    model.min_time_left = options_.revision_deadline;
   }
   for (const control::Backend& backend : dependencies_.fleet().inventory().backends()) {
     if (backend.kind() != control::BACKEND_KIND_WORKER || backend.draining()) continue;
@@ -149,7 +149,7 @@
     const bool commanded_before = InLeaderHandover() && backend.recently_ordered();
     const uint64_t revision = RevisionOf(backend);
     const runtime::Duration time_left = TimeLeft(backend.model(), revision);
-    model.least_time_left = std::min(model.least_time_left, time_left);
+    model.min_time_left = std::min(model.min_time_left, time_left);
     if (active_.contains(backend.id()) || (commanded_before && backend.loading())) {
       SurveyProgress(backend.id(), &model);
       continue;
@@ -173,27 +173,27 @@
   for (const auto& [name, model] : survey.models) {
     outdated += model.outdated;
     in_progress += model.in_progress;
-    const size_t behind = model.outdated + model.in_progress;
+    const size_t unfinished = model.outdated + model.in_progress;
     Rollout& rollout = rollouts_[name];
-    if (behind > 0 && rollout.target != model.target_revision) {
+    if (unfinished > 0 && rollout.target != model.target_revision) {
       rollout = Rollout();
       rollout.target = model.target_revision;
-      rollout.seen_at = runtime_->clock->Now();
+      rollout.first_seen_at = runtime_->clock->Now();
       runtime_->trace->Event(runtime::Severity::kInfo, "RolloutStarted",
                              {{"model", name},
                               {"revision", model.target_revision},
-                              {"outdated", behind},
+                              {"outdated", unfinished},
                               {"workers", model.workers},
-                              {"time_left_ms", runtime::ToMilliseconds(model.least_time_left)}});
-    } else if (behind == 0 && rollout.target == model.target_revision && !rollout.finished) {
+                              {"time_left_ms", runtime::ToMilliseconds(model.min_time_left)}});
+    } else if (unfinished == 0 && rollout.target == model.target_revision && !rollout.finished) {
       rollout.finished = true;
-      const runtime::Duration elapsed = runtime_->clock->Now() - rollout.seen_at;
+      const runtime::Duration elapsed = runtime_->clock->Now() - rollout.first_seen_at;
       runtime_->trace->Event(runtime::Severity::kInfo, "RolloutFinished",
                              {{"model", name},
                               {"revision", model.target_revision},
                               {"elapsed_ms", runtime::ToMilliseconds(elapsed)}});
     }
-    time_left = std::min(time_left, model.least_time_left);
+    time_left = std::min(time_left, model.min_time_left);
   }
   metrics_.outdated().Set(static_cast<double>(outdated));
   metrics_.in_progress().Set(static_cast<double>(in_progress));
@@ -207,15 +207,15 @@
                    [](const OutdatedWorker& left, const OutdatedWorker& right) {
                      return left.time_left < right.time_left;
                    });
-  std::map<std::string, size_t> places;
-  for (const auto& [name, model] : survey.models) places[name] = MaxConcurrentWorkers(name, model);
+  std::map<std::string, size_t> slots;
+  for (const auto& [name, model] : survey.models) slots[name] = MaxConcurrentWorkers(name, model);
   bool started = false;
   for (const OutdatedWorker& worker : survey.outdated) {
     const std::string& name = worker.backend->model();
     ModelSurvey& model = survey.models[name];
     const bool overdue = IsOverdue(options_.pace, worker.time_left);
-    if (!overdue && model.places_occupied >= places[name]) continue;
-    if (!overdue) ++model.places_occupied;
+    if (!overdue && model.occupied_slots >= slots[name]) continue;
+    if (!overdue) ++model.occupied_slots;
     StartWorker(*worker.backend, model.target_revision, overdue);
     started = true;
   }
@@ -356,7 +356,7 @@
 
 void RolloutCoordinator::FinishWorker(const std::string& worker_id) {
   const Progress& progress = active_.at(worker_id);
-  const runtime::Duration elapsed = LoadingFor(progress);
+  const runtime::Duration elapsed = TimeSinceFirstCommand(progress);
   runtime_->trace->Event(runtime::Severity::kInfo, "WeightLoadFinished",
                          {{"worker", worker_id},
                           {"model", progress.model},
@@ -365,8 +365,8 @@
   metrics_.finished().Increment();
   Rollout& rollout = rollouts_[progress.model];
   if (rollout.target == progress.target) {
-    ++rollout.loads;
-    rollout.loads_took += elapsed;
+    ++rollout.finished_loads;
+    rollout.total_load_duration += elapsed;
   }
   active_.erase(worker_id);
   dependencies_.publish();
--- a/src/posthatch/rollout/rollout_coordinator.h
+++ b/src/posthatch/rollout/rollout_coordinator.h
@@ -95,10 +95,10 @@
   // Progress of a model's rollout as observed by this leader.
   struct Rollout {
     uint64_t target = 0;
-    runtime::MonotonicTime seen_at;
+    runtime::MonotonicTime first_seen_at;
     bool finished = false;
-    size_t loads = 0;  // number of finished loads
-    runtime::Duration loads_took{0};
+    size_t finished_loads = 0;
+    runtime::Duration total_load_duration{0};
   };
 
   void Tick();
@@ -113,11 +113,11 @@
     uint64_t target_revision = 0;
     size_t workers = 0;
     size_t in_progress = 0;
-    size_t places_occupied = 0;                 // in_progress without stuck and overdue workers
+    size_t occupied_slots = 0;                  // in_progress without stuck and overdue workers
     size_t outdated = 0;                        // excludes workers in progress
     std::vector<runtime::Duration> times_left;  // excludes overdue workers
-    runtime::Duration least_time_left{0};       // includes workers in progress
-    runtime::Duration longest_load{0};          // elapsed time of a load that occupies a slot
+    runtime::Duration min_time_left{0};         // includes workers in progress
+    runtime::Duration max_load_duration{0};     // longest elapsed time of loads that occupy slots
   };
   struct Survey {
     std::map<std::string, ModelSurvey> models;
@@ -132,7 +132,7 @@
   // Time until no request may begin under `revision`; revision_deadline if it is the newest.
   runtime::Duration TimeLeft(const std::string& model, uint64_t revision) const;
   // Zero if the worker has not been commanded yet.
-  runtime::Duration LoadingFor(const Progress& progress) const;
+  runtime::Duration TimeSinceFirstCommand(const Progress& progress) const;
   // Maximum number of a model's workers that may occupy slots at one time.
   size_t MaxConcurrentWorkers(const std::string& model, const ModelSurvey& survey) const;
   void StartWorker(const control::Backend& worker, uint64_t target, bool overdue);
--- a/src/posthatch/rollout/rollout_pace-test.cc
+++ b/src/posthatch/rollout/rollout_pace-test.cc
@@ -8,33 +8,33 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-RolloutStanding Standing(size_t outdated, runtime::Duration time_left,
-                         runtime::Duration load_duration) {
-  RolloutStanding standing;
-  standing.workers = 18;
-  standing.times_left.assign(outdated, time_left);
-  standing.is_proven = true;
-  standing.load_duration = load_duration;
-  return standing;
+RolloutState MakeState(size_t outdated, runtime::Duration time_left,
+                       runtime::Duration load_duration) {
+  RolloutState state;
+  state.workers = 18;
+  state.times_left.assign(outdated, time_left);
+  state.is_proven = true;
+  state.load_duration = load_duration;
+  return state;
 }
 
-TEST(RolloutPaceTest, OrdinaryWhileThereIsTime) {
-  EXPECT_EQ(MaxWorkersInProgress({}, Standing(17, seconds(10), seconds(2))), 6U);
+TEST(RolloutPaceTest, DefaultConcurrencyWhileTimeRemains) {
+  EXPECT_EQ(MaxWorkersInProgress({}, MakeState(17, seconds(10), seconds(2))), 6U);
 }
 
 TEST(RolloutPaceTest, UnprovenRevisionGoesToOneWorker) {
-  RolloutStanding standing = Standing(18, seconds(12), seconds(0));
-  standing.is_proven = false;
-  EXPECT_EQ(MaxWorkersInProgress({}, standing), 1U);
+  RolloutState state = MakeState(18, seconds(12), seconds(0));
+  state.is_proven = false;
+  EXPECT_EQ(MaxWorkersInProgress({}, state), 1U);
 }
 
 // Incident 34: with workers that load slowly the last ones were commanded past the deadline.
-TEST(RolloutPaceTest, RisesWithSlowLoads) {
+TEST(RolloutPaceTest, RisesWhenLoadsAreSlow) {
   // Time for two batches: one immediately, one when the first loads have ended.
-  EXPECT_EQ(MaxWorkersInProgress({}, Standing(16, milliseconds(6500), seconds(4))), 8U);
+  EXPECT_EQ(MaxWorkersInProgress({}, MakeState(16, milliseconds(6500), seconds(4))), 8U);
 }
 
-TEST(RolloutPaceTest, OverdueWorkersNeedNoPlace) {
+TEST(RolloutPaceTest, OverdueWorkersNeedNoSlot) {
   EXPECT_FALSE(IsOverdue({}, milliseconds(2501)));
   EXPECT_TRUE(IsOverdue({}, milliseconds(2500)));
   EXPECT_TRUE(IsOverdue({}, seconds(-5)));
@@ -42,22 +42,22 @@
 
 // Workers two revisions behind have an earlier deadline, which must not raise the concurrency of
 // the others.
-TEST(RolloutPaceTest, FewUrgentWorkersDontHurryTheOthers) {
-  RolloutStanding standing = Standing(14, seconds(11), seconds(2));
-  standing.times_left.insert(standing.times_left.end(), 3, milliseconds(3000));
-  EXPECT_EQ(MaxWorkersInProgress({}, standing), 6U);
+TEST(RolloutPaceTest, FewUrgentWorkersDontRaiseConcurrency) {
+  RolloutState state = MakeState(14, seconds(11), seconds(2));
+  state.times_left.insert(state.times_left.end(), 3, milliseconds(3000));
+  EXPECT_EQ(MaxWorkersInProgress({}, state), 6U);
 }
 
 // Incident 34: a canary that never finished blocked all other workers.
-TEST(RolloutPaceTest, DoesNotWaitForCanaryPastTheOrdinaryPace) {
-  RolloutStanding standing = Standing(17, seconds(7), seconds(5));
-  standing.places_occupied = 1;
-  standing.is_proven = false;
-  EXPECT_GT(MaxWorkersInProgress({}, standing), 6U);
+TEST(RolloutPaceTest, DoesNotWaitForStuckCanaryNearDeadline) {
+  RolloutState state = MakeState(17, seconds(7), seconds(5));
+  state.occupied_slots = 1;
+  state.is_proven = false;
+  EXPECT_GT(MaxWorkersInProgress({}, state), 6U);
 }
 
 // With any load duration, the limits must let every worker start in time.
-TEST(RolloutPaceTest, FollowedFromAnyMomentItStartsAllInTime) {
+TEST(RolloutPaceTest, StartsEveryWorkerInTimeWithAnyLoadDuration) {
   for (size_t workers = 1; workers <= 300; workers += 13) {
     for (int load_ms = 100; load_ms <= 20000; load_ms += 700) {
       const runtime::Duration load = milliseconds(load_ms);
@@ -66,12 +66,11 @@
       size_t outdated = workers;
       while (outdated > 0 && time_left > runtime::Duration::zero()) {
         std::erase_if(ends, [&](runtime::Duration end) { return end >= time_left; });
-        RolloutStanding standing = Standing(outdated, time_left, load);
-        standing.workers = workers;
-        standing.places_occupied = ends.size();
-        const size_t places =
-            IsOverdue({}, time_left) ? workers : MaxWorkersInProgress({}, standing);
-        for (; ends.size() < places && outdated > 0; --outdated) ends.push_back(time_left - load);
+        RolloutState state = MakeState(outdated, time_left, load);
+        state.workers = workers;
+        state.occupied_slots = ends.size();
+        const size_t slots = IsOverdue({}, time_left) ? workers : MaxWorkersInProgress({}, state);
+        for (; ends.size() < slots && outdated > 0; --outdated) ends.push_back(time_left - load);
         time_left -= milliseconds(50);
       }
       EXPECT_EQ(outdated, 0U) << workers << " workers, " << load_ms << " ms a load";
--- a/src/posthatch/rollout/rollout_pace.cc
+++ b/src/posthatch/rollout/rollout_pace.cc
@@ -10,7 +10,7 @@
 // Shorter measured durations are rounded up to this: commands and polls alone take as long.
 constexpr runtime::Duration kMinLoadDuration = std::chrono::milliseconds(500);
 
-size_t OrdinaryPace(const RolloutPaceOptions& options, size_t workers) {
+size_t DefaultConcurrency(const RolloutPaceOptions& options, size_t workers) {
   const auto loading =
       static_cast<size_t>(std::floor(static_cast<double>(workers) * options.max_loading_fraction));
   return 2 * std::max<size_t>(loading, 1);
@@ -18,21 +18,21 @@
 
 // Number of slots with which `workers` workers can all be started within `time_to_start`, if each
 // slot becomes free after one load.
-size_t PlacesNeeded(size_t workers, runtime::Duration time_to_start, double load_ms) {
-  const double turns = 1 + runtime::ToMilliseconds(time_to_start) / load_ms;
-  return static_cast<size_t>(std::ceil(static_cast<double>(workers) / turns));
+size_t SlotsNeeded(size_t workers, runtime::Duration time_to_start, double load_ms) {
+  const double batches = 1 + runtime::ToMilliseconds(time_to_start) / load_ms;
+  return static_cast<size_t>(std::ceil(static_cast<double>(workers) / batches));
 }
 
 // Maximum over all deadlines of the slots needed by the workers due by then.
-size_t PaceForDeadlines(const RolloutPaceOptions& options, RolloutStanding standing) {
-  std::sort(standing.times_left.begin(), standing.times_left.end());
-  const double load_ms =
-      runtime::ToMilliseconds(std::max(standing.load_duration, kMinLoadDuration));
-  size_t unfinished = standing.places_occupied;
+size_t ConcurrencyForDeadlines(const RolloutPaceOptions& options, RolloutState state) {
+  std::sort(state.times_left.begin(), state.times_left.end());
+  const double load_ms = runtime::ToMilliseconds(std::max(state.load_duration, kMinLoadDuration));
+  size_t unfinished = state.occupied_slots;
   size_t needed = 0;
-  for (const runtime::Duration time_left : standing.times_left) {
+  for (const runtime::Duration time_left : state.times_left) {
     ++unfinished;
-    needed = std::max(needed, PlacesNeeded(unfinished, time_left - options.reserve, load_ms));
+    needed =
+        std::max(needed, SlotsNeeded(unfinished, time_left - options.deadline_margin, load_ms));
   }
   return needed;
 }
@@ -40,15 +40,15 @@
 }  // namespace
 
 bool IsOverdue(const RolloutPaceOptions& options, runtime::Duration time_left) {
-  return time_left <= options.reserve;
+  return time_left <= options.deadline_margin;
 }
 
-size_t MaxWorkersInProgress(const RolloutPaceOptions& options, RolloutStanding standing) {
-  const size_t ordinary = OrdinaryPace(options, standing.workers);
-  const bool is_proven = standing.is_proven;
-  const size_t needed = PaceForDeadlines(options, std::move(standing));
-  if (needed > ordinary) return needed;
-  return is_proven ? ordinary : 1;
+size_t MaxWorkersInProgress(const RolloutPaceOptions& options, RolloutState state) {
+  const size_t default_concurrency = DefaultConcurrency(options, state.workers);
+  const bool is_proven = state.is_proven;
+  const size_t needed = ConcurrencyForDeadlines(options, std::move(state));
+  if (needed > default_concurrency) return needed;
+  return is_proven ? default_concurrency : 1;
 }
 
 }  // namespace posthatch::rollout
--- a/src/posthatch/rollout/rollout_pace.h
+++ b/src/posthatch/rollout/rollout_pace.h
@@ -13,13 +13,13 @@
   double max_loading_fraction = 0.2;
   // Time before the deadline by which the last worker must be started. It leaves time for a second
   // attempt at the command, and for the first token of prompts already in prefill.
-  runtime::Duration reserve = std::chrono::milliseconds(2500);
+  runtime::Duration deadline_margin = std::chrono::milliseconds(2500);
 };
 
 // State of a model's rollout. Excludes overdue workers (IsOverdue), which start immediately.
-struct RolloutStanding {
-  size_t workers = 0;          // including finished ones
-  size_t places_occupied = 0;  // slots of workers in progress
+struct RolloutState {
+  size_t workers = 0;         // including finished ones
+  size_t occupied_slots = 0;  // slots of workers in progress
   // Time to the deadline, for each worker that has not been started.
   std::vector<runtime::Duration> times_left;
   bool is_proven = false;              // some worker serves the target revision
@@ -33,6 +33,6 @@
 // Maximum number of workers in progress at one time, not counting overdue ones: one while the
 // revision is unproven, then a fraction of all, and more if that would not start each worker before
 // it is overdue. Stateless; any thread.
-size_t MaxWorkersInProgress(const RolloutPaceOptions& options, RolloutStanding standing);
+size_t MaxWorkersInProgress(const RolloutPaceOptions& options, RolloutState state);
 
 }  // namespace posthatch::rollout
