--- a/src/posthatch/gateway/admission_control.cc
+++ b/src/posthatch/gateway/admission_control.cc
@@ -10,7 +10,8 @@
 constexpr double kLowestPriorityShare = 0.7;
 constexpr uint32_t kHighestPriority = 9;
 constexpr int kOverloadRetrySeconds = 1;
-// Usage records of removed tenants remain; idle records are removed beyond this number.
+// Usage records of removed tenants are kept until there are more records than this; then all idle
+// ones are removed.
 constexpr size_t kMaxUsages = 8192;
 
 }  // namespace
--- a/src/posthatch/gateway/admission_control.h
+++ b/src/posthatch/gateway/admission_control.h
@@ -16,9 +16,9 @@
 
 class AdmissionControl;
 
-// One tenant's token bucket and concurrency at this gateway.
+// The token bucket and the concurrency of one tenant at this gateway.
 struct TenantUsage {
-  double tokens = 0.0;  // in the bucket, in requests
+  double tokens = 0.0;  // tokens in the bucket, one per request
   runtime::MonotonicTime refilled;
   bool seen = false;
   uint32_t in_flight = 0;
@@ -43,7 +43,8 @@
 
 // Decides without queueing whether a request may start: by the tenant's rate and concurrency limits
 // and the gateway's concurrency limit, where low priorities are shed first. Tenant limits are
-// fleet-wide; this gateway enforces an equal share. Event loop thread only; outlives its slots.
+// fleet-wide; each live gateway enforces an equal share. Event loop thread only; outlives its
+// slots.
 class AdmissionControl {
  public:
   AdmissionControl(const runtime::Clock* clock, const GatewayOptions* options,
@@ -51,7 +52,7 @@
       : clock_(clock), options_(options), metrics_(metrics) {}
 
   // Fills `slot`, or returns the error. `executed` of the error is "no"; the caller changes it to
-  // "unknown" where an idempotency key may name an earlier send.
+  // "unknown" if an earlier request with the same idempotency key may have been executed.
   std::optional<ApiError> Admit(const control::Tenant& tenant, AdmissionSlot* slot);
 
   // Fraction of a capacity, in (0, 1], that requests of this priority (0 to 9) may use.
--- a/src/posthatch/gateway/api_error.h
+++ b/src/posthatch/gateway/api_error.h
@@ -7,24 +7,24 @@
 
 namespace posthatch::gateway {
 
-// Whether the request was executed, as an error tells the caller: "no" only if it is proven that it
-// has not run and will not run (docs/API.md, "Callers").
+// Whether the request was executed, as reported in an error: "no" only if it is proven that the
+// request has not run and will not run (docs/API.md, "Callers").
 enum class Executed { kNo, kUnknown };
 
-// Why a request is refused or failed (docs/API.md, "Callers").
+// Why a request was rejected or failed (docs/API.md, "Callers").
 enum class ErrorCode {
   kBadRequest,
   kUnauthorized,
   kNotFound,
-  kInProgress,         // another attempt with this idempotency key is in progress
+  kInProgress,         // an attempt with this idempotency key is in progress
   kKeyReused,          // the idempotency key was used for another request
   kKeyExpired,         // the idempotency key's record is closed
   kTooManyRequests,    // the tenant's concurrency limit
   kRateLimited,        // the tenant's rate limit
-  kBackendFailed,      // a back end was called and gave no complete response
-  kDraining,           // this gateway is stopping
+  kBackendFailed,      // a back end was called but sent no complete response
+  kDraining,           // the gateway is stopping
   kNoCapacity,         // no back end may take the request
-  kNoLease,            // this gateway has no valid session lease or inventory
+  kNoLease,            // no valid session lease, or no inventory that is recent enough
   kOverloaded,         // load shedding
   kRecordUnavailable,  // the delivery record could not be written or read
   kTimeout,
--- a/src/posthatch/gateway/backend_directory.cc
+++ b/src/posthatch/gateway/backend_directory.cc
@@ -44,7 +44,7 @@
   BackendPointer& entry = entries_[backend.id()];
   const bool moved = entry != nullptr && entry->backend.endpoint() != backend.endpoint();
   if (entry == nullptr || moved) {
-    // Attempts in progress keep the entry of the former endpoint, which gets no new work.
+    // Attempts in progress keep the entry of the former endpoint, which gets no new requests.
     entry = std::make_shared<BackendEntry>();
     health_.EnterSlowStart(entry.get(), "seen");
   } else if (entry->draining && !draining) {
--- a/src/posthatch/gateway/backend_directory.h
+++ b/src/posthatch/gateway/backend_directory.h
@@ -17,9 +17,9 @@
 
 namespace posthatch::gateway {
 
-// The back ends by the inventory and the evacuations in force, with their health and load. Draining
-// marks are the union of the controllers' inventory and this gateway's own reading. Event loop
-// thread only.
+// The back ends in the inventory, with the evacuations in force and their health and load. A back
+// end is draining if the controllers' inventory or the local reading says so. Event loop thread
+// only.
 class BackendDirectory {
  public:
   BackendDirectory(runtime::Runtime* runtime, const GatewayOptions* options,
@@ -29,22 +29,22 @@
         health_(runtime->clock, options, lookup, metrics),
         load_(runtime->clock) {}
 
-  // Applies the inventory and evacuations of `state`, together with the draining marks of
-  // `local_inventory`, this gateway's own reading (may be null). A back end that only
-  // `local_inventory` names is added as well.
+  // Applies the inventory and evacuations of `state`, and the draining marks of `local_inventory`,
+  // which this gateway has read from the platform (may be null). Back ends that are only in
+  // `local_inventory` are added as well.
   void Update(const control::FleetState& state, const control::Inventory* local_inventory);
 
-  // Pools by model and by service; null if there is none.
+  // The pool of a model or service; null if there is none.
   BackendPool* WorkerPool(const std::string& model);
   BackendPool* ServicePool(const std::string& service);
-  // Null if it is not in the inventory.
+  // Null if the back end is not in the inventory.
   BackendPointer Find(const std::string& id) const;
 
   BackendHealth* health() { return &health_; }
   BackendLoad* load() { return &load_; }
 
  private:
-  // Whether two inventory entries of a back end are equal, leaving draining marks aside.
+  // Whether two inventory entries of a back end are equal, ignoring draining marks.
   static bool SameInventoryEntry(const control::Backend& left, const control::Backend& right);
   void AddOrUpdate(const control::Backend& backend, bool draining);
   void MarkEvacuated(const control::FleetState& state);
@@ -54,7 +54,7 @@
   GatewayMetrics* const metrics_;
   BackendHealth health_;
   BackendLoad load_;
-  uint64_t evacuations_index_ = 0;  // of the evacuations last applied
+  uint64_t evacuations_index_ = 0;  // last applied evacuations_index
   absl::flat_hash_map<std::string, BackendPointer> entries_;
   absl::flat_hash_map<std::string, BackendPool> worker_pools_;
   absl::flat_hash_map<std::string, BackendPool> service_pools_;
--- a/src/posthatch/gateway/backend_health.cc
+++ b/src/posthatch/gateway/backend_health.cc
@@ -7,8 +7,8 @@
 
 // Repeated ejections last longer, up to this multiple of the configured duration.
 constexpr uint32_t kMaxEjectionFactor = 4;
-// Backoff after a rejection: an overloaded back end has capacity soon, one that loads weights needs
-// seconds.
+// Backoff after a rejection: an overloaded back end soon has capacity again, while one that loads
+// weights needs seconds.
 constexpr runtime::Duration kOverloadBackoff = std::chrono::milliseconds(250);
 constexpr runtime::Duration kRefusalBackoff = std::chrono::seconds(1);
 constexpr int kTooManyRequests = 429;
--- a/src/posthatch/gateway/backend_load.cc
+++ b/src/posthatch/gateway/backend_load.cc
@@ -6,9 +6,9 @@
 namespace posthatch::gateway {
 namespace {
 
-// A response head may take this long before its back end counts as unresponsive.
+// Time to a response head after which the back end counts as unresponsive.
 constexpr runtime::Duration kHeadGracePeriod = std::chrono::milliseconds(500);
-constexpr double kWaitSampleWeight = 0.3;  // of the moving average
+constexpr double kWaitSampleWeight = 0.3;  // weight of a new sample in the moving average
 // Half-life of a measured wait.
 constexpr double kWaitHalfLifeSeconds = 2.0;
 
--- a/src/posthatch/gateway/bodies-fuzz.cc
+++ b/src/posthatch/gateway/bodies-fuzz.cc
@@ -6,7 +6,7 @@
 #include "posthatch/gateway/inference_body.h"
 #include "posthatch/gateway/response_check.h"
 
-// Bodies from callers, back ends and the platform's inventory.
+// Parses and checks bodies from callers, back ends and the platform's inventory.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   namespace gateway = posthatch::gateway;
   const std::string body(reinterpret_cast<const char*>(data), size);
--- a/src/posthatch/gateway/caller_api.cc
+++ b/src/posthatch/gateway/caller_api.cc
@@ -125,7 +125,7 @@
 }
 
 void CallerApi::StartInference(const Route& route, CallerRequest call) {
-  // Admission first: parsing the bodies of a tenant over its limits would be wasted.
+  // Admission comes first, so that no bodies of a tenant over its limits are parsed.
   if (!Admit(&call)) return;
   absl::StatusOr<InferenceBody> body =
       ParseInferenceBody(call.request.body, route.kind == Route::Kind::kChat);
@@ -169,7 +169,7 @@
 }
 
 void CallerApi::Refuse(const CallerRequest& call, ApiError error) {
-  // An earlier send of the same key may have run, unless this request could never be accepted.
+  // An earlier request with the same key may have run, unless this one could never be accepted.
   const bool may_have_run = call.request.headers.Has(header::kIdempotencyKey);
   const bool never_accepted = error.code == ErrorCode::kBadRequest;
   if (may_have_run && !never_accepted) error.executed = Executed::kUnknown;
--- a/src/posthatch/gateway/caller_api.h
+++ b/src/posthatch/gateway/caller_api.h
@@ -29,7 +29,7 @@
   };
 
   static std::optional<Route> FindRoute(const http::Request& request);
-  // Checks everything that needs no admission and fills `call`; returns the error otherwise.
+  // Runs the checks that precede admission and fills `call`, or returns the error.
   std::optional<ApiError> Validate(CallerRequest* call);
   void StartInference(const Route& route, CallerRequest call);
   void StartService(const Route& route, CallerRequest call);
--- a/src/posthatch/gateway/delivery-test.cc
+++ b/src/posthatch/gateway/delivery-test.cc
@@ -2,13 +2,13 @@
 
 #include "posthatch/gateway/gateway_fixture-test.h"
 
-// Non-idempotent operations: at most one run, and correct `executed` values (N1, N2, N10).
+// Non-idempotent operations run at most once and report correct `executed` values (N1, N2, N10).
 namespace posthatch::gateway {
 namespace {
 
 class DeliveryTest : public GatewayTest {
  protected:
-  // As GatewayTest::Place, at a second gateway that shares the log and the back ends.
+  // Like FakeFleet::Place, but through a second gateway that shares the log and the back ends.
   std::shared_ptr<FakeWriter> PlaceElsewhere(const std::string& key) {
     if (other_ == nullptr) {
       other_runtime_ = runtime;
@@ -30,7 +30,7 @@
 TEST_F(DeliveryTest, ResendAtOtherGatewayGetsStoredOutcome) {
   StartGateway();
   Place("k");
-  EXPECT_EQ(PlaceElsewhere("k")->whole.status, 409);  // still running
+  EXPECT_EQ(PlaceElsewhere("k")->whole.status, 409);  // the first request is still running
   LastCall().GoodOperation("place");
   const auto again = PlaceElsewhere("k");
   EXPECT_EQ(again->whole.status, 200);
--- a/src/posthatch/gateway/delivery_record_client.cc
+++ b/src/posthatch/gateway/delivery_record_client.cc
@@ -5,7 +5,7 @@
 namespace posthatch::gateway {
 namespace {
 
-// The dispatch limit of DESIGN.md: a later result is of no use.
+// Equals DeliveryRequest::kDispatchDeadline, after which the result can't be used.
 constexpr runtime::Duration kBeginTimeout = std::chrono::seconds(2);
 constexpr runtime::Duration kFinishTimeout = std::chrono::seconds(10);
 constexpr runtime::Duration kAbandonTimeout = std::chrono::seconds(30);
--- a/src/posthatch/gateway/delivery_record_client.h
+++ b/src/posthatch/gateway/delivery_record_client.h
@@ -9,19 +9,19 @@
 
 namespace posthatch::gateway {
 
-// Identifies one attempt at a non-idempotent operation.
+// Identifies an attempt at a non-idempotent operation.
 struct DeliveryKey {
   std::string tenant;
   std::string idempotency_key;
-  std::string request_hash;  // of operation and body
-  std::string attempt;       // nonce of this attempt, unique among all sends of the key
+  std::string request_hash;  // hash of service, operation and body
+  std::string attempt;       // nonce, unique among all attempts with the key
 };
 
 // Writes the delivery records in the replicated log (DESIGN.md, "Non-repeatable operations"). Event
 // loop thread only.
 class DeliveryRecordClient {
  public:
-  // The result of the command. After an error it may still be applied.
+  // Gets the result of the command. After an error the command may still be applied.
   using Done = std::function<void(absl::StatusOr<control::CommandResult>)>;
 
   DeliveryRecordClient(control::ControlClient* client, std::string gateway_id)
@@ -29,8 +29,8 @@
 
   void Begin(const DeliveryKey& key, Done done);
   void Finish(const DeliveryKey& key, control::DeliveryOutcome outcome, Done done);
-  // The result of Begin is unknown: finds out in the background whether it was applied, and closes
-  // the record as not executed if so. The attempt must not dispatch any more.
+  // Called if the result of Begin is unknown: finds out in the background whether it was applied,
+  // and if so closes the record as not executed. The attempt must not be dispatched any more.
   void Abandon(const DeliveryKey& key);
 
  private:
@@ -38,7 +38,7 @@
 
   control::ControlClient* const client_;
   const std::string gateway_id_;
-  util::Lifetime lifetime_;  // of pending proposals, whose results are dropped
+  util::Lifetime lifetime_;  // drops the results of pending proposals on destruction
 };
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/delivery_request.cc
+++ b/src/posthatch/gateway/delivery_request.cc
@@ -27,10 +27,10 @@
 void DeliveryRequest::Begin() {
   key_.tenant = call_.tenant->name();
   key_.idempotency_key = call_.idempotency_key;
-  // '/' separates the parts unambiguously: it can't occur in the service's name.
+  // The separator '/' is unambiguous, since it can't occur in a service name.
   key_.request_hash = Sha256Hex(absl::StrCat(service_, "/", operation_, "\n", call_.request.body));
   key_.attempt = context_->NewNonce();
-  // Without a back end, the key is better left unused than closed for good.
+  // Without an eligible back end no record is begun, so that the key can still be used.
   const RouteDecision decision =
       context_->router->RouteService(service_, call_.tenant->priority(), attempted_backends_);
   if (decision.outcome != RouteDecision::Outcome::kChosen) {
@@ -160,7 +160,7 @@
   attempt_ = std::make_shared<UpstreamAttempt>(context_->runtime, context_->backends, listener,
                                                std::move(plan));
   deadline_timer_.Start(left, [this] {
-    attempt_->Fail({AttemptFailure::Cause::kTimeout, "no answer before the deadline"});
+    attempt_->Fail({AttemptFailure::Cause::kTimeout, "no response before the deadline"});
   });
   attempt_->Start();
 }
--- a/src/posthatch/gateway/delivery_request.h
+++ b/src/posthatch/gateway/delivery_request.h
@@ -10,17 +10,18 @@
 
 namespace posthatch::gateway {
 
-// One send of a non-idempotent operation (DESIGN.md, "Non-repeatable operations"):
+// A request for a non-idempotent operation (DESIGN.md, "Non-repeatable operations"):
 //   1. A record is begun in the log; only the attempt that gets BEGUN continues.
 //   2. Within kDispatchDeadline of the begin and under a valid lease the operation is dispatched
 //      once, on a new connection. Otherwise the record is closed as not executed.
-//   3. The outcome is committed before the caller gets it.
-// Continues after the caller disconnects: a resend gets the stored outcome. Event loop thread only.
+//   3. The outcome is committed before the response is sent to the caller.
+// Continues after the caller disconnects, so that a repeated request gets the stored outcome. Event
+// loop thread only.
 class DeliveryRequest : public ActiveRequest, private AttemptListener {
  public:
-  // Maximum time from sending the begin to the dispatch.
+  // Maximum time from proposing the record to the dispatch.
   static constexpr runtime::Duration kDispatchDeadline = std::chrono::seconds(2);
-  // Maximum size of a stored response; a longer one ends as unknown.
+  // Maximum size of a stored response; the outcome of a longer one is recorded as unknown.
   static constexpr size_t kMaxStoredBodyBytes = size_t{64} * 1024;
 
   DeliveryRequest(GatewayContext* context, CallerRequest call, std::string service,
@@ -41,7 +42,8 @@
   void Dispatch();
   std::optional<ApiError> DispatchError() const;
   void SendTo(BackendPointer backend);
-  // Commits the outcome, then sends `response`; sends an "unknown" error if the commit fails.
+  // Commits the outcome, then sends `response`; if the commit fails, sends an error with executed
+  // "unknown".
   // `metric_label` is "ok" or an error code.
   void Commit(control::DeliveryOutcome outcome, http::Response response,
               const std::string& metric_label);
--- a/src/posthatch/gateway/fleet_lookup.h
+++ b/src/posthatch/gateway/fleet_lookup.h
@@ -22,8 +22,8 @@
 };
 
 struct ModelEntry {
-  size_t block_bytes = 0;  // of canonical prompt text
-  uint64_t revision = 0;   // newest; 0 before the first
+  size_t block_bytes = 0;  // bytes of canonical prompt text per block
+  uint64_t revision = 0;   // newest revision; 0 if there is none yet
 };
 
 // Indexes FleetState by name; rebuilt whenever it changes. Event loop thread only.
@@ -36,10 +36,10 @@
   const control::ServiceRoute* FindService(const std::string& name) const;
   const RoutingLimits& limits() const { return limits_; }
 
-  // The identity of blocks that `tenant` may create and use under `revision` of `model`. An
-  // isolated tenant has a domain of its own. All others share one domain, whose generation changes
-  // when a tenant enters or leaves it, so that blocks made before are unreachable. A tenant unknown
-  // to the state counts as isolated.
+  // The seed for hashes of blocks that `tenant` may create and use under `revision` of `model`. An
+  // isolated tenant has a separate domain. All others share one domain, whose generation changes
+  // when a tenant enters or leaves it, so that blocks created before become unreachable. A tenant
+  // unknown to the state counts as isolated.
   index::BlockSeed SeedFor(const std::string& model, uint64_t revision,
                            const std::string& tenant) const;
 
--- a/src/posthatch/gateway/gateway-bench.cc
+++ b/src/posthatch/gateway/gateway-bench.cc
@@ -4,13 +4,13 @@
 #include "posthatch/gateway/sse_stream_checker.h"
 #include "posthatch/gateway/stream_relay.h"
 
-// CPU time of the request path without the network: decisions, relaying, complete requests.
+// CPU time of the request path without the network: routing, relaying, complete requests.
 namespace posthatch::gateway {
 namespace {
 
 constexpr size_t kChainLength = 64;
 
-// Routing over `workers` back ends, one of which holds the prefix.
+// Routing over the given number of workers, two of which hold a prefix of the prompt.
 void BenchmarkRoute(benchmark::State& state) {
   FakeFleet fleet;
   for (int64_t number = 5; number <= state.range(0); ++number) {
@@ -52,7 +52,7 @@
 }
 BENCHMARK(BenchmarkRelayPiece);
 
-// A completion from the caller's request to its response, with fakes for both connections.
+// A completion from the caller's request to its response, with fake connections on both sides.
 void BenchmarkWholeRequest(benchmark::State& state) {
   FakeFleet fleet;
   fleet.view.fleet.mutable_configuration()->mutable_routing()->set_max_requests_per_worker(1000);
--- a/src/posthatch/gateway/gateway.h
+++ b/src/posthatch/gateway/gateway.h
@@ -9,11 +9,10 @@
 
 namespace posthatch::gateway {
 
-// The request path of posthatchd, for callers of the product's own interface (docs/API.md): admits,
-// routes and relays requests to workers and services. Gateways on the users' platform
-// (posthatch-platform) serve their callers by routing/ instead; both paths share look-ups and
-// metrics helpers. Owned by the process; everything given to the constructor outlives it. Event
-// loop thread only.
+// The request path of posthatchd, for callers of posthatch's own API (docs/API.md): admits, routes
+// and relays requests to workers and services. Gateways on the users' platform (posthatch-platform)
+// use routing/ instead; both paths share look-ups and metrics helpers. Owned by the process; all
+// constructor arguments outlive it. Event loop thread only.
 class Gateway : private control::InventoryWatchHost {
  public:
   Gateway(runtime::Runtime* runtime, GatewayOptions options, control::FleetView* view,
@@ -22,7 +21,7 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  // Serves the callers' paths of docs/API.md; any other path gets 404.
+  // Serves the paths in docs/API.md, "Callers"; responds with 404 to any other path.
   void HandleRequest(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
   // Rejects new requests with `draining`, waits for those in progress, then calls `done`.
   void Drain(std::function<void()> done);
@@ -60,7 +59,7 @@
   uint64_t configuration_index_ = 0;
   uint64_t inventory_index_ = 0;
   uint64_t evacuations_index_ = 0;
-  util::Lifetime lifetime_;  // the view's listeners can't be removed
+  util::Lifetime lifetime_;  // guards the listener, which the view can't remove
 };
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/gateway_context.h
+++ b/src/posthatch/gateway/gateway_context.h
@@ -47,33 +47,33 @@
   // The error if no routing decision may be made now: no lease, or an inventory that is too old.
   // Checked immediately before every dispatch.
   std::optional<ApiError> FleetStateError() const;
-  // The error if the caller of an admitted request may no longer be served: its key was revoked or
-  // belongs to another tenant now.
+  // The error if the caller of an admitted request may no longer be served, since its key was
+  // revoked or now belongs to another tenant.
   std::optional<ApiError> AuthorizationError(const CallerRequest& call) const;
   // A new nonce: 128 random bits, hexadecimal.
   std::string NewNonce() const;
 };
 
-// A caller's request; the tenant and the slot are set on admission.
+// A caller's request. The tenant is set by authentication, the slot by admission.
 struct CallerRequest {
   http::Request request;
   std::shared_ptr<http::ResponseWriter> writer;
   std::string request_id;       // the caller's X-Request-Id, or a generated one
-  std::string idempotency_key;  // empty if there is none
+  std::string idempotency_key;  // empty if the request has none
   std::shared_ptr<const control::Tenant> tenant;
   AdmissionSlot slot;
   runtime::MonotonicTime received;
   runtime::MonotonicTime deadline;
 };
 
-// Sends and counts `error`.
+// Sends `error` as the response and counts it in the metrics.
 void SendError(const GatewayContext& context, http::ResponseWriter* writer, const ApiError& error);
 
-// Adds the fields of every dispatch (docs/BACKENDS.md).
+// Adds the header fields that every dispatch carries (docs/BACKENDS.md).
 void AddAttemptHeaders(const GatewayContext& context, const CallerRequest& call,
                        const std::string& nonce, uint32_t attempt_number, http::Headers* headers);
 
-// The response to the caller made from a back end's: status, content type and body.
+// Makes the response to the caller from the status, content type and body of a back end's response.
 http::Response MakeCallerResponse(const CallerRequest& call, http::Response backend_response);
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/gateway_fakes-test.h
+++ b/src/posthatch/gateway/gateway_fakes-test.h
@@ -16,14 +16,14 @@
 #include "posthatch/test_support/fake_timers-test.h"
 #include "posthatch/test_support/fake_writer-test.h"
 
-// Fakes of everything that a Gateway depends on, driven by the test or benchmark.
+// Fakes of all dependencies of a Gateway, driven by the test or benchmark.
 namespace posthatch::gateway {
 
 using test_support::FakeClock;
 using test_support::FakeTimers;
 using test_support::FakeWriter;
 
-// One call of the gateway to a back end; the test sends the response.
+// A call of the gateway to a back end; the test sends the response.
 struct FakeCall {
   std::string endpoint;
   http::Request request;
@@ -31,7 +31,7 @@
   http::CallObserver observer;
   bool cancelled = false;
   bool paused = false;
-  int cached_blocks = 0;  // X-Worker-Cached-Blocks of its heads
+  int cached_blocks = 0;  // X-Worker-Cached-Blocks in its response heads
 
   std::string Field(std::string_view name) const { return std::string(request.headers.Get(name)); }
   void Head(int status = 200, uint64_t epoch = 1) const {
@@ -140,7 +140,7 @@
   std::vector<Listener> listeners_;
 };
 
-// The delivery records as in the log. With `hold`, results wait for Release().
+// Stores the delivery records as the log does. With `hold`, results are deferred until Release().
 class FakeControl : public control::ControlClient {
  public:
   void Propose(control::Command command, runtime::Duration, bool, ProposeDone done) override {
@@ -170,10 +170,10 @@
     return found == records.end() ? control::DeliveryOutcome::KIND_UNSPECIFIED
                                   : found->second.outcome().kind();
   }
-  std::map<std::string, control::DeliveryRecord> records;  // by idempotency key
+  std::map<std::string, control::DeliveryRecord> records;  // keyed by idempotency key
   int proposals = 0;
   bool hold = false;
-  int lost_answers = 0;  // the next proposals are applied, but their results are lost
+  int lost_answers = 0;  // number of upcoming proposals that are applied, but get no result
   bool fail_finish = false;
 
  private:
--- a/src/posthatch/gateway/gateway_metrics.h
+++ b/src/posthatch/gateway/gateway_metrics.h
@@ -11,8 +11,9 @@
 
 using util::LabeledCounter;
 
-// The metric families posthatch_gateway_*. Counters count since the start of the process; the first
-// word of a comment is the counter's label. Owned by Gateway; event loop thread only.
+// The metric families posthatch_gateway_*. Counters count since the start of the process; a word
+// before a colon at the start of a comment is the name of the counter's label. Owned by Gateway;
+// event loop thread only.
 struct GatewayMetrics {
   explicit GatewayMetrics(prometheus::Registry* registry);
 
@@ -32,9 +33,10 @@
   LabeledCounter deliveries;
   // cause: back ends put into slow start: "seen", "returned" or "epoch".
   LabeledCounter slow_starts;
-  // result: this gateway's own reads of the platform's inventory.
+  // result: reads of the platform's inventory by this gateway.
   LabeledCounter inventory_reads;
-  // source: full prompt blocks of answered requests: "asked" in all, "cached" by the worker.
+  // source: full prompt blocks of completed requests: "asked" is their total, "cached" those cached
+  // by the worker.
   LabeledCounter prompt_blocks;
   // Back ends ejected as outliers.
   prometheus::Counter& ejections;
--- a/src/posthatch/gateway/gateway_options.h
+++ b/src/posthatch/gateway/gateway_options.h
@@ -10,11 +10,11 @@
 namespace posthatch::gateway {
 
 enum class RoutingMode {
-  kPrefixAware,  // by cached prefix and load
-  kRoundRobin,   // ignores both; the baseline of fleet tests
+  kPrefixAware,  // considers cached prefixes and load
+  kRoundRobin,   // ignores cached prefixes and load; baseline of fleet tests
 };
 
-// The name in the settings.
+// The name of the mode in the settings.
 inline std::string_view RoutingModeName(RoutingMode mode) {
   return mode == RoutingMode::kRoundRobin ? "round_robin" : "prefix_aware";
 }
@@ -32,10 +32,9 @@
 struct GatewayOptions {
   std::string gateway_id;          // node id, sent to back ends as X-Posthatch-Gateway
   std::string zone;                // back ends of this zone are preferred
-  std::string inventory_endpoint;  // "ip:port" of the platform's inventory; empty: never read by
-                                   // this gateway
+  std::string inventory_endpoint;  // "ip:port" of the platform's inventory; empty: not read
   RoutingMode routing_mode = RoutingMode::kPrefixAware;
-  // Maximum requests in flight at this gateway. The lowest priority is shed from 70% of it on.
+  // Maximum requests in flight at this gateway. The lowest priority may use 70% of it.
   size_t max_concurrent_requests = 4096;
   // Bytes of one stream buffered for a slow caller before reading from the worker stops.
   size_t max_stream_buffer_bytes = size_t{256} * 1024;
@@ -43,7 +42,7 @@
   size_t max_response_bytes = size_t{8} * 1024 * 1024;
   // Maximum dispatches of one request, including the first.
   uint32_t max_attempts = 3;
-  // Inventory reads per second that all gateways together may make.
+  // Maximum inventory reads per second, summed over all gateways.
   double inventory_reads_per_second = 4.0;
   // Number of live gateways in the fleet, including this one; fleet-wide limits are divided by it.
   // Null: this gateway is the only one.
--- a/src/posthatch/gateway/gateway_world-test.cc
+++ b/src/posthatch/gateway/gateway_world-test.cc
@@ -8,8 +8,8 @@
 #include "posthatch/emulator/service_emulator.h"
 #include "posthatch/gateway/gateway_fakes-test.h"
 
-// Two gateways in front of emulators that inject every fault, under the load of a deployment, in
-// the simulator. The log is a fake with random delays; everything else is real.
+// Simulates two gateways in front of emulators that inject every fault, under the load of a
+// deployment. The log is a fake with random delays; everything else is real.
 namespace posthatch::gateway {
 namespace {
 
@@ -17,7 +17,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Applied after a link delay: results for an ended or frozen process are lost or delayed.
+// Delays proposals and results by a random link delay. Results for a crashed or frozen process are
+// lost or delayed.
 class DelayedControl : public control::ControlClient {
  public:
   DelayedControl(runtime::Runtime* runtime, FakeControl* log) : runtime_(runtime), log_(log) {}
@@ -36,7 +37,7 @@
   FakeControl* const log_;
 };
 
-// One gateway process.
+// A gateway process.
 class GatewayProcess {
  public:
   GatewayProcess(runtime::Runtime* runtime, const std::string& endpoint,
@@ -81,7 +82,8 @@
     worker.answers_late_ms = 200;
     worker.answers_late_share = worker.answers_twice_share = worker.answers_crossed_share = 0.02;
     worker.answers_crossed_body_share = worker.cut_share = worker.cut_clean_share = 0.02;
-    // A missing last piece is undetectable: streams don't state their length.
+    // Pieces are not skipped: streams don't state their length, so a missing last piece would be
+    // undetectable.
     worker.repeated_piece_share = 0.02;
     worker.cut_at_piece = 2;
     for (int number = 1; number <= 4; ++number) {
@@ -123,7 +125,7 @@
     return host;
   }
 
-  // Faults of a gateway and of back ends, under continuous load.
+  // Crashes and freezes gateways and back ends under continuous load.
   void RunLoad() {
     StartBackends();
     simulation::SimHost* const first = StartGateway("gateway-1");
--- a/src/posthatch/gateway/header_names.h
+++ b/src/posthatch/gateway/header_names.h
@@ -11,7 +11,7 @@
 inline constexpr std::string_view kRequestId = "X-Request-Id";
 
 // From the gateway to a back end.
-inline constexpr std::string_view kAttempt = "X-Posthatch-Attempt";  // a nonce, echoed
+inline constexpr std::string_view kAttempt = "X-Posthatch-Attempt";  // nonce; must be echoed
 inline constexpr std::string_view kAttemptNumber = "X-Posthatch-Attempt-Number";
 inline constexpr std::string_view kGateway = "X-Posthatch-Gateway";
 inline constexpr std::string_view kTenant = "X-Posthatch-Tenant";
--- a/src/posthatch/gateway/inference_body.h
+++ b/src/posthatch/gateway/inference_body.h
@@ -11,7 +11,7 @@
 // unchanged.
 struct InferenceBody {
   std::string model;
-  std::string prompt;  // canonical text, whose blocks are cached (docs/BACKENDS.md, "Worker")
+  std::string prompt;  // canonical text; its blocks are cached (docs/BACKENDS.md, "Worker")
   bool chat = false;
   bool stream = false;
 };
--- a/src/posthatch/gateway/inference_request.cc
+++ b/src/posthatch/gateway/inference_request.cc
@@ -10,7 +10,7 @@
 namespace posthatch::gateway {
 namespace {
 
-// How long a caller may block reading from its worker before the stream is aborted.
+// How long reading from the worker may be stopped by a slow caller before the stream is aborted.
 constexpr runtime::Duration kStallTimeout = std::chrono::seconds(30);
 
 }  // namespace
@@ -95,7 +95,7 @@
 }
 
 void InferenceRequest::OnFirstChunk() {
-  // From here on the gaps are bounded, not the total time.
+  // From here on, only the gaps between chunks are bounded, not the total time.
   deadline_timer()->Cancel();
   ObserveFirstByte();
   context()->backends->health()->OnSuccess(attempt()->backend());
@@ -116,7 +116,7 @@
     context()->links->RecordPrefill(prefilled, elapsed);
     return;
   }
-  // A fetch that returned no block took time too.
+  // A fetch that returned no blocks also took time; it counts with the expected number of blocks.
   const uint64_t fetched = cached > decision_.cached_blocks
                                ? cached - decision_.cached_blocks
                                : decision_.fetch_blocks - decision_.cached_blocks;
@@ -129,7 +129,7 @@
   context()->metrics->stream_pauses.Increment();
   attempt()->StopReading();
   stall_timer_.Start(kStallTimeout, [this] {
-    attempt()->Fail({AttemptFailure::Cause::kTimeout, "the caller doesn't read its answer"});
+    attempt()->Fail({AttemptFailure::Cause::kTimeout, "the caller doesn't read its response"});
   });
   std::weak_ptr<ActiveRequest> weak = weak_from_this();
   call().writer->OnWritable([this, weak] {
--- a/src/posthatch/gateway/inference_request.h
+++ b/src/posthatch/gateway/inference_request.h
@@ -10,8 +10,8 @@
 
 namespace posthatch::gateway {
 
-// One completion or chat completion, streamed or not: routed by prefix, with a response from a
-// single run.
+// A request for a completion or chat completion, streamed or not. It is routed by prefix, and its
+// response comes from a single run.
 class InferenceRequest : public RetryableRequest {
  public:
   InferenceRequest(GatewayContext* context, CallerRequest call, InferenceBody body);
@@ -31,7 +31,7 @@
   // Computes seed, salt and block hashes from the fleet state in force.
   void ComputePromptIdentity();
   void AddRouteHeaders(const RouteDecision& decision, http::Headers* headers) const;
-  // The worker has prefilled the prompt: records its blocks in the index.
+  // Records the blocks of the prompt, which the worker has prefilled, in the index.
   void RecordPrefixCached(const http::Headers& head);
   void OnFirstChunk();
   // Updates estimates of queueing, prefill and link speed from the time to the first chunk.
--- a/src/posthatch/gateway/limits-test.cc
+++ b/src/posthatch/gateway/limits-test.cc
@@ -2,7 +2,7 @@
 
 #include "posthatch/gateway/gateway_fixture-test.h"
 
-// Admission, eligibility of back ends, and retries.
+// Tests of admission, eligibility of back ends, and retries.
 namespace posthatch::gateway {
 namespace {
 
@@ -79,7 +79,7 @@
 
 TEST_F(LimitsTest, DrainingAndEvacuatedWorkersGetNoWork) {
   StartGateway();
-  locator.holders = {{"w1", 1, 4}};  // although the index has holders
+  locator.holders = {{"w1", 1, 4}};  // the index still lists holders
   Complete();
   EXPECT_EQ(LastCall().endpoint, "w1:80");
   view.fleet.mutable_inventory()->mutable_backends(0)->set_draining(true);
@@ -128,7 +128,7 @@
   EXPECT_FALSE(budget.TryRetry(0.2));
 }
 
-// Sends `count` requests at 20/s with immediate responses; returns how many got to `endpoint`.
+// Sends `count` requests at 20/s with immediate responses; returns how many `endpoint` received.
 class ShareTest : public GatewayTest {
  protected:
   int Share(const std::string& endpoint, int count) {
@@ -199,7 +199,7 @@
       absl::StrCat(R"({"model":"m","stream":true,"prompt":")", std::string(1600, 'p'), "\"}");
   Send("/v1/completions", body);
   ASSERT_EQ(LastCall().endpoint, "w1:80");
-  timers.Advance(std::chrono::seconds(2));  // other gateways use its capacity
+  timers.Advance(std::chrono::seconds(2));  // other gateways use the worker's capacity
   LastCall().cached_blocks = 100;
   LastCall().Head();
   LastCall().Piece(LastCall().Event(0));
@@ -264,7 +264,7 @@
   EXPECT_FALSE(links.FetchIsWorthwhile("w1", "w2"));
   EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w3"));
   clock.now += std::chrono::minutes(1);
-  EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w2"));  // measured again
+  EXPECT_TRUE(links.FetchIsWorthwhile("w1", "w2"));  // the measurement has expired
 }
 
 TEST_F(LimitsTest, BlockSeedDependsOnRevisionAndIsolation) {
--- a/src/posthatch/gateway/link_speed_estimator.cc
+++ b/src/posthatch/gateway/link_speed_estimator.cc
@@ -7,11 +7,11 @@
 namespace posthatch::gateway {
 namespace {
 
-constexpr double kSumDecay = 0.95;                 // of the sums, at each new sample
+constexpr double kSumDecay = 0.95;                 // factor for the sums at each new sample
 constexpr double kLinkSampleWeight = 0.5;          // links change abruptly
-constexpr double kUnmeasuredFetchCostRatio = 0.2;  // of the prefill cost
-constexpr double kMaxFetchCostRatio = 0.7;         // of the prefill cost
-constexpr double kMinCostMs = 0.001;               // milliseconds
+constexpr double kUnmeasuredFetchCostRatio = 0.2;  // fraction of the prefill cost
+constexpr double kMaxFetchCostRatio = 0.7;         // fraction of the prefill cost
+constexpr double kMinCostMs = 0.001;               // per block
 
 std::string LinkName(const std::string& source, const std::string& worker) {
   return absl::StrCat(source, ">", worker);
--- a/src/posthatch/gateway/link_speed_estimator.h
+++ b/src/posthatch/gateway/link_speed_estimator.h
@@ -9,16 +9,16 @@
 
 namespace posthatch::gateway {
 
-// Estimates the time to prefill and to fetch one block from the first chunks of streams: without a
-// source the time is prefill alone, with one it is prefill of the rest plus the fetch. Event loop
-// thread only.
+// Estimates the time to prefill one block and to fetch one block, from the time to the first chunk
+// of streams: without a fetch it is prefill alone, with one it is the fetch plus prefill of the
+// remaining blocks. Event loop thread only.
 class LinkSpeedEstimator {
  public:
   explicit LinkSpeedEstimator(const runtime::Clock* clock) : clock_(clock) {}
 
   // `blocks` blocks were prefilled in `elapsed`, the time from dispatch to the first chunk.
   void RecordPrefill(uint64_t blocks, runtime::Duration elapsed);
-  // As above, with `fetched` blocks fetched from `source` by `worker`.
+  // `worker` fetched `fetched` blocks from `source` and prefilled `prefilled` blocks in `elapsed`.
   void RecordFetch(const std::string& source, const std::string& worker, uint64_t fetched,
                    uint64_t prefilled, runtime::Duration elapsed);
 
@@ -40,7 +40,7 @@
   };
 
   const runtime::Clock* const clock_;
-  // Exponentially decaying sums, so that short prompts, whose time is mostly queueing, have little
+  // Exponentially decaying sums. Short prompts, whose time is mostly queueing, thus have little
   // weight.
   double prefill_milliseconds_ = 20.0;
   double prefill_blocks_ = 10.0;
--- a/src/posthatch/gateway/live_gateway_count.h
+++ b/src/posthatch/gateway/live_gateway_count.h
@@ -17,7 +17,7 @@
   LiveGatewayCount(const runtime::Clock* clock, std::function<uint32_t()> source)
       : clock_(clock), source_(std::move(source)) {}
 
-  // At least 1.
+  // Returns the count, which is at least 1.
   uint32_t Get() {
     const runtime::MonotonicTime now = clock_->Now();
     if (count_ == 0 || now - refreshed_at_ >= kRefreshInterval) {
--- a/src/posthatch/gateway/request_registry.h
+++ b/src/posthatch/gateway/request_registry.h
@@ -24,12 +24,12 @@
 
   // Takes ownership of the request and begins it.
   void Start(std::shared_ptr<ActiveRequest> request);
-  // The request has ended.
+  // Removes a request that has ended; it is destroyed in a later event loop turn.
   void Retire(ActiveRequest* request);
   // Destroys `object` in a later event loop turn.
   void Discard(std::shared_ptr<void> object);
   size_t size() const { return active_.size(); }
-  // Runs `callback` once no request is in progress, possibly within this call.
+  // Runs `callback` as soon as no request is in progress, possibly within this call.
   void OnEmpty(std::function<void()> callback);
 
  private:
--- a/src/posthatch/gateway/response_check.cc
+++ b/src/posthatch/gateway/response_check.cc
@@ -36,19 +36,19 @@
 absl::Status CheckCompletionBody(std::string_view body, std::string_view request_id) {
   boost::json::error_code error;
   const boost::json::value parsed = boost::json::parse(body, error);
-  if (error || !parsed.is_object()) return Broken("the answer is not a JSON object");
+  if (error || !parsed.is_object()) return Broken("the response is not a JSON object");
   const boost::json::object& response = parsed.get_object();
   if (StringField(response, "request_id") != request_id) {
-    return Broken("the answer belongs to another request");
+    return Broken("the response is for another request");
   }
-  if (StringField(response, "id").empty()) return Broken("the answer names no run");
+  if (StringField(response, "id").empty()) return Broken("the response has no run id");
   const boost::json::value* choices = response.if_contains("choices");
   if (choices == nullptr || !choices->is_array() || choices->get_array().empty()) {
-    return Broken("the answer has no choices");
+    return Broken("the response has no choices");
   }
   const std::string_view checksum = StringField(response, "checksum");
   if (!checksum.empty() && !ChecksumFits(checksum, FirstText(response))) {
-    return Broken("the answer's checksum doesn't fit");
+    return Broken("checksum mismatch in the response");
   }
   return absl::OkStatus();
 }
@@ -57,13 +57,13 @@
                               std::string_view operation) {
   boost::json::error_code error;
   const boost::json::value parsed = boost::json::parse(body, error);
-  if (error || !parsed.is_object()) return Broken("the answer is not a JSON object");
+  if (error || !parsed.is_object()) return Broken("the response is not a JSON object");
   const boost::json::object& response = parsed.get_object();
   if (StringField(response, "request_id") != request_id) {
-    return Broken("the answer belongs to another request");
+    return Broken("the response is for another request");
   }
   if (StringField(response, "operation") != operation) {
-    return Broken("the answer belongs to another operation");
+    return Broken("the response is for another operation");
   }
   return absl::OkStatus();
 }
--- a/src/posthatch/gateway/response_check.h
+++ b/src/posthatch/gateway/response_check.h
@@ -7,9 +7,9 @@
 
 namespace posthatch::gateway {
 
-// Whether `body` is a worker's complete response to `request_id`: JSON with that id, a run,
-// choices, and a matching checksum of the text if there is one (docs/BACKENDS.md, "Worker").
-// DataLoss otherwise.
+// Whether `body` is a worker's complete response to `request_id`: JSON with that request id, a run
+// id, choices, and a matching checksum of the text if there is a checksum (docs/BACKENDS.md,
+// "Worker"). DataLoss otherwise.
 absl::Status CheckCompletionBody(std::string_view body, std::string_view request_id);
 
 // Whether `body` is a service's complete response to `request_id` (docs/BACKENDS.md, "Application
--- a/src/posthatch/gateway/retry_budget.h
+++ b/src/posthatch/gateway/retry_budget.h
@@ -15,7 +15,7 @@
   explicit RetryBudget(const runtime::Clock* clock) : clock_(clock) {}
 
   void RecordFirstAttempt();
-  // The newest first attempt was never sent.
+  // Takes back the newest first attempt, which was never sent.
   void RevertFirstAttempt();
   // Counts and allows a retry if the retries in the window stay at or below `ratio` of the first
   // attempts in it.
@@ -26,7 +26,7 @@
   static constexpr runtime::Duration kBucketLength = std::chrono::milliseconds(100);
 
   struct Bucket {
-    int64_t number = -1;  // which interval of kBucketLength it counts
+    int64_t number = -1;  // index of its interval on the clock, in units of kBucketLength
     int64_t firsts = 0;
     int64_t retries = 0;
   };
--- a/src/posthatch/gateway/retryable_request.cc
+++ b/src/posthatch/gateway/retryable_request.cc
@@ -13,7 +13,7 @@
 constexpr int kAttemptTimeoutDivisor = 4;
 // Maximum time without a body byte in a response.
 constexpr runtime::Duration kBodyIdleTimeout = std::chrono::seconds(10);
-// With less time left, a retry can't succeed.
+// Minimum time before the deadline for a retry to succeed.
 constexpr runtime::Duration kMinTimeForRetry = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -33,7 +33,7 @@
 std::optional<ApiError> RetryableRequest::DispatchError() {
   if (std::optional<ApiError> error = context_->FleetStateError()) return error;
   if (attempts_ == 0) return std::nullopt;
-  // Time has passed since the request was admitted.
+  // The key may have been revoked since the request was admitted.
   return context_->AuthorizationError(call_);
 }
 
@@ -89,13 +89,13 @@
 void RetryableRequest::OnResponseComplete(http::Response response) {
   if (ended_) return;
   if (GuaranteesNotExecuted(response)) {
-    OnAttemptFailed({AttemptFailure::Cause::kRefused, "refused before running", response.status});
+    OnAttemptFailed({AttemptFailure::Cause::kRefused, "rejected before running", response.status});
     return;
   }
   absl::Status status = absl::OkStatus();
   if (response.status == 200) status = CheckResponse(response);
   if (response.status >= 500)
-    status = absl::UnavailableError("the back end answered with an error");
+    status = absl::UnavailableError("the back end responded with an error");
   if (!status.ok()) {
     context_->backends->health()->OnFailure(attempt_->backend());
     OnAttemptFailed({AttemptFailure::Cause::kInvalidResponse, status.ToString()});
--- a/src/posthatch/gateway/retryable_request.h
+++ b/src/posthatch/gateway/retryable_request.h
@@ -25,11 +25,11 @@
                              AttemptPlan* plan) = 0;
   // Whether a complete response with status 200 is valid and for this request.
   virtual absl::Status CheckResponse(const http::Response& response) = 0;
-  // A valid response is about to be sent.
+  // Called before a valid response is sent.
   virtual void OnValidResponse(const http::Response& response) = 0;
   // Whether a part of the response has been sent to the caller.
   virtual bool ResponseStarted() const { return false; }
-  // Ends a response of which a part was sent.
+  // Ends a response that was sent partially.
   virtual void AbortStream(const ApiError& error);
 
   void OnStreamHead(const http::Response& head) override;
@@ -38,13 +38,13 @@
   void OnResponseComplete(http::Response response) override;
   void OnAttemptFailed(AttemptFailure failure) override;
 
-  // A valid response was sent completely.
+  // Called when a valid response was sent completely.
   void Complete();
   GatewayContext* context() const { return context_; }
   CallerRequest& call() { return call_; }
   UpstreamAttempt* attempt() const { return attempt_.get(); }
   runtime::Timer* deadline_timer() { return &deadline_timer_; }
-  // Records the time to the first byte.
+  // Records the time to the first byte in the metrics.
   void ObserveFirstByte();
 
  private:
@@ -64,7 +64,7 @@
   std::shared_ptr<UpstreamAttempt> attempt_;
   std::vector<std::string> attempted_backends_;
   uint32_t attempts_ = 0;
-  bool guaranteed_not_executed_ = true;  // holds for every attempt so far
+  bool guaranteed_not_executed_ = true;  // true for all attempts so far
   bool ended_ = false;
   runtime::Timer deadline_timer_;
 };
--- a/src/posthatch/gateway/service_request.h
+++ b/src/posthatch/gateway/service_request.h
@@ -7,7 +7,7 @@
 
 namespace posthatch::gateway {
 
-// One call of an idempotent operation of an application service.
+// A request for an idempotent operation of an application service.
 class ServiceRequest : public RetryableRequest {
  public:
   ServiceRequest(GatewayContext* context, CallerRequest call, std::string service,
--- a/src/posthatch/gateway/sse_stream_checker-fuzz.cc
+++ b/src/posthatch/gateway/sse_stream_checker-fuzz.cc
@@ -5,8 +5,8 @@
 
 #include "posthatch/gateway/sse_stream_checker.h"
 
-// The forwarded bytes must not depend on how the stream is split into chunks, and must always be a
-// prefix of the stream.
+// Checks that the forwarded bytes don't depend on how the stream is split into chunks, and are
+// always a prefix of the stream.
 namespace {
 
 struct Outcome {
--- a/src/posthatch/gateway/sse_stream_checker.cc
+++ b/src/posthatch/gateway/sse_stream_checker.cc
@@ -29,7 +29,7 @@
   }
   const std::string_view view(text);
   size_t start = 0;
-  size_t shown = 0;  // end of the events to forward
+  size_t shown = 0;  // end of the complete events to forward
   size_t search_from = searched_;
   while (true) {
     const size_t end = view.find(kEventEnd, search_from);
@@ -46,7 +46,7 @@
   if (rest > 0 && done_) return Broken("bytes after [DONE]");
   if (rest > kMaxEventBytes) return Broken("an event is too long");
   partial_.assign(text, start, rest);
-  searched_ = rest > 0 ? rest - 1 : 0;  // the two bytes of the end may be in two chunks
+  searched_ = rest > 0 ? rest - 1 : 0;  // kEventEnd may be split across two chunks
   text.resize(shown);
   return text;
 }
@@ -95,9 +95,9 @@
   if (error || !parsed.is_object()) return Broken("an event is not a JSON object");
   const boost::json::object& event = parsed.get_object();
   const std::string_view run = StringField(event, "id");
-  if (run.empty()) return Broken("a piece names no run");
+  if (run.empty()) return Broken("a piece has no run id");
   if (next_piece_ == 0) run_ = std::string(run);
-  if (run != run_) return Broken("pieces of two runs");
+  if (run != run_) return Broken("pieces of different runs");
   if (StringField(event, "request_id") != request_id_) return Broken("a piece of another request");
   const boost::json::value* piece = event.if_contains("piece");
   if (piece == nullptr || !piece->is_number()) return Broken("a piece has no number");
@@ -113,8 +113,8 @@
   if (key == std::string_view::npos) return;
   size_t end = key + kPieceKey.size();
   if (end < payload.size() && payload[end] == ' ') ++end;
-  // With its object closed after the number, the prefix must hold exactly three fields: this proves
-  // that the key found is the event's and not part of a text.
+  // The prefix, closed after a number, must be an object with exactly three fields. This proves
+  // that the key belongs to the event and is not part of a text.
   boost::json::error_code error;
   const boost::json::value closed =
       boost::json::parse(absl::StrCat(std::string(payload.substr(0, end)), "0}"), error);
--- a/src/posthatch/gateway/stream-test.cc
+++ b/src/posthatch/gateway/stream-test.cc
@@ -3,13 +3,13 @@
 #include "posthatch/gateway/gateway_fixture-test.h"
 #include "posthatch/gateway/sse_stream_checker.h"
 
-// Responses and streams: nothing of another request or run, and nothing incomplete.
+// A caller must never get parts of another request or run, nor an incomplete response as complete.
 namespace posthatch::gateway {
 namespace {
 
 using AnswerTest = GatewayTest;
 
-// With enough first attempts in the retry budget's window.
+// Sends enough first attempts that the retry budget allows retries.
 class RetryingTest : public GatewayTest {
  protected:
   void Prepare() {
@@ -47,7 +47,7 @@
   const auto crossed = client.calls.back();
   crossed->HeadFor("another attempt");
   EXPECT_EQ(client.calls.size(), 22u);
-  crossed->GoodCompletion();  // later events and a second response are dropped too
+  crossed->GoodCompletion();  // the rest of this call must be dropped too
   EXPECT_EQ(writer->responses, 0);
   timers.Advance(std::chrono::milliseconds(1));
   EXPECT_TRUE(crossed->cancelled);
@@ -169,19 +169,19 @@
 TEST(SseStreamCheckerTest, RejectsIncompleteOrMixedRuns) {
   const std::string good = Piece("r", "q", "0") + Piece("r", "q", "1");
   const std::string bad[] = {
-      good + Piece("r", "q", "3"),          // one is missing
-      good + Piece("r", "q", "1"),          // one is repeated
-      good + Piece("s", "q", "2"),          // of another run
-      good + Piece("r", "p", "2"),          // of another request
-      good + Piece("r", "q", "2.5"),        // not a number of a piece
+      good + Piece("r", "q", "3"),          // a piece is missing
+      good + Piece("r", "q", "1"),          // a piece is repeated
+      good + Piece("s", "q", "2"),          // piece of another run
+      good + Piece("r", "p", "2"),          // piece of another request
+      good + Piece("r", "q", "2.5"),        // not a piece number
       good + Piece("r", "q", "02"),         // not JSON
-      Piece("r", "p", "0"),                 // all of another request
-      Piece("r", "q", "1"),                 // the first one is missing
+      Piece("r", "p", "0"),                 // all pieces of another request
+      Piece("r", "q", "1"),                 // the first piece is missing
       good + "event: error\ndata: {}\n\n",  // an error of the worker
       good + "data: {\"id\":\"r\"\n\n",     // truncated
       good + "data: [DONE]\n\ndata: [DONE]\n\n",
       good + "data: [DONE]\n\nx",
-      "data: [DONE]\n\n",  // no event
+      "data: [DONE]\n\n",  // no pieces
   };
   for (const std::string& stream : bad) {
     SseStreamChecker checker("q");
--- a/src/posthatch/gateway/stream_relay.h
+++ b/src/posthatch/gateway/stream_relay.h
@@ -24,13 +24,15 @@
 
   // Takes bytes from the worker; DataLoss if they don't continue one valid stream.
   absl::Status Feed(std::string chunk);
-  // The worker's body is complete. OK: the caller's is too.
+  // Called when the worker's body has ended. OK if it was complete; the caller's stream is finished
+  // then.
   absl::Status Finish();
   // Ends the caller's stream with an error event, without completing it.
   void AbortWithError(const ApiError& error);
 
   bool response_started() const { return response_started_; }
-  // Whether so much is buffered for the caller that reading from the worker should stop.
+  // Whether more than `max_buffered_bytes` are buffered for the caller, so that reading from the
+  // worker should stop.
   bool Full() const { return response_started_ && writer_->buffered_bytes() > max_buffered_bytes_; }
 
  private:
--- a/src/posthatch/gateway/upstream_attempt.cc
+++ b/src/posthatch/gateway/upstream_attempt.cc
@@ -83,7 +83,7 @@
 void UpstreamAttempt::OnResponseHead(const http::Response& head) {
   if (ended_) return;
   if (head.headers.Get(header::kAttempt) != plan_.nonce) {
-    Fail({AttemptFailure::Cause::kWrongAttempt, "the answer is not for this attempt"});
+    Fail({AttemptFailure::Cause::kWrongAttempt, "the response is for another attempt"});
     return;
   }
   CompleteHead();
--- a/src/posthatch/gateway/upstream_attempt.h
+++ b/src/posthatch/gateway/upstream_attempt.h
@@ -21,7 +21,7 @@
   };
   Cause cause = Cause::kNotSent;
   std::string message;
-  int status = 0;  // of a rejection
+  int status = 0;  // HTTP status of a rejection
 
   // Whether it is proven that this attempt has not run and will not run.
   bool GuaranteesNotExecuted() const {
@@ -31,8 +31,8 @@
   const char* name() const;
 };
 
-// Events of an attempt: OnResponseComplete, or OnStreamHead, chunks and OnStreamEnd, or at any
-// point OnAttemptFailed; nothing follows the last one.
+// Receives the events of an attempt: OnResponseComplete, or OnStreamHead, OnStreamChunk
+// (repeatedly) and OnStreamEnd, or at any point OnAttemptFailed. No event follows the last one.
 class AttemptListener {
  public:
   virtual ~AttemptListener() = default;
@@ -45,15 +45,15 @@
 
 struct AttemptPlan {
   BackendPointer backend;
-  http::Request request;        // without the attempt's own fields
-  std::string nonce;            // of this attempt; the response must echo it
+  http::Request request;        // without the header fields of the attempt
+  std::string nonce;            // identifies the attempt; the response must echo it
   uint64_t pending_blocks = 0;  // prompt blocks that the worker has to prefill
-  bool stream = false;          // forward a body of status 200 as it arrives
+  bool stream = false;          // forward the body as it arrives if the status is 200
   http::CallOptions call_options;
 };
 
-// One dispatch to one back end. Accepts only a response that echoes this attempt's nonce. Updates
-// the back end's load and health. Destroying it cancels the call. Event loop thread only.
+// A dispatch of a request to a back end. Accepts only a response that echoes this attempt's nonce.
+// Updates the back end's load and health. Destroying it cancels the call. Event loop thread only.
 class UpstreamAttempt {
  public:
   // The listener outlives the attempt.
@@ -76,7 +76,7 @@
   void OnChunk(std::string chunk);
   void OnEnd();
   void OnError(const http::CallError& error);
-  // The head was received or is no longer awaited.
+  // Called once the head was received or is no longer awaited.
   void CompleteHead();
   void CompleteAttempt();
 
@@ -88,7 +88,7 @@
   http::Response response_;
   runtime::MonotonicTime started_;
   bool streaming_ = false;
-  bool head_completed_ = true;  // until Start
+  bool head_completed_ = true;  // set to false by Start
   bool ended_ = true;
 };
 
--- a/src/posthatch/gateway/worker_router.cc
+++ b/src/posthatch/gateway/worker_router.cc
@@ -13,7 +13,7 @@
 constexpr int kMaxSamples = 8;
 // Above this fraction of its limit, a local back end is compared with those of other zones.
 constexpr double kLocalLoadLimit = 0.5;
-// Time that one running request adds to the next one's first token, in milliseconds.
+// Milliseconds by which one running request delays the first token of the next request.
 constexpr double kRunningRequestCostMs = 3.0;
 
 bool Contains(const std::vector<std::string>& list, const std::string& id) {
--- a/src/posthatch/gateway/worker_router.h
+++ b/src/posthatch/gateway/worker_router.h
@@ -15,8 +15,8 @@
   const std::string* model = nullptr;
   const index::BlockSeed* seed = nullptr;
   const std::vector<index::BlockHash>* chain = nullptr;
-  uint32_t priority = 0;  // of the tenant, 0 to 9
-  // Back ends that failed this request; not chosen again while there are others.
+  uint32_t priority = 0;  // the tenant's priority, 0 to 9
+  // Ids of back ends at which attempts of this request failed; they are not chosen again.
   const std::vector<std::string>* attempted_backends = nullptr;
 };
 
@@ -28,10 +28,10 @@
   };
   Outcome outcome = Outcome::kNoCapacity;
   BackendPointer backend;
-  uint32_t cached_blocks = 0;  // leading blocks expected in its cache
-  std::string fetch_endpoint;  // where the worker may fetch more blocks; empty: nowhere
-  std::string fetch_source;    // its back end id
-  uint32_t fetch_blocks = 0;   // leading blocks expected in its cache
+  uint32_t cached_blocks = 0;  // leading blocks expected in the cache of `backend`
+  std::string fetch_endpoint;  // where `backend` may fetch more blocks; empty: nowhere
+  std::string fetch_source;    // back end id of fetch_endpoint
+  uint32_t fetch_blocks = 0;   // leading blocks expected in the cache of fetch_source
 };
 
 // Chooses the back end of a request. Workers: the holders of the longest trusted prefixes and the
@@ -58,19 +58,21 @@
   struct Candidate {
     BackendPointer backend;
     uint32_t cached_blocks = 0;
-    const index::PrefixHolder* source = nullptr;  // to fetch from
-    double cost = 0.0;                            // milliseconds to the first token
+    const index::PrefixHolder* source = nullptr;  // cache holder to fetch from; null: none
+    double cost = 0.0;                            // expected milliseconds to the first token
   };
 
   BackendPointer NextRoundRobin(BackendPool* pool, uint64_t revision,
                                 const std::vector<std::string>& attempted_backends);
-  // A random eligible back end other than `other`, those in slow start less often; may be null.
+  // A random eligible back end other than `other`; back ends in slow start are drawn less often.
+  // Null if none was found.
   BackendPointer SampleEligible(const std::vector<BackendPointer>& from, uint64_t revision,
                                 const std::vector<std::string>& attempted_backends,
                                 const BackendEntry* other);
   BackendPointer PowerOfTwoChoices(const std::vector<BackendPointer>& from, uint64_t revision,
                                    const std::vector<std::string>& attempted_backends);
-  // The better of two of this zone unless both are busy, then of all zones; finally a full search.
+  // Power of two choices in the local zone; if that choice is busy, the better of it and a choice
+  // from all zones. A full search if both find none.
   BackendPointer LeastLoaded(BackendPool* pool, uint64_t revision,
                              const std::vector<std::string>& attempted_backends);
   BackendPointer SearchAll(const BackendPool& pool, uint64_t revision,
@@ -81,7 +83,7 @@
   const index::PrefixHolder* BestSource(const std::vector<index::PrefixHolder>& holders,
                                         const Candidate& candidate) const;
   double RelativeLoad(const BackendEntry& entry) const;
-  // Whether it has capacity for one more request of this priority.
+  // Whether the back end has capacity for one more request of this priority.
   bool HasCapacity(const BackendEntry& entry, uint32_t priority) const;
   // The eligible holders of the longest prefixes.
   std::vector<Candidate> HolderCandidates(const RouteQuery& query,
