--- a/src/posthatch/gateway/admission_control.cc
+++ b/src/posthatch/gateway/admission_control.cc
@@ -44,14 +44,14 @@
   const double rate = tenant.rate_limit() / gateways;
   const double burst = std::max(1.0, std::max(tenant.burst() / gateways, rate));
   const runtime::MonotonicTime now = clock_->Now();
-  if (!usage->seen) {
+  if (!usage->initialized) {
     usage->tokens = burst;
-    usage->seen = true;
+    usage->initialized = true;
   } else {
-    const double elapsed = std::chrono::duration<double>(now - usage->refilled).count();
+    const double elapsed = std::chrono::duration<double>(now - usage->refilled_at).count();
     usage->tokens = std::min(burst, usage->tokens + elapsed * rate);
   }
-  usage->refilled = now;
+  usage->refilled_at = now;
   if (usage->tokens < 1.0) {
     return std::max(1, static_cast<int>(std::ceil((1.0 - usage->tokens) / rate)));
   }
--- a/src/posthatch/gateway/admission_control.h
+++ b/src/posthatch/gateway/admission_control.h
@@ -19,8 +19,8 @@
 // The token bucket and the concurrency of one tenant at this gateway.
 struct TenantUsage {
   double tokens = 0.0;  // tokens in the bucket, one per request
-  runtime::MonotonicTime refilled;
-  bool seen = false;
+  runtime::MonotonicTime refilled_at;
+  bool initialized = false;
   uint32_t in_flight = 0;
 };
 
--- a/src/posthatch/gateway/backend_entry.h
+++ b/src/posthatch/gateway/backend_entry.h
@@ -29,8 +29,8 @@
   uint32_t consecutive_failures = 0;
   uint32_t consecutive_ejections = 0;
   runtime::MonotonicTime ejected_until;
-  uint64_t refused_revision = 0;         // model revision of the last rejection
-  runtime::MonotonicTime refused_until;  // end of the backoff for that revision
+  uint64_t rejected_revision = 0;         // model revision of the last rejection
+  runtime::MonotonicTime rejected_until;  // end of the backoff for that revision
 };
 
 using BackendPointer = std::shared_ptr<BackendEntry>;
--- a/src/posthatch/gateway/backend_health.cc
+++ b/src/posthatch/gateway/backend_health.cc
@@ -10,7 +10,7 @@
 // Backoff after a rejection: an overloaded back end soon has capacity again, while one that loads
 // weights needs seconds.
 constexpr runtime::Duration kOverloadBackoff = std::chrono::milliseconds(250);
-constexpr runtime::Duration kRefusalBackoff = std::chrono::seconds(1);
+constexpr runtime::Duration kRejectionBackoff = std::chrono::seconds(1);
 constexpr int kTooManyRequests = 429;
 constexpr double kMinSlowStartShare = 0.02;
 
@@ -20,13 +20,13 @@
   if (!entry.in_inventory || entry.draining || entry.evacuated) return false;
   const runtime::MonotonicTime now = clock_->Now();
   if (now < entry.ejected_until) return false;
-  if (entry.refused_revision == revision && now < entry.refused_until) return false;
+  if (entry.rejected_revision == revision && now < entry.rejected_until) return false;
   return entry.in_flight < Limit(entry);
 }
 
 bool BackendHealth::EligibleForTrial(const BackendEntry& entry) const {
   return entry.in_inventory && !entry.draining && !entry.evacuated && entry.in_flight == 0 &&
-         clock_->Now() >= entry.refused_until;
+         clock_->Now() >= entry.rejected_until;
 }
 
 double BackendHealth::SlowStartShare(const BackendEntry& entry) const {
@@ -69,11 +69,11 @@
   entry->slow_start_began = entry->ejected_until;
 }
 
-void BackendHealth::OnRefused(BackendEntry* entry, uint64_t revision, int status) {
+void BackendHealth::OnRejected(BackendEntry* entry, uint64_t revision, int status) {
   entry->consecutive_failures = 0;
-  entry->refused_revision = revision;
-  entry->refused_until =
-      clock_->Now() + (status == kTooManyRequests ? kOverloadBackoff : kRefusalBackoff);
+  entry->rejected_revision = revision;
+  entry->rejected_until =
+      clock_->Now() + (status == kTooManyRequests ? kOverloadBackoff : kRejectionBackoff);
 }
 
 void BackendHealth::OnEpoch(BackendEntry* entry, uint64_t epoch) {
--- a/src/posthatch/gateway/backend_health.h
+++ b/src/posthatch/gateway/backend_health.h
@@ -43,7 +43,7 @@
   void OnFailure(BackendEntry* entry, FailureKind kind = FailureKind::kFailed);
   // The back end rejected an attempt before running it, with HTTP status `status`. It gets no
   // requests for `revision` during a backoff.
-  void OnRefused(BackendEntry* entry, uint64_t revision, int status);
+  void OnRejected(BackendEntry* entry, uint64_t revision, int status);
   // A response carried the back end's cache epoch; a changed epoch restarts slow start.
   void OnEpoch(BackendEntry* entry, uint64_t epoch);
   // `cause` is the label value in the metric.
--- a/src/posthatch/gateway/bodies-fuzz.cc
+++ b/src/posthatch/gateway/bodies-fuzz.cc
@@ -15,9 +15,9 @@
   (void)control::ParseInventory(body).ok();
   (void)gateway::CheckCompletionBody(body, "q").ok();
   (void)gateway::CheckServiceBody(body, "q", "place").ok();
-  posthatch::http::Response answer;
-  answer.status = 503;
-  answer.body = body;
-  (void)gateway::GuaranteesNotExecuted(answer);
+  posthatch::http::Response response;
+  response.status = 503;
+  response.body = body;
+  (void)gateway::GuaranteesNotExecuted(response);
   return 0;
 }
--- a/src/posthatch/gateway/caller_api.cc
+++ b/src/posthatch/gateway/caller_api.cc
@@ -103,11 +103,11 @@
   call.deadline = call.received + context_->lookup->limits().request_timeout;
   const std::optional<Route> route = FindRoute(call.request);
   if (!route.has_value()) {
-    Refuse(call, NotFound("no such route"));
+    Reject(call, NotFound("no such route"));
     return;
   }
   if (std::optional<ApiError> error = Validate(&call)) {
-    Refuse(call, *std::move(error));
+    Reject(call, *std::move(error));
     return;
   }
   if (route->kind == Route::Kind::kService) {
@@ -120,7 +120,7 @@
 bool CallerApi::Admit(CallerRequest* call) {
   std::optional<ApiError> error = context_->admission->Admit(*call->tenant, &call->slot);
   if (!error.has_value()) return true;
-  Refuse(*call, *std::move(error));
+  Reject(*call, *std::move(error));
   return false;
 }
 
@@ -130,11 +130,11 @@
   absl::StatusOr<InferenceBody> body =
       ParseInferenceBody(call.request.body, route.kind == Route::Kind::kChat);
   if (!body.ok()) {
-    Refuse(call, BadRequest(body.status()));
+    Reject(call, BadRequest(body.status()));
     return;
   }
   if (context_->lookup->FindModel(body->model) == nullptr) {
-    Refuse(call, NotFound("no such model"));
+    Reject(call, NotFound("no such model"));
     return;
   }
   context_->requests->Start(
@@ -146,14 +146,14 @@
   const control::ServiceOperation* operation =
       service == nullptr ? nullptr : FindOperation(*service, route.operation);
   if (operation == nullptr) {
-    Refuse(call, NotFound("no such service or operation"));
+    Reject(call, NotFound("no such service or operation"));
     return;
   }
   if (service->timeout_ms() > 0) {
     call.deadline = call.received + std::chrono::milliseconds(service->timeout_ms());
   }
   if (operation->non_repeatable() && call.idempotency_key.empty()) {
-    Refuse(call, BadRequest("this operation needs an Idempotency-Key"));
+    Reject(call, BadRequest("this operation needs an Idempotency-Key"));
     return;
   }
   if (!Admit(&call)) return;
@@ -168,7 +168,7 @@
   context_->requests->Start(std::move(request));
 }
 
-void CallerApi::Refuse(const CallerRequest& call, ApiError error) {
+void CallerApi::Reject(const CallerRequest& call, ApiError error) {
   // An earlier request with the same key may have run, unless this one could never be accepted.
   const bool may_have_run = call.request.headers.Has(header::kIdempotencyKey);
   const bool never_accepted = error.code == ErrorCode::kBadRequest;
--- a/src/posthatch/gateway/caller_api.h
+++ b/src/posthatch/gateway/caller_api.h
@@ -35,7 +35,7 @@
   void StartService(const Route& route, CallerRequest call);
   // Takes an admission slot; false if the request was rejected.
   bool Admit(CallerRequest* call);
-  void Refuse(const CallerRequest& call, ApiError error);
+  void Reject(const CallerRequest& call, ApiError error);
 
   GatewayContext* const context_;
   bool draining_ = false;
--- a/src/posthatch/gateway/delivery-test.cc
+++ b/src/posthatch/gateway/delivery-test.cc
@@ -9,7 +9,7 @@
 class DeliveryTest : public GatewayTest {
  protected:
   // Like FakeFleet::Place, but through a second gateway that shares the log and the back ends.
-  std::shared_ptr<FakeWriter> PlaceElsewhere(const std::string& key) {
+  std::shared_ptr<FakeWriter> PlaceAtOtherGateway(const std::string& key) {
     if (other_ == nullptr) {
       other_runtime_ = runtime;
       other_runtime_.metrics = &other_registry_;
@@ -30,9 +30,9 @@
 TEST_F(DeliveryTest, ResendAtOtherGatewayGetsStoredOutcome) {
   StartGateway();
   Place("k");
-  EXPECT_EQ(PlaceElsewhere("k")->whole.status, 409);  // the first request is still running
+  EXPECT_EQ(PlaceAtOtherGateway("k")->whole.status, 409);  // the first request is still running
   LastCall().GoodOperation("place");
-  const auto again = PlaceElsewhere("k");
+  const auto again = PlaceAtOtherGateway("k");
   EXPECT_EQ(again->whole.status, 200);
   EXPECT_TRUE(again->Says(R"("result":1)"));
   EXPECT_EQ(client.calls.size(), 1u);
@@ -42,7 +42,7 @@
   StartGateway();
   Place("k");
   gateway.reset();
-  const auto again = PlaceElsewhere("k");
+  const auto again = PlaceAtOtherGateway("k");
   EXPECT_EQ(again->whole.status, 409);
   EXPECT_TRUE(again->Says(R"("executed":"unknown")"));
   EXPECT_EQ(client.calls.size(), 1u);
@@ -69,21 +69,21 @@
 
 TEST_F(DeliveryTest, NoDispatchAfterFreezeFollowingBegin) {
   StartGateway();
-  control.hold = true;
+  control.defer_results = true;
   const auto writer = Place("k");
   clock.now += std::chrono::seconds(20);  // timers don't run during a freeze
-  control.hold = false;
+  control.defer_results = false;
   control.Release();
   EXPECT_TRUE(client.calls.empty());
   EXPECT_TRUE(writer->Says(R"("executed":"no")"));
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::NOT_EXECUTED);
-  EXPECT_EQ(PlaceElsewhere("k")->whole.status, 410);
+  EXPECT_EQ(PlaceAtOtherGateway("k")->whole.status, 410);
   EXPECT_TRUE(client.calls.empty());
 }
 
 TEST_F(DeliveryTest, NoDispatchAfterLeaseExpiry) {
   StartGateway();
-  control.hold = true;
+  control.defer_results = true;
   Place("k");
   view.expiry = clock.now;
   control.Release();
@@ -92,11 +92,11 @@
 
 TEST_F(DeliveryTest, NoDispatchAfterKeyRevocation) {
   StartGateway();
-  control.hold = true;
+  control.defer_results = true;
   const auto writer = Place("k");
   view.fleet.mutable_configuration()->mutable_tenants(0)->clear_key_sha256();
   view.Changed();
-  control.hold = false;
+  control.defer_results = false;
   control.Release();
   EXPECT_TRUE(client.calls.empty());
   EXPECT_EQ(writer->whole.status, 401);
@@ -104,7 +104,7 @@
 
 TEST_F(DeliveryTest, BeginTimeoutIsUnknownAndClosedLater) {
   StartGateway();
-  control.lost_answers = 1;
+  control.lost_results = 1;
   const auto writer = Place("k");
   EXPECT_EQ(writer->whole.status, 503);
   EXPECT_TRUE(writer->Says(R"("executed":"unknown")"));
--- a/src/posthatch/gateway/delivery_request.cc
+++ b/src/posthatch/gateway/delivery_request.cc
@@ -35,7 +35,7 @@
       context_->router->RouteService(service_, call_.tenant->priority(), attempted_backends_);
   if (decision.outcome != RouteDecision::Outcome::kChosen) {
     const bool shed = decision.outcome == RouteDecision::Outcome::kShed;
-    Refuse({shed ? ErrorCode::kOverloaded : ErrorCode::kNoCapacity,
+    Reject({shed ? ErrorCode::kOverloaded : ErrorCode::kNoCapacity,
             "no back end may take the operation", Executed::kUnknown, 1});
     return;
   }
@@ -49,16 +49,16 @@
 void DeliveryRequest::OnBegun(const absl::StatusOr<control::CommandResult>& result) {
   if (!result.ok()) {
     context_->deliveries->Abandon(key_);
-    Refuse(RecordUnavailable("the delivery record could not be written in time"));
+    Reject(RecordUnavailable("the delivery record could not be written in time"));
     return;
   }
   if (result->code() == control::CommandResult::WINDOW_PASSED) {
-    Refuse({ErrorCode::kKeyExpired, "the idempotency key's record is past its window",
+    Reject({ErrorCode::kKeyExpired, "the idempotency key's record is past its window",
             Executed::kUnknown});
     return;
   }
   if (result->code() != control::CommandResult::OK) {
-    Refuse(RecordUnavailable("the delivery record was refused"));
+    Reject(RecordUnavailable("the delivery record was refused"));
     return;
   }
   RespondFromRecord(result->delivery());
@@ -73,27 +73,27 @@
       Replay(delivery.outcome());
       return;
     case control::DeliveryStatus::RUNNING:
-      Refuse({ErrorCode::kInProgress, "another attempt with this key is running",
+      Reject({ErrorCode::kInProgress, "another attempt with this key is running",
               Executed::kUnknown, 1});
       return;
     case control::DeliveryStatus::MISMATCH:
-      Refuse({ErrorCode::kKeyReused, "the idempotency key was used for another request",
+      Reject({ErrorCode::kKeyReused, "the idempotency key was used for another request",
               Executed::kUnknown});
       return;
     default:
-      Refuse(RecordUnavailable("the delivery record's answer is not known"));
+      Reject(RecordUnavailable("the delivery record's answer is not known"));
   }
 }
 
 void DeliveryRequest::Replay(const control::DeliveryOutcome& outcome) {
   context_->metrics->deliveries.Increment("replayed");
   if (outcome.kind() == control::DeliveryOutcome::NOT_EXECUTED) {
-    Refuse({ErrorCode::kKeyExpired, "this key was closed before it ran; use a new one",
+    Reject({ErrorCode::kKeyExpired, "this key was closed before it ran; use a new one",
             Executed::kNo});
     return;
   }
   if (outcome.kind() != control::DeliveryOutcome::RESPONDED) {
-    Refuse({ErrorCode::kBackendFailed, "the first send of this key got no answer",
+    Reject({ErrorCode::kBackendFailed, "the first send of this key got no answer",
             Executed::kUnknown});
     return;
   }
@@ -150,16 +150,16 @@
   plan.request.target = absl::StrCat("/operations/", operation_);
   plan.request.body = call_.request.body;
   AddAttemptHeaders(*context_, call_, plan.nonce, number, &plan.request.headers);
-  const runtime::Duration left = call_.deadline - context_->runtime->clock->Now();
+  const runtime::Duration time_left = call_.deadline - context_->runtime->clock->Now();
   plan.call_options.fresh_connection = true;
-  plan.call_options.head_timeout = left;
-  plan.call_options.body_idle_timeout = left;
+  plan.call_options.head_timeout = time_left;
+  plan.call_options.body_idle_timeout = time_left;
   plan.call_options.max_body_bytes = kMaxStoredBodyBytes;
   context_->metrics->attempts.Increment(number == 1 ? "first" : "retry");
   AttemptListener* const listener = this;
   attempt_ = std::make_shared<UpstreamAttempt>(context_->runtime, context_->backends, listener,
                                                std::move(plan));
-  deadline_timer_.Start(left, [this] {
+  deadline_timer_.Start(time_left, [this] {
     attempt_->Fail({AttemptFailure::Cause::kTimeout, "no response before the deadline"});
   });
   attempt_->Start();
@@ -172,7 +172,7 @@
 void DeliveryRequest::OnResponseComplete(http::Response response) {
   deadline_timer_.Cancel();
   if (GuaranteesNotExecuted(response)) {
-    context_->backends->health()->OnRefused(attempt_->backend(), 0, response.status);
+    context_->backends->health()->OnRejected(attempt_->backend(), 0, response.status);
     CloseNotExecuted({ErrorCode::kNoCapacity, "the back end refused the operation before it ran",
                       Executed::kNo, 1});
     return;
@@ -214,10 +214,10 @@
   Dispatch();
 }
 
-void DeliveryRequest::CloseNotExecuted(const ApiError& refusal) {
+void DeliveryRequest::CloseNotExecuted(const ApiError& error) {
   control::DeliveryOutcome outcome;
   outcome.set_kind(control::DeliveryOutcome::NOT_EXECUTED);
-  Commit(std::move(outcome), MakeErrorResponse(refusal), std::string(ErrorCodeName(refusal.code)));
+  Commit(std::move(outcome), MakeErrorResponse(error), std::string(ErrorCodeName(error.code)));
 }
 
 void DeliveryRequest::CloseUnknown(const ApiError& error) {
@@ -239,7 +239,7 @@
 void DeliveryRequest::OnCommitted(const absl::StatusOr<control::CommandResult>& result,
                                   http::Response response, const std::string& metric_label) {
   if (!result.ok() || result->code() != control::CommandResult::OK) {
-    Refuse(RecordUnavailable("the outcome could not be recorded"));
+    Reject(RecordUnavailable("the outcome could not be recorded"));
     return;
   }
   context_->metrics->responses.Increment(metric_label);
@@ -248,7 +248,7 @@
   End();
 }
 
-void DeliveryRequest::Refuse(const ApiError& error) {
+void DeliveryRequest::Reject(const ApiError& error) {
   context_->metrics->deliveries.Increment(std::string(ErrorCodeName(error.code)));
   SendError(*context_, call_.writer.get(), error);
   End();
--- a/src/posthatch/gateway/delivery_request.h
+++ b/src/posthatch/gateway/delivery_request.h
@@ -47,11 +47,11 @@
   // `metric_label` is "ok" or an error code.
   void Commit(control::DeliveryOutcome outcome, http::Response response,
               const std::string& metric_label);
-  void CloseNotExecuted(const ApiError& refusal);
+  void CloseNotExecuted(const ApiError& error);
   void CloseUnknown(const ApiError& error);
   void OnCommitted(const absl::StatusOr<control::CommandResult>& result, http::Response response,
                    const std::string& metric_label);
-  void Refuse(const ApiError& error);
+  void Reject(const ApiError& error);
   void End();
 
   GatewayContext* const context_;
--- a/src/posthatch/gateway/gateway-bench.cc
+++ b/src/posthatch/gateway/gateway-bench.cc
@@ -37,7 +37,7 @@
 BENCHMARK(BenchmarkRoute)->Arg(18)->Arg(100)->Arg(1000)->Arg(10000);
 
 // Validating and forwarding one streamed event; items are events.
-void BenchmarkRelayPiece(benchmark::State& state) {
+void BenchmarkRelayEvent(benchmark::State& state) {
   FakeCall call;
   call.request.headers.Add("X-Request-Id", "id-1");
   std::vector<std::string> events;
@@ -50,10 +50,10 @@
   }
   state.SetItemsProcessed(state.iterations() * static_cast<int64_t>(events.size()));
 }
-BENCHMARK(BenchmarkRelayPiece);
+BENCHMARK(BenchmarkRelayEvent);
 
 // A completion from the caller's request to its response, with fake connections on both sides.
-void BenchmarkWholeRequest(benchmark::State& state) {
+void BenchmarkCompleteRequest(benchmark::State& state) {
   FakeFleet fleet;
   fleet.view.fleet.mutable_configuration()->mutable_routing()->set_max_requests_per_worker(1000);
   fleet.StartGateway();
@@ -66,7 +66,7 @@
   }
   state.SetItemsProcessed(state.iterations());
 }
-BENCHMARK(BenchmarkWholeRequest);
+BENCHMARK(BenchmarkCompleteRequest);
 
 // Applying a changed inventory, with one evacuation.
 void BenchmarkUpdateDirectory(benchmark::State& state) {
--- a/src/posthatch/gateway/gateway.cc
+++ b/src/posthatch/gateway/gateway.cc
@@ -58,8 +58,8 @@
     configuration_index_ = state.configuration_index();
     tenants_.Rebuild(state.configuration());
   }
-  const bool list_changed = inventory_index_ != state.inventory_index();
-  if (list_changed || evacuations_index_ != state.evacuations_index()) UpdateBackends();
+  const bool inventory_changed = inventory_index_ != state.inventory_index();
+  if (inventory_changed || evacuations_index_ != state.evacuations_index()) UpdateBackends();
 }
 
 void Gateway::UpdateBackends() {
--- a/src/posthatch/gateway/gateway_context.cc
+++ b/src/posthatch/gateway/gateway_context.cc
@@ -39,16 +39,16 @@
 
 void AddAttemptHeaders(const GatewayContext& context, const CallerRequest& call,
                        const std::string& nonce, uint32_t attempt_number, http::Headers* headers) {
-  const runtime::Duration left = call.deadline - context.runtime->clock->Now();
-  const int64_t left_milliseconds =
-      std::max<int64_t>(0, std::chrono::duration_cast<std::chrono::milliseconds>(left).count());
+  const runtime::Duration time_left = call.deadline - context.runtime->clock->Now();
+  const int64_t time_left_milliseconds = std::max<int64_t>(
+      0, std::chrono::duration_cast<std::chrono::milliseconds>(time_left).count());
   headers->Add(header::kContentType, "application/json");
   headers->Add(header::kRequestId, call.request_id);
   headers->Add(header::kAttempt, nonce);
   headers->Add(header::kAttemptNumber, std::to_string(attempt_number));
   headers->Add(header::kGateway, context.options->gateway_id);
   headers->Add(header::kTenant, call.tenant->name());
-  headers->Add(header::kDeadlineMs, std::to_string(left_milliseconds));
+  headers->Add(header::kDeadlineMs, std::to_string(time_left_milliseconds));
   if (!call.idempotency_key.empty()) headers->Add(header::kIdempotencyKey, call.idempotency_key);
 }
 
--- a/src/posthatch/gateway/gateway_fakes-test.h
+++ b/src/posthatch/gateway/gateway_fakes-test.h
@@ -57,18 +57,18 @@
              absl::Status status = absl::UnavailableError("broken")) const {
     if (!cancelled) observer.on_error({std::move(status), progress});
   }
-  void Whole(int status, std::string body, uint64_t epoch = 1) const {
+  void CompleteResponse(int status, std::string body, uint64_t epoch = 1) const {
     Head(status, epoch);
     Piece(std::move(body));
     End();
   }
   void GoodCompletion() const {
-    Whole(200, absl::StrCat(R"({"id":"run","request_id":")", Field("X-Request-Id"),
-                            R"(","choices":[{"index":0,"text":"T"}]})"));
+    CompleteResponse(200, absl::StrCat(R"({"id":"run","request_id":")", Field("X-Request-Id"),
+                                       R"(","choices":[{"index":0,"text":"T"}]})"));
   }
   void GoodOperation(const std::string& operation) const {
-    Whole(200, absl::StrCat(R"({"run":"r","request_id":")", Field("X-Request-Id"),
-                            R"(","operation":")", operation, R"(","result":1})"));
+    CompleteResponse(200, absl::StrCat(R"({"run":"r","request_id":")", Field("X-Request-Id"),
+                                       R"(","operation":")", operation, R"(","result":1})"));
   }
   std::string Event(int piece, const std::string& run = "run") const {
     return absl::StrCat("data: {\"id\": \"", run, "\", \"request_id\": \"", Field("X-Request-Id"),
@@ -140,13 +140,14 @@
   std::vector<Listener> listeners_;
 };
 
-// Stores the delivery records as the log does. With `hold`, results are deferred until Release().
+// Stores the delivery records as the log does. With `defer_results`, results are deferred until
+// Release().
 class FakeControl : public control::ControlClient {
  public:
   void Propose(control::Command command, runtime::Duration, bool, ProposeDone done) override {
     ++proposals;
-    if (lost_answers > 0) {
-      --lost_answers;
+    if (lost_results > 0) {
+      --lost_results;
       Apply(command);
       done(absl::DeadlineExceededError("lost"));
       return;
@@ -156,14 +157,14 @@
       return;
     }
     control::CommandResult result = Apply(command);
-    if (hold) {
-      held_.emplace_back([done, result] { done(result); });
+    if (defer_results) {
+      deferred_results_.emplace_back([done, result] { done(result); });
     } else {
       done(result);
     }
   }
   void Release() {
-    for (auto& answer : std::exchange(held_, {})) answer();
+    for (auto& send_result : std::exchange(deferred_results_, {})) send_result();
   }
   control::DeliveryOutcome::Kind Outcome(const std::string& key) const {
     const auto found = records.find(key);
@@ -172,8 +173,8 @@
   }
   std::map<std::string, control::DeliveryRecord> records;  // keyed by idempotency key
   int proposals = 0;
-  bool hold = false;
-  int lost_answers = 0;  // number of upcoming proposals that are applied, but get no result
+  bool defer_results = false;
+  int lost_results = 0;  // number of upcoming proposals that are applied, but get no result
   bool fail_finish = false;
 
  private:
@@ -188,22 +189,22 @@
     }
     const control::DeliveryBegin& begin = command.delivery_begin();
     control::DeliveryRecord& record = records[begin.idempotency_key()];
-    control::DeliveryStatus* answer = result.mutable_delivery();
+    control::DeliveryStatus* status = result.mutable_delivery();
     if (record.attempt().empty() || record.attempt() == begin.attempt()) {
       record.set_attempt(begin.attempt());
       record.set_request_hash(begin.request_hash());
-      answer->set_kind(control::DeliveryStatus::BEGUN);
+      status->set_kind(control::DeliveryStatus::BEGUN);
     } else if (record.request_hash() != begin.request_hash()) {
-      answer->set_kind(control::DeliveryStatus::MISMATCH);
+      status->set_kind(control::DeliveryStatus::MISMATCH);
     } else if (record.finished()) {
-      answer->set_kind(control::DeliveryStatus::FINISHED);
-      *answer->mutable_outcome() = record.outcome();
+      status->set_kind(control::DeliveryStatus::FINISHED);
+      *status->mutable_outcome() = record.outcome();
     } else {
-      answer->set_kind(control::DeliveryStatus::RUNNING);
+      status->set_kind(control::DeliveryStatus::RUNNING);
     }
     return result;
   }
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> deferred_results_;
 };
 
 class FakeLocator : public index::PrefixLocator {
--- a/src/posthatch/gateway/gateway_world-test.cc
+++ b/src/posthatch/gateway/gateway_world-test.cc
@@ -90,7 +90,7 @@
       emulator::WorkerSettings settings;
       settings.id = absl::StrCat("worker-", number);
       BootWorker(settings, &hosts_.emplace_back())->SetBehaviour(worker);
-      List(settings.id, control::BACKEND_KIND_WORKER);
+      AddToInventory(settings.id, control::BACKEND_KIND_WORKER);
     }
     emulator::ServiceBehaviour service;
     service.answers_lost_share = service.requests_lost_share = service.answers_twice_share = 0.03;
@@ -102,11 +102,11 @@
       settings.id = absl::StrCat("service-", number);
       Boot<emulator::ServiceEmulator>(settings.id, settings, &hosts_.emplace_back())
           ->SetBehaviour(service);
-      List(settings.id, control::BACKEND_KIND_SERVICE);
+      AddToInventory(settings.id, control::BACKEND_KIND_SERVICE);
     }
   }
 
-  void List(const std::string& id, control::BackendKind kind) {
+  void AddToInventory(const std::string& id, control::BackendKind kind) {
     control::Backend* backend = state_.mutable_inventory()->add_backends();
     backend->set_id(id);
     backend->set_kind(kind);
@@ -163,17 +163,17 @@
   RunLoad();
   std::map<std::string, int> starts_by_key;
   std::set<std::string> started;
-  int firsts = 0;
+  int first_attempts = 0;
   int retries = 0;
   for (const fleettest::RunStarted& run : Starts()) {
     started.insert(run.nonce());
     if (!run.idempotency_key().empty()) ++starts_by_key[run.idempotency_key()];
-    ++(run.attempt_number() > 1 ? retries : firsts);
+    ++(run.attempt_number() > 1 ? retries : first_attempts);
   }
   for (const auto& [key, starts] : starts_by_key) EXPECT_EQ(starts, 1) << "N1 " << key;
   EXPECT_GT(starts_by_key.size(), 100u);
   EXPECT_GT(retries, 0);
-  EXPECT_LE(retries, firsts / 5) << "N11";
+  EXPECT_LE(retries, first_attempts / 5) << "N11";
   std::map<std::string, std::set<uint64_t>> sends;
   for (const HistoryEvent& event : EventsOf(HistoryEvent::kCallSent)) {
     sends[event.call_sent().nonce()].insert(event.call_sent().call());
--- a/src/posthatch/gateway/inference_body.cc
+++ b/src/posthatch/gateway/inference_body.cc
@@ -8,7 +8,7 @@
 // Large enough that most bodies are parsed without heap allocation.
 constexpr size_t kParseBufferBytes = size_t{8} * 1024;
 
-absl::Status Missing(const char* what) { return absl::InvalidArgumentError(what); }
+absl::Status InvalidBody(const char* what) { return absl::InvalidArgumentError(what); }
 
 const boost::json::string* FindString(const boost::json::object& object, std::string_view name) {
   const boost::json::value* field = object.if_contains(name);
@@ -23,14 +23,14 @@
 absl::Status AppendMessages(const boost::json::object& body, std::string* prompt) {
   const boost::json::value* messages = body.if_contains("messages");
   if (messages == nullptr || !messages->is_array() || messages->get_array().empty()) {
-    return Missing("\"messages\" must be a list that is not empty");
+    return InvalidBody("\"messages\" must be a list that is not empty");
   }
   for (const boost::json::value& message : messages->get_array()) {
-    if (!message.is_object()) return Missing("a message must be an object");
+    if (!message.is_object()) return InvalidBody("a message must be an object");
     const boost::json::string* role = FindString(message.get_object(), "role");
     const boost::json::string* content = FindString(message.get_object(), "content");
     if (role == nullptr || content == nullptr) {
-      return Missing("a message needs the texts \"role\" and \"content\"");
+      return InvalidBody("a message needs the texts \"role\" and \"content\"");
     }
     AppendLine(*role, prompt);
     AppendLine(*content, prompt);
@@ -45,15 +45,15 @@
   boost::json::monotonic_resource memory(buffer);
   boost::json::error_code error;
   const boost::json::value parsed = boost::json::parse(body, error, &memory);
-  if (error || !parsed.is_object()) return Missing("the body must be a JSON object");
+  if (error || !parsed.is_object()) return InvalidBody("the body must be a JSON object");
   const boost::json::object& fields = parsed.get_object();
   const boost::json::string* model = FindString(fields, "model");
-  if (model == nullptr || model->empty()) return Missing("\"model\" must be a text");
+  if (model == nullptr || model->empty()) return InvalidBody("\"model\" must be a text");
   InferenceBody result;
   result.model.assign(model->data(), model->size());
   result.chat = chat;
   if (const boost::json::value* stream = fields.if_contains("stream")) {
-    if (!stream->is_bool()) return Missing("\"stream\" must be true or false");
+    if (!stream->is_bool()) return InvalidBody("\"stream\" must be true or false");
     result.stream = stream->get_bool();
   }
   if (chat) {
@@ -61,7 +61,7 @@
     return result;
   }
   const boost::json::string* prompt = FindString(fields, "prompt");
-  if (prompt == nullptr) return Missing("\"prompt\" must be a text");
+  if (prompt == nullptr) return InvalidBody("\"prompt\" must be a text");
   result.prompt.assign(prompt->data(), prompt->size());
   return result;
 }
--- a/src/posthatch/gateway/inference_request.cc
+++ b/src/posthatch/gateway/inference_request.cc
@@ -42,8 +42,8 @@
   query.attempted_backends = &attempted_backends;
   decision_ = context()->router->RouteInference(query);
   if (decision_.outcome != RouteDecision::Outcome::kChosen) return decision_;
-  const uint32_t there = std::max(decision_.cached_blocks, decision_.fetch_blocks);
-  plan->pending_blocks = chain_.size() - std::min<size_t>(there, chain_.size());
+  const uint32_t available_blocks = std::max(decision_.cached_blocks, decision_.fetch_blocks);
+  plan->pending_blocks = chain_.size() - std::min<size_t>(available_blocks, chain_.size());
   plan->stream = body_.stream;
   plan->request.method = "POST";
   plan->request.target = body_.chat ? "/v1/chat/completions" : "/v1/completions";
@@ -110,9 +110,10 @@
   const runtime::Duration elapsed = context()->runtime->clock->Now() - attempt()->started();
   BackendEntry* const worker = attempt()->backend();
   if (decision_.fetch_endpoint.empty()) {
-    const double explained = static_cast<double>(prefilled) * context()->links->PrefillCost();
-    context()->backends->load()->OnWaitMeasured(worker,
-                                                runtime::ToMilliseconds(elapsed) - explained);
+    const double prefill_milliseconds =
+        static_cast<double>(prefilled) * context()->links->PrefillCost();
+    context()->backends->load()->OnWaitMeasured(
+        worker, runtime::ToMilliseconds(elapsed) - prefill_milliseconds);
     context()->links->RecordPrefill(prefilled, elapsed);
     return;
   }
@@ -157,9 +158,9 @@
 
 void InferenceRequest::OnAttemptFailed(AttemptFailure failure) {
   stall_timer_.Cancel();
-  if (failure.cause == AttemptFailure::Cause::kRefused) {
-    context()->backends->health()->OnRefused(attempt()->backend(), seed_.model_revision,
-                                             failure.status);
+  if (failure.cause == AttemptFailure::Cause::kRejected) {
+    context()->backends->health()->OnRejected(attempt()->backend(), seed_.model_revision,
+                                              failure.status);
   }
   RetryableRequest::OnAttemptFailed(std::move(failure));
 }
--- a/src/posthatch/gateway/limits-test.cc
+++ b/src/posthatch/gateway/limits-test.cc
@@ -24,10 +24,10 @@
   view.fleet.mutable_configuration()->mutable_tenants(0)->set_burst(4);
   StartGateway();
   for (int request = 0; request < 4; ++request) EXPECT_EQ(Complete()->responses, 0);
-  const auto refused = Complete();
-  EXPECT_EQ(refused->whole.status, 429);
-  EXPECT_EQ(refused->whole.headers.Get("Retry-After"), "1");
-  EXPECT_TRUE(refused->Says(R"("executed":"no")"));
+  const auto rejected = Complete();
+  EXPECT_EQ(rejected->whole.status, 429);
+  EXPECT_EQ(rejected->whole.headers.Get("Retry-After"), "1");
+  EXPECT_TRUE(rejected->Says(R"("executed":"no")"));
   timers.Advance(std::chrono::milliseconds(500));
   EXPECT_EQ(Complete()->responses, 0);
   EXPECT_EQ(Complete()->responses, 1);
@@ -107,13 +107,13 @@
     LastCall().Error(http::CallProgress::kSent);
     timers.Advance(std::chrono::milliseconds(20));
   }
-  int firsts = 0;
+  int first_attempts = 0;
   int retries = 0;
   for (const auto& call : client.calls) {
-    ++(call->Field("X-Posthatch-Attempt-Number") == "1" ? firsts : retries);
+    ++(call->Field("X-Posthatch-Attempt-Number") == "1" ? first_attempts : retries);
   }
   EXPECT_GT(retries, 20);
-  EXPECT_LE(retries, firsts / 5);
+  EXPECT_LE(retries, first_attempts / 5);
 }
 
 TEST_F(LimitsTest, UnsentFirstAttemptsAddNoRetryBudget) {
@@ -131,7 +131,7 @@
 // Sends `count` requests at 20/s with immediate responses; returns how many `endpoint` received.
 class ShareTest : public GatewayTest {
  protected:
-  int Share(const std::string& endpoint, int count) {
+  int CountRequestsTo(const std::string& endpoint, int count) {
     int hits = 0;
     for (int request = 0; request < count; ++request) {
       Complete();
@@ -147,9 +147,9 @@
   StartGateway();
   AddBackend("w5", control::BACKEND_KIND_WORKER, "a");
   view.Changed();
-  EXPECT_LE(Share("w5:80", 60), 15);  // a third would be 20
-  Share("", 200);
-  EXPECT_GE(Share("w5:80", 60), 12);
+  EXPECT_LE(CountRequestsTo("w5:80", 60), 15);  // a third would be 20
+  CountRequestsTo("", 200);
+  EXPECT_GE(CountRequestsTo("w5:80", 60), 12);
 }
 
 TEST_F(ShareTest, WorkerWithLostCacheIsInSlowStart) {
@@ -162,7 +162,7 @@
     LastCall().Error(http::CallProgress::kHeadReceived);
   }
   locator.holders.clear();
-  EXPECT_LE(Share("w1:80", 40), 8);
+  EXPECT_LE(CountRequestsTo("w1:80", 40), 8);
 }
 
 TEST_F(LimitsTest, FailingWorkerIsEjected) {
@@ -228,7 +228,7 @@
   timers.Advance(std::chrono::milliseconds(700));
   ASSERT_FALSE(client.calls.empty());
   ASSERT_EQ(LastCall().endpoint, "inventory:80");
-  LastCall().Whole(200, R"({"version":2,"backends":[
+  LastCall().CompleteResponse(200, R"({"version":2,"backends":[
       {"id":"w1","kind":"worker","endpoint":"w1:80","zone":"a","model":"m","draining":true}]})");
   locator.holders = {{"w1", 1, 4}};
   for (int request = 0; request < 20; ++request) {
@@ -270,24 +270,24 @@
 TEST_F(LimitsTest, BlockSeedDependsOnRevisionAndIsolation) {
   StartGateway();
   Complete();
-  const std::string shared = LastCall().Field("X-Posthatch-Cache-Salt");
+  const std::string shared_salt = LastCall().Field("X-Posthatch-Cache-Salt");
   Complete(false, "key-two");
-  EXPECT_EQ(LastCall().Field("X-Posthatch-Cache-Salt"), shared);
+  EXPECT_EQ(LastCall().Field("X-Posthatch-Cache-Salt"), shared_salt);
   for (auto& domain : *view.fleet.mutable_isolation()) domain.set_generation(5);
   view.fleet.mutable_isolation(0)->set_isolated(true);
   view.Changed();
   Complete();
-  const std::string own = LastCall().Field("X-Posthatch-Cache-Salt");
+  const std::string isolated_salt = LastCall().Field("X-Posthatch-Cache-Salt");
   Complete(false, "key-two");
   // Neither the isolated tenant's blocks nor its former shared blocks are reachable.
-  EXPECT_NE(LastCall().Field("X-Posthatch-Cache-Salt"), own);
-  EXPECT_NE(LastCall().Field("X-Posthatch-Cache-Salt"), shared);
+  EXPECT_NE(LastCall().Field("X-Posthatch-Cache-Salt"), isolated_salt);
+  EXPECT_NE(LastCall().Field("X-Posthatch-Cache-Salt"), shared_salt);
   control::ModelRevision* revision = view.fleet.add_revisions();
   revision->set_model("m");
   revision->set_revision(3);
   view.Changed();
   Complete();
-  EXPECT_NE(LastCall().Field("X-Posthatch-Cache-Salt"), own);
+  EXPECT_NE(LastCall().Field("X-Posthatch-Cache-Salt"), isolated_salt);
   EXPECT_EQ(LastCall().Field("X-Posthatch-Model-Revision"), "3");
 }
 
--- a/src/posthatch/gateway/response_check.cc
+++ b/src/posthatch/gateway/response_check.cc
@@ -10,7 +10,7 @@
 namespace posthatch::gateway {
 namespace {
 
-absl::Status Broken(const char* what) { return absl::DataLossError(what); }
+absl::Status InvalidResponse(const char* what) { return absl::DataLossError(what); }
 
 // The text of the first choice; empty if there is none.
 std::string_view FirstText(const boost::json::object& response) {
@@ -24,7 +24,7 @@
   return StringField(message->get_object(), "content");
 }
 
-bool ChecksumFits(std::string_view checksum, std::string_view text) {
+bool ChecksumMatches(std::string_view checksum, std::string_view text) {
   uint64_t expected = 0;
   const char* const end = checksum.data() + checksum.size();
   const auto [parsed, error] = std::from_chars(checksum.data(), end, expected, 16);
@@ -36,19 +36,19 @@
 absl::Status CheckCompletionBody(std::string_view body, std::string_view request_id) {
   boost::json::error_code error;
   const boost::json::value parsed = boost::json::parse(body, error);
-  if (error || !parsed.is_object()) return Broken("the response is not a JSON object");
+  if (error || !parsed.is_object()) return InvalidResponse("the response is not a JSON object");
   const boost::json::object& response = parsed.get_object();
   if (StringField(response, "request_id") != request_id) {
-    return Broken("the response is for another request");
+    return InvalidResponse("the response is for another request");
   }
-  if (StringField(response, "id").empty()) return Broken("the response has no run id");
+  if (StringField(response, "id").empty()) return InvalidResponse("the response has no run id");
   const boost::json::value* choices = response.if_contains("choices");
   if (choices == nullptr || !choices->is_array() || choices->get_array().empty()) {
-    return Broken("the response has no choices");
+    return InvalidResponse("the response has no choices");
   }
   const std::string_view checksum = StringField(response, "checksum");
-  if (!checksum.empty() && !ChecksumFits(checksum, FirstText(response))) {
-    return Broken("checksum mismatch in the response");
+  if (!checksum.empty() && !ChecksumMatches(checksum, FirstText(response))) {
+    return InvalidResponse("checksum mismatch in the response");
   }
   return absl::OkStatus();
 }
@@ -57,13 +57,13 @@
                               std::string_view operation) {
   boost::json::error_code error;
   const boost::json::value parsed = boost::json::parse(body, error);
-  if (error || !parsed.is_object()) return Broken("the response is not a JSON object");
+  if (error || !parsed.is_object()) return InvalidResponse("the response is not a JSON object");
   const boost::json::object& response = parsed.get_object();
   if (StringField(response, "request_id") != request_id) {
-    return Broken("the response is for another request");
+    return InvalidResponse("the response is for another request");
   }
   if (StringField(response, "operation") != operation) {
-    return Broken("the response is for another operation");
+    return InvalidResponse("the response is for another operation");
   }
   return absl::OkStatus();
 }
--- a/src/posthatch/gateway/retry_budget.cc
+++ b/src/posthatch/gateway/retry_budget.cc
@@ -13,21 +13,21 @@
   return bucket;
 }
 
-void RetryBudget::RecordFirstAttempt() { ++Current().firsts; }
+void RetryBudget::RecordFirstAttempt() { ++Current().first_attempts; }
 
-void RetryBudget::RevertFirstAttempt() { --Current().firsts; }
+void RetryBudget::RevertFirstAttempt() { --Current().first_attempts; }
 
 bool RetryBudget::TryRetry(double ratio) {
   Bucket& current = Current();
   const int64_t oldest = current.number - kBuckets + 1;
-  int64_t firsts = 0;
+  int64_t first_attempts = 0;
   int64_t retries = 0;
   for (const Bucket& bucket : buckets_) {
     if (bucket.number < oldest) continue;
-    firsts += bucket.firsts;
+    first_attempts += bucket.first_attempts;
     retries += bucket.retries;
   }
-  if (static_cast<double>(retries + 1) > ratio * static_cast<double>(firsts)) return false;
+  if (static_cast<double>(retries + 1) > ratio * static_cast<double>(first_attempts)) return false;
   ++current.retries;
   return true;
 }
--- a/src/posthatch/gateway/retry_budget.h
+++ b/src/posthatch/gateway/retry_budget.h
@@ -27,7 +27,7 @@
 
   struct Bucket {
     int64_t number = -1;  // index of its interval on the clock, in units of kBucketLength
-    int64_t firsts = 0;
+    int64_t first_attempts = 0;
     int64_t retries = 0;
   };
 
--- a/src/posthatch/gateway/retryable_request.cc
+++ b/src/posthatch/gateway/retryable_request.cc
@@ -39,25 +39,25 @@
 
 void RetryableRequest::DispatchAttempt() {
   if (std::optional<ApiError> error = DispatchError()) {
-    Refuse(*std::move(error));
+    Reject(*std::move(error));
     return;
   }
   AttemptPlan plan;
   RouteDecision decision = Plan(attempted_backends_, &plan);
   if (decision.outcome == RouteDecision::Outcome::kShed) {
-    Refuse({ErrorCode::kOverloaded, "the back ends are busy with work of higher priority",
+    Reject({ErrorCode::kOverloaded, "the back ends are busy with work of higher priority",
             Executed::kNo, 1});
     return;
   }
   if (decision.outcome == RouteDecision::Outcome::kNoCapacity) {
-    Refuse({ErrorCode::kNoCapacity, "no back end may take the request now", Executed::kNo, 1});
+    Reject({ErrorCode::kNoCapacity, "no back end may take the request now", Executed::kNo, 1});
     return;
   }
   if (attempts_ == 0) {
     context_->retry_budget->RecordFirstAttempt();
   } else if (!context_->retry_budget->TryRetry(context_->lookup->limits().retry_ratio)) {
     context_->metrics->retries_denied.Increment("budget");
-    Refuse(RetryDeniedError());
+    Reject(RetryDeniedError());
     return;
   }
   plan.backend = std::move(decision.backend);
@@ -68,10 +68,10 @@
   ++attempts_;
   plan.nonce = context_->NewNonce();
   AddAttemptHeaders(*context_, call_, plan.nonce, attempts_, &plan.request.headers);
-  const runtime::Duration left = call_.deadline - context_->runtime->clock->Now();
-  const runtime::Duration share =
+  const runtime::Duration time_left = call_.deadline - context_->runtime->clock->Now();
+  const runtime::Duration attempt_timeout =
       context_->lookup->limits().request_timeout / kAttemptTimeoutDivisor;
-  plan.call_options.head_timeout = std::min(left, share);
+  plan.call_options.head_timeout = std::min(time_left, attempt_timeout);
   plan.call_options.body_idle_timeout = kBodyIdleTimeout;
   plan.call_options.max_body_bytes = plan.stream ? SIZE_MAX : context_->options->max_response_bytes;
   context_->metrics->attempts.Increment(attempts_ == 1 ? "first" : "retry");
@@ -89,7 +89,7 @@
 void RetryableRequest::OnResponseComplete(http::Response response) {
   if (ended_) return;
   if (GuaranteesNotExecuted(response)) {
-    OnAttemptFailed({AttemptFailure::Cause::kRefused, "rejected before running", response.status});
+    OnAttemptFailed({AttemptFailure::Cause::kRejected, "rejected before running", response.status});
     return;
   }
   absl::Status status = absl::OkStatus();
@@ -124,17 +124,18 @@
     End();
     return;
   }
-  const runtime::Duration left = call_.deadline - context_->runtime->clock->Now();
-  if (attempts_ >= context_->options->max_attempts || left < kMinTimeForRetry) {
-    context_->metrics->retries_denied.Increment(left < kMinTimeForRetry ? "deadline" : "attempts");
-    Refuse(FinalError(failure));
+  const runtime::Duration time_left = call_.deadline - context_->runtime->clock->Now();
+  if (attempts_ >= context_->options->max_attempts || time_left < kMinTimeForRetry) {
+    context_->metrics->retries_denied.Increment(time_left < kMinTimeForRetry ? "deadline"
+                                                                             : "attempts");
+    Reject(FinalError(failure));
     return;
   }
   DispatchAttempt();
 }
 
 ApiError RetryableRequest::FinalError(const AttemptFailure& failure) const {
-  if (failure.cause == AttemptFailure::Cause::kRefused) {
+  if (failure.cause == AttemptFailure::Cause::kRejected) {
     return {ErrorCode::kNoCapacity, "the back ends refused the request", Executed::kNo, 1};
   }
   if (failure.cause == AttemptFailure::Cause::kTimeout) {
@@ -169,7 +170,7 @@
   context_->metrics->first_byte_seconds.Observe(std::chrono::duration<double>(elapsed).count());
 }
 
-void RetryableRequest::Refuse(ApiError error) {
+void RetryableRequest::Reject(ApiError error) {
   const bool proved = guaranteed_not_executed_ && call_.idempotency_key.empty();
   error.executed = proved ? Executed::kNo : Executed::kUnknown;
   SendError(*context_, call_.writer.get(), error);
--- a/src/posthatch/gateway/retryable_request.h
+++ b/src/posthatch/gateway/retryable_request.h
@@ -56,7 +56,7 @@
   ApiError FinalError(const AttemptFailure& failure) const;
   // The error when the retry budget is exhausted.
   ApiError RetryDeniedError() const;
-  void Refuse(ApiError error);
+  void Reject(ApiError error);
   void End();
 
   GatewayContext* const context_;
--- a/src/posthatch/gateway/service_request.cc
+++ b/src/posthatch/gateway/service_request.cc
@@ -20,8 +20,8 @@
 }
 
 void ServiceRequest::OnAttemptFailed(AttemptFailure failure) {
-  if (failure.cause == AttemptFailure::Cause::kRefused) {
-    context()->backends->health()->OnRefused(attempt()->backend(), 0, failure.status);
+  if (failure.cause == AttemptFailure::Cause::kRejected) {
+    context()->backends->health()->OnRejected(attempt()->backend(), 0, failure.status);
   }
   RetryableRequest::OnAttemptFailed(std::move(failure));
 }
--- a/src/posthatch/gateway/sse_stream_checker-fuzz.cc
+++ b/src/posthatch/gateway/sse_stream_checker-fuzz.cc
@@ -10,19 +10,19 @@
 namespace {
 
 struct Outcome {
-  std::string shown;
-  bool good = true;
+  std::string forwarded;
+  bool valid = true;
 };
 
 Outcome FeedAll(const std::string& stream, size_t chunk_length) {
   posthatch::gateway::SseStreamChecker checker("q");
   Outcome outcome;
-  for (size_t start = 0; start < stream.size() && outcome.good; start += chunk_length) {
+  for (size_t start = 0; start < stream.size() && outcome.valid; start += chunk_length) {
     const auto events = checker.Feed(stream.substr(start, chunk_length));
-    outcome.good = events.ok();
-    if (events.ok()) outcome.shown += *events;
+    outcome.valid = events.ok();
+    if (events.ok()) outcome.forwarded += *events;
   }
-  outcome.good = outcome.good && checker.Finish().ok();
+  outcome.valid = outcome.valid && checker.Finish().ok();
   return outcome;
 }
 
@@ -32,10 +32,10 @@
   if (size < 2) return 0;
   const size_t chunk_length = data[0] + size_t{1};
   const std::string stream(reinterpret_cast<const char*>(data + 1), size - 1);
-  const Outcome in_one = FeedAll(stream, stream.size());
-  const Outcome in_chunks = FeedAll(stream, chunk_length);
-  if (in_one.good != in_chunks.good) std::abort();
-  if (in_one.good && in_one.shown != in_chunks.shown) std::abort();
-  if (stream.compare(0, in_chunks.shown.size(), in_chunks.shown) != 0) std::abort();
+  const Outcome unsplit = FeedAll(stream, stream.size());
+  const Outcome split = FeedAll(stream, chunk_length);
+  if (unsplit.valid != split.valid) std::abort();
+  if (unsplit.valid && unsplit.forwarded != split.forwarded) std::abort();
+  if (stream.compare(0, split.forwarded.size(), split.forwarded) != 0) std::abort();
   return 0;
 }
--- a/src/posthatch/gateway/sse_stream_checker.cc
+++ b/src/posthatch/gateway/sse_stream_checker.cc
@@ -14,7 +14,7 @@
 constexpr std::string_view kDone = "[DONE]";
 constexpr std::string_view kPieceKey = "\"piece\":";
 
-absl::Status Broken(const char* what) { return absl::DataLossError(what); }
+absl::Status InvalidStream(const char* what) { return absl::DataLossError(what); }
 
 }  // namespace
 
@@ -29,38 +29,38 @@
   }
   const std::string_view view(text);
   size_t start = 0;
-  size_t shown = 0;  // end of the complete events to forward
+  size_t forward_end = 0;  // end of the complete events to forward
   size_t search_from = searched_;
   while (true) {
     const size_t end = view.find(kEventEnd, search_from);
     if (end == std::string_view::npos) break;
-    if (done_) return Broken("bytes after [DONE]");
+    if (done_) return InvalidStream("bytes after [DONE]");
     if (absl::Status status = CheckEvent(view.substr(start, end - start)); !status.ok()) {
       return status;
     }
     start = end + kEventEnd.size();
     search_from = start;
-    if (!done_) shown = start;
+    if (!done_) forward_end = start;
   }
   const size_t rest = text.size() - start;
-  if (rest > 0 && done_) return Broken("bytes after [DONE]");
-  if (rest > kMaxEventBytes) return Broken("an event is too long");
+  if (rest > 0 && done_) return InvalidStream("bytes after [DONE]");
+  if (rest > kMaxEventBytes) return InvalidStream("an event is too long");
   partial_.assign(text, start, rest);
   searched_ = rest > 0 ? rest - 1 : 0;  // kEventEnd may be split across two chunks
-  text.resize(shown);
+  text.resize(forward_end);
   return text;
 }
 
 absl::Status SseStreamChecker::Finish() const {
-  if (!done_ || !partial_.empty()) return Broken("the body ended before [DONE]");
+  if (!done_ || !partial_.empty()) return InvalidStream("the body ended before [DONE]");
   return absl::OkStatus();
 }
 
 absl::Status SseStreamChecker::CheckEvent(std::string_view event) {
-  if (event.substr(0, kData.size()) != kData) return Broken("an event is not a data line");
+  if (event.substr(0, kData.size()) != kData) return InvalidStream("an event is not a data line");
   const std::string_view payload = event.substr(kData.size());
   if (payload == kDone) {
-    if (next_piece_ == 0) return Broken("[DONE] before any piece");
+    if (next_piece_ == 0) return InvalidStream("[DONE] before any piece");
     done_ = true;
     return absl::OkStatus();
   }
@@ -73,7 +73,7 @@
     return absl::OkStatus();
   }
   if (absl::Status status = ParsePiece(payload); !status.ok()) return status;
-  if (next_piece_ == 1) LearnPrefix(payload);
+  if (next_piece_ == 1) CachePrefix(payload);
   return absl::OkStatus();
 }
 
@@ -92,23 +92,25 @@
 absl::Status SseStreamChecker::ParsePiece(std::string_view payload) {
   boost::json::error_code error;
   const boost::json::value parsed = boost::json::parse(payload, error);
-  if (error || !parsed.is_object()) return Broken("an event is not a JSON object");
+  if (error || !parsed.is_object()) return InvalidStream("an event is not a JSON object");
   const boost::json::object& event = parsed.get_object();
   const std::string_view run = StringField(event, "id");
-  if (run.empty()) return Broken("a piece has no run id");
+  if (run.empty()) return InvalidStream("a piece has no run id");
   if (next_piece_ == 0) run_ = std::string(run);
-  if (run != run_) return Broken("pieces of different runs");
-  if (StringField(event, "request_id") != request_id_) return Broken("a piece of another request");
+  if (run != run_) return InvalidStream("pieces of different runs");
+  if (StringField(event, "request_id") != request_id_)
+    return InvalidStream("a piece of another request");
   const boost::json::value* piece = event.if_contains("piece");
-  if (piece == nullptr || !piece->is_number()) return Broken("a piece has no number");
+  if (piece == nullptr || !piece->is_number()) return InvalidStream("a piece has no number");
   boost::json::error_code conversion_error;
   const uint64_t number = piece->to_number<uint64_t>(conversion_error);
-  if (conversion_error || number != next_piece_) return Broken("a piece is missing or repeated");
+  if (conversion_error || number != next_piece_)
+    return InvalidStream("a piece is missing or repeated");
   ++next_piece_;
   return absl::OkStatus();
 }
 
-void SseStreamChecker::LearnPrefix(std::string_view payload) {
+void SseStreamChecker::CachePrefix(std::string_view payload) {
   const size_t key = payload.find(kPieceKey);
   if (key == std::string_view::npos) return;
   size_t end = key + kPieceKey.size();
--- a/src/posthatch/gateway/sse_stream_checker.h
+++ b/src/posthatch/gateway/sse_stream_checker.h
@@ -40,7 +40,7 @@
   bool MatchesPrefix(std::string_view payload) const;
   absl::Status ParsePiece(std::string_view payload);
   // Sets the prefix from a parsed event, if it has the usual form.
-  void LearnPrefix(std::string_view payload);
+  void CachePrefix(std::string_view payload);
 
   const std::string request_id_;
   std::string partial_;  // bytes of an incomplete event
--- a/src/posthatch/gateway/stream-test.cc
+++ b/src/posthatch/gateway/stream-test.cc
@@ -7,7 +7,7 @@
 namespace posthatch::gateway {
 namespace {
 
-using AnswerTest = GatewayTest;
+using ResponseTest = GatewayTest;
 
 // Sends enough first attempts that the retry budget allows retries.
 class RetryingTest : public GatewayTest {
@@ -44,13 +44,13 @@
 TEST_F(RetryingTest, MismatchedResponseIsDropped) {
   Prepare();
   const auto writer = Complete();
-  const auto crossed = client.calls.back();
-  crossed->HeadFor("another attempt");
+  const auto mismatched_call = client.calls.back();
+  mismatched_call->HeadFor("another attempt");
   EXPECT_EQ(client.calls.size(), 22u);
-  crossed->GoodCompletion();  // the rest of this call must be dropped too
+  mismatched_call->GoodCompletion();  // the rest of this call must be dropped too
   EXPECT_EQ(writer->responses, 0);
   timers.Advance(std::chrono::milliseconds(1));
-  EXPECT_TRUE(crossed->cancelled);
+  EXPECT_TRUE(mismatched_call->cancelled);
   LastCall().GoodCompletion();
   EXPECT_EQ(writer->responses, 1);
 }
@@ -58,7 +58,7 @@
 TEST_F(RetryingTest, BodyOfOtherRequestIsDropped) {
   Prepare();
   const auto writer = Complete();
-  LastCall().Whole(200, R"({"id":"r","request_id":"other","choices":[{"text":"T"}]})");
+  LastCall().CompleteResponse(200, R"({"id":"r","request_id":"other","choices":[{"text":"T"}]})");
   EXPECT_EQ(writer->responses, 0);
   EXPECT_EQ(client.calls.size(), 22u);
 }
@@ -66,9 +66,9 @@
 TEST_F(RetryingTest, WrongChecksumIsDropped) {
   Prepare();
   const auto writer = Complete();
-  LastCall().Whole(200,
-                   absl::StrCat(R"({"id":"r","request_id":")", LastCall().Field("X-Request-Id"),
-                                R"(","choices":[{"text":"T"}],"checksum":"12"})"));
+  LastCall().CompleteResponse(
+      200, absl::StrCat(R"({"id":"r","request_id":")", LastCall().Field("X-Request-Id"),
+                        R"(","choices":[{"text":"T"}],"checksum":"12"})"));
   EXPECT_EQ(writer->responses, 0);
 }
 
@@ -76,7 +76,7 @@
   Prepare();
   const auto writer = Complete();
   for (int attempt = 1; attempt <= 3; ++attempt) {
-    LastCall().Whole(503, R"({"error":{"code":"loading","executed":"no"}})");
+    LastCall().CompleteResponse(503, R"({"error":{"code":"loading","executed":"no"}})");
   }
   EXPECT_EQ(writer->whole.status, 503);
   EXPECT_TRUE(writer->Says(R"("executed":"no")"));
@@ -97,7 +97,7 @@
   EXPECT_NE(writer->written.find("event: error"), std::string::npos);
 }
 
-TEST_F(AnswerTest, StreamWithoutDoneIsIncomplete) {
+TEST_F(ResponseTest, StreamWithoutDoneIsIncomplete) {
   StartGateway();
   const auto writer = Complete(true);
   LastCall().Head();
@@ -107,7 +107,7 @@
   EXPECT_FALSE(writer->finished);
 }
 
-TEST_F(AnswerTest, CallerDisconnectCancelsAttempt) {
+TEST_F(ResponseTest, CallerDisconnectCancelsAttempt) {
   StartGateway();
   const auto writer = Complete(true);
   LastCall().Head();
@@ -117,7 +117,7 @@
   EXPECT_TRUE(LastCall().cancelled);
 }
 
-TEST_F(AnswerTest, SlowReaderBufferIsLimited) {
+TEST_F(ResponseTest, SlowReaderBufferIsLimited) {
   options.max_stream_buffer_bytes = 1000;
   StartGateway();
   const auto writer = Complete(true);
@@ -132,7 +132,7 @@
   EXPECT_FALSE(LastCall().paused);
 }
 
-TEST_F(AnswerTest, StalledReaderIsAborted) {
+TEST_F(ResponseTest, StalledReaderIsAborted) {
   options.max_stream_buffer_bytes = 10;
   StartGateway();
   const auto writer = Complete(true);
@@ -144,51 +144,53 @@
   EXPECT_TRUE(LastCall().cancelled);
 }
 
-std::string Piece(const std::string& run, const std::string& request, const std::string& number) {
+std::string MakePieceEvent(const std::string& run, const std::string& request,
+                           const std::string& number) {
   return "data: {\"id\":\"" + run + "\",\"request_id\":\"" + request + "\",\"piece\":" + number +
          ",\"choices\":[]}\n\n";
 }
 
 TEST(SseStreamCheckerTest, AcceptsAnyChunking) {
   std::string stream;
-  for (int piece = 0; piece < 20; ++piece) stream += Piece("r", "q", std::to_string(piece));
+  for (int piece = 0; piece < 20; ++piece)
+    stream += MakePieceEvent("r", "q", std::to_string(piece));
   for (size_t length = 1; length < 200; ++length) {
     SseStreamChecker checker("q");
-    std::string shown;
+    std::string forwarded;
     const std::string whole = stream + std::string(SseStreamChecker::kDoneEvent);
     for (size_t start = 0; start < whole.size(); start += length) {
       const auto events = checker.Feed(whole.substr(start, length));
       ASSERT_TRUE(events.ok()) << events.status() << " chunks of " << length;
-      shown += *events;
+      forwarded += *events;
     }
     EXPECT_TRUE(checker.Finish().ok());
-    EXPECT_EQ(shown, stream);
+    EXPECT_EQ(forwarded, stream);
   }
 }
 
 TEST(SseStreamCheckerTest, RejectsIncompleteOrMixedRuns) {
-  const std::string good = Piece("r", "q", "0") + Piece("r", "q", "1");
-  const std::string bad[] = {
-      good + Piece("r", "q", "3"),          // a piece is missing
-      good + Piece("r", "q", "1"),          // a piece is repeated
-      good + Piece("s", "q", "2"),          // piece of another run
-      good + Piece("r", "p", "2"),          // piece of another request
-      good + Piece("r", "q", "2.5"),        // not a piece number
-      good + Piece("r", "q", "02"),         // not JSON
-      Piece("r", "p", "0"),                 // all pieces of another request
-      Piece("r", "q", "1"),                 // the first piece is missing
-      good + "event: error\ndata: {}\n\n",  // an error of the worker
-      good + "data: {\"id\":\"r\"\n\n",     // truncated
-      good + "data: [DONE]\n\ndata: [DONE]\n\n",
-      good + "data: [DONE]\n\nx",
+  const std::string valid = MakePieceEvent("r", "q", "0") + MakePieceEvent("r", "q", "1");
+  const std::string invalid_streams[] = {
+      valid + MakePieceEvent("r", "q", "3"),    // a piece is missing
+      valid + MakePieceEvent("r", "q", "1"),    // a piece is repeated
+      valid + MakePieceEvent("s", "q", "2"),    // piece of another run
+      valid + MakePieceEvent("r", "p", "2"),    // piece of another request
+      valid + MakePieceEvent("r", "q", "2.5"),  // not a piece number
+      valid + MakePieceEvent("r", "q", "02"),   // not JSON
+      MakePieceEvent("r", "p", "0"),            // all pieces of another request
+      MakePieceEvent("r", "q", "1"),            // the first piece is missing
+      valid + "event: error\ndata: {}\n\n",     // an error of the worker
+      valid + "data: {\"id\":\"r\"\n\n",        // truncated
+      valid + "data: [DONE]\n\ndata: [DONE]\n\n",
+      valid + "data: [DONE]\n\nx",
       "data: [DONE]\n\n",  // no pieces
   };
-  for (const std::string& stream : bad) {
+  for (const std::string& stream : invalid_streams) {
     SseStreamChecker checker("q");
     EXPECT_FALSE(checker.Feed(stream).ok()) << stream;
   }
   SseStreamChecker unfinished("q");
-  EXPECT_TRUE(unfinished.Feed(good).ok());
+  EXPECT_TRUE(unfinished.Feed(valid).ok());
   EXPECT_FALSE(unfinished.Finish().ok());
   EXPECT_FALSE(SseStreamChecker("q").Feed(std::string(2UL * 1024 * 1024, 'x')).ok());
 }
--- a/src/posthatch/gateway/tenant_directory.cc
+++ b/src/posthatch/gateway/tenant_directory.cc
@@ -12,10 +12,10 @@
 
 constexpr std::string_view kBearer = "Bearer ";
 
-uint64_t Head(const Sha256Digest& digest) {
-  uint64_t head;  // NOLINT(cppcoreguidelines-init-variables): memcpy fills it
-  std::memcpy(&head, digest.data(), sizeof(head));
-  return head;
+uint64_t DigestPrefix(const Sha256Digest& digest) {
+  uint64_t prefix;  // NOLINT(cppcoreguidelines-init-variables): memcpy fills it
+  std::memcpy(&prefix, digest.data(), sizeof(prefix));
+  return prefix;
 }
 
 }  // namespace
@@ -26,7 +26,7 @@
     const auto shared = std::make_shared<const control::Tenant>(tenant);
     for (const std::string& hex : tenant.key_sha256()) {
       const std::optional<Sha256Digest> digest = ParseSha256Hex(hex);
-      if (digest.has_value()) entries_[Head(*digest)] = Entry{*digest, shared};
+      if (digest.has_value()) entries_[DigestPrefix(*digest)] = Entry{*digest, shared};
     }
   }
 }
@@ -36,7 +36,7 @@
   if (!absl::StartsWithIgnoreCase(util::ToAbsl(authorization), util::ToAbsl(kBearer)))
     return nullptr;
   const Sha256Digest digest = Sha256(authorization.substr(kBearer.size()));
-  const auto found = entries_.find(Head(digest));
+  const auto found = entries_.find(DigestPrefix(digest));
   if (found == entries_.end()) return nullptr;
   const Sha256Digest& expected = found->second.digest;
   if (CRYPTO_memcmp(expected.data(), digest.data(), digest.size()) != 0) return nullptr;
--- a/src/posthatch/gateway/upstream_attempt.cc
+++ b/src/posthatch/gateway/upstream_attempt.cc
@@ -8,7 +8,7 @@
 namespace posthatch::gateway {
 namespace {
 
-AttemptFailure FailureOf(const http::CallError& error) {
+AttemptFailure ToAttemptFailure(const http::CallError& error) {
   AttemptFailure failure;
   failure.message = error.status.ToString();
   if (error.progress == http::CallProgress::kNotSent) {
@@ -35,7 +35,7 @@
       return "wrong_attempt";
     case Cause::kInvalidResponse:
       return "bad_answer";
-    case Cause::kRefused:
+    case Cause::kRejected:
       return "refused";
   }
   return "unknown";
@@ -120,7 +120,7 @@
 }
 
 void UpstreamAttempt::OnError(const http::CallError& error) {
-  if (!ended_) Fail(FailureOf(error));
+  if (!ended_) Fail(ToAttemptFailure(error));
 }
 
 void UpstreamAttempt::Fail(AttemptFailure failure) {
--- a/src/posthatch/gateway/upstream_attempt.h
+++ b/src/posthatch/gateway/upstream_attempt.h
@@ -17,7 +17,7 @@
     kTimeout,          // no response in time
     kWrongAttempt,     // the response is for another attempt
     kInvalidResponse,  // the response violates docs/BACKENDS.md
-    kRefused,          // rejected before running
+    kRejected,         // rejected before running
   };
   Cause cause = Cause::kNotSent;
   std::string message;
@@ -25,7 +25,7 @@
 
   // Whether it is proven that this attempt has not run and will not run.
   bool GuaranteesNotExecuted() const {
-    return cause == Cause::kNotSent || cause == Cause::kRefused;
+    return cause == Cause::kNotSent || cause == Cause::kRejected;
   }
   // Label value in metrics.
   const char* name() const;
--- a/src/posthatch/gateway/worker_router.cc
+++ b/src/posthatch/gateway/worker_router.cc
@@ -44,11 +44,11 @@
 BackendPointer WorkerRouter::SampleEligible(const std::vector<BackendPointer>& from,
                                             uint64_t revision,
                                             const std::vector<std::string>& attempted_backends,
-                                            const BackendEntry* other) {
+                                            const BackendEntry* excluded) {
   if (from.empty()) return nullptr;
   for (int draw = 0; draw < kMaxSamples; ++draw) {
     const BackendPointer& entry = from[runtime_->random->Uniform(from.size())];
-    if (entry.get() == other || Contains(attempted_backends, entry->backend.id())) continue;
+    if (entry.get() == excluded || Contains(attempted_backends, entry->backend.id())) continue;
     if (!directory_->health()->Eligible(*entry, revision)) continue;
     const double share = directory_->health()->SlowStartShare(*entry);
     if (share >= 1.0 || runtime_->random->Chance(share)) return entry;
@@ -146,8 +146,8 @@
     if (!HasCapacity(*entry, query.priority) ||
         Contains(*query.attempted_backends, holder.backend_id))
       continue;
-    const bool lost_since = entry->epoch > holder.epoch;
-    candidates.push_back(Candidate{entry, lost_since ? 0 : holder.blocks});
+    const bool cache_lost = entry->epoch > holder.epoch;
+    candidates.push_back(Candidate{entry, cache_lost ? 0 : holder.blocks});
   }
   return candidates;
 }
--- a/src/posthatch/gateway/worker_router.h
+++ b/src/posthatch/gateway/worker_router.h
@@ -64,11 +64,11 @@
 
   BackendPointer NextRoundRobin(BackendPool* pool, uint64_t revision,
                                 const std::vector<std::string>& attempted_backends);
-  // A random eligible back end other than `other`; back ends in slow start are drawn less often.
+  // A random eligible back end other than `excluded`; back ends in slow start are drawn less often.
   // Null if none was found.
   BackendPointer SampleEligible(const std::vector<BackendPointer>& from, uint64_t revision,
                                 const std::vector<std::string>& attempted_backends,
-                                const BackendEntry* other);
+                                const BackendEntry* excluded);
   BackendPointer PowerOfTwoChoices(const std::vector<BackendPointer>& from, uint64_t revision,
                                    const std::vector<std::string>& attempted_backends);
   // Power of two choices in the local zone; if that choice is busy, the better of it and a choice
