--- a/src/posthatch/rollout/rollout_coordinator.h
+++ b/src/posthatch/rollout/rollout_coordinator.h
@@ -33,7 +33,7 @@
   // Time since its first command after which a worker counts as stuck. It no longer occupies a
   // slot, but is still polled and commanded.
   runtime::Duration stuck_after = std::chrono::seconds(6);
-  // Time from naming a revision until no worker may begin a request under an older one.
+  // Time from setting a revision until no worker may begin a request under an older one.
   runtime::Duration revision_deadline = std::chrono::seconds(12);
   RolloutPaceOptions pace;
 };
@@ -55,7 +55,7 @@
     const WorkerCommandFormat* format = nullptr;
     // The fleet state as of the last applied command.
     std::function<const control::FleetState&()> fleet;
-    // The times at which revisions were named; outlives the coordinator.
+    // The times at which revisions were set; outlives the coordinator.
     const control::RevisionTimeline* revisions = nullptr;
     // Whether this controller may send commands now: it is the leader, confirmed by a majority.
     std::function<bool()> may_command;
