--- a/src/posthatch/gateway/caller_api.cc
+++ b/src/posthatch/gateway/caller_api.cc
@@ -64,12 +64,12 @@
     return route;
   }
   if (path.substr(0, kServicesPath.size()) != kServicesPath) return std::nullopt;
-  const std::string_view names = path.substr(kServicesPath.size());
-  const size_t slash = names.find('/');
+  const std::string_view segments = path.substr(kServicesPath.size());
+  const size_t slash = segments.find('/');
   if (slash == std::string_view::npos) return std::nullopt;
   route.kind = Route::Kind::kService;
-  route.service = std::string(names.substr(0, slash));
-  route.operation = std::string(names.substr(slash + 1));
+  route.service = std::string(segments.substr(0, slash));
+  route.operation = std::string(segments.substr(slash + 1));
   if (!IsPathName(route.service) || !IsPathName(route.operation)) return std::nullopt;
   return route;
 }
--- a/src/posthatch/rollout/rollout_coordinator-test.cc
+++ b/src/posthatch/rollout/rollout_coordinator-test.cc
@@ -129,7 +129,7 @@
     *fleet_.mutable_inventory() = inventory;
   }
 
-  void SetNewestRevision(uint64_t revision) {
+  void SetModelRevision(uint64_t revision) {
     fleet_.mutable_revisions(0)->set_revision(revision);
     revision_timeline_.Observe(fleet_, world_.Now());
   }
@@ -162,7 +162,7 @@
 TEST_F(RolloutCoordinatorTest, RollsOutInBatchesWithOneCommandEach) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  SetNewestRevision(2);
+  SetModelRevision(2);
   world_.RunFor(seconds(9));
   EXPECT_TRUE(AllServe(2));
   EXPECT_EQ(commanded_workers_.size(), static_cast<size_t>(kWorkers));
@@ -172,7 +172,7 @@
 
 TEST_F(RolloutCoordinatorTest, WritesEventsForStartProgressAndFinish) {
   coordinator_->OnLeadership(true, 7);
-  SetNewestRevision(2);
+  SetModelRevision(2);
   world_.RunFor(seconds(9));
   std::map<std::string, int> events;
   for (const std::string& line : world_.RecentTrace()) {
@@ -188,7 +188,7 @@
 TEST_F(RolloutCoordinatorTest, CanaryGoesFirst) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  SetNewestRevision(2);
+  SetModelRevision(2);
   world_.RunFor(milliseconds(900));
   EXPECT_EQ(commanded_workers_.size(), 1U);
 }
@@ -197,7 +197,7 @@
   for (control::Backend& backend : *fleet_.mutable_inventory()->mutable_backends()) {
     backend.set_recently_ordered(true);
   }
-  SetNewestRevision(2);
+  SetModelRevision(2);
   coordinator_->OnLeadership(true, 7);
   Publish();
   world_.RunFor(milliseconds(2900));
@@ -211,7 +211,7 @@
   commanded->set_recently_ordered(true);
   commanded->set_model_revision(2);
   revisions_["w0"] = 2;
-  SetNewestRevision(2);
+  SetModelRevision(2);
   coordinator_->OnLeadership(true, 8);
   world_.RunFor(milliseconds(2000));
   EXPECT_GE(commanded_workers_.size(), 4U);
@@ -221,7 +221,7 @@
 TEST_F(RolloutCoordinatorTest, CommandsOnlyAfterMarkIsReplicated) {
   publishing_ = false;
   coordinator_->OnLeadership(true, 7);
-  SetNewestRevision(2);
+  SetModelRevision(2);
   world_.RunFor(seconds(5));
   EXPECT_TRUE(commanded_workers_.empty());
   publishing_ = true;
@@ -234,17 +234,17 @@
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
   may_command_ = false;
-  SetNewestRevision(2);
+  SetModelRevision(2);
   world_.RunFor(seconds(3));
   EXPECT_TRUE(commanded_workers_.empty());
 }
 
-TEST_F(RolloutCoordinatorTest, ReachesRevisionNamedDuringRollout) {
+TEST_F(RolloutCoordinatorTest, ReachesRevisionSetDuringRollout) {
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  SetNewestRevision(2);
+  SetModelRevision(2);
   world_.RunFor(milliseconds(1500));
-  SetNewestRevision(3);
+  SetModelRevision(3);
   world_.RunFor(seconds(14));
   EXPECT_TRUE(AllServe(3));
 }
@@ -254,7 +254,7 @@
   load_time_ = seconds(5);
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
-  SetNewestRevision(2);
+  SetModelRevision(2);
   world_.RunFor(seconds(10));
   EXPECT_EQ(CommandedWorkers(), static_cast<size_t>(kWorkers));
 }
@@ -264,7 +264,7 @@
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
   stuck_workers_ = {"w0"};
-  SetNewestRevision(2);
+  SetModelRevision(2);
   world_.RunFor(seconds(12));
   EXPECT_EQ(CommandedWorkers(), static_cast<size_t>(kWorkers));
   EXPECT_EQ(revisions_["w9"], 2U);
@@ -276,12 +276,12 @@
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
   stuck_workers_ = {"w0"};
-  SetNewestRevision(2);
+  SetModelRevision(2);
   world_.RunFor(seconds(20));
   max_concurrent_loads_ = 0;
   loading_.clear();
   commanded_workers_.clear();
-  SetNewestRevision(3);
+  SetModelRevision(3);
   world_.RunFor(milliseconds(800));
   EXPECT_LE(CommandedWorkers(), 2U) << "the canary and the overdue worker";
   world_.RunFor(seconds(9));
@@ -290,9 +290,9 @@
 }
 
 // A new leader must keep the deadline that began under its predecessor.
-TEST_F(RolloutCoordinatorTest, NewLeaderMeetsDeadlineOfRevisionNamedBefore) {
+TEST_F(RolloutCoordinatorTest, NewLeaderMeetsDeadlineOfRevisionSetBefore) {
   load_time_ = seconds(3);
-  SetNewestRevision(2);
+  SetModelRevision(2);
   world_.RunFor(seconds(7));
   coordinator_->OnLeadership(true, 8);
   Publish();
@@ -304,7 +304,7 @@
   coordinator_->OnLeadership(true, 7);
   world_.RunFor(seconds(4));
   command_status_ = 412;
-  SetNewestRevision(2);
+  SetModelRevision(2);
   world_.RunFor(seconds(3));
   EXPECT_LE(commanded_workers_.size(), 8U);
 }
