--- a/src/posthatch/gateway/gateway_metrics.h
+++ b/src/posthatch/gateway/gateway_metrics.h
@@ -35,8 +35,8 @@
   LabeledCounter slow_starts;
   // result: reads of the platform's inventory by this gateway.
   LabeledCounter inventory_reads;
-  // source: full prompt blocks of completed requests: "asked" is their total, "cached" those cached
-  // by the worker.
+  // source: full prompt blocks of completed requests: "asked" in total, "cached" as reported by the
+  // worker.
   LabeledCounter prompt_blocks;
   // Back ends ejected as outliers.
   prometheus::Counter& ejections;
