--- a/src/posthatch/gateway/bodies-fuzz.cc
+++ b/src/posthatch/gateway/bodies-fuzz.cc
@@ -6,7 +6,7 @@
 #include "posthatch/gateway/inference_body.h"
 #include "posthatch/gateway/response_check.h"
 
-// Bodies from callers, back ends and the platform's inventory.
+// Parses and checks bodies from callers, back ends and the platform's inventory.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   namespace gateway = posthatch::gateway;
   const std::string body(reinterpret_cast<const char*>(data), size);
@@ -15,9 +15,9 @@
   (void)control::ParseInventory(body).ok();
   (void)gateway::CheckCompletionBody(body, "q").ok();
   (void)gateway::CheckServiceBody(body, "q", "place").ok();
-  posthatch::http::Response answer;
-  answer.status = 503;
-  answer.body = body;
-  (void)gateway::GuaranteesNotExecuted(answer);
+  posthatch::http::Response response;
+  response.status = 503;
+  response.body = body;
+  (void)gateway::GuaranteesNotExecuted(response);
   return 0;
 }
--- a/src/posthatch/gateway/caller_api.h
+++ b/src/posthatch/gateway/caller_api.h
@@ -29,13 +29,13 @@
   };
 
   static std::optional<Route> FindRoute(const http::Request& request);
-  // Checks everything that needs no admission and fills `call`; returns the error otherwise.
+  // Runs the checks that precede admission and fills `call`, or returns the error.
   std::optional<ApiError> Validate(CallerRequest* call);
   void StartInference(const Route& route, CallerRequest call);
   void StartService(const Route& route, CallerRequest call);
   // Takes an admission slot; false if the request was rejected.
   bool Admit(CallerRequest* call);
-  void Refuse(const CallerRequest& call, ApiError error);
+  void Reject(const CallerRequest& call, ApiError error);
 
   GatewayContext* const context_;
   bool draining_ = false;
--- a/src/posthatch/gateway/gateway_world-test.cc
+++ b/src/posthatch/gateway/gateway_world-test.cc
@@ -8,8 +8,8 @@
 #include "posthatch/emulator/service_emulator.h"
 #include "posthatch/gateway/gateway_fakes-test.h"
 
-// Two gateways in front of emulators that inject every fault, under the load of a deployment, in
-// the simulator. The log is a fake with random delays; everything else is real.
+// Simulates two gateways in front of emulators that inject every fault, under the load of a
+// deployment. The log is a fake with random delays; everything else is real.
 namespace posthatch::gateway {
 namespace {
 
@@ -17,7 +17,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Applied after a link delay: results for an ended or frozen process are lost or delayed.
+// Delays proposals and results by a random link delay. Results for a crashed or frozen process are
+// lost or delayed.
 class DelayedControl : public control::ControlClient {
  public:
   DelayedControl(runtime::Runtime* runtime, FakeControl* log) : runtime_(runtime), log_(log) {}
@@ -36,7 +37,7 @@
   FakeControl* const log_;
 };
 
-// One gateway process.
+// A gateway process.
 class GatewayProcess {
  public:
   GatewayProcess(runtime::Runtime* runtime, const std::string& endpoint,
@@ -81,14 +82,15 @@
     worker.answers_late_ms = 200;
     worker.answers_late_share = worker.answers_twice_share = worker.answers_crossed_share = 0.02;
     worker.answers_crossed_body_share = worker.cut_share = worker.cut_clean_share = 0.02;
-    // A missing last piece is undetectable: streams don't state their length.
+    // Pieces are not skipped: streams don't state their length, so a missing last piece would be
+    // undetectable.
     worker.repeated_piece_share = 0.02;
     worker.cut_at_piece = 2;
     for (int number = 1; number <= 4; ++number) {
       emulator::WorkerSettings settings;
       settings.id = absl::StrCat("worker-", number);
       BootWorker(settings, &hosts_.emplace_back())->SetBehaviour(worker);
-      List(settings.id, control::BACKEND_KIND_WORKER);
+      AddToInventory(settings.id, control::BACKEND_KIND_WORKER);
     }
     emulator::ServiceBehaviour service;
     service.answers_lost_share = service.requests_lost_share = service.answers_twice_share = 0.03;
@@ -100,11 +102,11 @@
       settings.id = absl::StrCat("service-", number);
       Boot<emulator::ServiceEmulator>(settings.id, settings, &hosts_.emplace_back())
           ->SetBehaviour(service);
-      List(settings.id, control::BACKEND_KIND_SERVICE);
+      AddToInventory(settings.id, control::BACKEND_KIND_SERVICE);
     }
   }
 
-  void List(const std::string& id, control::BackendKind kind) {
+  void AddToInventory(const std::string& id, control::BackendKind kind) {
     control::Backend* backend = state_.mutable_inventory()->add_backends();
     backend->set_id(id);
     backend->set_kind(kind);
@@ -123,7 +125,7 @@
     return host;
   }
 
-  // Faults of a gateway and of back ends, under continuous load.
+  // Crashes and freezes gateways and back ends under continuous load.
   void RunLoad() {
     StartBackends();
     simulation::SimHost* const first = StartGateway("gateway-1");
@@ -161,17 +163,17 @@
   RunLoad();
   std::map<std::string, int> starts_by_key;
   std::set<std::string> started;
-  int firsts = 0;
+  int first_attempts = 0;
   int retries = 0;
   for (const fleettest::RunStarted& run : Starts()) {
     started.insert(run.nonce());
     if (!run.idempotency_key().empty()) ++starts_by_key[run.idempotency_key()];
-    ++(run.attempt_number() > 1 ? retries : firsts);
+    ++(run.attempt_number() > 1 ? retries : first_attempts);
   }
   for (const auto& [key, starts] : starts_by_key) EXPECT_EQ(starts, 1) << "N1 " << key;
   EXPECT_GT(starts_by_key.size(), 100u);
   EXPECT_GT(retries, 0);
-  EXPECT_LE(retries, firsts / 5) << "N11";
+  EXPECT_LE(retries, first_attempts / 5) << "N11";
   std::map<std::string, std::set<uint64_t>> sends;
   for (const HistoryEvent& event : EventsOf(HistoryEvent::kCallSent)) {
     sends[event.call_sent().nonce()].insert(event.call_sent().call());
--- a/src/posthatch/gateway/inference_request.cc
+++ b/src/posthatch/gateway/inference_request.cc
@@ -10,7 +10,7 @@
 namespace posthatch::gateway {
 namespace {
 
-// How long a caller may block reading from its worker before the stream is aborted.
+// How long reading from the worker may be stopped by a slow caller before the stream is aborted.
 constexpr runtime::Duration kStallTimeout = std::chrono::seconds(30);
 
 }  // namespace
@@ -42,8 +42,8 @@
   query.attempted_backends = &attempted_backends;
   decision_ = context()->router->RouteInference(query);
   if (decision_.outcome != RouteDecision::Outcome::kChosen) return decision_;
-  const uint32_t there = std::max(decision_.cached_blocks, decision_.fetch_blocks);
-  plan->pending_blocks = chain_.size() - std::min<size_t>(there, chain_.size());
+  const uint32_t available_blocks = std::max(decision_.cached_blocks, decision_.fetch_blocks);
+  plan->pending_blocks = chain_.size() - std::min<size_t>(available_blocks, chain_.size());
   plan->stream = body_.stream;
   plan->request.method = "POST";
   plan->request.target = body_.chat ? "/v1/chat/completions" : "/v1/completions";
@@ -95,7 +95,7 @@
 }
 
 void InferenceRequest::OnFirstChunk() {
-  // From here on the gaps are bounded, not the total time.
+  // From here on, only the gaps between chunks are bounded, not the total time.
   deadline_timer()->Cancel();
   ObserveFirstByte();
   context()->backends->health()->OnSuccess(attempt()->backend());
@@ -110,13 +110,14 @@
   const runtime::Duration elapsed = context()->runtime->clock->Now() - attempt()->started();
   BackendEntry* const worker = attempt()->backend();
   if (decision_.fetch_endpoint.empty()) {
-    const double explained = static_cast<double>(prefilled) * context()->links->PrefillCost();
-    context()->backends->load()->OnWaitMeasured(worker,
-                                                runtime::ToMilliseconds(elapsed) - explained);
+    const double prefill_milliseconds =
+        static_cast<double>(prefilled) * context()->links->PrefillCost();
+    context()->backends->load()->OnWaitMeasured(
+        worker, runtime::ToMilliseconds(elapsed) - prefill_milliseconds);
     context()->links->RecordPrefill(prefilled, elapsed);
     return;
   }
-  // A fetch that returned no block took time too.
+  // A fetch that returned no blocks also took time; it counts with the expected number of blocks.
   const uint64_t fetched = cached > decision_.cached_blocks
                                ? cached - decision_.cached_blocks
                                : decision_.fetch_blocks - decision_.cached_blocks;
@@ -129,7 +130,7 @@
   context()->metrics->stream_pauses.Increment();
   attempt()->StopReading();
   stall_timer_.Start(kStallTimeout, [this] {
-    attempt()->Fail({AttemptFailure::Cause::kTimeout, "the caller doesn't read its answer"});
+    attempt()->Fail({AttemptFailure::Cause::kTimeout, "the caller doesn't read its response"});
   });
   std::weak_ptr<ActiveRequest> weak = weak_from_this();
   call().writer->OnWritable([this, weak] {
@@ -157,9 +158,9 @@
 
 void InferenceRequest::OnAttemptFailed(AttemptFailure failure) {
   stall_timer_.Cancel();
-  if (failure.cause == AttemptFailure::Cause::kRefused) {
-    context()->backends->health()->OnRefused(attempt()->backend(), seed_.model_revision,
-                                             failure.status);
+  if (failure.cause == AttemptFailure::Cause::kRejected) {
+    context()->backends->health()->OnRejected(attempt()->backend(), seed_.model_revision,
+                                              failure.status);
   }
   RetryableRequest::OnAttemptFailed(std::move(failure));
 }
--- a/src/posthatch/gateway/retryable_request.cc
+++ b/src/posthatch/gateway/retryable_request.cc
@@ -13,7 +13,7 @@
 constexpr int kAttemptTimeoutDivisor = 4;
 // Maximum time without a body byte in a response.
 constexpr runtime::Duration kBodyIdleTimeout = std::chrono::seconds(10);
-// With less time left, a retry can't succeed.
+// Minimum time before the deadline for a retry to succeed.
 constexpr runtime::Duration kMinTimeForRetry = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -33,31 +33,31 @@
 std::optional<ApiError> RetryableRequest::DispatchError() {
   if (std::optional<ApiError> error = context_->FleetStateError()) return error;
   if (attempts_ == 0) return std::nullopt;
-  // Time has passed since the request was admitted.
+  // The key may have been revoked since the request was admitted.
   return context_->AuthorizationError(call_);
 }
 
 void RetryableRequest::DispatchAttempt() {
   if (std::optional<ApiError> error = DispatchError()) {
-    Refuse(*std::move(error));
+    Reject(*std::move(error));
     return;
   }
   AttemptPlan plan;
   RouteDecision decision = Plan(attempted_backends_, &plan);
   if (decision.outcome == RouteDecision::Outcome::kShed) {
-    Refuse({ErrorCode::kOverloaded, "the back ends are busy with work of higher priority",
+    Reject({ErrorCode::kOverloaded, "the back ends are busy with work of higher priority",
             Executed::kNo, 1});
     return;
   }
   if (decision.outcome == RouteDecision::Outcome::kNoCapacity) {
-    Refuse({ErrorCode::kNoCapacity, "no back end may take the request now", Executed::kNo, 1});
+    Reject({ErrorCode::kNoCapacity, "no back end may take the request now", Executed::kNo, 1});
     return;
   }
   if (attempts_ == 0) {
     context_->retry_budget->RecordFirstAttempt();
   } else if (!context_->retry_budget->TryRetry(context_->lookup->limits().retry_ratio)) {
     context_->metrics->retries_denied.Increment("budget");
-    Refuse(RetryDeniedError());
+    Reject(RetryDeniedError());
     return;
   }
   plan.backend = std::move(decision.backend);
@@ -68,10 +68,10 @@
   ++attempts_;
   plan.nonce = context_->NewNonce();
   AddAttemptHeaders(*context_, call_, plan.nonce, attempts_, &plan.request.headers);
-  const runtime::Duration left = call_.deadline - context_->runtime->clock->Now();
-  const runtime::Duration share =
+  const runtime::Duration time_left = call_.deadline - context_->runtime->clock->Now();
+  const runtime::Duration attempt_timeout =
       context_->lookup->limits().request_timeout / kAttemptTimeoutDivisor;
-  plan.call_options.head_timeout = std::min(left, share);
+  plan.call_options.head_timeout = std::min(time_left, attempt_timeout);
   plan.call_options.body_idle_timeout = kBodyIdleTimeout;
   plan.call_options.max_body_bytes = plan.stream ? SIZE_MAX : context_->options->max_response_bytes;
   context_->metrics->attempts.Increment(attempts_ == 1 ? "first" : "retry");
@@ -89,13 +89,13 @@
 void RetryableRequest::OnResponseComplete(http::Response response) {
   if (ended_) return;
   if (GuaranteesNotExecuted(response)) {
-    OnAttemptFailed({AttemptFailure::Cause::kRefused, "refused before running", response.status});
+    OnAttemptFailed({AttemptFailure::Cause::kRejected, "rejected before running", response.status});
     return;
   }
   absl::Status status = absl::OkStatus();
   if (response.status == 200) status = CheckResponse(response);
   if (response.status >= 500)
-    status = absl::UnavailableError("the back end answered with an error");
+    status = absl::UnavailableError("the back end responded with an error");
   if (!status.ok()) {
     context_->backends->health()->OnFailure(attempt_->backend());
     OnAttemptFailed({AttemptFailure::Cause::kInvalidResponse, status.ToString()});
@@ -124,17 +124,18 @@
     End();
     return;
   }
-  const runtime::Duration left = call_.deadline - context_->runtime->clock->Now();
-  if (attempts_ >= context_->options->max_attempts || left < kMinTimeForRetry) {
-    context_->metrics->retries_denied.Increment(left < kMinTimeForRetry ? "deadline" : "attempts");
-    Refuse(FinalError(failure));
+  const runtime::Duration time_left = call_.deadline - context_->runtime->clock->Now();
+  if (attempts_ >= context_->options->max_attempts || time_left < kMinTimeForRetry) {
+    context_->metrics->retries_denied.Increment(time_left < kMinTimeForRetry ? "deadline"
+                                                                             : "attempts");
+    Reject(FinalError(failure));
     return;
   }
   DispatchAttempt();
 }
 
 ApiError RetryableRequest::FinalError(const AttemptFailure& failure) const {
-  if (failure.cause == AttemptFailure::Cause::kRefused) {
+  if (failure.cause == AttemptFailure::Cause::kRejected) {
     return {ErrorCode::kNoCapacity, "the back ends refused the request", Executed::kNo, 1};
   }
   if (failure.cause == AttemptFailure::Cause::kTimeout) {
@@ -169,7 +170,7 @@
   context_->metrics->first_byte_seconds.Observe(std::chrono::duration<double>(elapsed).count());
 }
 
-void RetryableRequest::Refuse(ApiError error) {
+void RetryableRequest::Reject(ApiError error) {
   const bool proved = guaranteed_not_executed_ && call_.idempotency_key.empty();
   error.executed = proved ? Executed::kNo : Executed::kUnknown;
   SendError(*context_, call_.writer.get(), error);
