--- a/src/posthatch/index/attribution_table.h
+++ b/src/posthatch/index/attribution_table.h
@@ -11,20 +11,21 @@
 
 namespace posthatch::index {
 
-// Under which seed a block was made. Known from the cache salt where events carry it, and else from
-// the dispatches of this gateway and of others (DispatchReport), since workers' events name neither
-// model revision nor tenant. Bounded: holds the newest `max_blocks` blocks and as many attempts.
-// Owned by IndexNode; event loop thread only.
+// Maps blocks, attempts and cache salts to the seed under which blocks were made. The seed is known
+// from the cache salt where events carry it, otherwise from the dispatches of this gateway and of
+// others (DispatchReport), since workers' events name neither model revision nor tenant. Bounded:
+// holds the newest `max_blocks` blocks and as many attempts. Owned by IndexNode; event loop thread
+// only.
 class AttributionTable {
  public:
   explicit AttributionTable(size_t max_blocks) : max_blocks_(max_blocks) {}
 
   void RecordBlocks(const BlockSeed& seed, absl::Span<const BlockHash> blocks);
-  // A seed in use: events that carry its cache salt are attributed by that alone.
+  // Registers a seed in use: events that carry its cache salt need no dispatch to be attributed.
   void RecordSeed(const BlockSeed& seed) { Intern(seed); }
   void RecordAttempt(const std::string& attempt, const BlockSeed& seed);
 
-  // Null if unknown. Valid until the next change.
+  // Return null if unknown. The result is valid until the next change of the table.
   const BlockSeed* FindBlock(BlockHash block) const;
   const BlockSeed* FindAttempt(const std::string& attempt) const;
   const BlockSeed* FindSalt(const std::string& salt) const;
@@ -36,9 +37,9 @@
   SeedId Intern(const BlockSeed& seed);
 
   const size_t max_blocks_;
-  // Few: one for each model revision and isolation domain in use.
+  // One for each model revision and isolation domain in use, so only a few.
   std::vector<BlockSeed> seeds_;
-  absl::flat_hash_map<std::string, SeedId> seed_ids_;  // by cache salt
+  absl::flat_hash_map<std::string, SeedId> seed_ids_;  // keyed by cache salt
   absl::flat_hash_map<BlockHash, SeedId> blocks_;
   std::deque<BlockHash> block_order_;
   absl::flat_hash_map<std::string, SeedId> attempts_;
--- a/src/posthatch/index/block_hash.h
+++ b/src/posthatch/index/block_hash.h
@@ -9,7 +9,7 @@
 
 // What a block's identity depends on besides its content. Blocks with different seeds have
 // different hashes (short of a collision of XXH3-128), so a block made under other weights or for
-// an isolated tenant can't be named by accident.
+// an isolated tenant can't be matched by accident.
 struct BlockSeed {
   std::string model;
   uint64_t model_revision = 0;
@@ -24,16 +24,16 @@
 std::string CacheSalt(const BlockSeed& seed);
 
 // Hashes of all full blocks of `prompt`, in order. A block is `block_bytes` bytes of the canonical
-// prompt text; a rest shorter than a block has no hash. `cache_salt` as made by CacheSalt.
+// prompt text; a partial block at the end has no hash. `cache_salt` as made by CacheSalt.
 std::vector<BlockHash> HashBlocks(std::string_view cache_salt, std::string_view prompt,
                                   size_t block_bytes);
 
-// Hashes of a prompt's segments, which are named by ids that cover all before them. The same salt
-// and id give the same hash wherever they are met: in a prompt or in a worker's event.
+// Hashes of a prompt's segments. A segment id identifies the segment and all before it. The same
+// salt and id give the same hash whether they come from a prompt or from a worker's event.
 BlockHash HashSegment(std::string_view cache_salt, std::string_view segment_id);
 std::vector<BlockHash> HashSegments(std::string_view cache_salt,
                                     const std::vector<std::string>& segment_ids);
-// One value for the first `count` ids; independent of salts.
+// Hash over the first `count` segment ids, independent of cache salts.
 uint64_t HashOfSegments(const std::vector<std::string>& segment_ids, size_t count);
 
 // Bytes of canonical prompt text that count as one token.
--- a/src/posthatch/index/dispatch_recorder.h
+++ b/src/posthatch/index/dispatch_recorder.h
@@ -15,16 +15,16 @@
 
 namespace posthatch::index {
 
-// The locator that the gateway routes by. Looks up in TrustedPrefixLocator. On each dispatch it
-// also records the chain's seed, reports it to the gateway that holds the worker's lease
-// (DispatchReport), and adds entries of the stores, since workers save what they make there. Owned
-// by IndexNode; event loop thread only.
+// The PrefixLocator that routing uses. Looks up in TrustedPrefixLocator. On each dispatch it also
+// records the chain's seed, reports it to the gateway that holds the worker's lease
+// (DispatchReport), and adds the chain to the entries of the stores, since workers save their
+// blocks there. Owned by IndexNode; event loop thread only.
 class DispatchRecorder : public PrefixLocator {
  public:
   struct Options {
     runtime::Duration report_period = std::chrono::milliseconds(20);
     bool workers_save_to_store = true;
-    // Workers' events carry cache salts: their readers need no reports of dispatches.
+    // Whether workers' events carry cache salts: then the gateways that read them need no reports.
     bool events_carry_salts = false;
   };
   struct Dependencies {
@@ -32,7 +32,7 @@
     const invalidation::ObjectTrust* trust = nullptr;
     AttributionTable* attributions = nullptr;
     TrustedPrefixLocator* locator = nullptr;
-    std::function<std::vector<std::string>()> gateways;  // internal endpoints of the others
+    std::function<std::vector<std::string>()> gateways;  // internal endpoints of the other gateways
   };
 
   DispatchRecorder(runtime::Runtime* runtime, Options options, Dependencies dependencies);
@@ -42,10 +42,10 @@
   void RecordDispatch(const BlockSeed& seed, const std::vector<BlockHash>& chain,
                       const std::string& worker_id, uint64_t worker_epoch) override;
 
-  // The endpoint of a gateway, as of its last message; reports to an unknown one go to all
-  // gateways.
+  // Records the endpoint that a gateway's last message came from. Reports to a gateway whose
+  // endpoint is unknown go to all gateways.
   void RecordGatewayEndpoint(const std::string& node_id, const std::string& endpoint);
-  // A report of another gateway.
+  // Applies a report received from another gateway.
   void ApplyReport(const DispatchReport& report) const;
 
  private:
@@ -58,7 +58,7 @@
   const Options options_;
   const Dependencies dependencies_;
   absl::flat_hash_map<std::string, std::string> endpoint_by_gateway_;
-  // Reports of the running period, by the node id of the lease holder.
+  // Reports batched in the current period, keyed by the node id of the lease holder.
   absl::btree_map<std::string, DispatchReport> pending_reports_;
   runtime::Timer report_timer_;
 };
--- a/src/posthatch/index/index-bench.cc
+++ b/src/posthatch/index/index-bench.cc
@@ -1,5 +1,5 @@
-// Prefix cache index: look-ups, memory, insertion. Figures and their command are in
-// docs/design-docs/index.md.
+// Benchmarks of the prefix cache index: look-ups, memory, insertion. The figures and the command
+// that gave them are in docs/design-docs/index.md.
 #include <benchmark/benchmark.h>
 
 #include <memory>
@@ -43,7 +43,7 @@
 
 bool Any(PrefixIndex::GenerationId /*generation*/) { return true; }
 
-// Complete chains of 32 blocks, in random order.
+// Look-ups of complete chains of 32 blocks, in random order.
 void BenchmarkLookUpHit(benchmark::State& state) {
   FilledIndex filled(state.range(0), 18);
   runtime::Random random(3);
@@ -58,7 +58,7 @@
 }
 BENCHMARK(BenchmarkLookUpHit)->Arg(100'000)->Arg(1'000'000)->Arg(10'000'000);
 
-// The same after each holder has had a block removed: every block is compared.
+// Look-ups of complete chains after each holder has had a block removed: every block is compared.
 void BenchmarkLookUpHitWithGaps(benchmark::State& state) {
   FilledIndex filled(state.range(0), 18);
   for (const Chain& chain : MakeChains(kChainBlocks * 200, 1))
@@ -72,7 +72,7 @@
 }
 BENCHMARK(BenchmarkLookUpHitWithGaps)->Arg(100'000)->Arg(1'000'000)->Arg(10'000'000);
 
-// Chains whose first half is cached.
+// Look-ups of chains whose first half is cached.
 void BenchmarkLookUpHalf(benchmark::State& state) {
   FilledIndex filled(state.range(0), 18);
   for (Chain& chain : filled.chains) chain[kChainBlocks / 2] ^= 1;
@@ -85,7 +85,7 @@
 }
 BENCHMARK(BenchmarkLookUpHalf)->Arg(10'000'000);
 
-// Chains without a holder.
+// Look-ups of chains without a holder.
 void BenchmarkLookUpMiss(benchmark::State& state) {
   FilledIndex filled(state.range(0), 18);
   const std::vector<Chain> others = MakeChains(1'000'000, 9);
@@ -111,7 +111,7 @@
 }
 BENCHMARK(BenchmarkInsert)->Arg(1'000'000)->Arg(10'000'000)->Unit(benchmark::kMillisecond);
 
-// The same into an index whose budget is used up: each insertion evicts another block.
+// Insertions into an index whose budget is used up: each one evicts another block.
 void BenchmarkInsertWithEviction(benchmark::State& state) {
   FilledIndex filled(1'000'000, 18);
   PrefixIndex index(filled.index.stats().bytes);
@@ -136,7 +136,7 @@
 }
 BENCHMARK(BenchmarkDropGeneration);
 
-// A body of 100 events of 32 blocks; items are blocks.
+// Parses a body of 100 events of 32 blocks; items are blocks.
 void BenchmarkParseKvEvents(benchmark::State& state) {
   constexpr int kEvents = 100;
   std::string body = R"({"epoch":1,"next":100,"events":[)";
--- a/src/posthatch/index/index_fleet-test.cc
+++ b/src/posthatch/index/index_fleet-test.cc
@@ -1,6 +1,6 @@
-// Gateways with complete IndexNodes, a controller and workers in the simulator, under faults, and
-// checks from outside: what Locate returns must depend on versions not superseded for longer than
-// X, and after the faults have ended, every returned block must really be cached by its holder.
+// Gateways with complete IndexNodes, a controller and workers in the simulator, under faults. An
+// entry that Locate returns must not depend on a version superseded for longer than 4 s, and after
+// the faults have ended, every returned block must be cached by its holder.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -28,7 +28,8 @@
 constexpr size_t kChainBlocks = 8;
 constexpr size_t kWorkerCapacity = 30;  // blocks
 
-// The control state: versions, applied request ids, and when each version was superseded.
+// Control state of the simulated fleet: versions, applied request ids, and when each version was
+// superseded.
 class SimControlState : public invalidation::ObjectSource {
  public:
   std::vector<invalidation::RegisteredObject> Objects() const override {
@@ -51,7 +52,7 @@
     raised_at[object] = now;
     for (const Listener& listener : listeners) listener(object, version);
   }
-  // As ControlState applies ObserveObject.
+  // Applies ObserveObject as ControlState does.
   void Apply(const control::Command& command, runtime::MonotonicTime now) {
     if (!applied.insert(command.request_id()).second) return;
     const control::ObserveObject& observation = command.observe_object();
@@ -90,7 +91,7 @@
 struct SimWorker {
   uint64_t epoch = 1;
   uint64_t last_seq = 0;
-  std::vector<BlockHash> kept;  // next to be evicted first
+  std::vector<BlockHash> kept;  // in order of eviction
   std::vector<std::pair<uint64_t, std::string>> events;
   double fault_probability = 0;
   std::unique_ptr<http::HttpServer> server;
@@ -232,7 +233,7 @@
     });
     host->Start();
   }
-  // With even seeds updates between the two zones go through relays; with every third one the
+  // With even seeds updates between the two zones go through relays; with every third seed the
   // gateways register once for all channels.
   static std::string ZoneOf(int gateway) { return gateway == 0 ? "a" : "b"; }
   static IndexOptions OptionsOf(int gateway) {
@@ -243,7 +244,7 @@
     return options;
   }
   bool Usable(int gateway) const { return !frozen_.contains(gateway); }
-  // Session leases, and worker leases with fencing tokens, as the control component grants them.
+  // Grants session leases, and worker leases with fencing tokens, as the control component does.
   void Renew() {
     for (int i = 0; i < kGateways; ++i) {
       if (Usable(i)) session_end_[i] = world_.Now() + kSessionLease;
@@ -306,7 +307,8 @@
           ++settled_examined_;
           for (uint32_t block = 0; block < holder.blocks; ++block) {
             EXPECT_TRUE(worker.Keeps(chain[block]))
-                << "g" << i << " believes that " << holder.backend_id << " keeps a block";
+                << "g" << i << " locates a block at " << holder.backend_id
+                << ", which has not cached it";
           }
         }
       }
@@ -326,7 +328,7 @@
     const int gateway = *frozen_.begin();
     world_.FindHost(absl::StrCat("g", gateway))->Thaw();
     frozen_.clear();
-    Check(/*settled=*/false);  // what it trusts at the moment of waking
+    Check(/*settled=*/false);  // entries that it trusts right after the thaw
     Renew();
   }
   uint64_t CountHolders() {
@@ -383,7 +385,7 @@
     }
     if (!frozen_.empty()) ThawAfter(seconds(25));
     for (auto& [number, worker] : workers_) {
-      // A last event shows what was missing before it.
+      // A final event reveals the sequence numbers that are missing before it.
       worker.fault_probability = 0;
       worker.Event(random, "removed", {0});
     }
@@ -406,7 +408,7 @@
   EXPECT_EQ(CountHolders(), 0u);
   serving_ = true;
   RunFor(seconds(2));
-  EXPECT_GT(CountHolders(), 0u) << "kept, and trusted again after re-registration";
+  EXPECT_GT(CountHolders(), 0u) << "entries are retained, and trusted again after re-registration";
   state_.Set(GetParam() % 2 == 0 ? "model/m" : "tenant/", MakeVersion(2, 0), world_.Now());
   RunFor(milliseconds(200));
   EXPECT_EQ(CountHolders(), 0u);
--- a/src/posthatch/index/index_messages-fuzz.cc
+++ b/src/posthatch/index/index_messages-fuzz.cc
@@ -5,7 +5,7 @@
 #include "posthatch/index/kv_events.h"
 #include "posthatch/index/replication/index_update_receiver.h"
 
-// Any bytes as an IndexMessage and as the response body of GET /kv_events.
+// Parses arbitrary bytes as an IndexMessage and as the response body of GET /kv_events.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using namespace posthatch::index;  // NOLINT(google-build-using-namespace): one function
   (void)ParseKvEvents(std::string_view(reinterpret_cast<const char*>(data), size));
--- a/src/posthatch/index/index_node.cc
+++ b/src/posthatch/index/index_node.cc
@@ -7,10 +7,10 @@
 namespace posthatch::index {
 namespace {
 
-// Each step compacts one segment at the most; with no dropped blocks there is nothing to do.
+// A sweep step compacts at most one segment; without dropped blocks it does nothing.
 constexpr runtime::Duration kSweepInterval = std::chrono::milliseconds(20);
 constexpr runtime::Duration kIdleSweepInterval = std::chrono::milliseconds(500);
-// Between debug events with the counters.
+// Interval between the debug log events with the counters.
 constexpr runtime::Duration kStatsInterval = std::chrono::seconds(2);
 
 invalidation::InvalidationSubscriberOptions SubscriptionOptionsOf(const IndexOptions& options) {
@@ -108,7 +108,7 @@
       served.emplace(backend.model(), backend.model_revision());
     }
   }
-  // Nearly every push during a rollout leaves them unchanged.
+  // Most pushes of the control state during a rollout leave these seeds unchanged.
   if (served == recorded_revisions_ && state.isolation_index() == recorded_isolation_) return;
   recorded_revisions_ = served;
   recorded_isolation_ = state.isolation_index();
--- a/src/posthatch/index/index_node.h
+++ b/src/posthatch/index/index_node.h
@@ -27,15 +27,15 @@
 struct IndexOptions {
   uint64_t index_budget_bytes = 64ull * 1024 * 1024;
   std::string zone;
-  // Serve the channels to further gateways of the zone as an invalidation relay.
+  // Whether this gateway relays the invalidation channels to other gateways of the zone.
   bool relay = false;
-  // Register once, on the aggregate channel; for fleets with invalidation relays.
+  // Whether to register once, on the aggregate channel; for fleets with invalidation relays.
   bool aggregate_channel = false;
   invalidation::SubscriptionOptions subscription;
   invalidation::PublisherOptions relay_publisher;
   WorkerEventFeed::Options events;
   IndexUpdatePublisherOptions updates;
-  IndexUpdateFanoutOptions fanout;  // its zone is `zone`
+  IndexUpdateFanoutOptions fanout;  // `fanout.zone` is replaced by `zone`
   DispatchRecorder::Options dispatches;
   runtime::Duration store_poll_interval = std::chrono::seconds(1);
   // See TrustedPrefixLocator::Options.
@@ -44,10 +44,10 @@
   size_t max_attributions = size_t{256} * 1024;
 };
 
-// A gateway's prefix cache index with all that feeds it: channel subscriptions, events of the
-// workers whose leases it holds, other gateways' updates. Receives the process's SERVICE_CHANNELS
-// and SERVICE_INDEX messages. Owned by the gateway's assembly; `fleet` and `client` must outlive
-// it. Event loop thread only.
+// A gateway's prefix cache index and its sources: channel subscriptions, events of the workers
+// whose leases it holds, other gateways' updates. Receives the process's SERVICE_CHANNELS and
+// SERVICE_INDEX messages. Owned by the gateway's assembly; `fleet` and `client` must outlive it.
+// Event loop thread only.
 class IndexNode {
  public:
   // Internal endpoints ("ip:port") of the controllers; called often.
@@ -62,10 +62,11 @@
 
   void Start();
 
-  // The look-ups for routing. Valid as long as this node.
+  // The locator for routing, valid as long as this node.
   PrefixLocator* locator() { return &recorder_; }
   const invalidation::ObjectTrust* trust() const { return &subscriptions_; }
-  // Records under which seed an attempt (its nonce) was dispatched, to attribute events.
+  // Records the seed under which an attempt was dispatched, to attribute events that carry its
+  // nonce.
   void RecordAttempt(const std::string& attempt, const BlockSeed& seed) {
     attributions_.RecordAttempt(attempt, seed);
   }
@@ -113,11 +114,11 @@
   runtime::Timer sweep_timer_;
   runtime::MonotonicTime next_stats_;
   IndexStatistics statistics_;
-  // What RecordKnownSeeds has recorded: models with their revisions, and the index of the section
-  // of isolation domains.
+  // What RecordKnownSeeds recorded last: models with their revisions, and the isolation index of
+  // the control state.
   std::set<std::pair<std::string, uint64_t>> recorded_revisions_;
   uint64_t recorded_isolation_ = 0;
-  // Expires with this object, for the listener that stays with `fleet`.
+  // Expires with this object; checked by the listener, which `fleet` retains.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/posthatch/index/index_statistics.cc
+++ b/src/posthatch/index/index_statistics.cc
@@ -16,19 +16,20 @@
       [this] { return sources_.locator->index_stats().evicted_blocks; });
   add("posthatch_index_lookups", "Look-ups of prefixes since start.",
       [this] { return sources_.locator->stats().lookups; });
-  add("posthatch_index_lookups_matched", "Look-ups that named at least one trusted holder.",
+  add("posthatch_index_lookups_matched", "Look-ups that found at least one trusted cache holder.",
       [this] { return sources_.locator->stats().lookups_matched; });
   add("posthatch_index_untrusted_holders",
-      "Holders left out of answers because their trust had run out.",
+      "Cache holders left out of look-up results because their trust had expired.",
       [this] { return sources_.locator->stats().untrusted_holders; });
   add("posthatch_index_channels_live", "Channels whose registration is live.",
       [this] { return sources_.subscriptions->live_channels(); });
   add("posthatch_index_update_gaps", "Updates of other gateways found missing since start.",
       [this] { return sources_.receiver->stats().gaps; });
-  add("posthatch_index_event_losses", "Losses in the events of the workers read here, since start.",
+  add("posthatch_index_event_losses",
+      "Losses in the events of workers that this gateway reads, since start.",
       [this] { return sources_.reader->stats().losses; });
   add("posthatch_index_unattributed_blocks",
-      "Blocks of events given up because no dispatch said under which seed they were made.",
+      "Blocks of worker events dropped because no dispatch identified their seed.",
       [this] { return sources_.reader->stats().unattributed_blocks; });
   metrics_.Start();
 }
--- a/src/posthatch/index/index_statistics.h
+++ b/src/posthatch/index/index_statistics.h
@@ -19,7 +19,7 @@
 // Owned by IndexNode; event loop thread only.
 class IndexStatistics {
  public:
-  // What is counted; all outlive it.
+  // Components whose counters are exported; all must outlive this object.
   struct Sources {
     const TrustedPrefixLocator* locator = nullptr;
     const invalidation::InvalidationSubscriber* subscriptions = nullptr;
--- a/src/posthatch/index/kv_event_format.h
+++ b/src/posthatch/index/kv_event_format.h
@@ -11,12 +11,13 @@
 
 namespace posthatch::index {
 
-// The HTTP form of a worker's cache events. Implementations are stateless; any thread.
+// HTTP requests and response bodies for a worker's cache events. Implementations are stateless; any
+// thread.
 class KvEventFormat {
  public:
   virtual ~KvEventFormat() = default;
-  // Requests the events of `epoch` after number `after`; the worker delays its response by up to
-  // `wait` while there are none.
+  // Requests the events of `epoch` after sequence number `after`; the worker delays its response by
+  // up to `wait` while there are none.
   virtual http::Request PollRequest(uint64_t epoch, uint64_t after,
                                     runtime::Duration wait) const = 0;
   // InvalidArgument if `body` is not a batch of events.
--- a/src/posthatch/index/kv_events.cc
+++ b/src/posthatch/index/kv_events.cc
@@ -56,7 +56,7 @@
     event->type = KvEvent::Type::kRemoved;
     return ReadBlocks(object, &event->blocks);
   }
-  if (name != "stored") return true;  // "lost", or what this version does not know
+  if (name != "stored") return true;  // "lost", or a type that this version does not know
   event->type = KvEvent::Type::kStored;
   uint64_t first = 0;
   if (!ReadNumber(object, "first", &first)) return false;
--- a/src/posthatch/index/kv_events.h
+++ b/src/posthatch/index/kv_events.h
@@ -10,7 +10,7 @@
 
 namespace posthatch::index {
 
-// One event of a worker (docs/BACKENDS.md, GET /kv_events).
+// An event of a worker's KV cache (docs/BACKENDS.md, GET /kv_events).
 struct KvEvent {
   enum class Type {
     kStored,
@@ -20,9 +20,9 @@
   uint64_t seq = 0;
   Type type = Type::kLost;
   std::vector<BlockHash> blocks;
-  uint32_t first = 0;   // position of the first block in its chain; of stored ones
-  std::string attempt;  // nonce of the attempt that made them; may be empty
-  std::string salt;     // cache salt that they were made under; may be empty
+  uint32_t first = 0;   // position of the first block in its chain; only for kStored
+  std::string attempt;  // nonce of the attempt that made the blocks; may be empty
+  std::string salt;     // cache salt under which the blocks were made; may be empty
 };
 
 struct KvEventBatch {
@@ -31,7 +31,8 @@
   std::vector<KvEvent> events;
 };
 
-// Parses the response body of GET /kv_events. InvalidArgument if it is not as documented.
+// Parses the response body of GET /kv_events. InvalidArgument if it is not in the documented
+// format.
 absl::StatusOr<KvEventBatch> ParseKvEvents(std::string_view body);
 
 }  // namespace posthatch::index
--- a/src/posthatch/index/missing_events.cc
+++ b/src/posthatch/index/missing_events.cc
@@ -5,11 +5,11 @@
 namespace posthatch::index {
 namespace {
 
-// A gap of more numbers counts as lost at once.
+// A gap of more numbers than this counts as lost at once.
 constexpr uint64_t kMaxMissing = 1000;
-// Factor by which the weight of an event decays with each further one.
+// Factor by which the weight of an event decays with each later event.
 constexpr double kRecentDecay = 0.995;
-// With fewer recent events the share is taken of so many.
+// The tolerated share is taken of at least this many recent events.
 constexpr double kMinRecentEvents = 50;
 
 }  // namespace
--- a/src/posthatch/index/observation_reporter.cc
+++ b/src/posthatch/index/observation_reporter.cc
@@ -61,7 +61,7 @@
   if (found == objects_.end() || found->second->request_id != request_id) return;
   State* state = found->second.get();
   if (!accepted) {
-    // It may have been applied: the same request id makes a repetition harmless.
+    // The proposal may have been applied: the same request id makes the retry idempotent.
     state->retry_timer.Start(kRetryDelay, [this, object] { Send(object); });
     return;
   }
--- a/src/posthatch/index/observation_reporter.h
+++ b/src/posthatch/index/observation_reporter.h
@@ -11,9 +11,9 @@
 
 namespace posthatch::index {
 
-// Proposes observations (ObserveObject) to the controllers: one at a time for each object, sent
-// again with the same request id until it is accepted; what is observed meanwhile is merged into
-// the next one. Owned by IndexNode; `client` must outlive it. Event loop thread only.
+// Proposes observations (ObserveObject) to the controllers: one at a time for each object, retried
+// with the same request id until it is accepted; later observations are merged into the next
+// proposal. Owned by IndexNode; `client` must outlive it. Event loop thread only.
 class ObservationReporter {
  public:
   ObservationReporter(runtime::Runtime* runtime, control::ControlClient* client);
@@ -21,11 +21,11 @@
   ObservationReporter(const ObservationReporter&) = delete;
   ObservationReporter& operator=(const ObservationReporter&) = delete;
 
-  // A holder has the epoch. `reason` is for people.
+  // Reports the epoch observed at a cache holder. `reason` is free text for operators.
   void ReportEpoch(const std::string& object, uint64_t epoch, const std::string& reason) {
     Report(object, {epoch, /*lost=*/false, reason});
   }
-  // Entries made within the holder's epoch may be wrong.
+  // Reports that entries made within the cache holder's epoch may be wrong.
   void ReportLoss(const std::string& object, uint64_t epoch, const std::string& reason) {
     Report(object, {epoch, /*lost=*/true, reason});
   }
@@ -42,8 +42,8 @@
   struct State {
     explicit State(runtime::TimerService* timers) : retry_timer(timers) {}
     Observation sent;
-    std::string request_id;           // of `sent`
-    std::optional<Observation> next;  // merged from what was observed since
+    std::string request_id;           // request id of `sent`
+    std::optional<Observation> next;  // merged from later observations
     runtime::Timer retry_timer;
   };
 
--- a/src/posthatch/index/prefix_index-test.cc
+++ b/src/posthatch/index/prefix_index-test.cc
@@ -71,7 +71,7 @@
     std::vector<std::vector<BlockHash>> chains;
     chains.reserve(200);
     for (int i = 0; i < 200; ++i) chains.push_back(RandomChain(&random, 1 + random.Uniform(60)));
-    // Cached length of each chain by live generation; always a prefix, as in workers.
+    // Keyed by live generation: cached length of each chain; always a prefix, as in workers.
     std::map<GenerationId, std::map<size_t, uint32_t>> kept;
     for (int step = 0; step < 4000; ++step) {
       const size_t number = random.Uniform(chains.size());
@@ -120,7 +120,7 @@
   index.Insert(generation, used);
   for (int i = 0; i < 20000; ++i) {
     index.Insert(generation, RandomChain(&random, 16));
-    if (i % 50 == 0) index.Insert(generation, used);  // each dispatch names its whole chain
+    if (i % 50 == 0) index.Insert(generation, used);  // each dispatch contains its whole chain
   }
   EXPECT_LE(index.stats().bytes, kBudget);
   EXPECT_GT(index.stats().evicted_blocks, 200000u);
--- a/src/posthatch/index/prefix_index.cc
+++ b/src/posthatch/index/prefix_index.cc
@@ -9,19 +9,19 @@
 namespace posthatch::index {
 namespace {
 
-// A segment is rebuilt when it is filled to kMaxFill, with room for kGrowth more. So the fill is
-// between kMaxFill / kGrowth and kMaxFill: 16 to 20 bytes a block.
+// A segment that is filled to kMaxFill is rebuilt kGrowth times as large, so the fill stays between
+// kMaxFill / kGrowth and kMaxFill: 16 to 20 bytes per block.
 constexpr double kMaxFill = 0.82;
 constexpr double kGrowth = 1.2;
 // Fraction of the slots that is filled after an eviction.
 constexpr double kFillAfterEviction = 0.74;
 constexpr uint8_t kInsertedRecency = 1;
 constexpr uint8_t kUsedRecency = 3;
-// Insertions prefetch the bucket of the block so far ahead of the one they place.
+// Insertions prefetch the bucket of the block this many positions ahead of the current one.
 constexpr size_t kPrefetchDistance = 12;
-// Blocks that a step of the search probes: prefetched together, they cost one memory latency.
+// Blocks that one search step probes; prefetched together, they cost one memory latency.
 constexpr uint32_t kProbesPerStep = 4;
-// Dropped blocks are swept when they are more than one in so many of all.
+// Dropped blocks are swept when they exceed 1 / kSweepDivisor of all blocks.
 constexpr uint64_t kSweepDivisor = 16;
 
 }  // namespace
@@ -34,7 +34,7 @@
 PrefixIndex::~PrefixIndex() = default;
 
 PrefixIndex::GenerationId PrefixIndex::OpenGeneration() {
-  GenerationId id;  // NOLINT(cppcoreguidelines-init-variables): set on both ways below
+  GenerationId id;  // NOLINT(cppcoreguidelines-init-variables): set in both branches below
   if (free_generations_.empty()) {
     id = static_cast<GenerationId>(generations_.size());
     generations_.emplace_back();
@@ -208,7 +208,8 @@
 
 void PrefixIndex::Narrow(absl::Span<const BlockHash> chain, Range range, const Matches& matches,
                          Ranges* ranges) {
-  // The last possible block and the quarters before it: their memory is prefetched together.
+  // Probes the last possible block and those a quarter of the range apart before it, prefetched
+  // together.
   std::array<uint32_t, kProbesPerStep> probes;
   const uint32_t last = range.absent - 1;
   size_t count = 0;
@@ -235,7 +236,7 @@
       if (probe <= known.present || probe >= known.absent) continue;
       ((holding >> match) & 1 ? known.present : known.absent) = probe;
     }
-    // Probes before the furthest block found matter for other matches only.
+    // The remaining probes are at earlier blocks, which matter only if there are other matches.
     if (holding != 0 && matches.size() == 1) return;
   }
 }
@@ -275,7 +276,7 @@
 }
 
 void PrefixIndex::EvictDownTo(std::vector<Slot>* slots, size_t limit) {
-  // The clock algorithm, one pass a recency step: least recently used slots are evicted first.
+  // The clock algorithm, one pass per recency level: least recently used slots are evicted first.
   for (int pass = 0; pass <= kUsedRecency && slots->size() > limit; ++pass) {
     size_t retained = 0;
     for (size_t i = 0; i < slots->size(); ++i) {
--- a/src/posthatch/index/prefix_index.h
+++ b/src/posthatch/index/prefix_index.h
@@ -13,9 +13,10 @@
 
 namespace posthatch::index {
 
-// Which blocks are cached by whom: a hash table from block hashes to generations. A generation
-// stands for one holder in one state (epoch, object versions, seed); its meaning is the owner's
-// (TrustedPrefixLocator). Memory is the constraint: a block costs one 12-byte slot.
+// Records which blocks are cached by which holders: a hash table from block hashes to generations.
+// A generation stands for one holder in one state (epoch, object versions, seed), which only the
+// owner of the index (TrustedPrefixLocator) knows. Memory is the constraint: a block costs one
+// 12-byte slot.
 //
 // Layout: kSegments tables, chosen by the hash's top bits, each of 64-byte buckets with five slots,
 // linear probing from bucket to bucket. Segments grow one by one in small steps, so that the table
@@ -28,41 +29,41 @@
  public:
   using GenerationId = uint32_t;
   static constexpr GenerationId kNoGeneration = 0;
-  // Further holders of one block replace others: routing needs a few, not all.
+  // A holder beyond this number replaces another one of the block: routing needs a few, not all.
   static constexpr size_t kMaxHoldersPerBlock = 16;
 
   struct Match {
     GenerationId generation = kNoGeneration;
-    uint32_t blocks = 0;  // leading blocks of the chain
+    uint32_t blocks = 0;  // number of leading blocks of the chain
   };
   using Matches = absl::InlinedVector<Match, 8>;
   using GenerationFilter = absl::FunctionRef<bool(GenerationId)>;
 
   struct Stats {
-    uint64_t blocks = 0;          // of live generations
-    uint64_t dropped_blocks = 0;  // of dropped generations, still in memory
+    uint64_t blocks = 0;          // blocks of live generations
+    uint64_t dropped_blocks = 0;  // blocks of dropped generations, still in memory
     uint64_t evicted_blocks = 0;
-    uint64_t bytes = 0;  // of all segments
+    uint64_t bytes = 0;  // memory of all segments
   };
 
-  // `budget_bytes` bounds the segments; at least kSegments buckets are always there.
+  // `budget_bytes` bounds the segments; at least kSegments buckets are always allocated.
   explicit PrefixIndex(uint64_t budget_bytes);
   ~PrefixIndex();
   PrefixIndex(const PrefixIndex&) = delete;
   PrefixIndex& operator=(const PrefixIndex&) = delete;
 
   GenerationId OpenGeneration();
-  // Its blocks count as removed from now on.
+  // Drops a generation: its blocks count as removed from now on.
   void DropGeneration(GenerationId generation);
 
   void Insert(GenerationId generation, absl::Span<const BlockHash> blocks);
-  // Removes `block` from all generations that `matches` holds for; returns how many.
+  // Removes `block` from all generations for which `matches` is true; returns how many.
   size_t Remove(BlockHash block, GenerationFilter matches);
 
-  // For each generation that has the first block of `chain` and passes `filter`: how many leading
-  // blocks it has. Found by binary search; for a generation that has had blocks removed, compared
-  // block by block, since only then its chains can have gaps. (A block evicted here for lack of
-  // memory is no gap: its holder still has it.) Longest first.
+  // Returns, longest first, each generation that has the first block of `chain` and passes
+  // `filter`, with the number of leading blocks that it has. Uses binary search; a generation that
+  // has had blocks removed is compared block by block, since only then its chains can have gaps. (A
+  // block evicted here for lack of memory is no gap: its holder still has it.)
   Matches LongestPrefixes(absl::Span<const BlockHash> chain, GenerationFilter filter);
 
   // Compacts one segment if dropped blocks take up much memory; to be called periodically.
@@ -80,8 +81,8 @@
   struct alignas(64) Bucket {
     BlockHash hashes[kSlotsPerBucket];
     GenerationId generations[kSlotsPerBucket];
-    uint16_t recency;   // two bits a slot
-    uint16_t overflow;  // 1: entries that belong here or before went on to the next bucket
+    uint16_t recency;   // two bits per slot
+    uint16_t overflow;  // 1 if the probe sequence of an entry goes on to the next bucket
   };
   static_assert(sizeof(Bucket) == 64);
 
@@ -91,7 +92,7 @@
   struct Segment {
     std::unique_ptr<Bucket[], FreeDeleter> buckets;
     uint32_t bucket_count = 0;
-    uint32_t used_slots = 0;  // with those of dropped generations
+    uint32_t used_slots = 0;  // including those of dropped generations
   };
   struct Generation {
     uint64_t blocks = 0;
@@ -123,12 +124,12 @@
 
   void InsertOne(GenerationId generation, BlockHash hash);
   void Fill(Segment* segment, Bucket* bucket, size_t slot, GenerationId generation, BlockHash hash);
-  // Takes one block from a generation's count; the id of a dropped one without blocks is reused.
+  // Decrements a generation's block count; the id of a dropped one is reused once it has no blocks.
   void Release(GenerationId generation);
   // Makes room in a segment that is filled to its limit: grows it, or evicts.
   void MakeRoom(Segment* segment);
   void Rebuild(Segment* segment, uint32_t bucket_count, const std::vector<Slot>& slots);
-  // The live slots of a segment; releases those of dropped generations.
+  // Returns the live slots of a segment; releases those of dropped generations.
   std::vector<Slot> ExtractLiveSlots(Segment* segment);
   void EvictDownTo(std::vector<Slot>* slots, size_t limit);
   // Inserts a slot whose block the segment doesn't have yet.
@@ -137,10 +138,10 @@
   template <typename Visitor>
   void VisitHolders(BlockHash hash, Visitor visit);
   void Prefetch(BlockHash hash) const;
-  // How many of the first `blocks` blocks `generation` has without a gap.
+  // Returns how many of the first `blocks` blocks `generation` has without a gap.
   uint32_t CountWithoutGap(absl::Span<const BlockHash> chain, GenerationId generation,
                            uint32_t blocks);
-  // What the search knows of a match: it has block `present`, and not block `absent`.
+  // Search bounds of a match: its generation has block `present` and lacks block `absent`.
   struct Range {
     uint32_t present = 0;
     uint32_t absent = 0;
--- a/src/posthatch/index/prefix_locator.h
+++ b/src/posthatch/index/prefix_locator.h
@@ -8,12 +8,12 @@
 
 namespace posthatch::index {
 
-// A back end that has cached a prefix: the first `blocks` blocks of the requested chain.
+// A backend that has cached a prefix: the first `blocks` blocks of the requested chain.
 struct PrefixHolder {
   std::string backend_id;
   uint64_t epoch = 0;
   uint32_t blocks = 0;
-  // Under which they were made; a worker that serves another revision can't use them.
+  // Revision under which the blocks were made; a worker that serves another can't use them.
   uint64_t model_revision = 0;
 };
 
@@ -25,7 +25,7 @@
   // can't be trusted at the moment are left out, but not dropped.
   virtual std::vector<PrefixHolder> Locate(const BlockSeed& seed,
                                            const std::vector<BlockHash>& chain) = 0;
-  // A worker has responded, with its cache epoch: it has cached `chain` by this dispatch.
+  // Records that a worker has responded, with its cache epoch, and so has cached `chain`.
   virtual void RecordDispatch(const BlockSeed& seed, const std::vector<BlockHash>& chain,
                               const std::string& worker_id, uint64_t worker_epoch) = 0;
 };
--- a/src/posthatch/index/replication/extent_codec.h
+++ b/src/posthatch/index/replication/extent_codec.h
@@ -8,15 +8,16 @@
 #include "posthatch/index/index.pb.h"
 #include "posthatch/invalidation/invalidation.pb.h"
 
-// How blocks, seeds and versions stand in index messages (index.proto).
+// Encoding of blocks, seeds and versions in index messages (index.proto).
 namespace posthatch::index {
 
-// Eight bytes a block, little-endian: `block_hashes` of an extent, `removed` of an update.
+// Encodes eight bytes per block, little-endian, as `block_hashes` of an extent and `removed` of an
+// update have them.
 std::string PackBlocks(absl::Span<const BlockHash> blocks);
-// False if the length of `packed` is no multiple of a block's.
+// False if the length of `packed` is not a multiple of eight bytes.
 bool UnpackBlocks(const std::string& packed, std::vector<BlockHash>* blocks);
 
-// An extent without blocks. `version` is that of the holder's object.
+// Returns an extent without blocks. `version` is that of the holder's object.
 Extent MakeExtent(const std::string& holder, const invalidation::ObjectVersion& version,
                   const BlockSeed& seed);
 BlockSeed SeedOf(const Extent& extent);
--- a/src/posthatch/index/replication/index_relay-test.cc
+++ b/src/posthatch/index/replication/index_relay-test.cc
@@ -45,7 +45,7 @@
   }
 
   IndexUpdateFanout fanout;
-  std::map<std::string, std::vector<uint64_t>> numbers;  // in order of arrival, by holder
+  std::map<std::string, std::vector<uint64_t>> numbers;  // keyed by holder, in order of arrival
   std::map<std::string, std::set<uint64_t>> incarnations;
   int passed_on = 0;
 };
@@ -78,7 +78,7 @@
 
   simulation::SimWorld world_;
   std::vector<SimHost*> hosts_;
-  std::set<const SimHost*> gone_;  // that membership has dropped
+  std::set<const SimHost*> gone_;  // hosts that membership has removed
 
  private:
   void AddGateway(int zone, int number) {
@@ -122,7 +122,7 @@
                 std::set<uint64_t>{hosts_[holder]->runtime()->transport->incarnation()});
     }
   }
-  EXPECT_EQ(PassedOn(), 5 * 8 * kZones) << "one message a zone and update";
+  EXPECT_EQ(PassedOn(), 5 * 8 * kZones) << "one message per zone and update";
   EXPECT_EQ(Gateway(0UL)->fanout.recipients(), static_cast<size_t>(kZones));
 }
 
@@ -143,7 +143,7 @@
   world_.RunFor(seconds(1));
   for (SimHost* host : hosts_) {
     if (host == relay || host == hosts_[0]) continue;
-    // The second one is missing, which the receivers detect by its number.
+    // The second update is missing, which the receivers detect by its number.
     const bool had_relay = host->zone() == "z2";
     const std::vector<uint64_t> expected =
         had_relay ? std::vector<uint64_t>({1, 3}) : std::vector<uint64_t>({1, 2, 3});
@@ -175,7 +175,7 @@
   EXPECT_LE(relays["z0"], 5);
   EXPECT_GE(relays["z0"], 3);
   EXPECT_EQ(relays["z1"], 5);
-  EXPECT_LT(most, 50) << "20 on average";
+  EXPECT_LT(most, 50) << "the average is 20";
 }
 
 }  // namespace
--- a/src/posthatch/index/replication/index_update-test.cc
+++ b/src/posthatch/index/replication/index_update-test.cc
@@ -95,7 +95,7 @@
   for (const IndexUpdate& update : TakeSent()) Receive(update);
   EXPECT_EQ(blocks(), 0u);
   receiver_.OnVersionsAdvanced();
-  EXPECT_EQ(blocks(), 0u) << "not told yet";
+  EXPECT_EQ(blocks(), 0u) << "the version has not been announced yet";
   Remove({2});
   for (const IndexUpdate& update : TakeSent()) Receive(update);
   trust_.versions["worker/w"] = MakeVersion(100, 1);
@@ -125,13 +125,14 @@
   Store({4}, /*sequence=*/3);
   const auto updates = TakeSent();
   Receive(updates[0]);
-  Receive(updates[2]);  // one is missing
+  Receive(updates[2]);  // the second update is missing
   trust_.versions["worker/w"] = MakeVersion(100, 3);
   receiver_.OnVersionsAdvanced();
   EXPECT_EQ(blocks(), 1u) << "only what came after the gap";
 }
 
-// One message to each gateway for each removal was most of what a gateway of 77 spent.
+// Separate messages to each gateway for each removal took most of the processor time of a gateway
+// in a fleet of 77.
 TEST_F(IndexUpdateTest, RemovalsAreBatched) {
   for (BlockHash block = 1; block <= 30; ++block) publisher_.Removed("w", {block});
   fakes_.timers.Advance(milliseconds(60));
@@ -139,7 +140,8 @@
 }
 
 TEST_F(IndexUpdateTest, GapDropsHolder) {
-  locator_.RecordDispatch(seed_, {7, 8}, "w", 100);  // its own dispatch may be removed as well
+  // The missing update may also remove blocks of a local dispatch.
+  locator_.RecordDispatch(seed_, {7, 8}, "w", 100);
   Store({1});
   Store({2});
   Store({3});
--- a/src/posthatch/index/replication/index_update_fanout.cc
+++ b/src/posthatch/index/replication/index_update_fanout.cc
@@ -44,7 +44,7 @@
         [&rank](const auto& left, const auto& right) { return rank(left) < rank(right); });
     zone->resize(count);
   };
-  // The same gateways for all workers, then one of them for this one.
+  // Selects the relays of the zone, the same for all workers, and then one of them for this worker.
   sort_by_hash(0, std::max<size_t>(1, zone->size() / options_.gateways_per_relay));
   sort_by_hash(XXH3_64bits(holder.data(), holder.size()), 1);
   return zone->front();
--- a/src/posthatch/index/replication/index_update_fanout.h
+++ b/src/posthatch/index/replication/index_update_fanout.h
@@ -11,7 +11,7 @@
 
 namespace posthatch::index {
 
-// Another gateway of the fleet.
+// A gateway of the fleet to which this one sends index updates.
 struct IndexPeer {
   std::string node_id;
   std::string zone;
@@ -19,13 +19,13 @@
 };
 
 struct IndexUpdateFanoutOptions {
-  std::string zone;  // of this gateway
+  std::string zone;  // zone of this gateway
   // A zone with fewer gateways gets updates directly: there a relay saves little and may fail.
   size_t min_gateways_for_relay = 16;
-  // One in so many gateways of a zone relays: few, so that each has much to forward in a batch.
+  // One of this many gateways in a zone is a relay: few, so that each forwards large batches.
   size_t gateways_per_relay = 4;
-  // How long a relay batches what it forwards, with up to `gateways_at_period` gateways in its
-  // zone; longer in proportion in a larger one.
+  // How long a relay batches updates with up to `gateways_at_period` gateways in its zone; longer
+  // in proportion in a larger zone.
   runtime::Duration relay_period = std::chrono::milliseconds(80);
   size_t gateways_at_period = 8;
 };
@@ -35,7 +35,7 @@
 // A large zone, this one included, gets updates through a relay, one of its gateways: an update
 // crosses between zones once for each zone rather than once for each gateway, and a gateway gets
 // the updates of many workers in one message. Some of a zone's gateways are relays, each for some
-// of the workers by rendezvous hashing. Updates keep the numbers of their holder: one that is lost
+// of the workers by rendezvous hashing. Updates keep their numbers when relayed: one that is lost
 // with its relay, or overtaken when the relay changes, is a gap at the receivers, which drop their
 // entries of that worker (IndexUpdateReceiver). Owned by IndexNode; event loop thread only.
 class IndexUpdateFanout {
@@ -44,11 +44,11 @@
 
   IndexUpdateFanout(runtime::Runtime* runtime, IndexUpdateFanoutOptions options, Peers peers);
 
-  // Messages that one update takes at present.
+  // Number of messages that one update takes at present.
   size_t recipients() const;
-  // The other gateways of the fleet.
+  // Number of other gateways in the fleet.
   size_t gateways() const { return peers_().size(); }
-  // Sends an update of this gateway; returns the bytes of one message.
+  // Sends an update of this gateway; returns the size of one message in bytes.
   size_t Send(const IndexUpdate& update);
   // As a relay: forwards the update of a gateway with that incarnation to this zone's gateways.
   void Forward(uint64_t from_incarnation, const IndexUpdate& update);
--- a/src/posthatch/index/replication/index_update_publisher.h
+++ b/src/posthatch/index/replication/index_update_publisher.h
@@ -16,8 +16,8 @@
 namespace posthatch::index {
 
 struct IndexUpdatePublisherOptions {
-  // With up to `gateways_at_period` gateways; longer in proportion in a larger fleet, up to
-  // `max_period_factor` times.
+  // Batching period with up to `gateways_at_period` gateways; longer in proportion in a larger
+  // fleet, up to `max_period_factor` times.
   runtime::Duration batch_period = std::chrono::milliseconds(50);
   // Bound on the bytes published, counted once whatever the number of recipients.
   double bytes_per_second = 1024.0 * 1024;
@@ -29,23 +29,23 @@
 struct IndexUpdatePublisherStats {
   uint64_t updates_sent = 0;
   uint64_t bytes_sent = 0;
-  uint64_t stored_blocks_dropped = 0;  // beyond the rate: others miss entries
-  uint64_t updates_skipped = 0;        // removals beyond the rate: a gap at the receivers
+  uint64_t stored_blocks_dropped = 0;  // over the rate limit: other gateways miss entries
+  uint64_t updates_skipped = 0;        // removals over the rate limit: a gap at the receivers
 };
 
-// Publishes to the other gateways what this one reads of the workers whose leases it holds
-// (IndexUpdate), in numbered batches for each worker. Beyond its rate stored blocks are left out;
-// if removals have to be left out, a number is skipped, and the gap makes the receivers drop their
-// entries of that worker. Owned by IndexNode; event loop thread only.
+// Publishes the cache events of the workers whose leases this gateway holds to the other gateways
+// (IndexUpdate), in numbered batches for each worker. Over its rate limit stored blocks are left
+// out; if removals have to be left out, a number is skipped, and the gap makes the receivers drop
+// their entries of that worker. Owned by IndexNode; event loop thread only.
 class IndexUpdatePublisher {
  public:
   IndexUpdatePublisher(runtime::Runtime* runtime, IndexUpdatePublisherOptions options,
                        IndexUpdateFanout* fanout);
 
-  // A new holder epoch or a new lease: numbers start at 1, and what was pending is dropped.
+  // Starts a new holder epoch or lease: update numbers start at 1, and pending changes are dropped.
   void Begin(const std::string& holder, uint64_t epoch, uint64_t fencing_token);
   void End(const std::string& holder) { holders_.erase(holder); }
-  // Blocks that the holder has stored or removed. Ignored without Begin.
+  // Add blocks that the holder has stored or removed. Ignored without Begin.
   void Stored(const std::string& holder, const Extent& extent);
   void Removed(const std::string& holder, absl::Span<const BlockHash> blocks);
 
@@ -54,7 +54,7 @@
  private:
   struct Holder {
     uint64_t last_update = 0;
-    IndexUpdate pending_update;  // without the removed blocks
+    IndexUpdate pending_update;  // without its removed blocks
     // Receivers apply stored blocks before removed ones, so a block that is stored again after its
     // removal leaves this set. Ordered, so that messages don't depend on hashing.
     absl::btree_set<BlockHash> removed;
--- a/src/posthatch/index/replication/index_update_receiver.cc
+++ b/src/posthatch/index/replication/index_update_receiver.cc
@@ -12,7 +12,7 @@
 namespace posthatch::index {
 namespace {
 
-// Every gateway learns of a new version within this, or its channel has timed out.
+// Within this time every gateway receives a new version, or its channel has timed out.
 constexpr runtime::Duration kVersionWait = std::chrono::seconds(3);
 constexpr size_t kMaxPendingExtents = 16384;
 
@@ -24,7 +24,7 @@
 }
 
 HolderKind IndexUpdateReceiver::KindOf(const std::string& holder) {
-  // All extents of an update are of one holder.
+  // The last result is cached, since all extents of an update have the same holder.
   const uint64_t inventory_index = fleet_->state().inventory_index();
   if (holder == cached_holder_ && inventory_index == cached_inventory_index_) return cached_kind_;
   const control::Backend* backend = control::FindBackend(fleet_->state().inventory(), holder);
@@ -68,7 +68,7 @@
   std::vector<BlockHash> removed;
   if (update.holder().empty() || !UnpackBlocks(update.removed(), &removed)) {
     ++stats_.malformed;
-    return;  // its number stays missing, which the next update shows as a gap
+    return;  // the next update shows its missing number as a gap
   }
   if (!Admit(incarnation, update)) return;
   ++stats_.updates_applied;
--- a/src/posthatch/index/replication/index_update_receiver.h
+++ b/src/posthatch/index/replication/index_update_receiver.h
@@ -21,8 +21,8 @@
   uint64_t fenced = 0;  // from a previous lease holder
   uint64_t malformed = 0;
   uint64_t blocks_stored = 0;
-  uint64_t extents_untrusted = 0;  // of versions that are no longer the newest here
-  uint64_t extents_deferred = 0;   // came before the channel announced their holder's version
+  uint64_t extents_untrusted = 0;  // made under versions that are no longer the newest here
+  uint64_t extents_deferred = 0;   // arrived before the channel announced their holder's version
 };
 
 // Applies IndexUpdate messages of other gateways to this gateway's index, in the order of fencing
@@ -38,13 +38,13 @@
 
   // `incarnation` is that of the gateway that published the update.
   void Receive(uint64_t incarnation, const IndexUpdate& update);
-  // The channels have announced newer versions of some objects: applies what they make due.
+  // Applies the deferred extents whose version the channels have announced by now.
   void OnVersionsAdvanced();
 
   const IndexUpdateReceiverStats& stats() const { return stats_; }
 
  private:
-  // The gateway incarnation whose updates of one holder are accepted, and how far.
+  // The gateway incarnation whose updates of one holder are accepted, and its last update.
   struct SenderState {
     uint64_t fencing_token = 0;
     uint64_t incarnation = 0;
@@ -52,7 +52,7 @@
     uint64_t last_update = 0;
   };
 
-  // The newest fencing token known for `worker`; 0 if nobody holds it.
+  // The newest fencing token known for `worker`; 0 if no gateway holds its lease.
   uint64_t CurrentFencingToken(const std::string& worker) const;
   HolderKind KindOf(const std::string& holder);
   // Whether the update is to be applied; records its number.
@@ -76,7 +76,7 @@
   TrustedPrefixLocator* const locator_;
   absl::flat_hash_map<std::string, SenderState> senders_;
   std::deque<PendingExtent> pending_;
-  // The last look-up of KindOf, and the inventory that it was made in.
+  // Result of the last KindOf call, and the inventory index at which it was made.
   std::string cached_holder_;
   uint64_t cached_inventory_index_ = 0;
   HolderKind cached_kind_ = HolderKind::kWorker;
--- a/src/posthatch/index/store_poller.cc
+++ b/src/posthatch/index/store_poller.cc
@@ -11,7 +11,7 @@
 constexpr int kStatusOk = 200;
 constexpr size_t kMaxStatusBytes = 64UL * 1024;
 
-// 0 if `body` has no epoch.
+// Returns the epoch in the body of GET /status, or 0 if it has none.
 uint64_t ReadEpoch(const std::string& body) {
   boost::system::error_code error;
   const boost::json::value document = boost::json::parse(body, error);
--- a/src/posthatch/index/store_poller.h
+++ b/src/posthatch/index/store_poller.h
@@ -14,9 +14,9 @@
 namespace posthatch::index {
 
 // Polls GET /status of each store of KV blocks for its epoch and reports new ones: a store that
-// restarts has lost everything and publishes no event of that. One gateway polls a store: the
-// holder of its lease, or, as stores need not be leased, the first gateway by endpoint. Owned by
-// IndexNode; event loop thread only.
+// restarts has lost all its blocks and publishes no event about it. Each store is polled by one
+// gateway: the holder of its lease or, as stores need not be leased, the first gateway by endpoint.
+// Owned by IndexNode; event loop thread only.
 class StorePoller {
  public:
   // `is_first_gateway`: whether this gateway polls the stores that are not leased.
@@ -46,7 +46,7 @@
   const invalidation::ObjectTrust* const trust_;
   ObservationReporter* const reporter_;
   const std::function<bool()> is_first_gateway_;
-  // By store id. Callbacks refer to the values, so their addresses must be stable.
+  // Keyed by store id. Callbacks refer to the values, so their addresses must be stable.
   absl::node_hash_map<std::string, Poll> polls_by_store_;
   uint64_t polls_ = 0;
   runtime::Timer timer_;
--- a/src/posthatch/index/trusted_prefix_locator-test.cc
+++ b/src/posthatch/index/trusted_prefix_locator-test.cc
@@ -116,7 +116,7 @@
   EXPECT_EQ(Found({"m", 5, "", 8}), 0u);
 }
 
-// The hash alone separates seeds already; this is the second defence.
+// Block hashes already differ between seeds; comparing seeds also guards against collisions.
 TEST_F(TrustedPrefixLocatorTest, OtherSeedNeverMatches) {
   EXPECT_EQ(Found({"m", 3, "t", 9}), 0u);
   EXPECT_EQ(Found({"m", 3, "", 7}), 0u);
--- a/src/posthatch/index/trusted_prefix_locator.cc
+++ b/src/posthatch/index/trusted_prefix_locator.cc
@@ -11,7 +11,7 @@
 
 std::string ModelObject(const BlockSeed& seed) { return absl::StrCat("model/", seed.model); }
 
-// The domain that tenants share is the object of the tenant without a name.
+// The domain that tenants share is the object of the tenant with an empty name.
 std::string TenantObject(const BlockSeed& seed) {
   return absl::StrCat("tenant/", seed.isolation_tenant);
 }
@@ -58,7 +58,7 @@
 
 uint64_t TrustedPrefixLocator::OldestRetainedRevision(const std::string& model_object) const {
   const auto found = revisions_.find(model_object);
-  // While fewer are known than are retained, any older one may still be added.
+  // While fewer revisions are known than may be retained, any older one may still be added.
   if (found == revisions_.end() || found->second.size() < options_.retained_revisions) return 0;
   return *found->second.begin();
 }
--- a/src/posthatch/index/trusted_prefix_locator.h
+++ b/src/posthatch/index/trusted_prefix_locator.h
@@ -20,9 +20,9 @@
 
 struct LocatorStats {
   uint64_t lookups = 0;
-  uint64_t lookups_matched = 0;  // at least one trusted holder
+  uint64_t lookups_matched = 0;  // look-ups that found at least one trusted holder
   uint64_t dispatches_recorded = 0;
-  uint64_t dispatches_not_recorded = 0;  // versions unknown, or not those of the dispatch
+  uint64_t dispatches_not_recorded = 0;  // versions unknown or not those of the dispatch
   uint64_t untrusted_holders = 0;        // left out because their trust had expired
 };
 
@@ -32,17 +32,17 @@
 // moment of the look-up. Owned by IndexNode; event loop thread only.
 class TrustedPrefixLocator : public PrefixLocator {
  public:
-  // A holder has responded with a newer epoch than the newest known one.
+  // Called when a holder has responded with a newer epoch than the newest known one.
   using EpochObserver =
       std::function<void(HolderKind kind, const std::string& holder, uint64_t epoch)>;
 
   struct Options {
     uint64_t budget_bytes = 64ull * 1024 * 1024;
-    // Whether this gateway's session lease is valid, without which it may not decide; checked at
-    // each look-up.
+    // Whether this gateway's session lease is valid, without which it may not route requests;
+    // checked at each look-up.
     std::function<bool()> has_session_lease;
-    // Revisions of a model whose entries are retained, the newest included. More than one only
-    // where each dispatch carries its worker's revision and a salt of that revision, so that a
+    // Number of revisions of a model whose entries are retained, the newest included. More than one
+    // only where each dispatch carries its worker's revision and a salt of that revision, so that a
     // worker can't use what was made under another one: then entries of workers that a rollout has
     // not reached yet stay useful.
     size_t retained_revisions = 1;
@@ -64,11 +64,11 @@
   // isolation generation.
   bool Add(HolderKind kind, const std::string& holder, const invalidation::ObjectVersion& version,
            const BlockSeed& seed, absl::Span<const BlockHash> blocks);
-  // `holder` has evicted these blocks, whatever their seed.
+  // Removes blocks that `holder` has evicted, whatever their seed.
   void Remove(HolderKind kind, const std::string& holder, absl::Span<const BlockHash> blocks);
-  // Drops every entry of the holder: an event about it was missed.
+  // Drops all entries of the holder, after an event about it was missed.
   void DropHolder(HolderKind kind, const std::string& holder);
-  // The newest version of an object has risen: drops what depends on an older one.
+  // Drops the entries that depend on an older version of `object`, after a newer one was announced.
   void OnObjectChanged(const std::string& object);
   // Frees memory of dropped entries, a little at a time.
   void SweepStep() { index_.SweepStep(); }
@@ -87,7 +87,7 @@
     invalidation::ObjectVersion version;
     BlockSeed seed;
   };
-  // What a generation stands for, as a key.
+  // Identity of a generation, as a hash key.
   struct Key {
     std::string holder_object;
     uint64_t epoch = 0;  // with `sequence`, the version of the holder's object
@@ -108,8 +108,8 @@
   bool HasSessionLease() const {
     return !options_.has_session_lease || options_.has_session_lease();
   }
-  // Whether the seed's isolation generation is the newest and its revision a retained one, and both
-  // are known to be so now.
+  // Whether the channels confirm now that the seed's isolation generation is the newest and its
+  // revision a retained one.
   bool IsSeedFresh(const BlockSeed& seed) const;
   bool IsRevisionTrusted(const BlockSeed& seed) const;
   void RecordRevision(const std::string& model_object, uint64_t revision);
@@ -125,9 +125,10 @@
   PrefixIndex index_;
   absl::flat_hash_map<GenerationId, Generation> generations_;
   absl::flat_hash_map<Key, GenerationId> generation_by_key_;
-  // Generations that depend on an object.
+  // Keyed by object: the generations that depend on it.
   absl::flat_hash_map<std::string, std::vector<GenerationId>> generations_by_object_;
-  // By model object, the newest revisions that entries were made under or that were announced.
+  // Keyed by model object: the newest revisions that were announced or that entries were made
+  // under.
   absl::flat_hash_map<std::string, std::set<uint64_t>> revisions_;
   LocatorStats stats_;
 };
--- a/src/posthatch/index/worker_event_feed.cc
+++ b/src/posthatch/index/worker_event_feed.cc
@@ -10,13 +10,13 @@
 namespace posthatch::index {
 namespace {
 
-// While the newest version known here is not of the worker's epoch, events can't be used: the
-// worker must not delay its response for long.
+// Wait of a poll while the newest version known here is not of the worker's epoch: its events can't
+// be used yet, so the worker must not delay its response for long.
 constexpr runtime::Duration kWaitWithoutVersion = std::chrono::milliseconds(100);
-// On top of the time by which the worker may delay its response.
+// Time-out of a response beyond the wait by which the worker may delay it.
 constexpr runtime::Duration kResponseMargin = std::chrono::milliseconds(1500);
 constexpr int kStatusOk = 200;
-// A list delays the worker's other work: not more often than this.
+// Minimum interval between lists, since a list delays the worker's other work.
 constexpr runtime::Duration kListInterval = std::chrono::seconds(2);
 
 }  // namespace
@@ -115,7 +115,7 @@
   last_response_at_ = runtime_->clock->Now();
   timeout_reported_ = false;
   ApplyBatch(*std::move(batch));
-  // In a later turn: the call's own callback must not destroy the call.
+  // Deferred to a later turn of the event loop: a call must not be destroyed in its callback.
   poll_timer_.Start(runtime::Duration::zero(), [this] { Poll(); });
 }
 
@@ -159,7 +159,7 @@
   missing_.CountEvent();
   const uint64_t seq = event.seq;
   if (event.type == KvEvent::Type::kLost) {
-    // Everything up to here is accounted for by this one loss.
+    // All events up to `seq` are accounted for by this one loss.
     last_seq_read_ = std::max(last_seq_read_, seq);
     missing_.RemoveUpTo(seq);
     ReportLoss(EventLoss::kLostMark);
@@ -172,7 +172,8 @@
     return;
   }
   if (!missing_.Remove(seq)) return;  // a duplicate
-  // Out of order: what it stored may have been removed by an event that was read before.
+  // An event out of order: the blocks it stored may have been removed by an event that was read
+  // before, so only removals are applied.
   if (event.type == KvEvent::Type::kRemoved)
     owner_->OnEvent(worker_id_, version_at_request_, std::move(event));
 }
--- a/src/posthatch/index/worker_event_feed.h
+++ b/src/posthatch/index/worker_event_feed.h
@@ -16,14 +16,14 @@
 
 // How events of a worker were lost.
 enum class EventLoss {
-  kLostMark,      // the worker says so
+  kLostMark,      // the worker reports a loss
   kGap,           // sequence numbers are missing
   kUnresponsive,  // the worker has not responded for too long
 };
-// As observations and the log name it.
+// Name of the loss in observations and in the log.
 const char* LossReason(EventLoss loss);
 
-// The owner of feeds: what a feed asks it and reports to it. Event loop thread only.
+// Interface by which a feed queries its owner and reports to it. Event loop thread only.
 class WorkerEventFeedOwner {
  public:
   virtual ~WorkerEventFeedOwner() = default;
@@ -60,7 +60,7 @@
     double tolerated_missing_share = 0;
   };
 
-  // All outlive it.
+  // `runtime`, `trust` and `owner` must outlive the feed.
   WorkerEventFeed(runtime::Runtime* runtime, Options options, std::string worker_id,
                   std::string endpoint, const invalidation::ObjectTrust* trust,
                   WorkerEventFeedOwner* owner);
@@ -75,17 +75,17 @@
  private:
   void Poll();
   void SendRequest(http::Request request, runtime::Duration wait);
-  // Whether the worker's cache is to be listed now: events were lost, and the version that follows
-  // the loss is known here, so that what is read from now on is trusted.
+  // Whether to request a list of the worker's cache now: events were lost, and the version that
+  // follows the loss is known here, so that what is read from now on is trusted.
   bool RelistIsDue() const;
   void ApplyList();
   void OnEnd();
   void OnFailure();
   void ApplyBatch(KvEventBatch batch);
   void ApplyEvent(KvEvent event);
-  // The numbers `first` to `last` have not arrived.
+  // Records that the sequence numbers `first` to `last` have not arrived.
   void RecordMissing(uint64_t first, uint64_t last);
-  // Reports a loss if too many numbers never arrived, and waits for the next one to expire.
+  // Reports a loss if too many events never arrived; starts the timer for the next missing number.
   void CheckMissing();
   void CheckTimeout();
   void ReportLoss(EventLoss loss);
@@ -107,11 +107,11 @@
   std::string body_;
   runtime::MonotonicTime last_response_at_;
   bool timeout_reported_ = false;
-  // After a loss: a list is due once the version is newer than `sequence_at_loss_`.
+  // Set after a loss: a list is due once the version is newer than `sequence_at_loss_`.
   bool relist_needed_ = false;
   uint64_t sequence_at_loss_ = 0;
   runtime::MonotonicTime last_listed_at_;
-  bool list_in_flight_ = false;               // the running call requests a list
+  bool list_in_flight_ = false;               // whether the call in flight requests a list
   std::optional<EventLoss> unreported_loss_;  // detected while the lease was not held
   runtime::Timer poll_timer_;
   runtime::Timer missing_timer_;
--- a/src/posthatch/index/worker_event_reader-test.cc
+++ b/src/posthatch/index/worker_event_reader-test.cc
@@ -19,7 +19,7 @@
 constexpr char kWorker[] = "worker/w";
 constexpr uint64_t kToken = 31;
 
-// The native events, and a list of cached blocks: "next block block ...".
+// Native event format with a list of cached blocks: "next block block ...".
 class ListingFormat : public KvEventFormat {
  public:
   http::Request PollRequest(uint64_t epoch, uint64_t after, runtime::Duration wait) const override {
@@ -61,7 +61,7 @@
     reader_.FollowFleet(fleet_.fleet);
     Respond(0, "");  // makes the epoch known
   }
-  // Responds to the running poll and lets the next one start.
+  // Responds to the poll in flight and lets the next one start.
   void Respond(uint64_t next, const std::string& events, uint64_t epoch = 100) {
     fakes_.http.Respond(
         absl::StrCat(R"({"epoch":)", epoch, R"(,"next":)", next, R"(,"events":[)", events, "]}"));
@@ -231,7 +231,7 @@
   Respond(4, Stored(4, R"("b")") + "," + Removed(2, R"("a")") + "," + Stored(1, R"("a")"));
   fakes_.timers.Advance(milliseconds(600));
   EXPECT_EQ(TakeLosses(), 0);
-  EXPECT_EQ(Located(), 0u) << "the late removal holds, the doubled store does not";
+  EXPECT_EQ(Located(), 0u) << "the delayed removal is applied, the duplicate store is not";
 }
 
 TEST_F(WorkerEventReaderTest, DelayedStoredEventsAddNothing) {
@@ -247,7 +247,7 @@
   EXPECT_EQ(TakeLosses(), 1);
   EXPECT_EQ(Located(), 0u);
   fakes_.timers.Advance(milliseconds(600));
-  EXPECT_EQ(TakeLosses(), 0) << "said once";
+  EXPECT_EQ(TakeLosses(), 0) << "reported once";
 }
 
 TEST_F(WorkerEventReaderTest, NewEpochIsReportedAndDropsEntries) {
@@ -310,7 +310,7 @@
   ASSERT_EQ(control_.commands.size(), 2u);
   EXPECT_EQ(control_.commands[0].request_id(), control_.commands[1].request_id());
   control_.dones[1](control::CommandResult());
-  ASSERT_EQ(control_.commands.size(), 3u) << "what was observed meanwhile";
+  ASSERT_EQ(control_.commands.size(), 3u) << "the loss observed meanwhile";
   EXPECT_NE(control_.commands[2].request_id(), control_.commands[1].request_id());
 }
 
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -46,7 +46,7 @@
   WorkerEventReader(const WorkerEventReader&) = delete;
   WorkerEventReader& operator=(const WorkerEventReader&) = delete;
 
-  // Starts and stops feeds by the leases and endpoints of `state`.
+  // Starts and stops feeds according to the leases and endpoints of `state`.
   void FollowFleet(const control::FleetState& state);
   // Attributes the events that wait for their seed, and drops those that have waited too long.
   void RetryUnattributed();
@@ -73,11 +73,12 @@
   void OnLost(const std::string& worker, uint64_t epoch, EventLoss loss) override;
   void OnEvent(const std::string& worker, const invalidation::ObjectVersion& version,
                KvEvent event) override;
-  // What `worker` has evicted must not be added when its attribution comes.
+  // Removes evicted blocks from the pending events of `worker`, so that they aren't added once
+  // their seed is known.
   void DropUnattributed(const std::string& worker, const std::vector<BlockHash>& removed);
-  // The blocks of `event` whose seed is known, and that seed.
+  // Returns the blocks of `event` whose seed is known, and sets `seed` to it.
   std::vector<BlockHash> Attribute(const KvEvent& event, BlockSeed* seed) const;
-  // False if the event's seed is not known yet.
+  // Adds and publishes the blocks of a stored event. False if the event's seed is not known yet.
   bool ApplyStored(const std::string& worker, const invalidation::ObjectVersion& version,
                    const KvEvent& event);
 
