--- a/src/posthatch/index/attribution_table.cc
+++ b/src/posthatch/index/attribution_table.cc
@@ -13,20 +13,20 @@
   const SeedId id = Intern(seed);
   for (const BlockHash block : blocks) {
     if (!blocks_.try_emplace(block, id).second) continue;
-    block_order_.push_back(block);
+    blocks_by_age_.push_back(block);
   }
-  while (block_order_.size() > max_blocks_) {
-    blocks_.erase(block_order_.front());
-    block_order_.pop_front();
+  while (blocks_by_age_.size() > max_blocks_) {
+    blocks_.erase(blocks_by_age_.front());
+    blocks_by_age_.pop_front();
   }
 }
 
 void AttributionTable::RecordAttempt(const std::string& attempt, const BlockSeed& seed) {
   if (!attempts_.try_emplace(attempt, Intern(seed)).second) return;
-  attempt_order_.push_back(attempt);
-  if (attempt_order_.size() > max_blocks_) {
-    attempts_.erase(attempt_order_.front());
-    attempt_order_.pop_front();
+  attempts_by_age_.push_back(attempt);
+  if (attempts_by_age_.size() > max_blocks_) {
+    attempts_.erase(attempts_by_age_.front());
+    attempts_by_age_.pop_front();
   }
 }
 
--- a/src/posthatch/index/attribution_table.h
+++ b/src/posthatch/index/attribution_table.h
@@ -41,9 +41,9 @@
   std::vector<BlockSeed> seeds_;
   absl::flat_hash_map<std::string, SeedId> seed_ids_;  // keyed by cache salt
   absl::flat_hash_map<BlockHash, SeedId> blocks_;
-  std::deque<BlockHash> block_order_;
+  std::deque<BlockHash> blocks_by_age_;
   absl::flat_hash_map<std::string, SeedId> attempts_;
-  std::deque<std::string> attempt_order_;
+  std::deque<std::string> attempts_by_age_;
 };
 
 }  // namespace posthatch::index
--- a/src/posthatch/index/fake_parts-test.h
+++ b/src/posthatch/index/fake_parts-test.h
@@ -39,7 +39,7 @@
   runtime::Duration InventoryAge() const override { return {}; }
   const control::RevisionTimeline& revision_timeline() const override { return revisions; }
   void AddListener(Listener listener) override { listeners.push_back(std::move(listener)); }
-  void Changed() {
+  void NotifyListeners() {
     for (const Listener& listener : listeners) listener(fleet);
   }
   void AddBackend(const std::string& id, control::BackendKind kind, const std::string& endpoint) {
@@ -75,7 +75,7 @@
 // Records the calls; the test responds to them.
 class FakeHttpClient : public http::HttpClient {
  public:
-  struct Started {
+  struct StartedCall {
     std::string endpoint;
     std::string target;
     http::CallObserver observer;
@@ -97,7 +97,7 @@
     const http::CallObserver observer = calls.back().observer;
     observer.on_error({absl::UnavailableError("test"), http::CallProgress::kNotSent});
   }
-  std::vector<Started> calls;
+  std::vector<StartedCall> calls;
 };
 
 class NullTrace : public runtime::TraceSink {
--- a/src/posthatch/index/index-bench.cc
+++ b/src/posthatch/index/index-bench.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr size_t kChainBlocks = 32;
-constexpr uint64_t kNoBudget = uint64_t{64} << 30;
+constexpr uint64_t kUnlimitedBudget = uint64_t{64} << 30;
 constexpr size_t kEventBlocks = 32;
 
 using Chain = std::vector<BlockHash>;
@@ -38,7 +38,7 @@
     }
   }
   std::vector<Chain> chains;
-  PrefixIndex index{kNoBudget};
+  PrefixIndex index{kUnlimitedBudget};
 };
 
 bool Any(PrefixIndex::GenerationId /*generation*/) { return true; }
@@ -102,7 +102,7 @@
 void BenchmarkInsert(benchmark::State& state) {
   const std::vector<Chain> chains = MakeChains(state.range(0), 1);
   for (auto _ : state) {
-    PrefixIndex index(kNoBudget);
+    PrefixIndex index(kUnlimitedBudget);
     const PrefixIndex::GenerationId generation = index.OpenGeneration();
     for (const Chain& chain : chains) index.Insert(generation, chain);
     benchmark::DoNotOptimize(index.stats());
@@ -126,7 +126,7 @@
 BENCHMARK(BenchmarkInsertWithEviction);
 
 void BenchmarkDropGeneration(benchmark::State& state) {
-  PrefixIndex index(kNoBudget);
+  PrefixIndex index(kUnlimitedBudget);
   const Chain chain(1, 77);
   for (auto _ : state) {
     const PrefixIndex::GenerationId generation = index.OpenGeneration();
--- a/src/posthatch/index/index_fleet-test.cc
+++ b/src/posthatch/index/index_fleet-test.cc
@@ -49,7 +49,7 @@
   void AddListener(Listener listener) override { listeners.push_back(std::move(listener)); }
   void Set(const std::string& object, const ObjectVersion& version, runtime::MonotonicTime now) {
     versions[object] = version;
-    raised_at[object] = now;
+    version_set_at[object] = now;
     for (const Listener& listener : listeners) listener(object, version);
   }
   // Applies ObserveObject as ControlState does.
@@ -64,7 +64,7 @@
     }
   }
   std::map<std::string, ObjectVersion> versions;
-  std::map<std::string, runtime::MonotonicTime> raised_at;
+  std::map<std::string, runtime::MonotonicTime> version_set_at;
   std::set<std::string> applied;
   std::vector<Listener> listeners;
 };
@@ -91,16 +91,16 @@
 struct SimWorker {
   uint64_t epoch = 1;
   uint64_t last_seq = 0;
-  std::vector<BlockHash> kept;  // in order of eviction
+  std::vector<BlockHash> cached;  // in order of eviction
   std::vector<std::pair<uint64_t, std::string>> events;
   double fault_probability = 0;
   std::unique_ptr<http::HttpServer> server;
 
-  bool Keeps(BlockHash block) const {
-    return std::find(kept.begin(), kept.end(), block) != kept.end();
+  bool HasCached(BlockHash block) const {
+    return std::find(cached.begin(), cached.end(), block) != cached.end();
   }
-  void Event(runtime::Random* random, const std::string& type,
-             const std::vector<BlockHash>& blocks) {
+  void EmitEvent(runtime::Random* random, const std::string& type,
+                 const std::vector<BlockHash>& blocks) {
     if (blocks.empty()) return;
     std::string list;
     for (const BlockHash block : blocks) {
@@ -123,25 +123,25 @@
     std::vector<BlockHash> used;
     std::vector<BlockHash> stored;
     for (const BlockHash block : chain) {
-      if (std::erase(kept, block) == 0) stored.push_back(block);
+      if (std::erase(cached, block) == 0) stored.push_back(block);
       used.insert(used.begin(), block);
     }
-    kept.insert(kept.end(), used.begin(), used.end());
-    Event(random, "stored", stored);
+    cached.insert(cached.end(), used.begin(), used.end());
+    EmitEvent(random, "stored", stored);
     std::vector<BlockHash> removed;
-    while (kept.size() > kWorkerCapacity) {
-      removed.push_back(kept.front());
-      kept.erase(kept.begin());
+    while (cached.size() > kWorkerCapacity) {
+      removed.push_back(cached.front());
+      cached.erase(cached.begin());
     }
-    Event(random, "removed", removed);
+    EmitEvent(random, "removed", removed);
   }
   void Restart() {
     ++epoch;
     last_seq = 0;
-    kept.clear();
+    cached.clear();
     events.clear();
   }
-  std::string Body(uint64_t requested_epoch, uint64_t after) const {
+  std::string EventsBody(uint64_t requested_epoch, uint64_t after) const {
     if (requested_epoch != epoch) after = 0;
     std::string list;
     for (const auto& [seq, event] : events) {
@@ -188,18 +188,18 @@
     state_.Set("worker/" + name, MakeVersion(0, 0), world_.Now());
     SimHost* host = world_.AddHost(name, "z", absl::StrCat("10.0.1.", number + 1));
     host->SetBoot([this, number, host](runtime::Runtime* runtime) {
-      auto answer = [this, number, runtime](const http::Request& request,
-                                            const std::shared_ptr<http::ResponseWriter>& writer) {
+      auto handler = [this, number, runtime](const http::Request& request,
+                                             const std::shared_ptr<http::ResponseWriter>& writer) {
         uint64_t epoch = 0;
         uint64_t after = 0;
         std::sscanf(request.target.c_str(), "/kv_events?epoch=%lu&after=%lu", &epoch, &after);
         runtime->timers->Schedule(milliseconds(50), [this, number, epoch, after, writer] {
           http::Response response;
-          response.body = workers_[number].Body(epoch, after);
+          response.body = workers_[number].EventsBody(epoch, after);
           writer->SendResponse(response);
         });
       };
-      auto server = runtime->http_servers->Listen(host->http_endpoint(), {}, answer);
+      auto server = runtime->http_servers->Listen(host->http_endpoint(), {}, handler);
       return std::shared_ptr<http::HttpServer>(*std::move(server));
     });
     host->Start();
@@ -243,36 +243,36 @@
     options.aggregate_channel = GetParam() % 3 == 0;
     return options;
   }
-  bool Usable(int gateway) const { return !frozen_.contains(gateway); }
+  bool IsRunning(int gateway) const { return !frozen_.contains(gateway); }
   // Grants session leases, and worker leases with fencing tokens, as the control component does.
   void Renew() {
     for (int i = 0; i < kGateways; ++i) {
-      if (Usable(i)) session_end_[i] = world_.Now() + kSessionLease;
+      if (IsRunning(i)) session_end_[i] = world_.Now() + kSessionLease;
     }
     for (int worker = 0; worker < kWorkers; ++worker) {
-      const int holder = holders_.contains(worker) ? holders_[worker] : -1;
+      const int holder = lease_holders_.contains(worker) ? lease_holders_[worker] : -1;
       if (holder >= 0 && world_.Now() < session_end_[holder]) continue;
       for (int i = 0; i < kGateways; ++i) {
-        if (Usable(i)) holders_[worker] = i;
+        if (IsRunning(i)) lease_holders_[worker] = i;
       }
-      ++tokens_[worker];
+      ++fencing_tokens_[worker];
     }
     for (int i = 0; i < kGateways; ++i) {
       const auto gateway = gateways_[i].lock();
       gateway->fleet.lease_valid = world_.Now() < session_end_[i];
-      if (!Usable(i)) continue;
+      if (!IsRunning(i)) continue;
       control::FleetState* fleet = &gateway->fleet.fleet;
       fleet->clear_leases();
-      for (const auto& [worker, holder] : holders_) {
+      for (const auto& [worker, holder] : lease_holders_) {
         gateway->fleet.AddLease(absl::StrCat("w", worker), absl::StrCat("g", holder),
                                 gateways_[holder].lock()->runtime->transport->incarnation(),
-                                tokens_[worker]);
+                                fencing_tokens_[worker]);
       }
-      gateway->fleet.Changed();
+      gateway->fleet.NotifyListeners();
     }
   }
   void RunFor(runtime::Duration duration) {
-    for (runtime::Duration run{}; run < duration; run += milliseconds(20)) {
+    for (runtime::Duration elapsed{}; elapsed < duration; elapsed += milliseconds(20)) {
       world_.RunFor(milliseconds(20));
       Renew();
       Check(/*settled=*/false);
@@ -280,33 +280,33 @@
   }
   const BlockSeed seed_{"m", 1, "", 1};
   void Check(bool settled) {
-    const auto old_for = [this](const std::string& object) {
-      return world_.Now() - state_.raised_at[object];
+    const auto superseded_for = [this](const std::string& object) {
+      return world_.Now() - state_.version_set_at[object];
     };
     for (int i = 0; i < kGateways; ++i) {
-      if (!Usable(i)) continue;
+      if (!IsRunning(i)) continue;
       const auto gateway = gateways_[i].lock();
       for (const auto& chain : chains_) {
         const auto holders = gateway->node->locator()->Locate(seed_, chain);
         if (holders.empty()) continue;
         EXPECT_TRUE(gateway->fleet.lease_valid);
         if (state_.versions["model/m"].epoch() != 1) {
-          EXPECT_LE(old_for("model/m"), seconds(4));
+          EXPECT_LE(superseded_for("model/m"), seconds(4));
         }
         if (state_.versions["tenant/"].epoch() != 1) {
-          EXPECT_LE(old_for("tenant/"), seconds(4));
+          EXPECT_LE(superseded_for("tenant/"), seconds(4));
         }
         for (const PrefixHolder& holder : holders) {
           ++examined_;
           const std::string object = "worker/" + holder.backend_id;
           if (state_.versions[object].epoch() != holder.epoch) {
-            EXPECT_LE(old_for(object), seconds(4));
+            EXPECT_LE(superseded_for(object), seconds(4));
           }
           if (!settled) continue;
           const SimWorker& worker = workers_[holder.backend_id[1] - '0'];
           ++settled_examined_;
           for (uint32_t block = 0; block < holder.blocks; ++block) {
-            EXPECT_TRUE(worker.Keeps(chain[block]))
+            EXPECT_TRUE(worker.HasCached(chain[block]))
                 << "g" << i << " locates a block at " << holder.backend_id
                 << ", which has not cached it";
           }
@@ -317,7 +317,7 @@
   void Dispatch() {
     const int gateway = static_cast<int>(world_.random()->Uniform(kGateways));
     const int worker = static_cast<int>(world_.random()->Uniform(kWorkers));
-    if (!Usable(gateway) || !gateways_[gateway].lock()->fleet.lease_valid) return;
+    if (!IsRunning(gateway) || !gateways_[gateway].lock()->fleet.lease_valid) return;
     const auto& chain = chains_[world_.random()->Uniform(chains_.size())];
     workers_[worker].Run(world_.random(), chain);
     gateways_[gateway].lock()->node->locator()->RecordDispatch(
@@ -346,8 +346,8 @@
   bool serving_ = true;
   std::map<int, SimWorker> workers_;
   std::map<int, std::weak_ptr<Gateway>> gateways_;
-  std::map<int, int> holders_;
-  std::map<int, uint64_t> tokens_;
+  std::map<int, int> lease_holders_;
+  std::map<int, uint64_t> fencing_tokens_;
   std::map<int, runtime::MonotonicTime> session_end_;
   std::set<int> frozen_;
   std::vector<std::vector<BlockHash>> chains_;
@@ -387,7 +387,7 @@
     for (auto& [number, worker] : workers_) {
       // A final event reveals the sequence numbers that are missing before it.
       worker.fault_probability = 0;
-      worker.Event(random, "removed", {0});
+      worker.EmitEvent(random, "removed", {0});
     }
     RunFor(kSettle);
     Check(/*settled=*/true);
--- a/src/posthatch/index/index_node.cc
+++ b/src/posthatch/index/index_node.cc
@@ -14,12 +14,12 @@
 constexpr runtime::Duration kStatsInterval = std::chrono::seconds(2);
 
 invalidation::InvalidationSubscriberOptions SubscriptionOptionsOf(const IndexOptions& options) {
-  invalidation::InvalidationSubscriberOptions set_options;
-  set_options.subscription = options.subscription;
-  set_options.subscription.zone = options.zone;
-  set_options.subscription.relay = options.relay;
-  set_options.aggregate = options.aggregate_channel;
-  return set_options;
+  invalidation::InvalidationSubscriberOptions subscriber_options;
+  subscriber_options.subscription = options.subscription;
+  subscriber_options.subscription.zone = options.zone;
+  subscriber_options.subscription.relay = options.relay;
+  subscriber_options.aggregate = options.aggregate_channel;
+  return subscriber_options;
 }
 
 IndexUpdateFanoutOptions FanoutOptionsOf(const IndexOptions& options) {
--- a/src/posthatch/index/observation_reporter.cc
+++ b/src/posthatch/index/observation_reporter.cc
@@ -37,8 +37,9 @@
 void ObservationReporter::Send(const std::string& object) {
   State* state = objects_.find(object)->second.get();
   if (state->request_id.empty()) {
-    state->request_id = absl::StrCat("observe/", runtime_->transport->node_id(), "/",
-                                     runtime_->transport->incarnation(), "/", ++last_number_);
+    state->request_id =
+        absl::StrCat("observe/", runtime_->transport->node_id(), "/",
+                     runtime_->transport->incarnation(), "/", ++last_request_number_);
   }
   control::Command command;
   command.set_request_id(state->request_id);
--- a/src/posthatch/index/observation_reporter.h
+++ b/src/posthatch/index/observation_reporter.h
@@ -54,7 +54,7 @@
   runtime::Runtime* const runtime_;
   control::ControlClient* const client_;
   absl::btree_map<std::string, std::unique_ptr<State>> objects_;
-  uint64_t last_number_ = 0;
+  uint64_t last_request_number_ = 0;
   uint64_t accepted_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/posthatch/index/prefix_index-test.cc
+++ b/src/posthatch/index/prefix_index-test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 using GenerationId = PrefixIndex::GenerationId;
-constexpr uint64_t kNoBudget = uint64_t{1} << 40;
+constexpr uint64_t kUnlimitedBudget = uint64_t{1} << 40;
 
 bool Any(GenerationId /*generation*/) { return true; }
 
@@ -30,7 +30,7 @@
 }
 
 TEST(PrefixIndexTest, FindsLongestPrefixOfEachHolder) {
-  PrefixIndex index(kNoBudget);
+  PrefixIndex index(kUnlimitedBudget);
   runtime::Random random(1);
   const auto chain = RandomChain(&random, 40);
   std::map<GenerationId, uint32_t> expected;
@@ -51,7 +51,7 @@
 }
 
 TEST(PrefixIndexTest, RemovalWithinChainEndsPrefix) {
-  PrefixIndex index(kNoBudget);
+  PrefixIndex index(kUnlimitedBudget);
   runtime::Random random(2);
   const auto chain = RandomChain(&random, 32);
   const GenerationId generation = index.OpenGeneration();
@@ -67,45 +67,48 @@
 TEST(PrefixIndexTest, MatchesReferenceMap) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     runtime::Random random(seed);
-    PrefixIndex index(kNoBudget);
+    PrefixIndex index(kUnlimitedBudget);
     std::vector<std::vector<BlockHash>> chains;
     chains.reserve(200);
     for (int i = 0; i < 200; ++i) chains.push_back(RandomChain(&random, 1 + random.Uniform(60)));
     // Keyed by live generation: cached length of each chain; always a prefix, as in workers.
-    std::map<GenerationId, std::map<size_t, uint32_t>> kept;
+    std::map<GenerationId, std::map<size_t, uint32_t>> cached_lengths;
     for (int step = 0; step < 4000; ++step) {
       const size_t number = random.Uniform(chains.size());
       const std::vector<BlockHash>& chain = chains[number];
       const uint64_t action = random.Uniform(20);
-      if (kept.size() < 4) kept[index.OpenGeneration()];
-      auto& [generation, lengths] = *std::next(kept.begin(), random.Uniform(kept.size()));
+      if (cached_lengths.size() < 4) cached_lengths[index.OpenGeneration()];
+      auto& [generation, lengths] =
+          *std::next(cached_lengths.begin(), random.Uniform(cached_lengths.size()));
       if (action == 0 && random.Chance(0.2)) {
         index.DropGeneration(generation);
-        kept.erase(generation);
+        cached_lengths.erase(generation);
       } else if (action < 12) {
         const auto length = static_cast<uint32_t>(1 + random.Uniform(chain.size()));
         index.Insert(generation, absl::MakeSpan(chain).first(length));
         lengths[number] = std::max(lengths[number], length);
       } else if (action < 18 && lengths.contains(number)) {
-        const auto left = static_cast<uint32_t>(random.Uniform(lengths[number]));
-        const auto own = [id = generation](GenerationId candidate) { return candidate == id; };
-        for (uint32_t i = left; i < lengths[number]; ++i) {
-          EXPECT_EQ(index.Remove(chain[i], own), 1u);
+        const auto remaining = static_cast<uint32_t>(random.Uniform(lengths[number]));
+        const auto is_same_generation = [id = generation](GenerationId candidate) {
+          return candidate == id;
+        };
+        for (uint32_t i = remaining; i < lengths[number]; ++i) {
+          EXPECT_EQ(index.Remove(chain[i], is_same_generation), 1u);
         }
-        left == 0 ? void(lengths.erase(number)) : void(lengths[number] = left);
+        remaining == 0 ? void(lengths.erase(number)) : void(lengths[number] = remaining);
       } else {
         index.SweepStep();
       }
       std::map<GenerationId, uint32_t> expected;
-      for (const auto& [id, of_chains] : kept) {
-        const auto found = of_chains.find(number);
-        if (found != of_chains.end()) expected[id] = found->second;
+      for (const auto& [id, lengths_by_chain] : cached_lengths) {
+        const auto found = lengths_by_chain.find(number);
+        if (found != lengths_by_chain.end()) expected[id] = found->second;
       }
       ASSERT_EQ(LookUp(&index, chain), expected) << "seed " << seed << " step " << step;
     }
     uint64_t blocks = 0;
-    for (const auto& [id, of_chains] : kept) {
-      for (const auto& [number, length] : of_chains) blocks += length;
+    for (const auto& [id, lengths_by_chain] : cached_lengths) {
+      for (const auto& [number, length] : lengths_by_chain) blocks += length;
     }
     EXPECT_EQ(index.stats().blocks, blocks);
   }
@@ -128,8 +131,8 @@
   EXPECT_EQ(LookUp(&index, used)[generation], 32u);
 }
 
-TEST(PrefixIndexTest, ABlockCostsAtMost24Bytes) {
-  PrefixIndex index(kNoBudget);
+TEST(PrefixIndexTest, BlockCostsAtMost24Bytes) {
+  PrefixIndex index(kUnlimitedBudget);
   runtime::Random random(3);
   const GenerationId generation = index.OpenGeneration();
   for (const size_t blocks : {100'000, 250'000, 700'000, 1'000'000}) {
@@ -139,7 +142,7 @@
 }
 
 TEST(PrefixIndexTest, DroppedBlocksAreSweptAndIdsReused) {
-  PrefixIndex index(kNoBudget);
+  PrefixIndex index(kUnlimitedBudget);
   runtime::Random random(5);
   const GenerationId dropped = index.OpenGeneration();
   index.Insert(dropped, RandomChain(&random, 100'000));
@@ -154,7 +157,7 @@
 }
 
 TEST(PrefixIndexTest, HoldersPerBlockAreBounded) {
-  PrefixIndex index(kNoBudget);
+  PrefixIndex index(kUnlimitedBudget);
   std::vector<BlockHash> block = {42};
   for (int i = 0; i < 1000; ++i) index.Insert(index.OpenGeneration(), block);
   EXPECT_EQ(LookUp(&index, block).size(), PrefixIndex::kMaxHoldersPerBlock);
--- a/src/posthatch/index/prefix_index.cc
+++ b/src/posthatch/index/prefix_index.cc
@@ -55,7 +55,7 @@
   if (dropped.blocks == 0) free_generations_.push_back(generation);
 }
 
-void PrefixIndex::Release(GenerationId generation) {
+void PrefixIndex::ReleaseSlot(GenerationId generation) {
   Generation& owner = generations_[generation];
   --owner.blocks;
   if (owner.live) {
@@ -73,12 +73,12 @@
   }
 }
 
-void PrefixIndex::Fill(Segment* segment, Bucket* bucket, size_t slot, GenerationId generation,
-                       BlockHash hash) {
+void PrefixIndex::FillSlot(Segment* segment, Bucket* bucket, size_t slot, GenerationId generation,
+                           BlockHash hash) {
   if (bucket->generations[slot] == kNoGeneration) {
     ++segment->used_slots;
   } else {
-    Release(bucket->generations[slot]);
+    ReleaseSlot(bucket->generations[slot]);
   }
   bucket->hashes[slot] = hash;
   bucket->generations[slot] = generation;
@@ -91,12 +91,12 @@
   Segment& segment = SegmentOf(hash);
   const size_t slots = size_t{segment.bucket_count} * kSlotsPerBucket;
   if (segment.used_slots >= static_cast<size_t>(static_cast<double>(slots) * kMaxFill)) {
-    MakeRoom(&segment);
+    GrowOrEvict(&segment);
   }
   Bucket* free_bucket = nullptr;
   size_t free_slot = 0;
   size_t holders = 0;
-  size_t index = HomeOf(segment, hash);
+  size_t index = HomeBucketIndex(segment, hash);
   for (size_t step = 0; step < segment.bucket_count; ++step) {
     Bucket& bucket = segment.buckets[index];
     for (size_t slot = 0; slot < kSlotsPerBucket; ++slot) {
@@ -111,7 +111,7 @@
           return;
         }
         if (++holders == kMaxHoldersPerBlock) {
-          Fill(&segment, &bucket, slot, generation, hash);
+          FillSlot(&segment, &bucket, slot, generation, hash);
           return;
         }
       }
@@ -122,20 +122,20 @@
     }
     index = index + 1 == segment.bucket_count ? 0 : index + 1;
   }
-  if (free_bucket != nullptr) Fill(&segment, free_bucket, free_slot, generation, hash);
+  if (free_bucket != nullptr) FillSlot(&segment, free_bucket, free_slot, generation, hash);
 }
 
 size_t PrefixIndex::Remove(BlockHash block, GenerationFilter matches) {
   Segment& segment = SegmentOf(block);
   size_t removed = 0;
-  size_t index = HomeOf(segment, block);
+  size_t index = HomeBucketIndex(segment, block);
   for (size_t step = 0; step < segment.bucket_count; ++step) {
     Bucket& bucket = segment.buckets[index];
     for (size_t slot = 0; slot < kSlotsPerBucket; ++slot) {
       if (bucket.hashes[slot] != block || IsFree(bucket, slot)) continue;
       if (!matches(bucket.generations[slot])) continue;
       generations_[bucket.generations[slot]].has_gaps = true;
-      Release(bucket.generations[slot]);
+      ReleaseSlot(bucket.generations[slot]);
       bucket.generations[slot] = kNoGeneration;
       --segment.used_slots;
       ++removed;
@@ -149,7 +149,7 @@
 template <typename Visitor>
 void PrefixIndex::VisitHolders(BlockHash hash, Visitor visit) {
   Segment& segment = SegmentOf(hash);
-  size_t index = HomeOf(segment, hash);
+  size_t index = HomeBucketIndex(segment, hash);
   for (size_t step = 0; step < segment.bucket_count; ++step) {
     Bucket& bucket = segment.buckets[index];
     for (size_t slot = 0; slot < kSlotsPerBucket; ++slot) {
@@ -164,7 +164,7 @@
 
 void PrefixIndex::Prefetch(BlockHash hash) const {
   const Segment& segment = segments_[hash >> (64 - kSegmentBits)];
-  __builtin_prefetch(&segment.buckets[HomeOf(segment, hash)], 1);
+  __builtin_prefetch(&segment.buckets[HomeBucketIndex(segment, hash)], 1);
 }
 
 PrefixIndex::Matches PrefixIndex::LongestPrefixes(absl::Span<const BlockHash> chain,
@@ -223,21 +223,21 @@
   }
   for (size_t i = 0; i < count; ++i) {
     const uint32_t probe = probes[i];
-    uint64_t holding = 0;
+    uint64_t matches_with_block = 0;
     VisitHolders(chain[probe], [&](GenerationId generation, Bucket* bucket, size_t slot) {
       for (size_t match = 0; match < matches.size(); ++match) {
         if (matches[match].generation != generation) continue;
-        holding |= uint64_t{1} << match;
+        matches_with_block |= uint64_t{1} << match;
         SetRecency(bucket, slot, kUsedRecency);
       }
     });
     for (size_t match = 0; match < matches.size(); ++match) {
       Range& known = (*ranges)[match];
       if (probe <= known.present || probe >= known.absent) continue;
-      ((holding >> match) & 1 ? known.present : known.absent) = probe;
+      ((matches_with_block >> match) & 1 ? known.present : known.absent) = probe;
     }
     // The remaining probes are at earlier blocks, which matter only if there are other matches.
-    if (holding != 0 && matches.size() == 1) return;
+    if (matches_with_block != 0 && matches.size() == 1) return;
   }
 }
 
@@ -252,14 +252,14 @@
       if (generations_[generation].live) {
         slots.push_back({bucket.hashes[slot], generation, Recency(bucket, slot)});
       } else {
-        Release(generation);
+        ReleaseSlot(generation);
       }
     }
   }
   return slots;
 }
 
-void PrefixIndex::MakeRoom(Segment* segment) {
+void PrefixIndex::GrowOrEvict(Segment* segment) {
   std::vector<Slot> slots = ExtractLiveSlots(segment);
   const double capacity = static_cast<double>(segment->bucket_count) * kSlotsPerBucket;
   uint32_t bucket_count = segment->bucket_count;
@@ -283,7 +283,7 @@
       Slot& slot = (*slots)[i];
       const size_t left = slots->size() - i;
       if (slot.recency == 0 && retained + left > limit) {
-        Release(slot.generation);
+        ReleaseSlot(slot.generation);
         ++evicted_blocks_;
         continue;
       }
@@ -304,11 +304,11 @@
   segment->bucket_count = bucket_count;
   segment->used_slots = static_cast<uint32_t>(slots.size());
   bytes_ += size;
-  for (const Slot& slot : slots) PlaceNew(segment, slot);
+  for (const Slot& slot : slots) InsertSlot(segment, slot);
 }
 
-void PrefixIndex::PlaceNew(Segment* segment, const Slot& slot) {
-  size_t index = HomeOf(*segment, slot.hash);
+void PrefixIndex::InsertSlot(Segment* segment, const Slot& slot) {
+  size_t index = HomeBucketIndex(*segment, slot.hash);
   while (true) {
     Bucket& bucket = segment->buckets[index];
     for (size_t i = 0; i < kSlotsPerBucket; ++i) {
--- a/src/posthatch/index/prefix_index.h
+++ b/src/posthatch/index/prefix_index.h
@@ -106,7 +106,7 @@
   };
 
   Segment& SegmentOf(BlockHash hash) { return segments_[hash >> (64 - kSegmentBits)]; }
-  static size_t HomeOf(const Segment& segment, BlockHash hash) {
+  static size_t HomeBucketIndex(const Segment& segment, BlockHash hash) {
     return ((hash & 0xFFFFFFFF) * segment.bucket_count) >> 32;
   }
   static uint8_t Recency(const Bucket& bucket, size_t slot) {
@@ -123,17 +123,18 @@
   }
 
   void InsertOne(GenerationId generation, BlockHash hash);
-  void Fill(Segment* segment, Bucket* bucket, size_t slot, GenerationId generation, BlockHash hash);
+  void FillSlot(Segment* segment, Bucket* bucket, size_t slot, GenerationId generation,
+                BlockHash hash);
   // Decrements a generation's block count; the id of a dropped one is reused once it has no blocks.
-  void Release(GenerationId generation);
+  void ReleaseSlot(GenerationId generation);
   // Makes room in a segment that is filled to its limit: grows it, or evicts.
-  void MakeRoom(Segment* segment);
+  void GrowOrEvict(Segment* segment);
   void Rebuild(Segment* segment, uint32_t bucket_count, const std::vector<Slot>& slots);
   // Returns the live slots of a segment; releases those of dropped generations.
   std::vector<Slot> ExtractLiveSlots(Segment* segment);
   void EvictDownTo(std::vector<Slot>* slots, size_t limit);
   // Inserts a slot whose block the segment doesn't have yet.
-  static void PlaceNew(Segment* segment, const Slot& slot);
+  static void InsertSlot(Segment* segment, const Slot& slot);
   // Calls `visit(generation, bucket, slot)` for each live slot of `hash`.
   template <typename Visitor>
   void VisitHolders(BlockHash hash, Visitor visit);
--- a/src/posthatch/index/replication/index_relay-test.cc
+++ b/src/posthatch/index/replication/index_relay-test.cc
@@ -29,25 +29,25 @@
   void Receive(const runtime::Envelope& envelope) {
     IndexMessage message;
     ASSERT_TRUE(message.ParseFromString(envelope.payload()));
-    if (message.has_update()) Take(envelope.from_incarnation(), message.update());
+    if (message.has_update()) RecordUpdate(envelope.from_incarnation(), message.update());
     if (message.has_to_forward()) {
-      ++passed_on;
-      Take(envelope.from_incarnation(), message.to_forward());
+      ++forwarded;
+      RecordUpdate(envelope.from_incarnation(), message.to_forward());
       fanout.Forward(envelope.from_incarnation(), message.to_forward());
     }
     for (const RelayedUpdate& relayed : message.relayed().updates()) {
-      Take(relayed.from_incarnation(), relayed.update());
+      RecordUpdate(relayed.from_incarnation(), relayed.update());
     }
   }
-  void Take(uint64_t incarnation, const IndexUpdate& update) {
-    numbers[update.holder()].push_back(update.update());
+  void RecordUpdate(uint64_t incarnation, const IndexUpdate& update) {
+    update_numbers[update.holder()].push_back(update.update());
     incarnations[update.holder()].insert(incarnation);
   }
 
   IndexUpdateFanout fanout;
-  std::map<std::string, std::vector<uint64_t>> numbers;  // keyed by holder, in order of arrival
+  std::map<std::string, std::vector<uint64_t>> update_numbers;  // keyed by holder, in arrival order
   std::map<std::string, std::set<uint64_t>> incarnations;
-  int passed_on = 0;
+  int forwarded = 0;
 };
 
 class IndexRelayTest : public testing::TestWithParam<uint64_t> {
@@ -70,15 +70,15 @@
     update.set_removed(std::string(64, 'x'));
     Gateway(gateway)->fanout.Send(update);
   }
-  int PassedOn() {
+  int TotalForwarded() {
     int sum = 0;
-    for (const SimHost* host : hosts_) sum += Gateway(host)->passed_on;
+    for (const SimHost* host : hosts_) sum += Gateway(host)->forwarded;
     return sum;
   }
 
   simulation::SimWorld world_;
   std::vector<SimHost*> hosts_;
-  std::set<const SimHost*> gone_;  // hosts that membership has removed
+  std::set<const SimHost*> removed_hosts_;  // hosts that membership has removed
 
  private:
   void AddGateway(int zone, int number) {
@@ -89,7 +89,7 @@
       auto gateway = std::make_shared<RelayingGateway>(runtime, host->zone(), [this, host] {
         std::vector<IndexPeer> peers;
         for (const SimHost* other : hosts_) {
-          if (other == host || gone_.contains(other)) continue;
+          if (other == host || removed_hosts_.contains(other)) continue;
           peers.push_back({other->name(), other->zone(), other->internal_endpoint()});
         }
         return peers;
@@ -116,13 +116,13 @@
     for (int holder = 0; holder < 8; ++holder) {
       if (i == static_cast<size_t>(holder)) continue;
       const std::string name = absl::StrCat("w", holder);
-      EXPECT_EQ(Gateway(i)->numbers[name], std::vector<uint64_t>({1, 2, 3, 4, 5}))
+      EXPECT_EQ(Gateway(i)->update_numbers[name], std::vector<uint64_t>({1, 2, 3, 4, 5}))
           << hosts_[i]->name() << " of " << name;
       EXPECT_EQ(Gateway(i)->incarnations[name],
                 std::set<uint64_t>{hosts_[holder]->runtime()->transport->incarnation()});
     }
   }
-  EXPECT_EQ(PassedOn(), 5 * 8 * kZones) << "one message per zone and update";
+  EXPECT_EQ(TotalForwarded(), 5 * 8 * kZones) << "one message per zone and update";
   EXPECT_EQ(Gateway(0UL)->fanout.recipients(), static_cast<size_t>(kZones));
 }
 
@@ -132,13 +132,13 @@
   world_.RunFor(seconds(1));
   const SimHost* relay = nullptr;
   for (SimHost* host : hosts_) {
-    if (host->zone() == "z2" && Gateway(host)->passed_on > 0) relay = host;
+    if (host->zone() == "z2" && Gateway(host)->forwarded > 0) relay = host;
   }
   ASSERT_NE(relay, nullptr);
   world_.FindHost(relay->name())->Crash();
   Send(0, "w", 2);
   world_.RunFor(seconds(1));
-  gone_.insert(relay);
+  removed_hosts_.insert(relay);
   Send(0, "w", 3);
   world_.RunFor(seconds(1));
   for (SimHost* host : hosts_) {
@@ -147,7 +147,7 @@
     const bool had_relay = host->zone() == "z2";
     const std::vector<uint64_t> expected =
         had_relay ? std::vector<uint64_t>({1, 3}) : std::vector<uint64_t>({1, 2, 3});
-    EXPECT_EQ(Gateway(host)->numbers["w"], expected) << host->name();
+    EXPECT_EQ(Gateway(host)->update_numbers["w"], expected) << host->name();
   }
 }
 
@@ -155,9 +155,9 @@
   AddZones(4, 5);
   Send(0, "w", 1);
   world_.RunFor(seconds(1));
-  EXPECT_EQ(PassedOn(), 0);
+  EXPECT_EQ(TotalForwarded(), 0);
   for (size_t i = 1; i < hosts_.size(); ++i) {
-    EXPECT_EQ(Gateway(i)->numbers["w"], std::vector<uint64_t>({1}));
+    EXPECT_EQ(Gateway(i)->update_numbers["w"], std::vector<uint64_t>({1}));
   }
 }
 
@@ -168,10 +168,10 @@
   int most = 0;
   std::map<std::string, int> relays;
   for (const SimHost* host : hosts_) {
-    most = std::max(most, Gateway(host)->passed_on);
-    if (Gateway(host)->passed_on > 0) ++relays[host->zone()];
+    most = std::max(most, Gateway(host)->forwarded);
+    if (Gateway(host)->forwarded > 0) ++relays[host->zone()];
   }
-  EXPECT_EQ(PassedOn(), 2 * 100);
+  EXPECT_EQ(TotalForwarded(), 2 * 100);
   EXPECT_LE(relays["z0"], 5);
   EXPECT_GE(relays["z0"], 3);
   EXPECT_EQ(relays["z1"], 5);
--- a/src/posthatch/index/replication/index_update-test.cc
+++ b/src/posthatch/index/replication/index_update-test.cc
@@ -26,11 +26,11 @@
   void Store(const std::vector<BlockHash>& blocks, uint64_t sequence = 0) {
     Extent extent = MakeExtent("w", MakeVersion(100, sequence), seed_);
     extent.set_block_hashes(PackBlocks(blocks));
-    publisher_.Stored("w", extent);
+    publisher_.AddStored("w", extent);
     fakes_.timers.Advance(milliseconds(60));
   }
   void Remove(const std::vector<BlockHash>& blocks) {
-    publisher_.Removed("w", blocks);
+    publisher_.AddRemoved("w", blocks);
     fakes_.timers.Advance(milliseconds(60));
   }
   std::vector<IndexUpdate> TakeSent() {
@@ -72,7 +72,7 @@
 
 TEST_F(IndexUpdateTest, BlockStoredAfterRemovalStays) {
   Store({1, 2});
-  publisher_.Removed("w", {1, 2});
+  publisher_.AddRemoved("w", {1, 2});
   Store({1});
   for (const IndexUpdate& update : TakeSent()) Receive(update);
   EXPECT_EQ(blocks(), 1u);
@@ -81,7 +81,7 @@
 TEST_F(IndexUpdateTest, BlockRemovedAfterStoreIsGone) {
   Extent extent = MakeExtent("w", MakeVersion(100, 0), seed_);
   extent.set_block_hashes(PackBlocks({1, 2}));
-  publisher_.Stored("w", extent);
+  publisher_.AddStored("w", extent);
   Remove({2});
   const auto updates = TakeSent();
   EXPECT_EQ(updates.size(), 1u);
@@ -134,7 +134,7 @@
 // Separate messages to each gateway for each removal took most of the processor time of a gateway
 // in a fleet of 77.
 TEST_F(IndexUpdateTest, RemovalsAreBatched) {
-  for (BlockHash block = 1; block <= 30; ++block) publisher_.Removed("w", {block});
+  for (BlockHash block = 1; block <= 30; ++block) publisher_.AddRemoved("w", {block});
   fakes_.timers.Advance(milliseconds(60));
   EXPECT_EQ(TakeSent().size(), 1u);
 }
@@ -169,14 +169,14 @@
 
 TEST_F(IndexUpdateTest, PreviousLeaseHolderIsFenced) {
   Store({1});
-  const auto former = TakeSent();
+  const auto previous = TakeSent();
   fleet_.fleet.mutable_leases(0)->set_fencing_token(40);  // known from the control state
-  Receive(former[0]);
+  Receive(previous[0]);
   EXPECT_EQ(blocks(), 0u);
   publisher_.Begin("w", 100, 50);  // known from the new lease holder only
   Store({2});
   Receive(TakeSent()[0], 2);
-  IndexUpdate late = former[0];
+  IndexUpdate late = previous[0];
   late.set_fencing_token(45);
   Receive(late);
   EXPECT_EQ(blocks(), 1u);
--- a/src/posthatch/index/replication/index_update_fanout.cc
+++ b/src/posthatch/index/replication/index_update_fanout.cc
@@ -35,7 +35,7 @@
 
 const IndexPeer& IndexUpdateFanout::RelayFor(const std::string& holder,
                                              std::vector<IndexPeer>* zone) const {
-  const auto sort_by_hash = [zone](uint64_t seed, size_t count) {
+  const auto select_by_hash = [zone](uint64_t seed, size_t count) {
     const auto rank = [seed](const IndexPeer& peer) {
       return XXH3_64bits_withSeed(peer.node_id.data(), peer.node_id.size(), seed);
     };
@@ -45,8 +45,8 @@
     zone->resize(count);
   };
   // Selects the relays of the zone, the same for all workers, and then one of them for this worker.
-  sort_by_hash(0, std::max<size_t>(1, zone->size() / options_.gateways_per_relay));
-  sort_by_hash(XXH3_64bits(holder.data(), holder.size()), 1);
+  select_by_hash(0, std::max<size_t>(1, zone->size() / options_.gateways_per_relay));
+  select_by_hash(XXH3_64bits(holder.data(), holder.size()), 1);
   return zone->front();
 }
 
@@ -67,9 +67,9 @@
 }
 
 void IndexUpdateFanout::Forward(uint64_t from_incarnation, const IndexUpdate& update) {
-  RelayedUpdate* waiting = pending_.add_updates();
-  waiting->set_from_incarnation(from_incarnation);
-  *waiting->mutable_update() = update;
+  RelayedUpdate* relayed_update = pending_.add_updates();
+  relayed_update->set_from_incarnation(from_incarnation);
+  *relayed_update->mutable_update() = update;
   ++relayed_;
   if (relay_timer_.running()) return;
   const std::vector<IndexPeer> peers = peers_();
--- a/src/posthatch/index/replication/index_update_publisher.cc
+++ b/src/posthatch/index/replication/index_update_publisher.cc
@@ -13,7 +13,7 @@
     : runtime_(runtime),
       options_(options),
       fanout_(fanout),
-      allowance_(options.burst_bytes),
+      available_bytes_(options.burst_bytes),
       refilled_at_(runtime->clock->Now()),
       batch_timer_(runtime->timers) {}
 
@@ -26,7 +26,7 @@
   state.pending_update.set_fencing_token(fencing_token);
 }
 
-void IndexUpdatePublisher::Stored(const std::string& holder, const Extent& extent) {
+void IndexUpdatePublisher::AddStored(const std::string& holder, const Extent& extent) {
   const auto found = holders_.find(holder);
   if (found == holders_.end()) return;
   Holder& state = found->second;
@@ -38,7 +38,8 @@
   StartBatch();
 }
 
-void IndexUpdatePublisher::Removed(const std::string& holder, absl::Span<const BlockHash> blocks) {
+void IndexUpdatePublisher::AddRemoved(const std::string& holder,
+                                      absl::Span<const BlockHash> blocks) {
   const auto found = holders_.find(holder);
   if (found == holders_.end()) return;
   found->second.removed.insert(blocks.begin(), blocks.end());
@@ -56,7 +57,8 @@
 void IndexUpdatePublisher::Refill() {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   const double seconds = std::chrono::duration<double>(now - refilled_at_).count();
-  allowance_ = std::min(allowance_ + seconds * options_.bytes_per_second, options_.burst_bytes);
+  available_bytes_ =
+      std::min(available_bytes_ + seconds * options_.bytes_per_second, options_.burst_bytes);
   refilled_at_ = now;
 }
 
@@ -72,19 +74,19 @@
   IndexUpdate& update = holder->pending_update;
   update.set_removed(PackBlocks(std::vector(holder->removed.begin(), holder->removed.end())));
   holder->removed.clear();
-  if (static_cast<double>(update.ByteSizeLong()) > allowance_) {
+  if (static_cast<double>(update.ByteSizeLong()) > available_bytes_) {
     for (const Extent& extent : update.stored()) {
       stats_.stored_blocks_dropped += extent.block_hashes().size() / sizeof(BlockHash);
     }
     update.clear_stored();
   }
-  if (static_cast<double>(update.ByteSizeLong()) > allowance_) {
+  if (static_cast<double>(update.ByteSizeLong()) > available_bytes_) {
     ++stats_.updates_skipped;
     ++holder->last_update;
   } else if (update.stored_size() > 0 || !update.removed().empty()) {
     update.set_update(++holder->last_update);
     const size_t bytes = fanout_->Send(update);
-    allowance_ -= static_cast<double>(bytes);
+    available_bytes_ -= static_cast<double>(bytes);
     ++stats_.updates_sent;
     stats_.bytes_sent += bytes * fanout_->recipients();
   }
--- a/src/posthatch/index/replication/index_update_publisher.h
+++ b/src/posthatch/index/replication/index_update_publisher.h
@@ -46,8 +46,8 @@
   void Begin(const std::string& holder, uint64_t epoch, uint64_t fencing_token);
   void End(const std::string& holder) { holders_.erase(holder); }
   // Add blocks that the holder has stored or removed. Ignored without Begin.
-  void Stored(const std::string& holder, const Extent& extent);
-  void Removed(const std::string& holder, absl::Span<const BlockHash> blocks);
+  void AddStored(const std::string& holder, const Extent& extent);
+  void AddRemoved(const std::string& holder, absl::Span<const BlockHash> blocks);
 
   const IndexUpdatePublisherStats& stats() const { return stats_; }
 
@@ -71,7 +71,7 @@
   const IndexUpdatePublisherOptions options_;
   IndexUpdateFanout* const fanout_;
   absl::btree_map<std::string, Holder> holders_;
-  double allowance_;
+  double available_bytes_;
   runtime::MonotonicTime refilled_at_;
   runtime::Timer batch_timer_;
   IndexUpdatePublisherStats stats_;
--- a/src/posthatch/index/replication/index_update_receiver.cc
+++ b/src/posthatch/index/replication/index_update_receiver.cc
@@ -132,13 +132,14 @@
 
 void IndexUpdateReceiver::RemoveFromPending(const std::string& holder,
                                             const std::vector<BlockHash>& removed) {
-  const absl::flat_hash_set<BlockHash> gone(removed.begin(), removed.end());
+  const absl::flat_hash_set<BlockHash> removed_set(removed.begin(), removed.end());
   for (PendingExtent& pending : pending_) {
     if (pending.extent.holder() != holder) continue;
     std::vector<BlockHash>& blocks = pending.blocks;
-    blocks.erase(std::remove_if(blocks.begin(), blocks.end(),
-                                [&gone](BlockHash block) { return gone.contains(block); }),
-                 blocks.end());
+    blocks.erase(
+        std::remove_if(blocks.begin(), blocks.end(),
+                       [&removed_set](BlockHash block) { return removed_set.contains(block); }),
+        blocks.end());
   }
 }
 
--- a/src/posthatch/index/trusted_prefix_locator-test.cc
+++ b/src/posthatch/index/trusted_prefix_locator-test.cc
@@ -20,11 +20,11 @@
     trust_.versions["tenant/t"] = MakeVersion(9, 0);
     locator_.RecordDispatch(shared_, chain_, "w", 100);
   }
-  size_t Found(const BlockSeed& seed) { return locator_.Locate(seed, chain_).size(); }
+  size_t CountHolders(const BlockSeed& seed) { return locator_.Locate(seed, chain_).size(); }
 
   FakeTrust trust_;
-  bool may_decide_ = true;
-  TrustedPrefixLocator locator_{{1 << 20, [this] { return may_decide_; }}, &trust_};
+  bool has_session_lease_ = true;
+  TrustedPrefixLocator locator_{{1 << 20, [this] { return has_session_lease_; }}, &trust_};
   const BlockSeed shared_{"m", 3, "", 8};
   const std::vector<BlockHash> chain_ = {11, 12, 13};
 };
@@ -39,33 +39,33 @@
 
 TEST_F(TrustedPrefixLocatorTest, ChannelTimeoutSuspendsTrust) {
   trust_.timed_out = true;
-  EXPECT_EQ(Found(shared_), 0u);
+  EXPECT_EQ(CountHolders(shared_), 0u);
   trust_.timed_out = false;
-  EXPECT_EQ(Found(shared_), 1u);
+  EXPECT_EQ(CountHolders(shared_), 1u);
 }
 
-TEST_F(TrustedPrefixLocatorTest, LossWithinTheEpochUntrusts) {
+TEST_F(TrustedPrefixLocatorTest, LossWithinEpochEndsTrust) {
   trust_.versions["worker/w"] = MakeVersion(100, 3);
-  EXPECT_EQ(Found(shared_), 0u);
+  EXPECT_EQ(CountHolders(shared_), 0u);
   locator_.OnObjectChanged("worker/w");
   EXPECT_EQ(locator_.index_stats().blocks, 0u);
 }
 
-TEST_F(TrustedPrefixLocatorTest, NewEpochUntrusts) {
+TEST_F(TrustedPrefixLocatorTest, NewEpochEndsTrust) {
   trust_.versions["worker/w"] = MakeVersion(101, 0);
-  EXPECT_EQ(Found(shared_), 0u);
+  EXPECT_EQ(CountHolders(shared_), 0u);
 }
 
-TEST_F(TrustedPrefixLocatorTest, NewRevisionUntrusts) {
+TEST_F(TrustedPrefixLocatorTest, NewRevisionEndsTrust) {
   trust_.versions["model/m"] = MakeVersion(4, 0);
-  EXPECT_EQ(Found(shared_), 0u);
+  EXPECT_EQ(CountHolders(shared_), 0u);
   locator_.OnObjectChanged("model/m");
   EXPECT_EQ(locator_.index_stats().blocks, 0u);
 }
 
-TEST_F(TrustedPrefixLocatorTest, NewIsolationGenerationUntrusts) {
+TEST_F(TrustedPrefixLocatorTest, NewIsolationGenerationEndsTrust) {
   trust_.versions["tenant/"] = MakeVersion(20, 0);
-  EXPECT_EQ(Found(shared_), 0u);
+  EXPECT_EQ(CountHolders(shared_), 0u);
 }
 
 // Where dispatches carry revision and salt, entries of workers that a rollout has not reached stay
@@ -77,7 +77,7 @@
     trust_.versions["model/m"] = MakeVersion(revision, 0);
     locator_.OnObjectChanged("model/m");
   }
-  size_t Found(const BlockSeed& seed) { return locator_.Locate(seed, chain_).size(); }
+  size_t CountHolders(const BlockSeed& seed) { return locator_.Locate(seed, chain_).size(); }
 
   TrustedPrefixLocator locator_{
       {.budget_bytes = 1 << 20, .has_session_lease = {}, .retained_revisions = 2}, &trust_};
@@ -85,9 +85,9 @@
 
 TEST_F(RetainedRevisionsTest, OlderRevisionsStayTrusted) {
   NewRevision(4);
-  ASSERT_EQ(Found(shared_), 1u);
+  ASSERT_EQ(CountHolders(shared_), 1u);
   EXPECT_EQ(locator_.Locate(shared_, chain_)[0].model_revision, 3u);
-  EXPECT_EQ(Found({"m", 4, "", 8}), 0u);
+  EXPECT_EQ(CountHolders({"m", 4, "", 8}), 0u);
   locator_.RecordDispatch(shared_, {21, 22}, "w", 100);  // a worker that still serves 3
   EXPECT_EQ(locator_.Locate(shared_, {21, 22}).size(), 1u);
 }
@@ -96,36 +96,36 @@
   NewRevision(4);
   locator_.RecordDispatch({"m", 4, "", 8}, chain_, "w", 100);
   NewRevision(7);
-  EXPECT_EQ(Found(shared_), 0u);
-  EXPECT_EQ(Found({"m", 4, "", 8}), 1u);
+  EXPECT_EQ(CountHolders(shared_), 0u);
+  EXPECT_EQ(CountHolders({"m", 4, "", 8}), 1u);
   locator_.RecordDispatch(shared_, chain_, "w", 100);
-  EXPECT_EQ(Found(shared_), 0u);
+  EXPECT_EQ(CountHolders(shared_), 0u);
 }
 
 TEST_F(RetainedRevisionsTest, OlderRevisionsDependOnModelChannel) {
   NewRevision(4);
   trust_.timed_out = true;
-  EXPECT_EQ(Found(shared_), 0u);
+  EXPECT_EQ(CountHolders(shared_), 0u);
   trust_.timed_out = false;
-  EXPECT_EQ(Found(shared_), 1u);
+  EXPECT_EQ(CountHolders(shared_), 1u);
 }
 
 TEST_F(RetainedRevisionsTest, UnannouncedRevisionIsNotTrusted) {
-  EXPECT_EQ(Found({"m", 5, "", 8}), 0u);
+  EXPECT_EQ(CountHolders({"m", 5, "", 8}), 0u);
   locator_.RecordDispatch({"m", 5, "", 8}, chain_, "w", 100);
-  EXPECT_EQ(Found({"m", 5, "", 8}), 0u);
+  EXPECT_EQ(CountHolders({"m", 5, "", 8}), 0u);
 }
 
 // Block hashes already differ between seeds; comparing seeds also guards against collisions.
 TEST_F(TrustedPrefixLocatorTest, OtherSeedNeverMatches) {
-  EXPECT_EQ(Found({"m", 3, "t", 9}), 0u);
-  EXPECT_EQ(Found({"m", 3, "", 7}), 0u);
-  EXPECT_EQ(Found({"m", 2, "", 8}), 0u);
+  EXPECT_EQ(CountHolders({"m", 3, "t", 9}), 0u);
+  EXPECT_EQ(CountHolders({"m", 3, "", 7}), 0u);
+  EXPECT_EQ(CountHolders({"m", 2, "", 8}), 0u);
 }
 
 TEST_F(TrustedPrefixLocatorTest, FindsNothingWithoutLease) {
-  may_decide_ = false;
-  EXPECT_EQ(Found(shared_), 0u);
+  has_session_lease_ = false;
+  EXPECT_EQ(CountHolders(shared_), 0u);
 }
 
 TEST_F(TrustedPrefixLocatorTest, RecordsOnlyAtVersionOfDispatch) {
@@ -157,7 +157,7 @@
   EXPECT_EQ(holders[0].backend_id, "v");
   EXPECT_EQ(holders[1].blocks, 1u);
   locator_.DropHolder(HolderKind::kWorker, "v");
-  EXPECT_EQ(Found(shared_), 1u);
+  EXPECT_EQ(CountHolders(shared_), 1u);
 }
 
 }  // namespace
--- a/src/posthatch/index/trusted_prefix_locator.cc
+++ b/src/posthatch/index/trusted_prefix_locator.cc
@@ -187,15 +187,15 @@
   const uint64_t oldest_retained = OldestRetainedRevision(object);
   for (const GenerationId id : ids) {
     const Generation& generation = generations_.find(id)->second;
-    invalidation::ObjectVersion basis = generation.version;
+    invalidation::ObjectVersion entry_version = generation.version;
     if (object == ModelObject(generation.seed)) {
       if (generation.seed.model_revision < oldest_retained) Drop(id);
       continue;
     }
     if (object == TenantObject(generation.seed)) {
-      basis = invalidation::MakeVersion(generation.seed.isolation_generation, 0);
+      entry_version = invalidation::MakeVersion(generation.seed.isolation_generation, 0);
     }
-    if (invalidation::CompareVersions(basis, newest) < 0) Drop(id);
+    if (invalidation::CompareVersions(entry_version, newest) < 0) Drop(id);
   }
 }
 
--- a/src/posthatch/index/worker_event_reader-test.cc
+++ b/src/posthatch/index/worker_event_reader-test.cc
@@ -67,14 +67,14 @@
         absl::StrCat(R"({"epoch":)", epoch, R"(,"next":)", next, R"(,"events":[)", events, "]}"));
     fakes_.timers.Advance(milliseconds(1));
   }
-  static std::string Stored(uint64_t seq, const std::string& blocks) {
+  static std::string StoredEvent(uint64_t seq, const std::string& blocks) {
     return absl::StrCat(R"({"seq":)", seq, R"(,"type":"stored","first":0,"blocks":[)", blocks,
                         "]}");
   }
-  static std::string Removed(uint64_t seq, const std::string& blocks) {
+  static std::string RemovedEvent(uint64_t seq, const std::string& blocks) {
     return absl::StrCat(R"({"seq":)", seq, R"(,"type":"removed","blocks":[)", blocks, "]}");
   }
-  uint32_t Located() {
+  uint32_t LocatedBlocks() {
     const auto holders = locator_.Locate(seed_, {0xa, 0xb, 0xc});
     return holders.empty() ? 0 : holders[0].blocks;
   }
@@ -106,8 +106,8 @@
 };
 
 TEST_F(WorkerEventReaderTest, AddsAndPublishesAttributedBlocks) {
-  Respond(2, Stored(1, R"("a","b")") + "," + Stored(2, R"("c")"));
-  EXPECT_EQ(Located(), 3u);
+  Respond(2, StoredEvent(1, R"("a","b")") + "," + StoredEvent(2, R"("c")"));
+  EXPECT_EQ(LocatedBlocks(), 3u);
   EXPECT_NE(fakes_.http.calls.back().target.find("after=2"), std::string::npos);
   fakes_.timers.Advance(milliseconds(60));
   ASSERT_EQ(fakes_.transport.sent.size(), 1u);
@@ -116,8 +116,8 @@
   EXPECT_EQ(message.update().fencing_token(), kToken);
   EXPECT_EQ(message.update().update(), 1u);
   EXPECT_EQ(message.update().stored_size(), 2);
-  Respond(3, Removed(3, R"("b","c")"));
-  EXPECT_EQ(Located(), 1u);
+  Respond(3, RemovedEvent(3, R"("b","c")"));
+  EXPECT_EQ(LocatedBlocks(), 1u);
   EXPECT_EQ(TakeLosses(), 0);
 }
 
@@ -126,51 +126,52 @@
   WorkerRelistTest() {
     WorkerEventFeed::Options options;
     options.format = &format_;
-    reader_with_lists_ = std::make_unique<WorkerEventReader>(
+    listing_reader_ = std::make_unique<WorkerEventReader>(
         &fakes_.runtime, options,
         WorkerEventReader::Dependencies{&fleet_, &trust_, &reporter_, &publisher_, &attributions_,
                                         &locator_});
-    reader_with_lists_->FollowFleet(fleet_.fleet);
+    listing_reader_->FollowFleet(fleet_.fleet);
     Respond(0, "");
-    Respond(2, Stored(1, R"("a","b")") + "," + Stored(2, R"("c")"));
+    Respond(2, StoredEvent(1, R"("a","b")") + "," + StoredEvent(2, R"("c")"));
   }
-  void Lose() { Respond(9, R"({"seq":9,"type":"lost"})"); }
-  bool AsksForAList() const { return fakes_.http.calls.back().target == "/list"; }
+  void RespondWithLoss() { Respond(9, R"({"seq":9,"type":"lost"})"); }
+  bool IsListRequested() const { return fakes_.http.calls.back().target == "/list"; }
 
   const ListingFormat format_;
-  std::unique_ptr<WorkerEventReader> reader_with_lists_;
+  std::unique_ptr<WorkerEventReader> listing_reader_;
 };
 
 TEST_F(WorkerRelistTest, ListRestoresTrustAfterLoss) {
-  EXPECT_EQ(Located(), 3u);
-  Lose();
+  EXPECT_EQ(LocatedBlocks(), 3u);
+  RespondWithLoss();
   EXPECT_EQ(TakeLosses(), 1);
-  EXPECT_EQ(Located(), 0u);
-  EXPECT_FALSE(AsksForAList()) << "the loss is not in force yet: what is read now won't be trusted";
+  EXPECT_EQ(LocatedBlocks(), 0u);
+  EXPECT_FALSE(IsListRequested())
+      << "the loss is not in force yet: what is read now won't be trusted";
   trust_.versions[kWorker] = MakeVersion(100, 1);
   Respond(9, "");
-  ASSERT_TRUE(AsksForAList());
+  ASSERT_TRUE(IsListRequested());
   fakes_.http.Respond("9 a b");
   fakes_.timers.Advance(milliseconds(1));
-  EXPECT_EQ(Located(), 2u);
+  EXPECT_EQ(LocatedBlocks(), 2u);
   EXPECT_NE(fakes_.http.calls.back().target.find("after=9"), std::string::npos);
 }
 
 TEST_F(WorkerRelistTest, MalformedListIsIgnored) {
-  Lose();
+  RespondWithLoss();
   trust_.versions[kWorker] = MakeVersion(100, 1);
   Respond(9, "");
-  ASSERT_TRUE(AsksForAList());
+  ASSERT_TRUE(IsListRequested());
   fakes_.http.Respond("");
   fakes_.timers.Advance(milliseconds(1));
-  EXPECT_EQ(Located(), 0u);
-  EXPECT_FALSE(AsksForAList());
-  Respond(10, Stored(10, R"("a")"));
-  EXPECT_EQ(Located(), 1u);
+  EXPECT_EQ(LocatedBlocks(), 0u);
+  EXPECT_FALSE(IsListRequested());
+  Respond(10, StoredEvent(10, R"("a")"));
+  EXPECT_EQ(LocatedBlocks(), 1u);
 }
 
 TEST_F(WorkerRelistTest, ListsAreRateLimited) {
-  Lose();
+  RespondWithLoss();
   trust_.versions[kWorker] = MakeVersion(100, 1);
   Respond(9, "");
   fakes_.http.Respond("9 a");
@@ -178,10 +179,10 @@
   Respond(19, R"({"seq":19,"type":"lost"})");
   trust_.versions[kWorker] = MakeVersion(100, 2);
   Respond(19, "");
-  EXPECT_FALSE(AsksForAList());
+  EXPECT_FALSE(IsListRequested());
   fakes_.timers.Advance(seconds(2));
   Respond(19, "");
-  EXPECT_TRUE(AsksForAList());
+  EXPECT_TRUE(IsListRequested());
 }
 
 TEST_F(WorkerEventReaderTest, SaltAttributesWithoutDispatch) {
@@ -195,7 +196,7 @@
 
 TEST_F(WorkerEventReaderTest, UnattributedBlocksAreNeverAdded) {
   attributions_.RecordAttempt("n1", seed_);
-  Respond(2, Stored(1, R"("a","dead")") + "," + Stored(2, R"("beef")"));
+  Respond(2, StoredEvent(1, R"("a","dead")") + "," + StoredEvent(2, R"("beef")"));
   EXPECT_EQ(locator_.index_stats().blocks, 1u);
   Respond(3, R"({"seq":3,"type":"stored","first":0,"blocks":["d"],"attempt":"n1"})");
   EXPECT_EQ(locator_.index_stats().blocks, 2u);
@@ -204,8 +205,8 @@
 }
 
 TEST_F(WorkerEventReaderTest, EventsWaitForDispatchReportUnlessRemoved) {
-  Respond(2, Stored(1, R"("e")") + "," + Stored(2, R"("f")"));
-  Respond(3, Removed(3, R"("f")"));
+  Respond(2, StoredEvent(1, R"("e")") + "," + StoredEvent(2, R"("f")"));
+  Respond(3, RemovedEvent(3, R"("f")"));
   attributions_.RecordBlocks(seed_, {{0xe, 0xf}});
   fakes_.timers.Advance(milliseconds(150));
   EXPECT_EQ(locator_.Locate(seed_, {0xe}).size(), 1u);
@@ -213,59 +214,61 @@
 }
 
 TEST_F(WorkerEventReaderTest, MissingNumberIsLossAfterReorderWindow) {
-  Respond(3, Stored(1, R"("a")") + "," + Stored(3, R"("b")"));
+  Respond(3, StoredEvent(1, R"("a")") + "," + StoredEvent(3, R"("b")"));
   EXPECT_EQ(TakeLosses(), 0);
   fakes_.timers.Advance(milliseconds(600));
   EXPECT_EQ(TakeLosses(), 1);
-  EXPECT_EQ(Located(), 0u);
+  EXPECT_EQ(LocatedBlocks(), 0u);
 }
 
 TEST_F(WorkerEventReaderTest, EventsUpToNextCountAsMissing) {
-  Respond(4, Stored(1, R"("a")"));
+  Respond(4, StoredEvent(1, R"("a")"));
   fakes_.timers.Advance(milliseconds(600));
   EXPECT_EQ(TakeLosses(), 1);
 }
 
 TEST_F(WorkerEventReaderTest, ReorderedAndDuplicateEventsAreNoLoss) {
-  Respond(3, Stored(1, R"("a")") + "," + Removed(3, R"("c")") + "," + Stored(3, R"("c")"));
-  Respond(4, Stored(4, R"("b")") + "," + Removed(2, R"("a")") + "," + Stored(1, R"("a")"));
+  Respond(3, StoredEvent(1, R"("a")") + "," + RemovedEvent(3, R"("c")") + "," +
+                 StoredEvent(3, R"("c")"));
+  Respond(4, StoredEvent(4, R"("b")") + "," + RemovedEvent(2, R"("a")") + "," +
+                 StoredEvent(1, R"("a")"));
   fakes_.timers.Advance(milliseconds(600));
   EXPECT_EQ(TakeLosses(), 0);
-  EXPECT_EQ(Located(), 0u) << "the delayed removal is applied, the duplicate store is not";
+  EXPECT_EQ(LocatedBlocks(), 0u) << "the delayed removal is applied, the duplicate store is not";
 }
 
 TEST_F(WorkerEventReaderTest, DelayedStoredEventsAddNothing) {
-  Respond(2, Removed(2, R"("a")"));
-  Respond(3, Stored(3, R"("b")") + "," + Stored(1, R"("a")"));
-  EXPECT_EQ(Located(), 0u);
+  Respond(2, RemovedEvent(2, R"("a")"));
+  Respond(3, StoredEvent(3, R"("b")") + "," + StoredEvent(1, R"("a")"));
+  EXPECT_EQ(LocatedBlocks(), 0u);
 }
 
 TEST_F(WorkerEventReaderTest, LostMarkIsLoss) {
-  Respond(1, Stored(1, R"("a")"));
-  EXPECT_EQ(Located(), 1u);
+  Respond(1, StoredEvent(1, R"("a")"));
+  EXPECT_EQ(LocatedBlocks(), 1u);
   Respond(9, R"({"seq":9,"type":"lost"})");
   EXPECT_EQ(TakeLosses(), 1);
-  EXPECT_EQ(Located(), 0u);
+  EXPECT_EQ(LocatedBlocks(), 0u);
   fakes_.timers.Advance(milliseconds(600));
   EXPECT_EQ(TakeLosses(), 0) << "reported once";
 }
 
 TEST_F(WorkerEventReaderTest, NewEpochIsReportedAndDropsEntries) {
-  Respond(1, Stored(1, R"("a")"));
+  Respond(1, StoredEvent(1, R"("a")"));
   TakeLosses();
-  Respond(1, Stored(1, R"("b")"), /*epoch=*/200);
+  Respond(1, StoredEvent(1, R"("b")"), /*epoch=*/200);
   ASSERT_EQ(control_.commands.size(), 1u);
   EXPECT_EQ(control_.commands[0].observe_object().epoch(), 200u);
-  EXPECT_EQ(Located(), 0u);
+  EXPECT_EQ(LocatedBlocks(), 0u);
   trust_.versions[kWorker] = MakeVersion(200, 0);
   fakes_.timers.Advance(milliseconds(1));
   Respond(1, "", 200);
-  Respond(2, Stored(2, R"("a")"), 200);
-  EXPECT_EQ(Located(), 1u);
+  Respond(2, StoredEvent(2, R"("a")"), 200);
+  EXPECT_EQ(LocatedBlocks(), 1u);
 }
 
 TEST_F(WorkerEventReaderTest, UnresponsiveWorkerLosesTrustOnce) {
-  Respond(1, Stored(1, R"("a")"));
+  Respond(1, StoredEvent(1, R"("a")"));
   for (int i = 0; i < 40; ++i) {
     fakes_.http.Fail();
     fakes_.timers.Advance(milliseconds(260));
@@ -275,13 +278,13 @@
 
 TEST_F(WorkerEventReaderTest, ResponsesAfterLeaseLossAreIgnored) {
   fleet_.lease_valid = false;
-  Respond(1, Stored(1, R"("a")"));
+  Respond(1, StoredEvent(1, R"("a")"));
   EXPECT_EQ(locator_.index_stats().blocks, 0u);
   EXPECT_EQ(reader_.stats().stored_blocks, 0u);
 }
 
 TEST_F(WorkerEventReaderTest, LossWithoutLeaseIsReportedOnReturn) {
-  Respond(2, Stored(2, R"("a")"));
+  Respond(2, StoredEvent(2, R"("a")"));
   fleet_.lease_valid = false;
   fakes_.timers.Advance(milliseconds(600));
   EXPECT_EQ(TakeLosses(), 0);
--- a/src/posthatch/index/worker_event_reader.cc
+++ b/src/posthatch/index/worker_event_reader.cc
@@ -65,7 +65,7 @@
 void WorkerEventReader::StartFeed(const std::string& worker, const std::string& endpoint,
                                   uint64_t fencing_token) {
   WorkerEventFeedOwner* owner = this;
-  Feed& feed = feeds_[worker];
+  LeasedFeed& feed = feeds_[worker];
   feed.fencing_token = fencing_token;
   feed.feed = std::make_unique<WorkerEventFeed>(runtime_, options_, worker, endpoint,
                                                 dependencies_.trust, owner);
@@ -99,7 +99,7 @@
   if (event.type == KvEvent::Type::kRemoved) {
     stats_.removed_blocks += event.blocks.size();
     dependencies_.locator->Remove(HolderKind::kWorker, worker, event.blocks);
-    dependencies_.publisher->Removed(worker, event.blocks);
+    dependencies_.publisher->AddRemoved(worker, event.blocks);
     DropUnattributed(worker, event.blocks);
     return;
   }
@@ -118,37 +118,38 @@
 
 void WorkerEventReader::DropUnattributed(const std::string& worker,
                                          const std::vector<BlockHash>& removed) {
-  const absl::flat_hash_set<BlockHash> gone(removed.begin(), removed.end());
+  const absl::flat_hash_set<BlockHash> removed_set(removed.begin(), removed.end());
   for (Unattributed& pending : unattributed_) {
     if (pending.worker != worker) continue;
     std::vector<BlockHash>& blocks = pending.event.blocks;
-    blocks.erase(std::remove_if(blocks.begin(), blocks.end(),
-                                [&gone](BlockHash block) { return gone.contains(block); }),
-                 blocks.end());
+    blocks.erase(
+        std::remove_if(blocks.begin(), blocks.end(),
+                       [&removed_set](BlockHash block) { return removed_set.contains(block); }),
+        blocks.end());
   }
 }
 
 std::vector<BlockHash> WorkerEventReader::Attribute(const KvEvent& event, BlockSeed* seed) const {
   if (!event.attempt.empty()) {
-    const BlockSeed* of_attempt = dependencies_.attributions->FindAttempt(event.attempt);
-    if (of_attempt != nullptr) {
-      *seed = *of_attempt;
+    const BlockSeed* attempt_seed = dependencies_.attributions->FindAttempt(event.attempt);
+    if (attempt_seed != nullptr) {
+      *seed = *attempt_seed;
       return event.blocks;
     }
   }
-  const BlockSeed* of_salt =
+  const BlockSeed* salt_seed =
       event.salt.empty() ? nullptr : dependencies_.attributions->FindSalt(event.salt);
-  if (of_salt != nullptr) {
-    *seed = *of_salt;
+  if (salt_seed != nullptr) {
+    *seed = *salt_seed;
     return event.blocks;
   }
   std::vector<BlockHash> attributed;
   const BlockSeed* first = nullptr;
   for (const BlockHash block : event.blocks) {
-    const BlockSeed* of_block = dependencies_.attributions->FindBlock(block);
-    if (of_block == nullptr) continue;
-    if (first == nullptr) first = of_block;
-    if (of_block == first) attributed.push_back(block);
+    const BlockSeed* block_seed = dependencies_.attributions->FindBlock(block);
+    if (block_seed == nullptr) continue;
+    if (first == nullptr) first = block_seed;
+    if (block_seed == first) attributed.push_back(block);
   }
   if (first != nullptr) *seed = *first;
   return attributed;
@@ -167,7 +168,7 @@
   Extent extent = MakeExtent(worker, version, seed);
   extent.set_block_hashes(PackBlocks(blocks));
   extent.set_first_block(event.first);
-  dependencies_.publisher->Stored(worker, extent);
+  dependencies_.publisher->AddStored(worker, extent);
   return true;
 }
 
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -55,7 +55,7 @@
   const WorkerEventReaderStats& stats() const { return stats_; }
 
  private:
-  struct Feed {
+  struct LeasedFeed {
     uint64_t fencing_token = 0;
     std::unique_ptr<WorkerEventFeed> feed;
   };
@@ -85,7 +85,7 @@
   runtime::Runtime* const runtime_;
   const WorkerEventFeed::Options options_;
   const Dependencies dependencies_;
-  absl::btree_map<std::string, Feed> feeds_;
+  absl::btree_map<std::string, LeasedFeed> feeds_;
   std::deque<Unattributed> unattributed_;
   runtime::Timer retry_timer_;
   WorkerEventReaderStats stats_;
