--- a/src/posthatch/index/attribution_table.h
+++ b/src/posthatch/index/attribution_table.h
@@ -37,7 +37,7 @@
   SeedId Intern(const BlockSeed& seed);
 
   const size_t max_blocks_;
-  // One for each model revision and isolation domain in use, so only a few.
+  // Holds one seed for each model revision and isolation domain in use, so only a few.
   std::vector<BlockSeed> seeds_;
   absl::flat_hash_map<std::string, SeedId> seed_ids_;  // keyed by cache salt
   absl::flat_hash_map<BlockHash, SeedId> blocks_;
--- a/src/posthatch/index/replication/index_update_fanout.h
+++ b/src/posthatch/index/replication/index_update_fanout.h
@@ -22,7 +22,7 @@
   std::string zone;  // zone of this gateway
   // A zone with fewer gateways gets updates directly: there a relay saves little and may fail.
   size_t min_gateways_for_relay = 16;
-  // One of this many gateways in a zone is a relay: few, so that each forwards large batches.
+  // Gateways of a zone for each of its relays: few relays, so that each forwards large batches.
   size_t gateways_per_relay = 4;
   // How long a relay batches updates with up to `gateways_at_period` gateways in its zone; longer
   // in proportion in a larger zone.
--- a/src/posthatch/index/trusted_prefix_locator.h
+++ b/src/posthatch/index/trusted_prefix_locator.h
@@ -13,6 +13,8 @@
 
 namespace posthatch::index {
 
+// A cache holder is a backend that has cached blocks; not to be confused with the holder of a
+// lease.
 enum class HolderKind { kWorker, kStore };
 
 // "worker/<id>" or "store/<id>": the object on whose version a holder's entries depend.
--- a/src/posthatch/index/worker_event_feed.cc
+++ b/src/posthatch/index/worker_event_feed.cc
@@ -159,7 +159,7 @@
   missing_.CountEvent();
   const uint64_t seq = event.seq;
   if (event.type == KvEvent::Type::kLost) {
-    // All events up to `seq` are accounted for by this one loss.
+    // This one loss accounts for all events up to `seq`.
     last_seq_read_ = std::max(last_seq_read_, seq);
     missing_.RemoveUpTo(seq);
     ReportLoss(EventLoss::kLostMark);
