--- a/src/posthatch/index/index_fleet-test.cc
+++ b/src/posthatch/index/index_fleet-test.cc
@@ -24,7 +24,7 @@
 using std::chrono::seconds;
 
 constexpr runtime::Duration kSessionLease = seconds(4);
-constexpr runtime::Duration kSettle = seconds(5);
+constexpr runtime::Duration kSettleTime = seconds(5);
 constexpr size_t kChainBlocks = 8;
 constexpr size_t kWorkerCapacity = 30;  // blocks
 
@@ -389,7 +389,7 @@
       worker.fault_probability = 0;
       worker.EmitEvent(random, "removed", {0});
     }
-    RunFor(kSettle);
+    RunFor(kSettleTime);
     Check(/*settled=*/true);
   }
   EXPECT_GT(examined_, 5000u);
--- a/src/posthatch/index/replication/index_relay-test.cc
+++ b/src/posthatch/index/replication/index_relay-test.cc
@@ -165,17 +165,17 @@
   AddZones(2, 20);
   for (int holder = 0; holder < 100; ++holder) Send(0, absl::StrCat("w", holder), 1);
   world_.RunFor(seconds(1));
-  int most = 0;
+  int max_forwarded = 0;
   std::map<std::string, int> relays;
   for (const SimHost* host : hosts_) {
-    most = std::max(most, Gateway(host)->forwarded);
+    max_forwarded = std::max(max_forwarded, Gateway(host)->forwarded);
     if (Gateway(host)->forwarded > 0) ++relays[host->zone()];
   }
   EXPECT_EQ(TotalForwarded(), 2 * 100);
   EXPECT_LE(relays["z0"], 5);
   EXPECT_GE(relays["z0"], 3);
   EXPECT_EQ(relays["z1"], 5);
-  EXPECT_LT(most, 50) << "the average is 20";
+  EXPECT_LT(max_forwarded, 50) << "the average is 20";
 }
 
 }  // namespace
--- a/src/posthatch/index/replication/index_update-test.cc
+++ b/src/posthatch/index/replication/index_update-test.cc
@@ -176,9 +176,9 @@
   publisher_.Begin("w", 100, 50);  // known from the new lease holder only
   Store({2});
   Receive(TakeSent()[0], 2);
-  IndexUpdate late = previous[0];
-  late.set_fencing_token(45);
-  Receive(late);
+  IndexUpdate delayed = previous[0];
+  delayed.set_fencing_token(45);
+  Receive(delayed);
   EXPECT_EQ(blocks(), 1u);
   EXPECT_EQ(receiver_.stats().fenced, 2u);
 }
