--- a/src/posthatch/index/observation_reporter.cc
+++ b/src/posthatch/index/observation_reporter.cc
@@ -37,8 +37,9 @@
 void ObservationReporter::Send(const std::string& object) {
   State* state = objects_.find(object)->second.get();
   if (state->request_id.empty()) {
-    state->request_id = absl::StrCat("observe/", runtime_->transport->node_id(), "/",
-                                     runtime_->transport->incarnation(), "/", ++last_number_);
+    state->request_id =
+        absl::StrCat("observe/", runtime_->transport->node_id(), "/",
+                     runtime_->transport->incarnation(), "/", ++last_request_number_);
   }
   control::Command command;
   command.set_request_id(state->request_id);
@@ -61,7 +62,7 @@
   if (found == objects_.end() || found->second->request_id != request_id) return;
   State* state = found->second.get();
   if (!accepted) {
-    // It may have been applied: the same request id makes a repetition harmless.
+    // The proposal may have been applied: the same request id makes the retry idempotent.
     state->retry_timer.Start(kRetryDelay, [this, object] { Send(object); });
     return;
   }
--- a/src/posthatch/index/prefix_index.cc
+++ b/src/posthatch/index/prefix_index.cc
@@ -9,19 +9,19 @@
 namespace posthatch::index {
 namespace {
 
-// A segment is rebuilt when it is filled to kMaxFill, with room for kGrowth more. So the fill is
-// between kMaxFill / kGrowth and kMaxFill: 16 to 20 bytes a block.
+// A segment that is filled to kMaxFill is rebuilt kGrowth times as large, so the fill stays between
+// kMaxFill / kGrowth and kMaxFill: 16 to 20 bytes per block.
 constexpr double kMaxFill = 0.82;
 constexpr double kGrowth = 1.2;
 // Fraction of the slots that is filled after an eviction.
 constexpr double kFillAfterEviction = 0.74;
 constexpr uint8_t kInsertedRecency = 1;
 constexpr uint8_t kUsedRecency = 3;
-// Insertions prefetch the bucket of the block so far ahead of the one they place.
+// Insertions prefetch the bucket of the block this many positions ahead of the current one.
 constexpr size_t kPrefetchDistance = 12;
-// Blocks that a step of the search probes: prefetched together, they cost one memory latency.
+// Blocks that one search step probes; prefetched together, they cost one memory latency.
 constexpr uint32_t kProbesPerStep = 4;
-// Dropped blocks are swept when they are more than one in so many of all.
+// Dropped blocks are swept when they exceed 1 / kSweepDivisor of all blocks.
 constexpr uint64_t kSweepDivisor = 16;
 
 }  // namespace
@@ -34,7 +34,7 @@
 PrefixIndex::~PrefixIndex() = default;
 
 PrefixIndex::GenerationId PrefixIndex::OpenGeneration() {
-  GenerationId id;  // NOLINT(cppcoreguidelines-init-variables): set on both ways below
+  GenerationId id;  // NOLINT(cppcoreguidelines-init-variables): set in both branches below
   if (free_generations_.empty()) {
     id = static_cast<GenerationId>(generations_.size());
     generations_.emplace_back();
@@ -55,7 +55,7 @@
   if (dropped.blocks == 0) free_generations_.push_back(generation);
 }
 
-void PrefixIndex::Release(GenerationId generation) {
+void PrefixIndex::ReleaseSlot(GenerationId generation) {
   Generation& owner = generations_[generation];
   --owner.blocks;
   if (owner.live) {
@@ -73,12 +73,12 @@
   }
 }
 
-void PrefixIndex::Fill(Segment* segment, Bucket* bucket, size_t slot, GenerationId generation,
-                       BlockHash hash) {
+void PrefixIndex::FillSlot(Segment* segment, Bucket* bucket, size_t slot, GenerationId generation,
+                           BlockHash hash) {
   if (bucket->generations[slot] == kNoGeneration) {
     ++segment->used_slots;
   } else {
-    Release(bucket->generations[slot]);
+    ReleaseSlot(bucket->generations[slot]);
   }
   bucket->hashes[slot] = hash;
   bucket->generations[slot] = generation;
@@ -91,12 +91,12 @@
   Segment& segment = SegmentOf(hash);
   const size_t slots = size_t{segment.bucket_count} * kSlotsPerBucket;
   if (segment.used_slots >= static_cast<size_t>(static_cast<double>(slots) * kMaxFill)) {
-    MakeRoom(&segment);
+    GrowOrEvict(&segment);
   }
   Bucket* free_bucket = nullptr;
   size_t free_slot = 0;
   size_t holders = 0;
-  size_t index = HomeOf(segment, hash);
+  size_t index = HomeBucketIndex(segment, hash);
   for (size_t step = 0; step < segment.bucket_count; ++step) {
     Bucket& bucket = segment.buckets[index];
     for (size_t slot = 0; slot < kSlotsPerBucket; ++slot) {
@@ -111,7 +111,7 @@
           return;
         }
         if (++holders == kMaxHoldersPerBlock) {
-          Fill(&segment, &bucket, slot, generation, hash);
+          FillSlot(&segment, &bucket, slot, generation, hash);
           return;
         }
       }
@@ -122,20 +122,20 @@
     }
     index = index + 1 == segment.bucket_count ? 0 : index + 1;
   }
-  if (free_bucket != nullptr) Fill(&segment, free_bucket, free_slot, generation, hash);
+  if (free_bucket != nullptr) FillSlot(&segment, free_bucket, free_slot, generation, hash);
 }
 
 size_t PrefixIndex::Remove(BlockHash block, GenerationFilter matches) {
   Segment& segment = SegmentOf(block);
   size_t removed = 0;
-  size_t index = HomeOf(segment, block);
+  size_t index = HomeBucketIndex(segment, block);
   for (size_t step = 0; step < segment.bucket_count; ++step) {
     Bucket& bucket = segment.buckets[index];
     for (size_t slot = 0; slot < kSlotsPerBucket; ++slot) {
       if (bucket.hashes[slot] != block || IsFree(bucket, slot)) continue;
       if (!matches(bucket.generations[slot])) continue;
       generations_[bucket.generations[slot]].has_gaps = true;
-      Release(bucket.generations[slot]);
+      ReleaseSlot(bucket.generations[slot]);
       bucket.generations[slot] = kNoGeneration;
       --segment.used_slots;
       ++removed;
@@ -149,7 +149,7 @@
 template <typename Visitor>
 void PrefixIndex::VisitHolders(BlockHash hash, Visitor visit) {
   Segment& segment = SegmentOf(hash);
-  size_t index = HomeOf(segment, hash);
+  size_t index = HomeBucketIndex(segment, hash);
   for (size_t step = 0; step < segment.bucket_count; ++step) {
     Bucket& bucket = segment.buckets[index];
     for (size_t slot = 0; slot < kSlotsPerBucket; ++slot) {
@@ -164,7 +164,7 @@
 
 void PrefixIndex::Prefetch(BlockHash hash) const {
   const Segment& segment = segments_[hash >> (64 - kSegmentBits)];
-  __builtin_prefetch(&segment.buckets[HomeOf(segment, hash)], 1);
+  __builtin_prefetch(&segment.buckets[HomeBucketIndex(segment, hash)], 1);
 }
 
 PrefixIndex::Matches PrefixIndex::LongestPrefixes(absl::Span<const BlockHash> chain,
@@ -208,7 +208,8 @@
 
 void PrefixIndex::Narrow(absl::Span<const BlockHash> chain, Range range, const Matches& matches,
                          Ranges* ranges) {
-  // The last possible block and the quarters before it: their memory is prefetched together.
+  // Probes the last possible block and those a quarter of the range apart before it, prefetched
+  // together.
   std::array<uint32_t, kProbesPerStep> probes;
   const uint32_t last = range.absent - 1;
   size_t count = 0;
@@ -222,21 +223,21 @@
   }
   for (size_t i = 0; i < count; ++i) {
     const uint32_t probe = probes[i];
-    uint64_t holding = 0;
+    uint64_t matches_with_block = 0;
     VisitHolders(chain[probe], [&](GenerationId generation, Bucket* bucket, size_t slot) {
       for (size_t match = 0; match < matches.size(); ++match) {
         if (matches[match].generation != generation) continue;
-        holding |= uint64_t{1} << match;
+        matches_with_block |= uint64_t{1} << match;
         SetRecency(bucket, slot, kUsedRecency);
       }
     });
     for (size_t match = 0; match < matches.size(); ++match) {
       Range& known = (*ranges)[match];
       if (probe <= known.present || probe >= known.absent) continue;
-      ((holding >> match) & 1 ? known.present : known.absent) = probe;
+      ((matches_with_block >> match) & 1 ? known.present : known.absent) = probe;
     }
-    // Probes before the furthest block found matter for other matches only.
-    if (holding != 0 && matches.size() == 1) return;
+    // The remaining probes are at earlier blocks, which matter only if there are other matches.
+    if (matches_with_block != 0 && matches.size() == 1) return;
   }
 }
 
@@ -251,14 +252,14 @@
       if (generations_[generation].live) {
         slots.push_back({bucket.hashes[slot], generation, Recency(bucket, slot)});
       } else {
-        Release(generation);
+        ReleaseSlot(generation);
       }
     }
   }
   return slots;
 }
 
-void PrefixIndex::MakeRoom(Segment* segment) {
+void PrefixIndex::GrowOrEvict(Segment* segment) {
   std::vector<Slot> slots = ExtractLiveSlots(segment);
   const double capacity = static_cast<double>(segment->bucket_count) * kSlotsPerBucket;
   uint32_t bucket_count = segment->bucket_count;
@@ -275,14 +276,14 @@
 }
 
 void PrefixIndex::EvictDownTo(std::vector<Slot>* slots, size_t limit) {
-  // The clock algorithm, one pass a recency step: least recently used slots are evicted first.
+  // The clock algorithm, one pass per recency level: least recently used slots are evicted first.
   for (int pass = 0; pass <= kUsedRecency && slots->size() > limit; ++pass) {
     size_t retained = 0;
     for (size_t i = 0; i < slots->size(); ++i) {
       Slot& slot = (*slots)[i];
       const size_t left = slots->size() - i;
       if (slot.recency == 0 && retained + left > limit) {
-        Release(slot.generation);
+        ReleaseSlot(slot.generation);
         ++evicted_blocks_;
         continue;
       }
@@ -303,11 +304,11 @@
   segment->bucket_count = bucket_count;
   segment->used_slots = static_cast<uint32_t>(slots.size());
   bytes_ += size;
-  for (const Slot& slot : slots) PlaceNew(segment, slot);
+  for (const Slot& slot : slots) InsertSlot(segment, slot);
 }
 
-void PrefixIndex::PlaceNew(Segment* segment, const Slot& slot) {
-  size_t index = HomeOf(*segment, slot.hash);
+void PrefixIndex::InsertSlot(Segment* segment, const Slot& slot) {
+  size_t index = HomeBucketIndex(*segment, slot.hash);
   while (true) {
     Bucket& bucket = segment->buckets[index];
     for (size_t i = 0; i < kSlotsPerBucket; ++i) {
--- a/src/posthatch/index/replication/index_update_receiver.cc
+++ b/src/posthatch/index/replication/index_update_receiver.cc
@@ -12,7 +12,7 @@
 namespace posthatch::index {
 namespace {
 
-// Every gateway learns of a new version within this, or its channel has timed out.
+// Within this time every gateway receives a new version, or its channel has timed out.
 constexpr runtime::Duration kVersionWait = std::chrono::seconds(3);
 constexpr size_t kMaxPendingExtents = 16384;
 
@@ -24,7 +24,7 @@
 }
 
 HolderKind IndexUpdateReceiver::KindOf(const std::string& holder) {
-  // All extents of an update are of one holder.
+  // The last result is cached, since all extents of an update have the same holder.
   const uint64_t inventory_index = fleet_->state().inventory_index();
   if (holder == cached_holder_ && inventory_index == cached_inventory_index_) return cached_kind_;
   const control::Backend* backend = control::FindBackend(fleet_->state().inventory(), holder);
@@ -68,7 +68,7 @@
   std::vector<BlockHash> removed;
   if (update.holder().empty() || !UnpackBlocks(update.removed(), &removed)) {
     ++stats_.malformed;
-    return;  // its number stays missing, which the next update shows as a gap
+    return;  // the next update shows its missing number as a gap
   }
   if (!Admit(incarnation, update)) return;
   ++stats_.updates_applied;
@@ -132,13 +132,14 @@
 
 void IndexUpdateReceiver::RemoveFromPending(const std::string& holder,
                                             const std::vector<BlockHash>& removed) {
-  const absl::flat_hash_set<BlockHash> gone(removed.begin(), removed.end());
+  const absl::flat_hash_set<BlockHash> removed_set(removed.begin(), removed.end());
   for (PendingExtent& pending : pending_) {
     if (pending.extent.holder() != holder) continue;
     std::vector<BlockHash>& blocks = pending.blocks;
-    blocks.erase(std::remove_if(blocks.begin(), blocks.end(),
-                                [&gone](BlockHash block) { return gone.contains(block); }),
-                 blocks.end());
+    blocks.erase(
+        std::remove_if(blocks.begin(), blocks.end(),
+                       [&removed_set](BlockHash block) { return removed_set.contains(block); }),
+        blocks.end());
   }
 }
 
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -46,7 +46,7 @@
   WorkerEventReader(const WorkerEventReader&) = delete;
   WorkerEventReader& operator=(const WorkerEventReader&) = delete;
 
-  // Starts and stops feeds by the leases and endpoints of `state`.
+  // Starts and stops feeds according to the leases and endpoints of `state`.
   void FollowFleet(const control::FleetState& state);
   // Attributes the events that wait for their seed, and drops those that have waited too long.
   void RetryUnattributed();
@@ -55,7 +55,7 @@
   const WorkerEventReaderStats& stats() const { return stats_; }
 
  private:
-  struct Feed {
+  struct LeasedFeed {
     uint64_t fencing_token = 0;
     std::unique_ptr<WorkerEventFeed> feed;
   };
@@ -73,18 +73,19 @@
   void OnLost(const std::string& worker, uint64_t epoch, EventLoss loss) override;
   void OnEvent(const std::string& worker, const invalidation::ObjectVersion& version,
                KvEvent event) override;
-  // What `worker` has evicted must not be added when its attribution comes.
+  // Removes evicted blocks from the pending events of `worker`, so that they aren't added once
+  // their seed is known.
   void DropUnattributed(const std::string& worker, const std::vector<BlockHash>& removed);
-  // The blocks of `event` whose seed is known, and that seed.
+  // Returns the blocks of `event` whose seed is known, and sets `seed` to it.
   std::vector<BlockHash> Attribute(const KvEvent& event, BlockSeed* seed) const;
-  // False if the event's seed is not known yet.
+  // Adds and publishes the blocks of a stored event. False if the event's seed is not known yet.
   bool ApplyStored(const std::string& worker, const invalidation::ObjectVersion& version,
                    const KvEvent& event);
 
   runtime::Runtime* const runtime_;
   const WorkerEventFeed::Options options_;
   const Dependencies dependencies_;
-  absl::btree_map<std::string, Feed> feeds_;
+  absl::btree_map<std::string, LeasedFeed> feeds_;
   std::deque<Unattributed> unattributed_;
   runtime::Timer retry_timer_;
   WorkerEventReaderStats stats_;
