--- a/src/posthatch/invalidation/channel_fleet-test.cc
+++ b/src/posthatch/invalidation/channel_fleet-test.cc
@@ -1,5 +1,5 @@
-// A fleet of controllers, relay points and subscribers in the simulator, under faults, and an
-// external checker: no subscriber may trust a version longer than X after a newer one was accepted.
+// Simulates controllers, relay points and subscribers under faults, and checks externally that no
+// subscriber trusts a version for longer than its guarantee X after a newer one was accepted.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -23,7 +23,7 @@
 constexpr runtime::Duration kCheckInterval = milliseconds(20);
 constexpr runtime::Duration kLeaderLease = seconds(1);
 
-// Each process has a clock with another origin and a slightly different rate.
+// Clock of one process, with its own origin and a rate that is up to 200 ppm off.
 class SkewedClock : public runtime::Clock {
  public:
   SkewedClock(const runtime::Clock* clock, uint64_t seed)
@@ -42,7 +42,7 @@
   const int64_t parts_per_million_;
 };
 
-// The durable versions and who may serve them: stands for the replicated log.
+// Model of the replicated log: the durable versions, and the controller that may serve them.
 struct Truth {
   struct Accepted {
     ObjectVersion version;
@@ -54,7 +54,7 @@
   runtime::MonotonicTime lease_end;
 };
 
-// A controller's replica of them. It applies accepted changes immediately when it leads.
+// A controller's replica of the durable versions. The leader applies accepted changes immediately.
 class ReplicatedObjects : public ObjectSource {
  public:
   explicit ReplicatedObjects(const Truth* truth) { CatchUp(*truth); }
@@ -90,9 +90,9 @@
 struct Process {
   runtime::Runtime runtime;
   std::unique_ptr<SkewedClock> clock;
-  std::unique_ptr<ReplicatedObjects> objects;  // controllers
+  std::unique_ptr<ReplicatedObjects> objects;  // controllers only
   std::unique_ptr<InvalidationServer> server;
-  std::unique_ptr<InvalidationSubscriber> subscriptions;  // gateways
+  std::unique_ptr<InvalidationSubscriber> subscriptions;  // gateways only
   std::unique_ptr<InvalidationRelay> relay;
 };
 
@@ -170,14 +170,14 @@
     if (auto process = Find(name)) process->objects->CatchUp(truth_);
     RenewLeaderLease();
   }
-  // As with quorum checks: the leader may serve for a short time after the last one.
+  // Models quorum checks: the leader may serve for kLeaderLease after the last one.
   void RenewLeaderLease() {
     if (Usable(truth_.leader)) truth_.lease_end = world_.Now() + kLeaderLease;
   }
   bool Usable(const std::string& name) {
     return world_.FindHost(name)->running() && !frozen_.contains(name);
   }
-  // An invalidation is accepted only by a leader that may serve, which has applied it at once.
+  // An invalidation is accepted only by a leader that may serve, which applies it immediately.
   void Raise(const std::string& object) {
     if (!Usable(truth_.leader) || world_.Now() >= truth_.lease_end) return;
     auto& accepted = truth_.objects[object];
@@ -193,7 +193,7 @@
     frozen_.erase(name);
   }
 
-  // Every old version of every object, at every gateway.
+  // Checks every old version of every object at every responsive gateway.
   void Check() {
     for (const std::string& gateway : gateways_) {
       const auto process = Find(gateway);
@@ -290,7 +290,7 @@
 
 TEST_P(ChannelFleetTest, FrozenRelayCannotExtendTrust) {
   AddGateway("r0", true);
-  AddGateway("r1", true, "r0");  // a second level
+  AddGateway("r1", true, "r0");  // second level of relay points
   AddGateway("g0", false, "r1");
   AddGateway("g1", false, "r0", /*aggregate=*/true);
   RunFor(seconds(5));
@@ -367,14 +367,14 @@
     if (fault == 7) world_.SetNetwork({milliseconds(0), milliseconds(50), 0.02, 0.02, 0.02});
     if (!world_.FindHost(host)->running() && random->Chance(0.7)) world_.FindHost(host)->Start();
     const std::string candidate = absl::StrCat("c", random->Uniform(kControllers));
-    // Another leader only after the previous one's right to serve has expired.
+    // Elects another leader only after the previous one's lease has expired.
     if (world_.Now() > truth_.lease_end && Usable(candidate)) Elect(candidate);
     if (fault >= 7) Raise(std::next(truth_.objects.begin(), random->Uniform(5))->first);
     RunFor(milliseconds(random->Uniform(1500)));
   }
   EXPECT_GT(examined_, 10000u);
   EXPECT_GT(stale_but_trusted_, 100u) << "too few cases came near the bound";
-  EXPECT_GT(trusted_ * 4, examined_) << "hardly anything was ever trusted";
+  EXPECT_GT(trusted_ * 4, examined_) << "objects were trusted in at most a quarter of the checks";
   RecordProperty("examined", std::to_string(examined_));
   RecordProperty("stale_but_trusted", std::to_string(stale_but_trusted_));
   RecordProperty("longest_ms", std::to_string(runtime::ToMilliseconds(longest_)));
--- a/src/posthatch/invalidation/channel_messages-fuzz.cc
+++ b/src/posthatch/invalidation/channel_messages-fuzz.cc
@@ -5,8 +5,8 @@
 #include "posthatch/invalidation/invalidation_relay.h"
 #include "posthatch/invalidation/invalidation_subscriber.h"
 
-// Arbitrary bytes as a channel message, to a subscriber that is also a relay point: it must not
-// crash and must trust nothing, since no registration was ever granted by its number.
+// Delivers arbitrary bytes as a channel message to a subscriber that is also a relay point. It must
+// not crash and must trust nothing, since no registration of its number was ever granted.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using posthatch::invalidation::FakeRuntime;
   FakeRuntime fake;
--- a/src/posthatch/invalidation/channel_names.cc
+++ b/src/posthatch/invalidation/channel_names.cc
@@ -18,10 +18,11 @@
 constexpr std::string_view kTenantPrefix = "tenant/";
 constexpr std::string_view kStorePrefix = "store/";
 
-// A worker or store that came back with an empty cache costs only speed: four seconds are
+// Trust in a worker or store that restarted with an empty cache costs only speed: four seconds are
 // acceptable, and tolerate three lost heartbeats.
 constexpr runtime::Duration kBackendGuarantee = std::chrono::seconds(4);
-// Revisions and isolation are also fenced by name and salt; the session lease is as long.
+// Model revisions and tenant isolation are also fenced by block names and salts. The session lease
+// has the same duration.
 constexpr runtime::Duration kFencedGuarantee = std::chrono::seconds(4);
 
 bool HasPrefix(std::string_view text, std::string_view prefix) {
--- a/src/posthatch/invalidation/channel_names.h
+++ b/src/posthatch/invalidation/channel_names.h
@@ -8,18 +8,18 @@
 #include "posthatch/invalidation/invalidation.pb.h"
 #include "posthatch/runtime/clock.h"
 
-// The one place that defines which object belongs to which channel (WCIP 4.3: a channel covers a
-// class of related objects), and how long each class may be trusted.
+// Defines which channel covers an object (WCIP 4.3: a channel covers a class of related objects)
+// and how long each class may be trusted. No other code maps objects to channels.
 namespace posthatch::invalidation {
 
-// Workers and their draining marks are spread over this many channels by a hash of their id.
+// Number of channels over which workers and their draining marks are sharded by worker id.
 inline constexpr uint32_t kWorkerShards = 4;
 
 // Covers every object: one registration and one heartbeat for all classes (WCIP 4.1, aggregation).
 inline constexpr char kAggregateChannel[] = "all";
 
-// "workers/<shard>" for worker/<id> and drain/<id>, "models", "tenants" or "stores"; empty for an
-// object of no known class.
+// Returns "workers/<shard>" for worker/<id> and drain/<id>, "models", "tenants" or "stores"; empty
+// for an object of no known class.
 std::string ChannelOf(std::string_view object);
 
 // Every channel but the aggregate, in a fixed order.
@@ -34,7 +34,7 @@
 // Lowest guarantee of any object that `channel` may cover.
 runtime::Duration LowestGuarantee(std::string_view channel);
 
-// Order of versions: epoch first, then sequence. Negative, zero or positive.
+// Compares by epoch, then by sequence. Returns a negative, zero or positive number.
 int CompareVersions(const ObjectVersion& left, const ObjectVersion& right);
 
 inline ObjectVersion MakeVersion(uint64_t epoch, uint64_t sequence) {
--- a/src/posthatch/invalidation/channel_subscription-test.cc
+++ b/src/posthatch/invalidation/channel_subscription-test.cc
@@ -100,10 +100,10 @@
   ChannelEnvelope heartbeat = Message(request.registration(), 1);
   fake_.Deliver(kServer, heartbeat);  // t3 = t1 + 1950 ms; bound t1 + 5950 ms
   fake_.timers.Freeze(milliseconds(1900));
-  fake_.Deliver(kServer, Message(request.registration() - 1, 1));  // of another registration
+  fake_.Deliver(kServer, Message(request.registration() - 1, 1));  // for another registration
   EXPECT_TRUE(Fresh(1));
   heartbeat.mutable_message()->set_sequence(1);
-  fake_.Deliver(kServer, heartbeat);  // an old t3 again: received, but it proves nothing newer
+  fake_.Deliver(kServer, heartbeat);  // the same t3 again: stays live, proves nothing newer
   fake_.timers.Freeze(milliseconds(1900));
   fake_.Deliver(kServer, heartbeat);
   EXPECT_TRUE(Fresh(1)) << "5750 ms after t1";
@@ -120,7 +120,7 @@
   EXPECT_FALSE(Fresh(1));
   fake_.Deliver(kServer, heartbeat);
   EXPECT_FALSE(Fresh(1));
-  EXPECT_TRUE(subscription().IsLive()) << "heard, and kept: the next heartbeat renews it";
+  EXPECT_TRUE(subscription().IsLive()) << "registration kept: the next heartbeat renews trust";
   fake_.Deliver(kServer, Message(request.registration(), 1));
   EXPECT_TRUE(Fresh(1));
 }
@@ -145,7 +145,7 @@
   EXPECT_FALSE(Fresh(1));
   const RegistrationRequest again = TakeRequest();
   EXPECT_GT(again.registration(), number);
-  fake_.Deliver(kServer, Message(number, 1));  // delayed, of the old registration
+  fake_.Deliver(kServer, Message(number, 1));  // delayed message of the old registration
   EXPECT_FALSE(Fresh(1));
   fake_.Deliver(kServer, MakeResponse(again));
   EXPECT_TRUE(Fresh(1));
@@ -165,7 +165,7 @@
   *wrong.mutable_message()->add_objects() = State(9, STALE);
   fake_.Deliver(kServer, wrong);
   EXPECT_TRUE(Fresh(1));
-  fake_.Deliver("10.0.0.8:7000", Message(number, 1));  // not the server registered at
+  fake_.Deliver("10.0.0.8:7000", Message(number, 1));  // another server than the registration's
   EXPECT_EQ(subscription().stats().ignored, 2u);
 }
 
@@ -220,7 +220,7 @@
   *message.mutable_message()->add_objects() = State(5, STALE);
   fake_.Deliver(kServer, message);
   fake_.Deliver(kServer, Message(number, 9));
-  Register();  // a response that knows only version 1
+  Register();  // the response states only version 1
   EXPECT_FALSE(Fresh(1));
   EXPECT_FALSE(Fresh(5));
 }
--- a/src/posthatch/invalidation/channel_subscription.cc
+++ b/src/posthatch/invalidation/channel_subscription.cc
@@ -12,7 +12,7 @@
 
 // A channel without a message for this many heartbeats counts as broken.
 constexpr int kMaxMissedHeartbeats = 2;
-// Two machines' clocks may differ in rate by up to this part of the elapsed time.
+// Clock rates of two machines may differ by up to 1/kClockRateDivisor (0.1%).
 constexpr int64_t kClockRateDivisor = 1000;
 // Registration numbers start at a random 48-bit number, so that messages for an earlier incarnation
 // of this process are never taken for its own.
@@ -34,8 +34,6 @@
       heartbeat_timeout_timer_(runtime->timers),
       increment_timer_(runtime->timers) {}
 
-// ---------------------------------------------------------------------------------- registering
-
 void ChannelSubscription::Start() { Register(); }
 
 void ChannelSubscription::Register() {
@@ -59,7 +57,7 @@
   for (const std::string& relay : server_selector_.AvoidedRelays()) request->add_avoid(relay);
   request->set_base(options_.targeted ? RegistrationRequest::EXCLUDE_ALL
                                       : RegistrationRequest::INCLUDE_ALL);
-  // A response for the whole channel states all versions anyway, so known ones are listed only in
+  // A response for the whole channel states all versions anyway, so known versions are sent only in
   // targeted service.
   for (const std::string& target : targets_) {
     RegisteredObject* included = request->add_include();
@@ -138,7 +136,7 @@
   registered.heartbeat = FromWireMilliseconds(response.heartbeat_ms());
   const runtime::Duration lifetime = FromWireMilliseconds(response.lifetime_ms());
   registered.volume_validation = lifetime <= runtime::Duration::zero();
-  // With volume validation no message follows: the bound of the objects alone ends the trust.
+  // With volume validation no messages follow: only the objects' guarantees limit trust.
   registered.expires_at =
       registered.volume_validation ? runtime::MonotonicTime::max() : attempt_->sent_at + lifetime;
   registered.proven = ProvenAt(registered, response.proven_ns());
@@ -153,7 +151,8 @@
   attempt_.reset();
   objects_.UncoverAll();
   objects_.Apply(response.objects());
-  // Well before the lifetime ends, so that a renewal with some lost messages still comes in time.
+  // Renews well before the lifetime ends, so that a renewal succeeds in time even if some messages
+  // are lost.
   const runtime::Duration renewal = registered_->volume_validation
                                         ? registered_->heartbeat
                                         : FromWireMilliseconds(response.lifetime_ms()) * 2 / 3;
@@ -166,12 +165,10 @@
                                                      int64_t server_ns) const {
   int64_t elapsed = server_ns - registered.server_ns;
   elapsed -= std::abs(elapsed) / kClockRateDivisor;
-  // A server can't prove what has not happened yet here.
+  // A server can't prove a time that is in the future by this process's clock.
   return std::min(registered.sent_at + runtime::Duration(elapsed), runtime_->clock->Now());
 }
 
-// ---------------------------------------------------------------------------------- messages
-
 void ChannelSubscription::HandleMessage(const runtime::Envelope& envelope,
                                         const ChannelMessage& message) {
   if (!registered_.has_value() || message.registration() != registered_->number ||
@@ -245,8 +242,6 @@
   heartbeat_timeout_timer_.Start(deadline - now, [this] { CheckHeartbeatTimeout(); });
 }
 
-// ---------------------------------------------------------------------------------- trust
-
 bool ChannelSubscription::IsLive() const {
   return registered_.has_value() && runtime_->clock->Now() < HeartbeatDeadline();
 }
@@ -281,8 +276,6 @@
   return true;
 }
 
-// ---------------------------------------------------------------------------------- increments
-
 void ChannelSubscription::Include(const std::string& object) {
   if (!targets_.insert(object).second) return;
   increment_include_.insert(object);
@@ -299,7 +292,8 @@
 }
 
 void ChannelSubscription::SendIncrement() {
-  // An attempt in flight, or the next one, carries the whole list.
+  // If not registered, an attempt in flight is replaced by one with the complete list; otherwise
+  // the next attempt carries it.
   if (!registered_.has_value()) {
     if (attempt_.has_value()) Register();
     return;
--- a/src/posthatch/invalidation/channel_subscription.h
+++ b/src/posthatch/invalidation/channel_subscription.h
@@ -20,31 +20,33 @@
   runtime::Duration response_timeout = std::chrono::milliseconds(400);
   runtime::Duration retry_delay = std::chrono::milliseconds(100);  // after a refusal
   std::string zone;
-  bool relay = false;     // this process runs a relay point
-  bool targeted = false;  // only objects given to Include(), not the whole channel
+  bool relay = false;     // whether this process runs a relay point
+  bool targeted = false;  // whether only objects given to Include() are requested
 };
 
-// Counted since the subscription was created.
+// Counters since the subscription was created.
 struct SubscriptionStats {
   uint64_t requests_sent = 0;
   uint64_t responses = 0;
   uint64_t refusals = 0;
   uint64_t redirections = 0;
   uint64_t messages = 0;
-  uint64_t ignored = 0;  // of an old registration, duplicated, or not requested
+  uint64_t ignored = 0;  // messages that were duplicate, not requested, or for an old registration
   uint64_t gaps = 0;
   uint64_t epoch_changes = 0;
   uint64_t heartbeat_timeouts = 0;  // no message for two heartbeats
 };
 
-// One subscriber's registration on one channel (WCIP 5.2, 5.3) and its judgement of the channel's
-// objects. Trust rests on nothing but this process's monotonic clock and the server's stated times:
-// an object may be used until t1 + (t3 - t2) + X. Owned by InvalidationSubscriber; event loop
+// One subscriber's registration on one channel (WCIP 5.2, 5.3), which decides whether the channel's
+// objects are fresh. Trust depends only on this process's monotonic clock and the times stated by
+// the server: an object may be used until t1 + (t3 - t2) + X, where t1 is the sending time of the
+// request, t2 the server's time of the response, t3 the server's time up to which its last message
+// proves the objects, and X the freshness guarantee. Owned by InvalidationSubscriber; event loop
 // thread only.
 //
 // States: requesting (an attempt is in flight, or the retry timer runs), registered, and both while
-// a registration is renewed. Any doubt (a gap, another epoch, missed heartbeats, the end of the
-// lifetime) drops the registration and requests a new one.
+// a registration is renewed. A sequence gap, another server epoch, missed heartbeats or the end of
+// the lifetime drop the registration, and a new one is requested.
 class ChannelSubscription {
  public:
   using Endpoints = ServerSelector::Endpoints;
@@ -59,22 +61,23 @@
   void HandleResponse(const runtime::Envelope& envelope, const RegistrationResponse& response);
   void HandleMessage(const runtime::Envelope& envelope, const ChannelMessage& message);
 
-  // Targeted service only: changes the list of objects, by an increment if registered.
+  // Changes the requested objects, by an increment if registered; for targeted service only.
   void Include(const std::string& object);
   void Exclude(const std::string& object);
 
   bool IsFresh(const std::string& object, const ObjectVersion& version) const;
   bool CurrentVersion(const std::string& object, ObjectVersion* version) const;
 
-  // Registered, and a message has come within two heartbeats, by the clock at this moment.
+  // Whether the channel is registered and a message was received within the last two heartbeats.
+  // Evaluated against the current clock.
   bool IsLive() const;
-  // This process's time up to which the channel's objects are proved to be the newest.
+  // Time, by this process's clock, up to which the channel's objects are proved to be the newest.
   runtime::MonotonicTime proven() const;
   // Covered objects, sorted by name.
   std::vector<RegisteredObject> Objects() const { return objects_.Covered(); }
-  // Every object that any message named, covered or not, sorted.
+  // Names of all objects that messages have named, covered or not, sorted.
   std::vector<std::string> KnownObjectNames() const { return objects_.KnownNames(); }
-  // False if the object is not covered.
+  // Returns false if the object is not covered.
   bool Find(const std::string& object, ObjectVersion* version) const;
   const std::string& server() const;  // empty if not registered
   const SubscriptionStats& stats() const { return stats_; }
@@ -111,9 +114,10 @@
   void SendAck(const ChannelMessage& message);
   void SendIncrement();
   void SendEnvelope(const std::string& server, const ChannelEnvelope& envelope);
-  // This process's time of the server's moment `server_ns` at the latest.
+  // Converts server time `server_ns` to this process's clock. The result is never later than the
+  // true time, nor than now.
   runtime::MonotonicTime ProvenAt(const ActiveRegistration& registered, int64_t server_ns) const;
-  // When the registration ends or counts as lost if no further message comes.
+  // Time at which the registration expires, or counts as lost if no further message arrives.
   runtime::MonotonicTime HeartbeatDeadline() const;
   void DropRegistration();
   void CheckHeartbeatTimeout();
@@ -128,7 +132,7 @@
   std::optional<Attempt> attempt_;
   std::optional<ActiveRegistration> registered_;
   SubscribedObjects objects_;
-  // Targeted service: the requested objects, and what the increment in flight changes.
+  // Targeted service: the requested objects, and the changes of the increment in flight.
   absl::btree_set<std::string> targets_;
   absl::btree_set<std::string> increment_include_;
   absl::btree_set<std::string> increment_exclude_;
--- a/src/posthatch/invalidation/fake_runtime-test.h
+++ b/src/posthatch/invalidation/fake_runtime-test.h
@@ -10,7 +10,7 @@
 #include "posthatch/runtime/runtime.h"
 #include "posthatch/test_support/fake_timers-test.h"
 
-// A runtime whose time advances only when the test lets it, and which records what is sent.
+// Fake runtime: time advances only when the test advances it, and sent messages are recorded.
 namespace posthatch::invalidation {
 
 class FakeClock : public test_support::FakeClock {
@@ -50,7 +50,8 @@
     runtime.random = &random;
     runtime.transport = &transport;
   }
-  // What was sent on the channels since the last call, to `to` or to all.
+  // Returns the messages sent since the last call to `to`, or to any endpoint if `to` is empty, and
+  // discards the others.
   std::vector<ChannelEnvelope> TakeSent(const std::string& to = "") {
     std::vector<ChannelEnvelope> taken;
     for (const auto& sent : transport.sent) {
--- a/src/posthatch/invalidation/invalidation-bench.cc
+++ b/src/posthatch/invalidation/invalidation-bench.cc
@@ -1,5 +1,6 @@
-// Cost of an invalidation server (or relay point: the same publisher) by subscribers and objects.
-// Prints one JSON object a line. Figures and their command are in docs/design-docs/invalidation.md.
+// Measures the cost of an invalidation server at several numbers of subscribers and objects; a
+// relay point uses the same publisher. Prints one JSON object per line. Figures and their command
+// are in docs/design-docs/invalidation.md.
 #include <boost/json.hpp>
 #include <chrono>
 #include <functional>
@@ -22,7 +23,7 @@
 
 constexpr int kRounds = 30;
 
-// Counts what is sent and drops it: the cost of sending is not measured here.
+// Counts and discards sent messages: the cost of sending is not measured here.
 class CountingTransport : public runtime::Transport {
  public:
   const std::string& endpoint() const override { return name_; }
--- a/src/posthatch/invalidation/invalidation_publisher.cc
+++ b/src/posthatch/invalidation/invalidation_publisher.cc
@@ -11,8 +11,8 @@
 namespace posthatch::invalidation {
 namespace {
 
-// A heartbeat is committed to at most this part of the lowest guarantee (WCIP 5.2.4), so that one
-// or two late ones expire nothing.
+// The committed heartbeat is at most 1/kHeartbeatsPerGuarantee of the lowest guarantee
+// (WCIP 5.2.4), so that one or two delayed heartbeats do not expire any object.
 constexpr int kHeartbeatsPerGuarantee = 3;
 constexpr runtime::Duration kMinHeartbeat = std::chrono::milliseconds(50);
 
@@ -49,13 +49,11 @@
       batch_timer_(runtime->timers),
       tick_timer_(runtime->timers) {}
 
-// ---------------------------------------------------------------------------------- registrations
-
 void InvalidationPublisher::HandleEnvelope(const runtime::Envelope& envelope,
                                            const ChannelEnvelope& content) {
   if (content.has_request()) HandleRequest(envelope, content.request());
-  // Acknowledgements (WCIP 5.3.1) only keep the connection's other direction in use: what a
-  // subscriber has received is proved by its own sequence check.
+  // Acknowledgements (WCIP 5.3.1) only keep the connection's other direction in use: a subscriber
+  // detects lost messages by its own sequence check.
 }
 
 void InvalidationPublisher::HandleRequest(const runtime::Envelope& envelope,
@@ -71,8 +69,8 @@
     return;
   }
   const Registration* known = registrations_.Find(request.channel(), envelope.from_endpoint());
-  // A duplicated or overtaken request is ignored: a second response would start its sequence anew
-  // while messages of the first registration are in flight.
+  // A duplicate or reordered request is ignored: a second response would restart the sequence while
+  // messages of the first registration are in flight.
   if (known != nullptr && known->incarnation == envelope.from_incarnation() &&
       known->epoch == proof.epoch && request.registration() <= known->number) {
     return;
@@ -188,7 +186,7 @@
   response->set_increment(request.increment());
   response->set_status(RegistrationResponse::OK);
   response->set_server_epoch(proof.epoch);
-  // Proves nothing about the objects registered before: only channel messages renew trust.
+  // No proven_ns: only channel messages renew trust in the objects registered before.
   response->set_next_sequence(registration->next_sequence);
   AddRequestedStates(*source_, request, response);
   SendEnvelope(envelope.from_endpoint(), reply);
@@ -209,8 +207,6 @@
   SendEnvelope(envelope.from_endpoint(), reply);
 }
 
-// ---------------------------------------------------------------------------------- invalidations
-
 void InvalidationPublisher::ObjectChanged(const std::string& object) {
   const std::string channel = ChannelOf(object);
   if (channel.empty()) return;
@@ -274,8 +270,6 @@
   }
 }
 
-// ---------------------------------------------------------------------------------- heartbeats
-
 void InvalidationPublisher::Renew(const std::string& channel) {
   Flush();
   const PublisherProof proof = source_->CurrentProof(channel);
@@ -331,7 +325,7 @@
 }
 
 void InvalidationPublisher::Tick() {
-  // Pending invalidations first: a heartbeat never overtakes an earlier invalidation (WCIP 3.2).
+  // Flushes first, since a heartbeat must not overtake an earlier invalidation (WCIP 3.2).
   Flush();
   const runtime::MonotonicTime now = runtime_->clock->Now();
   while (Registration* registration = registrations_.NextHeartbeat()) {
@@ -339,7 +333,7 @@
     const PublisherProof proof = source_->CurrentProof(registration->channel);
     if (registration->expires_at <= now || (proof.live && proof.epoch != registration->epoch)) {
       ++stats_.expired;
-      // Copies: Erase destroys the registration that they belong to.
+      // Passes copies, since Erase destroys the registration that owns the strings.
       registrations_.Erase(std::string(registration->channel), std::string(registration->endpoint));
     } else if (!proof.live || pending_objects_.contains(registration->channel)) {
       registrations_.ScheduleHeartbeat(registration, now + registration->heartbeat);
--- a/src/posthatch/invalidation/invalidation_publisher.h
+++ b/src/posthatch/invalidation/invalidation_publisher.h
@@ -16,7 +16,7 @@
 struct PublisherOptions {
   runtime::Duration heartbeat = std::chrono::seconds(1);
   runtime::Duration max_lifetime = std::chrono::minutes(5);
-  // Invalidations that come within this time go out as one message (WCIP 5.3.1).
+  // Invalidations within this period are sent as one message (WCIP 5.3.1).
   runtime::Duration batch_period = std::chrono::milliseconds(20);
   // Maximum average rate of invalidation messages: with many registrations, invalidations are
   // batched for longer.
@@ -24,12 +24,12 @@
   // Above this many registrations on a channel, subscribers are redirected to a relay point of
   // their zone, if there is one (WCIP 5.2.4).
   size_t max_direct_registrations = 64;
-  // Above this many registrations in all, no state is kept: lifetime 0 is granted (volume
-  // validation, WCIP 5 step 5).
+  // Above this many registrations in total, no further ones are stored: lifetime 0 is granted
+  // (volume validation, WCIP 5 step 5).
   size_t max_registrations = 100000;
 };
 
-// Counted since the publisher was created.
+// Counters since the publisher was created.
 struct PublisherStats {
   uint64_t registrations_granted = 0;
   uint64_t registrations_refused = 0;
@@ -44,22 +44,23 @@
 // The serving side of WCIP 5.2 and 5.3: registrations, responses, batched invalidations,
 // heartbeats. Owned by InvalidationServer or InvalidationRelay; event loop thread only.
 //
-// Invariant: a message never proves more than was sent before it. Pending invalidations of a
-// channel go out before any heartbeat or response on it (WCIP 3.2).
+// Invariant: a message never proves a time for which an earlier invalidation is still unsent.
+// Pending invalidations of a channel are sent before any heartbeat or response on it (WCIP 3.2).
 class InvalidationPublisher {
  public:
-  // The pointers must outlive this object.
+  // `runtime` and `source` must outlive this object.
   InvalidationPublisher(runtime::Runtime* runtime, PublisherOptions options,
                         PublisherSource* source);
   InvalidationPublisher(const InvalidationPublisher&) = delete;
   InvalidationPublisher& operator=(const InvalidationPublisher&) = delete;
 
-  // A registration request or an acknowledgement has come.
+  // Handles a registration request or an acknowledgement.
   void HandleEnvelope(const runtime::Envelope& envelope, const ChannelEnvelope& content);
 
-  // The newest version of `object` has risen, or it has become covered.
+  // Called when the newest version of `object` has increased, or `object` has become covered.
   void ObjectChanged(const std::string& object);
-  // These objects are no longer covered: sent at once, with the proof of the last message.
+  // Announces immediately that `objects` are no longer covered, with the proof of the last message,
+  // `proven`.
   void ExcludeObjects(const std::string& channel, const std::vector<std::string>& objects,
                       runtime::MonotonicTime proven);
   // Sends pending invalidations, then a heartbeat to every registration of `channel`.
@@ -72,7 +73,7 @@
   void HandleRequest(const runtime::Envelope& envelope, const RegistrationRequest& request);
   void HandleIncrement(const runtime::Envelope& envelope, const RegistrationRequest& request,
                        const PublisherProof& proof);
-  // Endpoint of a relay point that should serve this subscriber instead, or empty.
+  // Returns the endpoint of a relay point to which the subscriber is redirected, or empty.
   std::string ChooseRelay(const RegistrationRequest& request, const std::string& endpoint) const;
   void Grant(const runtime::Envelope& envelope, const RegistrationRequest& request,
              const PublisherProof& proof);
@@ -85,7 +86,7 @@
   void RespondWithoutObjects(const runtime::Envelope& envelope, const RegistrationRequest& request,
                              RegistrationResponse::Status status, const std::string& redirect_to);
 
-  // How long invalidations are batched with the registrations of this moment.
+  // Batch period of invalidations for the current number of registrations.
   runtime::Duration BatchPeriod() const;
   // Sends pending invalidations; those of a channel that is not live stay pending.
   void Flush();
@@ -103,7 +104,7 @@
   const PublisherOptions options_;
   PublisherSource* const source_;
   RegistrationTable registrations_;
-  // Changed objects not sent yet, by channel.
+  // Changed objects that have not been sent yet, keyed by channel.
   absl::btree_map<std::string, absl::btree_set<std::string>> pending_objects_;
   runtime::Timer batch_timer_;
   runtime::Timer tick_timer_;
--- a/src/posthatch/invalidation/invalidation_relay-test.cc
+++ b/src/posthatch/invalidation/invalidation_relay-test.cc
@@ -13,8 +13,8 @@
 constexpr char kServer[] = "10.0.0.9:7000";
 constexpr char kSubscriber[] = "10.0.0.3:7000";
 
-// The test acts as the upstream server and the downstream subscribers. The server's clock is the
-// relay point's, so that a time proved upstream can be compared with what is proved downstream.
+// The test acts as the upstream server and the downstream subscribers. The server shares the
+// relay point's clock, so that times proved upstream and downstream can be compared.
 class InvalidationRelayTest : public testing::Test {
  protected:
   InvalidationRelayTest() {
@@ -88,8 +88,8 @@
   ASSERT_EQ(renewed.size(), 1u);
   const int64_t proved = renewed[0].message().server_ns();
   EXPECT_LE(proved, Now());
-  EXPECT_GE(proved, Now() - 1'000'000) << "less the allowance for clock rates";
-  fake_.timers.Advance(milliseconds(1100));  // its own heartbeat, without a message from upstream
+  EXPECT_GE(proved, Now() - 1'000'000) << "reduced at most by the allowance for clock rates";
+  fake_.timers.Advance(milliseconds(1100));  // the relay's own heartbeat, none from upstream
   const auto own = fake_.TakeSent(kSubscriber);
   ASSERT_GE(own.size(), 1u);
   EXPECT_EQ(own.back().message().server_ns(), proved);
@@ -110,7 +110,7 @@
   Register(kAggregateChannel);
   for (int i = 0; i < 3; ++i) {
     fake_.timers.Advance(milliseconds(900));
-    HeartbeatFromUpstream("models");  // and none for "tenants"
+    HeartbeatFromUpstream("models");  // no heartbeat for "tenants"
   }
   std::vector<std::string> excluded;
   int64_t proved = 0;
--- a/src/posthatch/invalidation/invalidation_relay.cc
+++ b/src/posthatch/invalidation/invalidation_relay.cc
@@ -37,7 +37,8 @@
   const auto found = relayed_.find(channel);
   if (found == relayed_.end()) return proof;
   const ChannelSubscription* subscription = upstream_->Find(channel);
-  // Checked against the clock at this moment: after a freeze the loss may not be detected yet.
+  // Checked against the current clock: after the process was suspended, no timer may have detected
+  // the loss yet.
   proof.live = subscription->IsLive();
   proof.proven = found->second;
   return proof;
@@ -87,8 +88,8 @@
 
 void InvalidationRelay::OnSynchronized(const std::string& channel) {
   relayed_[channel] = upstream_->Find(channel)->proven();
-  // What changed while the channel was lost is not known, so everything is published again. It is
-  // pending in the publisher and goes out before anything that carries the new proof.
+  // Changes during the loss are unknown, so all objects are published again. They are pending in
+  // the publisher, which sends them before any message that carries the new proof.
   for (const std::string& object : upstream_->Find(channel)->KnownObjectNames()) {
     publisher_.ObjectChanged(object);
   }
@@ -98,8 +99,9 @@
   const auto found = relayed_.find(channel);
   if (found == relayed_.end()) return;
   found->second = upstream_->Find(channel)->proven();
-  // At once, so that a level of relay points adds only its sending time to the age of the proof.
-  // The aggregate has its own heartbeat (WCIP 4.1): it would be sent once per upstream channel.
+  // Renews immediately, so that a level of relay points adds only its sending time to the age of
+  // the proof. The aggregate channel is not renewed here but has its own heartbeat (WCIP 4.1),
+  // since it would be renewed once per upstream channel.
   publisher_.Renew(channel);
 }
 
--- a/src/posthatch/invalidation/invalidation_relay.h
+++ b/src/posthatch/invalidation/invalidation_relay.h
@@ -13,11 +13,11 @@
 // A channel relay point (WCIP 4.1): fans the channels of this process's InvalidationSubscriber out
 // to further subscribers, channel by channel or aggregated into one.
 //
-// Time: what it sends proves its objects up to P, the moment by its own clock to which its upstream
-// has proved them, never up to now (docs/WCIP.md, "Relays"). So a relay point that was stopped, or
-// whose upstream became unresponsive, can't extend anybody's trust.
+// Its messages prove its objects up to P, the time by its own clock up to which its upstream has
+// proved them, never up to now (docs/WCIP.md, "Relays"). So a relay point that was suspended, or
+// whose upstream became unresponsive, can't extend any subscriber's trust.
 //
-// Owned by index::IndexNode beside the subscriber, which must outlive it. Event loop thread only.
+// Owned by index::IndexNode; `upstream` must outlive this object. Event loop thread only.
 class InvalidationRelay : public PublishingSource, private InvalidationSubscriber::Listener {
  public:
   InvalidationRelay(runtime::Runtime* runtime, PublisherOptions options,
@@ -35,14 +35,14 @@
   void OnRenewed(const std::string& channel) override;
   void OnLost(const std::string& channel) override;
 
-  // Moment up to which every channel that is relayed now has been proved.
+  // Time up to which all channels that are relayed now have been proved.
   runtime::MonotonicTime AggregateProven() const;
   // Object names of a channel, as last announced downstream.
   std::vector<std::string> ObjectNames(const std::string& channel) const;
 
   InvalidationSubscriber* const upstream_;
-  // Upstream channels whose objects are relayed, and up to when each is proved. A channel that is
-  // lost leaves this map only together with the exclusion of its objects downstream.
+  // Time up to which each relayed channel is proved, keyed by upstream channel. A lost channel is
+  // removed only together with the exclusion of its objects downstream.
   absl::btree_map<std::string, runtime::MonotonicTime> relayed_;
 };
 
--- a/src/posthatch/invalidation/invalidation_server-test.cc
+++ b/src/posthatch/invalidation/invalidation_server-test.cc
@@ -59,7 +59,7 @@
     request.set_sent_ns(42);
     return request;
   }
-  // Sends a request and returns what was sent to it; there may be messages among the responses.
+  // Delivers a request and returns all messages sent to `from`, among them the response.
   std::vector<ChannelEnvelope> Ask(const RegistrationRequest& request,
                                    const std::string& from = "sub:1") {
     ChannelEnvelope envelope;
@@ -90,7 +90,7 @@
     *included->mutable_version() = MakeVersion(epoch, 0);
   };
   include("model/a", 1);
-  include("tenant/t", 1);  // of another channel
+  include("tenant/t", 1);  // object of another channel
   const RegistrationResponse response = Ask(request)[0].response();
   EXPECT_EQ(response.status(), RegistrationResponse::OK);
   EXPECT_EQ(response.request_sent_ns(), 42);
@@ -100,7 +100,8 @@
   ASSERT_EQ(response.objects_size(), 3);
   EXPECT_EQ(response.objects(0).freshness(), FRESH);
   EXPECT_EQ(response.objects(1).freshness(), UNKNOWN);
-  EXPECT_EQ(response.objects(1).version().epoch(), 1u) << "the newest version all the same";
+  EXPECT_EQ(response.objects(1).version().epoch(), 1u)
+      << "UNKNOWN states also carry the newest version";
   EXPECT_EQ(response.objects(2).freshness(), EXCLUDED);
 }
 
@@ -153,7 +154,7 @@
   const uint32_t heartbeat_ms = 1000;
   fake_.timers.Advance(milliseconds(heartbeat_ms - 5));
   fake_.TakeSent();
-  objects_.Raise("model/a");  // its batch ends 15 ms after the heartbeat is due
+  objects_.Raise("model/a");  // the batch period ends 15 ms after the heartbeat is due
   const auto messages = After(milliseconds(10));
   ASSERT_GE(messages.size(), 1u);
   EXPECT_EQ(messages[0].message().objects_size(), 1);
@@ -174,7 +175,7 @@
 TEST_F(InvalidationServerTest, SendsNothingAfterLeaseExpiry) {
   Ask(Request(1));
   lease_end_ = fake_.clock.now + milliseconds(500);
-  fake_.timers.Freeze(seconds(3));  // frozen, then woken
+  fake_.timers.Freeze(seconds(3));  // the process is frozen, then thawed
   objects_.Raise("model/a");
   EXPECT_TRUE(After(seconds(3)).empty());
   EXPECT_EQ(Ask(Request(2), "sub:2")[0].response().status(), RegistrationResponse::REFUSED);
@@ -214,7 +215,7 @@
   Ask(Request(2));
   objects_.Raise("model/a");
   EXPECT_EQ(After(milliseconds(30)).size(), 1u);
-  EXPECT_TRUE(Ask(Request(2)).empty()) << "its sequence must not start anew";
+  EXPECT_TRUE(Ask(Request(2)).empty()) << "the sequence must not restart";
   EXPECT_TRUE(Ask(Request(1)).empty());
   objects_.Raise("model/a");
   const auto messages = After(milliseconds(30));
--- a/src/posthatch/invalidation/invalidation_server.cc
+++ b/src/posthatch/invalidation/invalidation_server.cc
@@ -26,13 +26,13 @@
 
 void InvalidationServer::ExportMetrics() {
   const PublisherStats& stats = publisher_.stats();
-  metrics_.Add("posthatch_channel_registrations", "Registrations that this server keeps now.",
+  metrics_.Add("posthatch_channel_registrations", "Current registrations at this server.",
                [this] { return static_cast<double>(publisher_.registration_count()); });
   metrics_.Add("posthatch_channel_registrations_refused",
-               "Registrations refused since start: unknown channel, or no right to serve.",
+               "Registrations refused since start: unknown channel, or server may not serve.",
                [&stats] { return static_cast<double>(stats.registrations_refused); });
   metrics_.Add("posthatch_channel_redirections",
-               "Subscribers sent to a relay point of their zone since start.",
+               "Subscribers redirected to a relay point of their zone since start.",
                [&stats] { return static_cast<double>(stats.redirected); });
   metrics_.Add("posthatch_channel_heartbeats_sent", "Heartbeats sent since start.",
                [&stats] { return static_cast<double>(stats.heartbeats_sent); });
@@ -48,8 +48,8 @@
 }
 
 PublisherProof InvalidationServer::CurrentProof(const std::string& /*channel*/) {
-  // The time first, then the check: if this process is stopped in between, the check sees the
-  // later time, and what is proved stays the earlier one.
+  // The time is read before the check: if this process is suspended in between, the check sees the
+  // later time, while the proof states the earlier one.
   PublisherProof proof;
   proof.proven = runtime_->clock->Now();
   const ServingState state = serving_();
--- a/src/posthatch/invalidation/invalidation_server.h
+++ b/src/posthatch/invalidation/invalidation_server.h
@@ -16,13 +16,14 @@
   PublisherOptions publisher;
 };
 
-// The invalidation server of every channel (WCIP 2, 5), on each controller; it responds and sends
-// only while this process leads. Takes the process's SERVICE_CHANNELS messages. Owned by the
-// controller's assembly; must not outlive `objects`. Event loop thread only.
+// Invalidation server of all channels (WCIP 2, 5). Runs on each controller, but grants
+// registrations and sends only while its controller is the leader. Receives the process's
+// SERVICE_CHANNELS messages. Owned by ControllerNode; must not outlive `objects`. Event loop thread
+// only.
 class InvalidationServer : public PublishingSource {
  public:
-  // `serving` is called before everything that is sent, after the time to be proved has been read:
-  // it must check the right to serve against the clock (lease, quorum), not against a cached flag.
+  // `serving` is called before each send, after the time to be proved has been read. It must check
+  // against the clock (lease, quorum) whether this process may serve, not against a cached flag.
   InvalidationServer(runtime::Runtime* runtime, InvalidationServerOptions options,
                      ObjectSource* objects, std::function<ServingState()> serving);
   ~InvalidationServer() override;
--- a/src/posthatch/invalidation/invalidation_subscriber.h
+++ b/src/posthatch/invalidation/invalidation_subscriber.h
@@ -20,9 +20,9 @@
   bool aggregate = false;
 };
 
-// All channel subscriptions of one process, and its judgement whether an object may be trusted now.
-// Receives the process's SERVICE_CHANNELS messages; requests from downstream subscribers go to the
-// request handler (a relay point), if one is set, and are refused otherwise. Owned by
+// Manages all channel subscriptions of one process and decides whether an object may be trusted
+// now. Receives the process's SERVICE_CHANNELS messages; requests from downstream subscribers are
+// passed to the request handler (a relay point) if one is set, and refused otherwise. Owned by
 // index::IndexNode. Event loop thread only.
 class InvalidationSubscriber : public ObjectTrust, private SubscriptionObserver {
  public:
@@ -30,7 +30,7 @@
   using RequestHandler =
       std::function<void(const runtime::Envelope& envelope, const ChannelEnvelope& content)>;
 
-  // `endpoints`: internal endpoints of the controllers; called at each registration.
+  // `endpoints` returns the internal endpoints of the controllers; called at each registration.
   InvalidationSubscriber(runtime::Runtime* runtime, InvalidationSubscriberOptions options,
                          const ChannelSubscription::Endpoints& endpoints);
   ~InvalidationSubscriber() override;
@@ -46,19 +46,19 @@
   bool IsFresh(const std::string& object, const ObjectVersion& version) const override;
   bool CurrentVersion(const std::string& object, ObjectVersion* version) const override;
 
-  // Targeted service only.
+  // Changes the requested objects; for targeted service only.
   void Include(const std::string& object);
   void Exclude(const std::string& object);
 
-  // The subscription of a channel, or null. With `aggregate` there is only that of "all".
+  // Returns the subscription of `channel`, or null. With `aggregate`, only "all" has one.
   const ChannelSubscription* Find(const std::string& channel) const;
   std::vector<std::string> Channels() const;
-  // Channels whose registration is live now.
+  // Number of channels whose registration is live now.
   size_t live_channels() const;
   SubscriptionStats TotalStats() const;
 
  private:
-  // SubscriptionObserver: passes everything on to the listeners.
+  // SubscriptionObserver: forwards each event to the listeners.
   void OnObjects(const std::string& channel, const std::vector<std::string>& objects) override;
   void OnSynchronized(const std::string& channel) override;
   void OnRenewed(const std::string& channel) override;
--- a/src/posthatch/invalidation/metrics_export.h
+++ b/src/posthatch/invalidation/metrics_export.h
@@ -12,9 +12,9 @@
 
 namespace posthatch::invalidation {
 
-// Exports counters that a component keeps as plain numbers as Prometheus gauges, updated once a
-// second. Exports nothing if the runtime has no registry. Owned by the component whose numbers it
-// reads; event loop thread only.
+// Exports a component's plain numbers as Prometheus gauges, updated once a second. Exports nothing
+// if the runtime has no metrics registry. Owned by the component whose numbers it reads; event loop
+// thread only.
 class MetricsExport {
  public:
   explicit MetricsExport(runtime::Runtime* runtime) : runtime_(runtime), timer_(runtime->timers) {}
--- a/src/posthatch/invalidation/object_states.h
+++ b/src/posthatch/invalidation/object_states.h
@@ -8,8 +8,8 @@
 // The object states that a publisher sends (WCIP 5.2.5, 5.3).
 namespace posthatch::invalidation {
 
-// The response to a registration or an increment: adds the state of each covered object to
-// `response`, judged against the versions that the subscriber holds.
+// Adds the states of the requested objects to the response to a registration or an increment.
+// Their freshness is relative to the versions that the subscriber stated in `request`.
 void AddRequestedStates(const PublisherSource& source, const RegistrationRequest& request,
                         RegistrationResponse* response);
 
--- a/src/posthatch/invalidation/publisher_source.h
+++ b/src/posthatch/invalidation/publisher_source.h
@@ -9,11 +9,11 @@
 
 namespace posthatch::invalidation {
 
-// What a publisher may say about a channel at this moment.
+// What a publisher can prove about a channel at the time of the call.
 struct PublisherProof {
-  bool live = false;              // false: nothing may be sent that renews trust
-  uint64_t epoch = 0;             // of the publisher's clock and sequence numbers
-  runtime::MonotonicTime proven;  // its objects are the newest up to here, by the publisher's clock
+  bool live = false;              // if false, nothing that renews trust may be sent
+  uint64_t epoch = 0;             // scopes the publisher's clock and sequence numbers
+  runtime::MonotonicTime proven;  // publisher's clock: its objects are the newest up to here
 };
 
 // Where a publisher's objects come from: the control state at an invalidation server, the upstream
@@ -21,11 +21,11 @@
 class PublisherSource {
  public:
   virtual ~PublisherSource() = default;
-  // By the clock at this moment; called again before everything that is sent.
+  // Evaluated against the current clock; called again before each send.
   virtual PublisherProof CurrentProof(const std::string& channel) = 0;
-  // Objects that the channel covers now, with their newest versions, sorted by name.
+  // Returns the objects that the channel covers now, with their newest versions, sorted by name.
   virtual std::vector<RegisteredObject> Objects(const std::string& channel) const = 0;
-  // False if the channel does not cover `object`; `version` is then left alone.
+  // Returns false and leaves `version` unchanged if the channel does not cover `object`.
   virtual bool Find(const std::string& channel, const std::string& object,
                     ObjectVersion* version) const = 0;
 };
--- a/src/posthatch/invalidation/publishing_source.h
+++ b/src/posthatch/invalidation/publishing_source.h
@@ -8,14 +8,14 @@
 
 namespace posthatch::invalidation {
 
-// A source together with the publisher that serves its objects: what InvalidationServer and
-// InvalidationRelay have in common. Event loop thread only.
+// Common base of InvalidationServer and InvalidationRelay: a source and the publisher that serves
+// its objects. Event loop thread only.
 class PublishingSource : protected PublisherSource {
  public:
   PublishingSource(const PublishingSource&) = delete;
   PublishingSource& operator=(const PublishingSource&) = delete;
 
-  // Registrations that are kept now.
+  // Number of current registrations.
   size_t registration_count() const { return publisher_.registration_count(); }
   const PublisherStats& stats() const { return publisher_.stats(); }
 
--- a/src/posthatch/invalidation/registration_table.h
+++ b/src/posthatch/invalidation/registration_table.h
@@ -14,17 +14,17 @@
 
 namespace posthatch::invalidation {
 
-// What a publisher keeps of one subscriber on one channel.
+// A publisher's state for one subscriber on one channel.
 struct Registration {
   std::string endpoint;  // internal endpoint of the subscriber
   std::string channel;
   std::string zone;
-  uint64_t incarnation = 0;  // of the subscriber's process
+  uint64_t incarnation = 0;  // incarnation of the subscriber's process
   uint64_t number = 0;       // the subscriber's registration number
-  uint64_t epoch = 0;        // of the publisher when it was granted
+  uint64_t epoch = 0;        // epoch of the publisher that granted it
   uint64_t next_sequence = 1;
   bool relay = false;  // the subscriber is a relay point
-  // Whether all objects of the channel are covered but the listed ones, or only the listed ones.
+  // If true, all objects of the channel but the listed ones are covered; else only the listed ones.
   bool all_objects = false;
   absl::flat_hash_set<std::string> listed_objects;
   runtime::Duration heartbeat{};
@@ -37,22 +37,22 @@
 };
 
 // The registrations of a publisher, at most one for each channel and endpoint, and the schedule of
-// their heartbeats. Ordered by channel and endpoint, so that equal seeds send in equal order. Owned
-// by InvalidationPublisher; not thread-safe. Pointers to a registration are valid until it is
-// erased.
+// their heartbeats. Ordered by channel and endpoint, so that runs of equal seed send in equal
+// order. Owned by InvalidationPublisher; not thread-safe. Pointers to a registration are valid
+// until it is erased.
 class RegistrationTable {
  public:
-  // Null if there is none.
+  // Returns null if there is none.
   Registration* Find(const std::string& channel, const std::string& endpoint) const;
-  // There must be none for the same channel and endpoint. Its first heartbeat is due at
-  // `next_heartbeat_at`.
+  // Requires that there is no registration of the same channel and endpoint. The first heartbeat is
+  // due at `registration->next_heartbeat_at`.
   void Add(std::unique_ptr<Registration> registration);
   void Erase(const std::string& channel, const std::string& endpoint);
   void ScheduleHeartbeat(Registration* registration, runtime::MonotonicTime next_heartbeat_at);
 
   // The registration whose heartbeat is due first; null if there is none.
   Registration* NextHeartbeat() const;
-  // All of a channel, by endpoint.
+  // Registrations of a channel, ordered by endpoint.
   std::vector<Registration*> OfChannel(const std::string& channel) const;
   size_t CountOfChannel(const std::string& channel) const;
   size_t size() const { return registrations_.size(); }
--- a/src/posthatch/invalidation/server_selector-test.cc
+++ b/src/posthatch/invalidation/server_selector-test.cc
@@ -47,7 +47,8 @@
   for (int i = 0; i < 3; ++i) EXPECT_TRUE(selector_.Redirect("a", kRelay));
   EXPECT_FALSE(selector_.Redirect("a", kRelay));
   selector_.OnRefused("a");
-  EXPECT_TRUE(selector_.Redirect("a", kRelay)) << "a refusal ends the row";
+  EXPECT_TRUE(selector_.Redirect("a", kRelay))
+      << "a refusal resets the number of consecutive redirections";
 }
 
 TEST_F(ServerSelectorTest, AvoidsAFailedRelayForAWhile) {
@@ -63,7 +64,7 @@
 TEST_F(ServerSelectorTest, LeavesTheRelayWhoseRegistrationIsLost) {
   ASSERT_TRUE(selector_.Redirect("a", kRelay));
   selector_.OnRegistrationLost("a");
-  EXPECT_EQ(selector_.Current(), kRelay) << "lost at another server";
+  EXPECT_EQ(selector_.Current(), kRelay) << "the lost registration was at another server";
   selector_.OnRegistrationLost(kRelay);
   EXPECT_EQ(selector_.Current(), "a");
   EXPECT_THAT(selector_.AvoidedRelays(), ElementsAre(kRelay));
--- a/src/posthatch/invalidation/server_selector.cc
+++ b/src/posthatch/invalidation/server_selector.cc
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr int kMaxRedirections = 3;
-// How long a relay point that failed is not used.
+// How long a failed relay point is avoided.
 constexpr runtime::Duration kRelayAvoidance = std::chrono::seconds(30);
 
 }  // namespace
--- a/src/posthatch/invalidation/server_selector.h
+++ b/src/posthatch/invalidation/server_selector.h
@@ -16,7 +16,7 @@
 // Owned by ChannelSubscription; event loop thread only.
 class ServerSelector {
  public:
-  // Internal endpoints of the controllers, in any order; called at each registration.
+  // Returns the internal endpoints of the controllers, in any order; called at each registration.
   using Endpoints = std::function<std::vector<std::string>()>;
 
   // `clock` must outlive this object.
@@ -25,22 +25,23 @@
 
   // Endpoint of the server to register with; empty if none is known.
   std::string Current() const;
-  // The server that redirected here, if Current() is a relay point; else empty.
+  // The server that redirected to Current() if that is a relay point; else empty.
   const std::string& redirected_from() const { return redirected_from_; }
   // Relay points that are avoided now, sorted.
   std::vector<std::string> AvoidedRelays() const;
 
   void OnGranted() { consecutive_redirections_ = 0; }
-  // `from` redirected to relay point `to`. False if that was one redirection in a row too many:
-  // `from` then counts as having refused.
+  // Records that `from` redirected to relay point `to`. Returns false if the limit of consecutive
+  // redirections is exceeded: the caller must treat `from` as having refused.
   bool Redirect(const std::string& from, const std::string& to);
-  // `server` refused, or redirected too often.
+  // Called when `server` refused, or exceeded the limit of consecutive redirections.
   void OnRefused(const std::string& server);
-  // `server` did not respond to a request.
+  // Called when `server` did not respond to a request.
   void OnNoResponse(const std::string& server);
-  // The registration at `server` was lost; if it is a relay point, the controllers are next.
+  // Called when the registration at `server` was lost. If `server` is the relay point in use, it is
+  // avoided and the controllers are used again.
   void OnRegistrationLost(const std::string& server);
-  // Leaves a relay point and moves on to the next controller.
+  // Selects the next controller, and leaves the relay point if one is in use.
   void Advance();
 
  private:
@@ -49,10 +50,10 @@
   const runtime::Clock* const clock_;
   const Endpoints controllers_;
   size_t controller_index_ = 0;
-  std::string redirected_to_;  // a relay point, while it is used
+  std::string redirected_to_;  // relay point in use, or empty
   std::string redirected_from_;
   int consecutive_redirections_ = 0;
-  absl::btree_map<std::string, runtime::MonotonicTime> avoided_until_;  // by relay endpoint
+  absl::btree_map<std::string, runtime::MonotonicTime> avoided_until_;  // keyed by relay endpoint
 };
 
 }  // namespace posthatch::invalidation
--- a/src/posthatch/invalidation/subscribed_objects.h
+++ b/src/posthatch/invalidation/subscribed_objects.h
@@ -10,13 +10,13 @@
 
 namespace posthatch::invalidation {
 
-// The objects of a channel as its subscriber knows them. Versions never go back: an object whose
-// server states an older version than known is not covered until a newer one comes. Owned by
-// ChannelSubscription; event loop thread only.
+// The objects of a channel as its subscriber knows them. Versions never decrease: an object whose
+// server states an older version than the known one is not covered until the server states one at
+// least as new. Owned by ChannelSubscription; event loop thread only.
 class SubscribedObjects {
  public:
   struct Object {
-    ObjectVersion version;  // newest known
+    ObjectVersion version;  // newest known version
     runtime::Duration guarantee{};
     bool covered = false;
   };
@@ -25,13 +25,13 @@
   void Uncover(const std::string& object);
   void UncoverAll();
 
-  // Null if the object is not covered.
+  // Returns null if the object is not covered.
   const Object* FindCovered(const std::string& name) const;
-  // Covered or not; null if no message has named the object.
+  // Finds covered and uncovered objects; returns null if no message has named the object.
   const Object* FindKnown(const std::string& name) const;
-  // Covered ones, sorted by name.
+  // Covered objects, sorted by name.
   std::vector<RegisteredObject> Covered() const;
-  // Covered or not, sorted.
+  // Names of all objects, covered or not, sorted.
   std::vector<std::string> KnownNames() const;
 
  private:
