--- a/src/posthatch/invalidation/channel_messages-fuzz.cc
+++ b/src/posthatch/invalidation/channel_messages-fuzz.cc
@@ -10,10 +10,10 @@
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using posthatch::invalidation::FakeRuntime;
   FakeRuntime fake;
-  posthatch::invalidation::InvalidationSubscriber set(
+  posthatch::invalidation::InvalidationSubscriber subscriber(
       &fake.runtime, {}, [] { return std::vector<std::string>{"10.0.0.9:7000"}; });
-  posthatch::invalidation::InvalidationRelay relay(&fake.runtime, {}, &set);
-  set.Start();
+  posthatch::invalidation::InvalidationRelay relay(&fake.runtime, {}, &subscriber);
+  subscriber.Start();
   posthatch::runtime::Envelope envelope;
   envelope.set_from_endpoint("10.0.0.9:7000");
   envelope.set_payload(data, size);
--- a/src/posthatch/invalidation/channel_names.cc
+++ b/src/posthatch/invalidation/channel_names.cc
@@ -45,14 +45,14 @@
 }
 
 const std::vector<std::string>& ClassChannels() {
-  static const auto* const all_channels = [] {
+  static const auto* const class_channels = [] {
     auto* channels = new std::vector<std::string>{"models", "tenants", "stores"};
     for (uint32_t shard = 0; shard < kWorkerShards; ++shard) {
       channels->push_back(absl::StrCat("workers/", shard));
     }
     return channels;
   }();
-  return *all_channels;
+  return *class_channels;
 }
 
 bool IsChannel(std::string_view channel) {
--- a/src/posthatch/invalidation/channel_subscription-test.cc
+++ b/src/posthatch/invalidation/channel_subscription-test.cc
@@ -15,13 +15,13 @@
 constexpr char kServer[] = "10.0.0.9:7000";
 constexpr char kModel[] = "model/m";
 // The server's clock has another origin than the subscriber's.
-constexpr int64_t kServerClock = 77'000'000'000;
+constexpr int64_t kServerClockOriginNs = 77'000'000'000;
 constexpr uint64_t kServerEpoch = 3;
 
 // The test acts as the server of the channel "models".
 class ChannelSubscriptionTest : public testing::Test {
  protected:
-  ChannelSubscriptionTest() { set_.Start(); }
+  ChannelSubscriptionTest() { subscriber_.Start(); }
 
   // The newest registration request for "models" since the last call.
   RegistrationRequest TakeRequest() {
@@ -32,7 +32,7 @@
     return newest;
   }
   int64_t ServerNow() const {
-    return kServerClock + runtime::ToNanoseconds(fake_.clock.now) - 1'000'000'000'000;
+    return kServerClockOriginNs + runtime::ToNanoseconds(fake_.clock.now) - 1'000'000'000'000;
   }
   ChannelEnvelope MakeResponse(const RegistrationRequest& request, uint32_t lifetime_ms = 60000) {
     ChannelEnvelope reply;
@@ -46,10 +46,10 @@
     response->set_lifetime_ms(lifetime_ms);
     response->set_heartbeat_ms(1000);
     response->set_next_sequence(1);
-    *response->add_objects() = State(1, UNKNOWN);
+    *response->add_objects() = MakeState(1, UNKNOWN);
     return reply;
   }
-  static ObjectState State(uint64_t epoch, Freshness freshness) {
+  static ObjectState MakeState(uint64_t epoch, Freshness freshness) {
     ObjectState state;
     state.set_object(kModel);
     *state.mutable_version() = MakeVersion(epoch, 0);
@@ -57,7 +57,7 @@
     state.set_guarantee_ms(4000);
     return state;
   }
-  ChannelEnvelope Message(uint64_t registration, uint64_t sequence) {
+  ChannelEnvelope MakeMessage(uint64_t registration, uint64_t sequence) {
     ChannelEnvelope envelope;
     ChannelMessage* message = envelope.mutable_message();
     message->set_channel("models");
@@ -74,21 +74,24 @@
     fake_.Deliver(kServer, MakeResponse(request, lifetime_ms));
     return request.registration();
   }
-  bool Fresh(uint64_t epoch) const { return set_.IsFresh(kModel, MakeVersion(epoch, 0)); }
-  const ChannelSubscription& subscription() const { return *set_.Find("models"); }
+  bool IsModelFresh(uint64_t epoch) const {
+    return subscriber_.IsFresh(kModel, MakeVersion(epoch, 0));
+  }
+  const ChannelSubscription& subscription() const { return *subscriber_.Find("models"); }
 
   FakeRuntime fake_;
-  InvalidationSubscriber set_{&fake_.runtime, {}, [] { return std::vector<std::string>{kServer}; }};
+  InvalidationSubscriber subscriber_{
+      &fake_.runtime, {}, [] { return std::vector<std::string>{kServer}; }};
 };
 
 TEST_F(ChannelSubscriptionTest, TrustsNothingBeforeResponse) {
-  EXPECT_FALSE(Fresh(1));
+  EXPECT_FALSE(IsModelFresh(1));
   ObjectVersion version;
-  EXPECT_FALSE(set_.CurrentVersion(kModel, &version));
+  EXPECT_FALSE(subscriber_.CurrentVersion(kModel, &version));
   Register();
-  EXPECT_TRUE(Fresh(1));
-  EXPECT_FALSE(Fresh(2));
-  EXPECT_FALSE(set_.IsFresh("model/other", MakeVersion(0, 0)));
+  EXPECT_TRUE(IsModelFresh(1));
+  EXPECT_FALSE(IsModelFresh(2));
+  EXPECT_FALSE(subscriber_.IsFresh("model/other", MakeVersion(0, 0)));
 }
 
 TEST_F(ChannelSubscriptionTest, TrustBoundCountsFromSendingOfRequest) {
@@ -97,93 +100,93 @@
   fake_.timers.Freeze(milliseconds(300));               // the response takes 300 ms
   fake_.Deliver(kServer, reply);
   fake_.timers.Freeze(milliseconds(1650));
-  ChannelEnvelope heartbeat = Message(request.registration(), 1);
+  ChannelEnvelope heartbeat = MakeMessage(request.registration(), 1);
   fake_.Deliver(kServer, heartbeat);  // t3 = t1 + 1950 ms; bound t1 + 5950 ms
   fake_.timers.Freeze(milliseconds(1900));
-  fake_.Deliver(kServer, Message(request.registration() - 1, 1));  // for another registration
-  EXPECT_TRUE(Fresh(1));
+  fake_.Deliver(kServer, MakeMessage(request.registration() - 1, 1));  // for another registration
+  EXPECT_TRUE(IsModelFresh(1));
   heartbeat.mutable_message()->set_sequence(1);
   fake_.Deliver(kServer, heartbeat);  // the same t3 again: stays live, proves nothing newer
   fake_.timers.Freeze(milliseconds(1900));
   fake_.Deliver(kServer, heartbeat);
-  EXPECT_TRUE(Fresh(1)) << "5750 ms after t1";
+  EXPECT_TRUE(IsModelFresh(1)) << "5750 ms after t1";
   fake_.timers.Freeze(milliseconds(210));
-  EXPECT_FALSE(Fresh(1)) << "5960 ms after t1, though a message has just arrived";
+  EXPECT_FALSE(IsModelFresh(1)) << "5960 ms after t1, though a message has just arrived";
 }
 
 TEST_F(ChannelSubscriptionTest, ResponsesAndMessagesDelayedByFreezeRenewNothing) {
   const RegistrationRequest request = TakeRequest();
   const ChannelEnvelope reply = MakeResponse(request);
-  const ChannelEnvelope heartbeat = Message(request.registration(), 1);
+  const ChannelEnvelope heartbeat = MakeMessage(request.registration(), 1);
   fake_.timers.Freeze(seconds(25));
   fake_.Deliver(kServer, reply);
-  EXPECT_FALSE(Fresh(1));
+  EXPECT_FALSE(IsModelFresh(1));
   fake_.Deliver(kServer, heartbeat);
-  EXPECT_FALSE(Fresh(1));
+  EXPECT_FALSE(IsModelFresh(1));
   EXPECT_TRUE(subscription().IsLive()) << "registration kept: the next heartbeat renews trust";
-  fake_.Deliver(kServer, Message(request.registration(), 1));
-  EXPECT_TRUE(Fresh(1));
+  fake_.Deliver(kServer, MakeMessage(request.registration(), 1));
+  EXPECT_TRUE(IsModelFresh(1));
 }
 
 TEST_F(ChannelSubscriptionTest, InvalidationReplacesVersionImmediately) {
   const uint64_t number = Register();
-  ChannelEnvelope message = Message(number, 1);
-  *message.mutable_message()->add_objects() = State(2, STALE);
+  ChannelEnvelope message = MakeMessage(number, 1);
+  *message.mutable_message()->add_objects() = MakeState(2, STALE);
   fake_.Deliver(kServer, message);
-  EXPECT_FALSE(Fresh(1));
-  EXPECT_TRUE(Fresh(2));
+  EXPECT_FALSE(IsModelFresh(1));
+  EXPECT_TRUE(IsModelFresh(2));
   fake_.Deliver(kServer, message);  // duplicate
   EXPECT_EQ(subscription().stats().ignored, 1u);
-  EXPECT_TRUE(Fresh(2));
+  EXPECT_TRUE(IsModelFresh(2));
   ASSERT_EQ(fake_.TakeSent().back().ack().sequence(), 1u);
 }
 
 TEST_F(ChannelSubscriptionTest, GapEndsTrustUntilNextResponse) {
   const uint64_t number = Register();
-  fake_.Deliver(kServer, Message(number, 2));  // a heartbeat after a lost invalidation
+  fake_.Deliver(kServer, MakeMessage(number, 2));  // a heartbeat after a lost invalidation
   EXPECT_EQ(subscription().stats().gaps, 1u);
-  EXPECT_FALSE(Fresh(1));
+  EXPECT_FALSE(IsModelFresh(1));
   const RegistrationRequest again = TakeRequest();
   EXPECT_GT(again.registration(), number);
-  fake_.Deliver(kServer, Message(number, 1));  // delayed message of the old registration
-  EXPECT_FALSE(Fresh(1));
+  fake_.Deliver(kServer, MakeMessage(number, 1));  // delayed message of the old registration
+  EXPECT_FALSE(IsModelFresh(1));
   fake_.Deliver(kServer, MakeResponse(again));
-  EXPECT_TRUE(Fresh(1));
+  EXPECT_TRUE(IsModelFresh(1));
 }
 
 TEST_F(ChannelSubscriptionTest, DelayedMessagesOfOldRegistrationAreIgnored) {
   const uint64_t old_number = Register();
-  const ChannelEnvelope late = Message(old_number, 1);
+  const ChannelEnvelope late = MakeMessage(old_number, 1);
   fake_.timers.Advance(milliseconds(1000));
-  fake_.Deliver(kServer, Message(old_number, 5));  // gap
+  fake_.Deliver(kServer, MakeMessage(old_number, 5));  // gap
   const uint64_t number = TakeRequest().registration();
   ASSERT_NE(number, old_number);
   RegistrationRequest request;
   request.set_registration(number);
   fake_.Deliver(kServer, MakeResponse(request));
   ChannelEnvelope wrong = late;
-  *wrong.mutable_message()->add_objects() = State(9, STALE);
+  *wrong.mutable_message()->add_objects() = MakeState(9, STALE);
   fake_.Deliver(kServer, wrong);
-  EXPECT_TRUE(Fresh(1));
-  fake_.Deliver("10.0.0.8:7000", Message(number, 1));  // another server than the registration's
+  EXPECT_TRUE(IsModelFresh(1));
+  fake_.Deliver("10.0.0.8:7000", MakeMessage(number, 1));  // another server than the registration's
   EXPECT_EQ(subscription().stats().ignored, 2u);
 }
 
 TEST_F(ChannelSubscriptionTest, OtherServerEpochEndsTrust) {
   const uint64_t number = Register();
-  ChannelEnvelope message = Message(number, 1);
+  ChannelEnvelope message = MakeMessage(number, 1);
   message.mutable_message()->set_server_epoch(kServerEpoch + 1);
   fake_.Deliver(kServer, message);
-  EXPECT_FALSE(Fresh(1));
+  EXPECT_FALSE(IsModelFresh(1));
   EXPECT_GT(TakeRequest().registration(), number);
 }
 
 TEST_F(ChannelSubscriptionTest, TwoMissedHeartbeatsEndTrustEvenWithoutTimer) {
   Register();
   fake_.timers.Freeze(milliseconds(1990));
-  EXPECT_TRUE(Fresh(1));
+  EXPECT_TRUE(IsModelFresh(1));
   fake_.timers.Freeze(milliseconds(20));
-  EXPECT_FALSE(Fresh(1));
+  EXPECT_FALSE(IsModelFresh(1));
   fake_.timers.Advance(milliseconds(1));
   EXPECT_EQ(subscription().stats().heartbeat_timeouts, 1u);
   EXPECT_NE(TakeRequest().registration(), 0u);
@@ -192,55 +195,55 @@
 TEST_F(ChannelSubscriptionTest, EndOfLifetimeEndsTrust) {
   const uint64_t number = Register(/*lifetime_ms=*/1500);
   fake_.timers.Freeze(milliseconds(1400));
-  fake_.Deliver(kServer, Message(number, 1));
-  EXPECT_TRUE(Fresh(1));
+  fake_.Deliver(kServer, MakeMessage(number, 1));
+  EXPECT_TRUE(IsModelFresh(1));
   fake_.timers.Freeze(milliseconds(110));
-  fake_.Deliver(kServer, Message(number, 1));
-  EXPECT_FALSE(Fresh(1));
+  fake_.Deliver(kServer, MakeMessage(number, 1));
+  EXPECT_FALSE(IsModelFresh(1));
 }
 
 TEST_F(ChannelSubscriptionTest, RenewsBeforeExpiryWithoutLosingTrust) {
   const uint64_t number = Register(/*lifetime_ms=*/3000);
   for (int i = 0; i < 2; ++i) {
     fake_.timers.Advance(milliseconds(1000));
-    fake_.Deliver(kServer, Message(number, 1));
+    fake_.Deliver(kServer, MakeMessage(number, 1));
   }
   const RegistrationRequest renewal = TakeRequest();
   ASSERT_GT(renewal.registration(), number);
-  EXPECT_TRUE(Fresh(1));
+  EXPECT_TRUE(IsModelFresh(1));
   fake_.Deliver(kServer, MakeResponse(renewal));
-  EXPECT_TRUE(Fresh(1));
+  EXPECT_TRUE(IsModelFresh(1));
   fake_.Deliver(kServer, MakeResponse(renewal));  // duplicate
   EXPECT_EQ(subscription().stats().ignored, 1u);
 }
 
 TEST_F(ChannelSubscriptionTest, VersionsNeverDecrease) {
   uint64_t number = Register();
-  ChannelEnvelope message = Message(number, 1);
-  *message.mutable_message()->add_objects() = State(5, STALE);
+  ChannelEnvelope message = MakeMessage(number, 1);
+  *message.mutable_message()->add_objects() = MakeState(5, STALE);
   fake_.Deliver(kServer, message);
-  fake_.Deliver(kServer, Message(number, 9));
+  fake_.Deliver(kServer, MakeMessage(number, 9));
   Register();  // the response states only version 1
-  EXPECT_FALSE(Fresh(1));
-  EXPECT_FALSE(Fresh(5));
+  EXPECT_FALSE(IsModelFresh(1));
+  EXPECT_FALSE(IsModelFresh(5));
 }
 
 TEST_F(ChannelSubscriptionTest, ExcludedObjectsAreNotTrusted) {
   const uint64_t number = Register();
-  ChannelEnvelope message = Message(number, 1);
-  *message.mutable_message()->add_objects() = State(1, EXCLUDED);
+  ChannelEnvelope message = MakeMessage(number, 1);
+  *message.mutable_message()->add_objects() = MakeState(1, EXCLUDED);
   fake_.Deliver(kServer, message);
-  EXPECT_FALSE(Fresh(1));
+  EXPECT_FALSE(IsModelFresh(1));
 }
 
 TEST_F(ChannelSubscriptionTest, VolumeValidationTrustsOnlyTheResponse) {
   Register(/*lifetime_ms=*/0);
-  EXPECT_TRUE(Fresh(1));
+  EXPECT_TRUE(IsModelFresh(1));
   fake_.timers.Advance(milliseconds(1001));
   const RegistrationRequest again = TakeRequest();
   ASSERT_NE(again.registration(), 0u);
   fake_.Deliver(kServer, MakeResponse(again, 0));
-  EXPECT_TRUE(Fresh(1));
+  EXPECT_TRUE(IsModelFresh(1));
 }
 
 TEST_F(ChannelSubscriptionTest, RefusalMovesToNextServer) {
@@ -252,7 +255,7 @@
   fake_.Deliver(kServer, refusal);
   fake_.timers.Advance(milliseconds(110));
   EXPECT_GT(TakeRequest().registration(), request.registration());
-  EXPECT_FALSE(Fresh(1));
+  EXPECT_FALSE(IsModelFresh(1));
 }
 
 TEST_F(ChannelSubscriptionTest, FollowsRedirectionAndAvoidsUnresponsiveRelay) {
@@ -276,9 +279,9 @@
 TEST_F(ChannelSubscriptionTest, WallClockJumpsChangeNothing) {
   Register();
   fake_.clock.wall += 3'600'000'000'000;
-  EXPECT_TRUE(Fresh(1));
+  EXPECT_TRUE(IsModelFresh(1));
   fake_.clock.wall -= 9'600'000'000'000;
-  EXPECT_TRUE(Fresh(1));
+  EXPECT_TRUE(IsModelFresh(1));
 }
 
 }  // namespace
--- a/src/posthatch/invalidation/channel_subscription.cc
+++ b/src/posthatch/invalidation/channel_subscription.cc
@@ -93,8 +93,8 @@
 void ChannelSubscription::HandleResponse(const runtime::Envelope& envelope,
                                          const RegistrationResponse& response) {
   if (response.increment() != 0) {
-    if (registered_.has_value() && response.registration() == registered_->number &&
-        envelope.from_endpoint() == registered_->server) {
+    if (registration_.has_value() && response.registration() == registration_->number &&
+        envelope.from_endpoint() == registration_->server) {
       ApplyIncrementResponse(response);
     }
     return;
@@ -126,80 +126,80 @@
 
 ChannelSubscription::ActiveRegistration ChannelSubscription::MakeRegistration(
     const RegistrationResponse& response) const {
-  ActiveRegistration registered;
-  registered.number = attempt_->number;
-  registered.server = attempt_->server;
-  registered.epoch = response.server_epoch();
-  registered.sent_at = attempt_->sent_at;
-  registered.server_ns = response.server_ns();
-  registered.expected_sequence = response.next_sequence();
-  registered.heartbeat = FromWireMilliseconds(response.heartbeat_ms());
+  ActiveRegistration registration;
+  registration.number = attempt_->number;
+  registration.server = attempt_->server;
+  registration.epoch = response.server_epoch();
+  registration.sent_at = attempt_->sent_at;
+  registration.server_ns = response.server_ns();
+  registration.expected_sequence = response.next_sequence();
+  registration.heartbeat = FromWireMilliseconds(response.heartbeat_ms());
   const runtime::Duration lifetime = FromWireMilliseconds(response.lifetime_ms());
-  registered.volume_validation = lifetime <= runtime::Duration::zero();
+  registration.volume_validation = lifetime <= runtime::Duration::zero();
   // With volume validation no messages follow: only the objects' guarantees limit trust.
-  registered.expires_at =
-      registered.volume_validation ? runtime::MonotonicTime::max() : attempt_->sent_at + lifetime;
-  registered.proven = ProvenAt(registered, response.proven_ns());
-  registered.last_arrival = runtime_->clock->Now();
-  return registered;
+  registration.expires_at =
+      registration.volume_validation ? runtime::MonotonicTime::max() : attempt_->sent_at + lifetime;
+  registration.proven_until = ToLocalTime(registration, response.proven_ns());
+  registration.last_received_at = runtime_->clock->Now();
+  return registration;
 }
 
 void ChannelSubscription::ApplyResponse(const RegistrationResponse& response) {
   ++stats_.responses;
   response_timer_.Cancel();
-  registered_ = MakeRegistration(response);
+  registration_ = MakeRegistration(response);
   attempt_.reset();
-  objects_.UncoverAll();
+  objects_.MarkAllNotCovered();
   objects_.Apply(response.objects());
   // Renews well before the lifetime ends, so that a renewal succeeds in time even if some messages
   // are lost.
-  const runtime::Duration renewal = registered_->volume_validation
-                                        ? registered_->heartbeat
+  const runtime::Duration renewal = registration_->volume_validation
+                                        ? registration_->heartbeat
                                         : FromWireMilliseconds(response.lifetime_ms()) * 2 / 3;
   renewal_timer_.Start(renewal, [this] { Register(); });
   CheckHeartbeatTimeout();
   observer_->OnSynchronized(channel_);
 }
 
-runtime::MonotonicTime ChannelSubscription::ProvenAt(const ActiveRegistration& registered,
-                                                     int64_t server_ns) const {
-  int64_t elapsed = server_ns - registered.server_ns;
+runtime::MonotonicTime ChannelSubscription::ToLocalTime(const ActiveRegistration& registration,
+                                                        int64_t server_ns) const {
+  int64_t elapsed = server_ns - registration.server_ns;
   elapsed -= std::abs(elapsed) / kClockRateDivisor;
   // A server can't prove a time that is in the future by this process's clock.
-  return std::min(registered.sent_at + runtime::Duration(elapsed), runtime_->clock->Now());
+  return std::min(registration.sent_at + runtime::Duration(elapsed), runtime_->clock->Now());
 }
 
 void ChannelSubscription::HandleMessage(const runtime::Envelope& envelope,
                                         const ChannelMessage& message) {
-  if (!registered_.has_value() || message.registration() != registered_->number ||
-      envelope.from_endpoint() != registered_->server) {
+  if (!registration_.has_value() || message.registration() != registration_->number ||
+      envelope.from_endpoint() != registration_->server) {
     ++stats_.ignored;
     return;
   }
-  if (message.server_epoch() != registered_->epoch) {
+  if (message.server_epoch() != registration_->epoch) {
     ++stats_.epoch_changes;
     DropRegistration();
     return;
   }
-  if (message.sequence() < registered_->expected_sequence) {
+  if (message.sequence() < registration_->expected_sequence) {
     ++stats_.ignored;
     return;
   }
-  if (message.sequence() > registered_->expected_sequence) {
+  if (message.sequence() > registration_->expected_sequence) {
     ++stats_.gaps;
     DropRegistration();
     return;
   }
   ++stats_.messages;
-  registered_->last_arrival = runtime_->clock->Now();
-  const runtime::MonotonicTime proven = ProvenAt(*registered_, message.server_ns());
-  registered_->proven = std::max(registered_->proven, proven);
+  registration_->last_received_at = runtime_->clock->Now();
+  const runtime::MonotonicTime proven_until = ToLocalTime(*registration_, message.server_ns());
+  registration_->proven_until = std::max(registration_->proven_until, proven_until);
   if (message.objects_size() > 0) ApplyInvalidation(message);
   observer_->OnRenewed(channel_);
 }
 
 void ChannelSubscription::ApplyInvalidation(const ChannelMessage& message) {
-  ++registered_->expected_sequence;
+  ++registration_->expected_sequence;
   objects_.Apply(message.objects());
   SendAck(message);
   std::vector<std::string> changed;
@@ -214,24 +214,24 @@
   ack->set_registration(message.registration());
   ack->set_server_epoch(message.server_epoch());
   ack->set_sequence(message.sequence());
-  SendEnvelope(registered_->server, envelope);
+  SendEnvelope(registration_->server, envelope);
 }
 
 void ChannelSubscription::DropRegistration() {
-  if (registered_.has_value()) server_selector_.OnRegistrationLost(registered_->server);
-  registered_.reset();
+  if (registration_.has_value()) server_selector_.OnRegistrationLost(registration_->server);
+  registration_.reset();
   heartbeat_timeout_timer_.Cancel();
   Register();
   observer_->OnLost(channel_);
 }
 
 runtime::MonotonicTime ChannelSubscription::HeartbeatDeadline() const {
-  return std::min(registered_->last_arrival + kMaxMissedHeartbeats * registered_->heartbeat,
-                  registered_->expires_at);
+  return std::min(registration_->last_received_at + kMaxMissedHeartbeats * registration_->heartbeat,
+                  registration_->expires_at);
 }
 
 void ChannelSubscription::CheckHeartbeatTimeout() {
-  if (!registered_.has_value()) return;
+  if (!registration_.has_value()) return;
   const runtime::MonotonicTime now = runtime_->clock->Now();
   const runtime::MonotonicTime deadline = HeartbeatDeadline();
   if (now >= deadline) {
@@ -243,23 +243,23 @@
 }
 
 bool ChannelSubscription::IsLive() const {
-  return registered_.has_value() && runtime_->clock->Now() < HeartbeatDeadline();
+  return registration_.has_value() && runtime_->clock->Now() < HeartbeatDeadline();
 }
 
-runtime::MonotonicTime ChannelSubscription::proven() const {
-  return registered_.has_value() ? registered_->proven : runtime::MonotonicTime::min();
+runtime::MonotonicTime ChannelSubscription::proven_until() const {
+  return registration_.has_value() ? registration_->proven_until : runtime::MonotonicTime::min();
 }
 
 const std::string& ChannelSubscription::server() const {
   static const std::string* const none = new std::string();
-  return registered_.has_value() ? registered_->server : *none;
+  return registration_.has_value() ? registration_->server : *none;
 }
 
 bool ChannelSubscription::CurrentVersion(const std::string& object, ObjectVersion* version) const {
   if (!IsLive()) return false;
   const SubscribedObjects::Object* found = objects_.FindCovered(object);
   if (found == nullptr) return false;
-  if (runtime_->clock->Now() >= registered_->proven + found->guarantee) return false;
+  if (runtime_->clock->Now() >= registration_->proven_until + found->guarantee) return false;
   *version = found->version;
   return true;
 }
@@ -287,40 +287,40 @@
   if (targets_.erase(object) == 0) return;
   increment_exclude_.insert(object);
   increment_include_.erase(object);
-  objects_.Uncover(object);
+  objects_.MarkNotCovered(object);
   SendIncrement();
 }
 
 void ChannelSubscription::SendIncrement() {
   // If not registered, an attempt in flight is replaced by one with the complete list; otherwise
   // the next attempt carries it.
-  if (!registered_.has_value()) {
+  if (!registration_.has_value()) {
     if (attempt_.has_value()) Register();
     return;
   }
   ChannelEnvelope envelope;
   RegistrationRequest* request = envelope.mutable_request();
   request->set_channel(channel_);
-  request->set_registration(registered_->number);
+  request->set_registration(registration_->number);
   request->set_base(RegistrationRequest::INCREMENT);
-  request->set_increment(++increment_);
+  request->set_increment(++last_increment_number_);
   for (const std::string& object : increment_include_) {
     request->add_include()->set_object(object);
   }
   for (const std::string& object : increment_exclude_) request->add_exclude(object);
-  SendEnvelope(registered_->server, envelope);
+  SendEnvelope(registration_->server, envelope);
   increment_timer_.Start(options_.response_timeout, [this] { Register(); });
 }
 
 void ChannelSubscription::ApplyIncrementResponse(const RegistrationResponse& response) {
-  if (response.increment() != increment_) {
+  if (response.increment() != last_increment_number_) {
     ++stats_.ignored;
     return;
   }
   increment_timer_.Cancel();
   if (response.status() != RegistrationResponse::OK ||
-      response.server_epoch() != registered_->epoch ||
-      response.next_sequence() != registered_->expected_sequence) {
+      response.server_epoch() != registration_->epoch ||
+      response.next_sequence() != registration_->expected_sequence) {
     DropRegistration();
     return;
   }
--- a/src/posthatch/invalidation/channel_subscription.h
+++ b/src/posthatch/invalidation/channel_subscription.h
@@ -72,7 +72,7 @@
   // Evaluated against the current clock.
   bool IsLive() const;
   // Time, by this process's clock, up to which the channel's objects are proved to be the newest.
-  runtime::MonotonicTime proven() const;
+  runtime::MonotonicTime proven_until() const;
   // Covered objects, sorted by name.
   std::vector<RegisteredObject> Objects() const { return objects_.Covered(); }
   // Names of all objects that messages have named, covered or not, sorted.
@@ -98,8 +98,8 @@
     runtime::Duration heartbeat{};
     bool volume_validation = false;
     runtime::MonotonicTime expires_at;
-    runtime::MonotonicTime proven;
-    runtime::MonotonicTime last_arrival;
+    runtime::MonotonicTime proven_until;
+    runtime::MonotonicTime last_received_at;
   };
 
   void Register();
@@ -116,7 +116,8 @@
   void SendEnvelope(const std::string& server, const ChannelEnvelope& envelope);
   // Converts server time `server_ns` to this process's clock. The result is never later than the
   // true time, nor than now.
-  runtime::MonotonicTime ProvenAt(const ActiveRegistration& registered, int64_t server_ns) const;
+  runtime::MonotonicTime ToLocalTime(const ActiveRegistration& registration,
+                                     int64_t server_ns) const;
   // Time at which the registration expires, or counts as lost if no further message arrives.
   runtime::MonotonicTime HeartbeatDeadline() const;
   void DropRegistration();
@@ -130,13 +131,13 @@
   uint64_t last_registration_number_;
   ServerSelector server_selector_;
   std::optional<Attempt> attempt_;
-  std::optional<ActiveRegistration> registered_;
+  std::optional<ActiveRegistration> registration_;
   SubscribedObjects objects_;
   // Targeted service: the requested objects, and the changes of the increment in flight.
   absl::btree_set<std::string> targets_;
   absl::btree_set<std::string> increment_include_;
   absl::btree_set<std::string> increment_exclude_;
-  uint64_t increment_ = 0;
+  uint64_t last_increment_number_ = 0;
   runtime::Timer response_timer_;
   runtime::Timer renewal_timer_;
   runtime::Timer heartbeat_timeout_timer_;
--- a/src/posthatch/invalidation/invalidation-bench.cc
+++ b/src/posthatch/invalidation/invalidation-bench.cc
@@ -67,7 +67,7 @@
     return true;
   }
   void AddListener(Listener listener) override { listener_ = std::move(listener); }
-  void Raise(int count) {
+  void RaiseVersions(int count) {
     for (auto it = versions_.begin(); it != versions_.end() && count > 0; ++it, --count) {
       it->second.set_sequence(it->second.sequence() + 1);
       listener_(it->first, it->second);
@@ -79,7 +79,7 @@
   Listener listener_;
 };
 
-double Microseconds(const std::function<void()>& work) {
+double MeasureMicroseconds(const std::function<void()>& work) {
   const auto start = std::chrono::steady_clock::now();
   work();
   return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - start)
@@ -101,7 +101,7 @@
   options.publisher.max_direct_registrations = 1'000'000;
   InvalidationServer server(&runtime, options, &source, [] { return ServingState{true, 1}; });
 
-  const double registering = Microseconds([&] {
+  const double registration_us = MeasureMicroseconds([&] {
     for (int i = 0; i < subscribers; ++i) {
       ChannelEnvelope content;
       RegistrationRequest* request = content.mutable_request();
@@ -115,31 +115,33 @@
       transport.Deliver(envelope);
     }
   });
-  const uint64_t answer_bytes = transport.bytes / transport.messages;
+  const uint64_t response_bytes = transport.bytes / transport.messages;
   transport.messages = transport.bytes = 0;
-  const double heartbeats = Microseconds([&] { timers.Advance(seconds(kRounds)); });
+  const double heartbeats_us = MeasureMicroseconds([&] { timers.Advance(seconds(kRounds)); });
   const uint64_t heartbeat_messages = transport.messages;
   const uint64_t heartbeat_bytes = transport.bytes / transport.messages;
   transport.messages = transport.bytes = 0;
-  double invalidations = 0;
+  double invalidations_us = 0;
   for (int round = 0; round < kRounds; ++round) {
-    invalidations += Microseconds([&] {
-      source.Raise(changed);
+    invalidations_us += MeasureMicroseconds([&] {
+      source.RaiseVersions(changed);
       timers.Advance(milliseconds(21));
     });
   }
-  const auto per = [](double total, double count) { return total / count; };
+  const auto average = [](double total, double count) { return total / count; };
   std::cout << boost::json::serialize(boost::json::object{
                    {"subscribers", subscribers},
                    {"objects", objects},
                    {"changed", changed},
-                   {"registration_us", per(registering, subscribers)},
-                   {"answer_bytes", answer_bytes},
-                   {"heartbeat_us", per(heartbeats, static_cast<double>(heartbeat_messages))},
+                   {"registration_us", average(registration_us, subscribers)},
+                   {"answer_bytes", response_bytes},
+                   {"heartbeat_us",
+                    average(heartbeats_us, static_cast<double>(heartbeat_messages))},
                    {"heartbeat_bytes", heartbeat_bytes},
-                   {"invalidation_us", per(invalidations, static_cast<double>(transport.messages))},
+                   {"invalidation_us",
+                    average(invalidations_us, static_cast<double>(transport.messages))},
                    {"invalidation_bytes", transport.bytes / transport.messages},
-                   {"fan_out_ms", invalidations / kRounds / 1000}})
+                   {"fan_out_ms", invalidations_us / kRounds / 1000}})
             << std::endl;
 }
 
--- a/src/posthatch/invalidation/invalidation_publisher.cc
+++ b/src/posthatch/invalidation/invalidation_publisher.cc
@@ -28,15 +28,15 @@
 
 // Applies the changes that an increment makes to the objects of a registration.
 void ApplyIncrement(const RegistrationRequest& request, Registration* registration) {
-  const auto cover = [registration](const std::string& object, bool covered) {
+  const auto set_covered = [registration](const std::string& object, bool covered) {
     if (covered == registration->all_objects) {
       registration->listed_objects.erase(object);
     } else {
       registration->listed_objects.insert(object);
     }
   };
-  for (const auto& object : request.include()) cover(object.object(), true);
-  for (const auto& object : request.exclude()) cover(object, false);
+  for (const auto& object : request.include()) set_covered(object.object(), true);
+  for (const auto& object : request.exclude()) set_covered(object, false);
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
       options_(options),
       source_(source),
       batch_timer_(runtime->timers),
-      tick_timer_(runtime->timers) {}
+      heartbeat_timer_(runtime->timers) {}
 
 void InvalidationPublisher::HandleEnvelope(const runtime::Envelope& envelope,
                                            const ChannelEnvelope& content) {
@@ -68,11 +68,11 @@
     HandleIncrement(envelope, request, proof);
     return;
   }
-  const Registration* known = registrations_.Find(request.channel(), envelope.from_endpoint());
+  const Registration* existing = registrations_.Find(request.channel(), envelope.from_endpoint());
   // A duplicate or reordered request is ignored: a second response would restart the sequence while
   // messages of the first registration are in flight.
-  if (known != nullptr && known->incarnation == envelope.from_incarnation() &&
-      known->epoch == proof.epoch && request.registration() <= known->number) {
+  if (existing != nullptr && existing->incarnation == envelope.from_incarnation() &&
+      existing->epoch == proof.epoch && request.registration() <= existing->number) {
     return;
   }
   const std::string relay = ChooseRelay(request, envelope.from_endpoint());
@@ -87,12 +87,12 @@
 std::string InvalidationPublisher::ChooseRelay(const RegistrationRequest& request,
                                                const std::string& endpoint) const {
   if (request.relay()) return "";
-  if (registrations_.CountOfChannel(request.channel()) < options_.max_direct_registrations) {
+  if (registrations_.CountByChannel(request.channel()) < options_.max_direct_registrations) {
     return "";
   }
   const auto& avoid = request.avoid();
   std::vector<std::string> relays;
-  for (const Registration* candidate : registrations_.OfChannel(request.channel())) {
+  for (const Registration* candidate : registrations_.FindByChannel(request.channel())) {
     if (!candidate->relay || candidate->zone != request.zone()) continue;
     if (candidate->endpoint == endpoint) continue;
     if (std::find(avoid.begin(), avoid.end(), candidate->endpoint) != avoid.end()) continue;
@@ -131,7 +131,7 @@
   response->set_server_epoch(proof.epoch);
   response->set_request_sent_ns(request.sent_ns());
   response->set_server_ns(runtime::ToNanoseconds(runtime_->clock->Now()));
-  response->set_proven_ns(runtime::ToNanoseconds(proof.proven));
+  response->set_proven_ns(runtime::ToNanoseconds(proof.proven_until));
   response->set_lifetime_ms(ToWireMilliseconds(lifetime));
   response->set_heartbeat_ms(ToWireMilliseconds(heartbeat));
   response->set_next_sequence(1);
@@ -164,7 +164,7 @@
   registration->expires_at = now + lifetime;
   registration->next_heartbeat_at = now + heartbeat;
   registrations_.Add(std::move(registration));
-  ScheduleTick();
+  ScheduleHeartbeatTimer();
 }
 
 void InvalidationPublisher::HandleIncrement(const runtime::Envelope& envelope,
@@ -207,7 +207,7 @@
   SendEnvelope(envelope.from_endpoint(), reply);
 }
 
-void InvalidationPublisher::ObjectChanged(const std::string& object) {
+void InvalidationPublisher::OnObjectChanged(const std::string& object) {
   const std::string channel = ChannelOf(object);
   if (channel.empty()) return;
   pending_objects_[channel].insert(object);
@@ -224,7 +224,7 @@
 void InvalidationPublisher::Flush() {
   batch_timer_.Cancel();
   for (auto it = pending_objects_.begin(); it != pending_objects_.end();) {
-    if (registrations_.CountOfChannel(it->first) == 0) {
+    if (registrations_.CountByChannel(it->first) == 0) {
       it = pending_objects_.erase(it);  // a later registration gets the newest versions anyway
       continue;
     }
@@ -246,27 +246,28 @@
     states.push_back(ChangedState(*source_, channel, object));
   }
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  for (Registration* registration : registrations_.OfChannel(channel)) {
+  for (Registration* registration : registrations_.FindByChannel(channel)) {
     if (registration->epoch != proof.epoch || registration->expires_at <= now) continue;
     std::vector<ObjectState> covered_states;
     for (const ObjectState& state : states) {
       if (registration->Covers(state.object())) covered_states.push_back(state);
     }
-    if (!covered_states.empty()) SendMessage(registration, proof.proven, std::move(covered_states));
+    if (!covered_states.empty())
+      SendMessage(registration, proof.proven_until, std::move(covered_states));
   }
 }
 
 void InvalidationPublisher::ExcludeObjects(const std::string& channel,
                                            const std::vector<std::string>& objects,
-                                           runtime::MonotonicTime proven) {
+                                           runtime::MonotonicTime proven_until) {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  for (Registration* registration : registrations_.OfChannel(channel)) {
+  for (Registration* registration : registrations_.FindByChannel(channel)) {
     if (registration->expires_at <= now) continue;
     std::vector<ObjectState> states;
     for (const std::string& object : objects) {
       if (registration->Covers(object)) states.push_back(ExcludedState(object));
     }
-    if (!states.empty()) SendMessage(registration, proven, std::move(states));
+    if (!states.empty()) SendMessage(registration, proven_until, std::move(states));
   }
 }
 
@@ -275,7 +276,7 @@
   const PublisherProof proof = source_->CurrentProof(channel);
   if (!proof.live || pending_objects_.contains(channel)) return;
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  for (Registration* registration : registrations_.OfChannel(channel)) {
+  for (Registration* registration : registrations_.FindByChannel(channel)) {
     if (registration->epoch != proof.epoch || registration->expires_at <= now) continue;
     SendHeartbeat(registration, proof);
   }
@@ -283,10 +284,11 @@
 
 void InvalidationPublisher::SendHeartbeat(Registration* registration, const PublisherProof& proof) {
   ++stats_.heartbeats_sent;
-  SendMessage(registration, proof.proven, {});
+  SendMessage(registration, proof.proven_until, {});
 }
 
-void InvalidationPublisher::SendMessage(Registration* registration, runtime::MonotonicTime proven,
+void InvalidationPublisher::SendMessage(Registration* registration,
+                                        runtime::MonotonicTime proven_until,
                                         std::vector<ObjectState> objects) {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   ChannelEnvelope envelope;
@@ -295,7 +297,7 @@
   message->set_registration(registration->number);
   message->set_server_epoch(registration->epoch);
   message->set_sequence(registration->next_sequence);
-  message->set_server_ns(runtime::ToNanoseconds(proven));
+  message->set_server_ns(runtime::ToNanoseconds(proven_until));
   message->set_remaining_lifetime_ms(ToWireMilliseconds(registration->expires_at - now));
   if (!objects.empty()) {
     ++registration->next_sequence;
@@ -313,18 +315,18 @@
                             runtime::Delivery::kStream);
 }
 
-void InvalidationPublisher::ScheduleTick() {
+void InvalidationPublisher::ScheduleHeartbeatTimer() {
   const Registration* next = registrations_.NextHeartbeat();
   if (next == nullptr) {
-    tick_timer_.Cancel();
+    heartbeat_timer_.Cancel();
     return;
   }
   const runtime::Duration wait =
       std::max(next->next_heartbeat_at - runtime_->clock->Now(), runtime::Duration::zero());
-  tick_timer_.Start(wait, [this] { Tick(); });
+  heartbeat_timer_.Start(wait, [this] { SendDueHeartbeats(); });
 }
 
-void InvalidationPublisher::Tick() {
+void InvalidationPublisher::SendDueHeartbeats() {
   // Flushes first, since a heartbeat must not overtake an earlier invalidation (WCIP 3.2).
   Flush();
   const runtime::MonotonicTime now = runtime_->clock->Now();
@@ -341,7 +343,7 @@
       SendHeartbeat(registration, proof);
     }
   }
-  ScheduleTick();
+  ScheduleHeartbeatTimer();
 }
 
 }  // namespace posthatch::invalidation
--- a/src/posthatch/invalidation/invalidation_publisher.h
+++ b/src/posthatch/invalidation/invalidation_publisher.h
@@ -58,11 +58,11 @@
   void HandleEnvelope(const runtime::Envelope& envelope, const ChannelEnvelope& content);
 
   // Called when the newest version of `object` has increased, or `object` has become covered.
-  void ObjectChanged(const std::string& object);
+  void OnObjectChanged(const std::string& object);
   // Announces immediately that `objects` are no longer covered, with the proof of the last message,
-  // `proven`.
+  // `proven_until`.
   void ExcludeObjects(const std::string& channel, const std::vector<std::string>& objects,
-                      runtime::MonotonicTime proven);
+                      runtime::MonotonicTime proven_until);
   // Sends pending invalidations, then a heartbeat to every registration of `channel`.
   void Renew(const std::string& channel);
 
@@ -93,12 +93,12 @@
   void FlushChannel(const std::string& channel, const PublisherProof& proof,
                     const std::vector<std::string>& objects);
   void SendHeartbeat(Registration* registration, const PublisherProof& proof);
-  void SendMessage(Registration* registration, runtime::MonotonicTime proven,
+  void SendMessage(Registration* registration, runtime::MonotonicTime proven_until,
                    std::vector<ObjectState> objects);
   void SendEnvelope(const std::string& endpoint, const ChannelEnvelope& envelope);
 
-  void ScheduleTick();
-  void Tick();
+  void ScheduleHeartbeatTimer();
+  void SendDueHeartbeats();
 
   runtime::Runtime* const runtime_;
   const PublisherOptions options_;
@@ -107,7 +107,7 @@
   // Changed objects that have not been sent yet, keyed by channel.
   absl::btree_map<std::string, absl::btree_set<std::string>> pending_objects_;
   runtime::Timer batch_timer_;
-  runtime::Timer tick_timer_;
+  runtime::Timer heartbeat_timer_;
   PublisherStats stats_;
 };
 
--- a/src/posthatch/invalidation/invalidation_relay-test.cc
+++ b/src/posthatch/invalidation/invalidation_relay-test.cc
@@ -44,7 +44,7 @@
     fake_.TakeSent();
   }
   int64_t Now() const { return runtime::ToNanoseconds(fake_.clock.now); }
-  void HeartbeatFromUpstream(const std::string& channel) {
+  void DeliverUpstreamHeartbeat(const std::string& channel) {
     ChannelEnvelope envelope;
     ChannelMessage* message = envelope.mutable_message();
     message->set_channel(channel);
@@ -83,7 +83,7 @@
 TEST_F(InvalidationRelayTest, MessagesProveWhatUpstreamHasProvedImmediately) {
   Register("models");
   fake_.timers.Freeze(milliseconds(800));
-  HeartbeatFromUpstream("models");
+  DeliverUpstreamHeartbeat("models");
   const auto renewed = fake_.TakeSent(kSubscriber);
   ASSERT_EQ(renewed.size(), 1u);
   const int64_t proved = renewed[0].message().server_ns();
@@ -98,7 +98,7 @@
 TEST_F(InvalidationRelayTest, AggregateProvesOldestOfItsChannels) {
   const int64_t proved = Now();
   fake_.timers.Freeze(milliseconds(900));
-  HeartbeatFromUpstream("models");
+  DeliverUpstreamHeartbeat("models");
   EXPECT_EQ(Register(kAggregateChannel).response().proven_ns(), proved);
   fake_.timers.Advance(milliseconds(1005));
   const auto heartbeats = fake_.TakeSent(kSubscriber);
@@ -110,7 +110,7 @@
   Register(kAggregateChannel);
   for (int i = 0; i < 3; ++i) {
     fake_.timers.Advance(milliseconds(900));
-    HeartbeatFromUpstream("models");  // no heartbeat for "tenants"
+    DeliverUpstreamHeartbeat("models");  // no heartbeat for "tenants"
   }
   std::vector<std::string> excluded;
   int64_t proved = 0;
--- a/src/posthatch/invalidation/invalidation_relay.cc
+++ b/src/posthatch/invalidation/invalidation_relay.cc
@@ -12,7 +12,7 @@
     : PublishingSource(runtime, options), upstream_(upstream) {
   for (const std::string& channel : upstream_->Channels()) {
     const ChannelSubscription* subscription = upstream_->Find(channel);
-    if (subscription->IsLive()) relayed_[channel] = subscription->proven();
+    if (subscription->IsLive()) relayed_[channel] = subscription->proven_until();
   }
   upstream_->AddListener(this);
   upstream_->SetRequestHandler(
@@ -31,7 +31,7 @@
   proof.epoch = runtime_->transport->incarnation();
   if (channel == kAggregateChannel) {
     proof.live = !relayed_.empty();
-    proof.proven = AggregateProven();
+    proof.proven_until = AggregateProvenUntil();
     return proof;
   }
   const auto found = relayed_.find(channel);
@@ -40,14 +40,14 @@
   // Checked against the current clock: after the process was suspended, no timer may have detected
   // the loss yet.
   proof.live = subscription->IsLive();
-  proof.proven = found->second;
+  proof.proven_until = found->second;
   return proof;
 }
 
-runtime::MonotonicTime InvalidationRelay::AggregateProven() const {
-  runtime::MonotonicTime proven = runtime::MonotonicTime::max();
-  for (const auto& [channel, time] : relayed_) proven = std::min(proven, time);
-  return relayed_.empty() ? runtime::MonotonicTime::min() : proven;
+runtime::MonotonicTime InvalidationRelay::AggregateProvenUntil() const {
+  runtime::MonotonicTime proven_until = runtime::MonotonicTime::max();
+  for (const auto& [channel, time] : relayed_) proven_until = std::min(proven_until, time);
+  return relayed_.empty() ? runtime::MonotonicTime::min() : proven_until;
 }
 
 std::vector<RegisteredObject> InvalidationRelay::Objects(const std::string& channel) const {
@@ -83,22 +83,22 @@
 void InvalidationRelay::OnObjects(const std::string& channel,
                                   const std::vector<std::string>& objects) {
   if (!relayed_.contains(channel)) return;
-  for (const std::string& object : objects) publisher_.ObjectChanged(object);
+  for (const std::string& object : objects) publisher_.OnObjectChanged(object);
 }
 
 void InvalidationRelay::OnSynchronized(const std::string& channel) {
-  relayed_[channel] = upstream_->Find(channel)->proven();
+  relayed_[channel] = upstream_->Find(channel)->proven_until();
   // Changes during the loss are unknown, so all objects are published again. They are pending in
   // the publisher, which sends them before any message that carries the new proof.
   for (const std::string& object : upstream_->Find(channel)->KnownObjectNames()) {
-    publisher_.ObjectChanged(object);
+    publisher_.OnObjectChanged(object);
   }
 }
 
 void InvalidationRelay::OnRenewed(const std::string& channel) {
   const auto found = relayed_.find(channel);
   if (found == relayed_.end()) return;
-  found->second = upstream_->Find(channel)->proven();
+  found->second = upstream_->Find(channel)->proven_until();
   // Renews immediately, so that a level of relay points adds only its sending time to the age of
   // the proof. The aggregate channel is not renewed here but has its own heartbeat (WCIP 4.1),
   // since it would be renewed once per upstream channel.
@@ -109,12 +109,12 @@
   const auto found = relayed_.find(channel);
   if (found == relayed_.end()) return;
   const std::vector<std::string> names = ObjectNames(channel);
-  const runtime::MonotonicTime proven = found->second;
+  const runtime::MonotonicTime proven_until = found->second;
   if (channel != kAggregateChannel) {
-    publisher_.ExcludeObjects(channel, names, proven);
-    publisher_.ExcludeObjects(kAggregateChannel, names, AggregateProven());
+    publisher_.ExcludeObjects(channel, names, proven_until);
+    publisher_.ExcludeObjects(kAggregateChannel, names, AggregateProvenUntil());
   } else {
-    publisher_.ExcludeObjects(channel, names, proven);
+    publisher_.ExcludeObjects(channel, names, proven_until);
   }
   relayed_.erase(found);
 }
--- a/src/posthatch/invalidation/invalidation_relay.h
+++ b/src/posthatch/invalidation/invalidation_relay.h
@@ -36,7 +36,7 @@
   void OnLost(const std::string& channel) override;
 
   // Time up to which all channels that are relayed now have been proved.
-  runtime::MonotonicTime AggregateProven() const;
+  runtime::MonotonicTime AggregateProvenUntil() const;
   // Object names of a channel, as last announced downstream.
   std::vector<std::string> ObjectNames(const std::string& channel) const;
 
--- a/src/posthatch/invalidation/invalidation_server-test.cc
+++ b/src/posthatch/invalidation/invalidation_server-test.cc
@@ -30,7 +30,7 @@
     return true;
   }
   void AddListener(Listener listener) override { listeners.push_back(std::move(listener)); }
-  void Raise(const std::string& object) {
+  void RaiseVersion(const std::string& object) {
     ObjectVersion& version = versions[object];
     version.set_epoch(version.epoch() + 1);
     for (const Listener& listener : listeners) listener(object, version);
@@ -42,13 +42,13 @@
 class InvalidationServerTest : public testing::Test {
  protected:
   InvalidationServerTest() {
-    for (const char* object : {"model/a", "model/b", "tenant/t"}) objects_.Raise(object);
+    for (const char* object : {"model/a", "model/b", "tenant/t"}) objects_.RaiseVersion(object);
     options_.publisher.max_direct_registrations = 3;
     server_ = std::make_unique<InvalidationServer>(&fake_.runtime, options_, &objects_, [this] {
       return ServingState{serving_ && fake_.clock.now < lease_end_, epoch_};
     });
   }
-  RegistrationRequest Request(uint64_t number) {
+  RegistrationRequest MakeRequest(uint64_t number) {
     RegistrationRequest request;
     request.set_channel("models");
     request.set_registration(number);
@@ -60,14 +60,15 @@
     return request;
   }
   // Delivers a request and returns all messages sent to `from`, among them the response.
-  std::vector<ChannelEnvelope> Ask(const RegistrationRequest& request,
-                                   const std::string& from = "sub:1") {
+  std::vector<ChannelEnvelope> SendRequest(const RegistrationRequest& request,
+                                           const std::string& from = "sub:1") {
     ChannelEnvelope envelope;
     *envelope.mutable_request() = request;
     fake_.Deliver(from, envelope);
     return fake_.TakeSent(from);
   }
-  std::vector<ChannelEnvelope> After(runtime::Duration duration, const std::string& to = "sub:1") {
+  std::vector<ChannelEnvelope> AdvanceAndTakeSent(runtime::Duration duration,
+                                                  const std::string& to = "sub:1") {
     fake_.timers.Advance(duration);
     return fake_.TakeSent(to);
   }
@@ -82,7 +83,7 @@
 };
 
 TEST_F(InvalidationServerTest, ResponseStatesLifetimeHeartbeatAndFreshness) {
-  RegistrationRequest request = Request(1);
+  RegistrationRequest request = MakeRequest(1);
   request.set_lifetime_ms(3'600'000);
   const auto include = [&request](const char* object, uint64_t epoch) {
     RegisteredObject* included = request.add_include();
@@ -91,7 +92,7 @@
   };
   include("model/a", 1);
   include("tenant/t", 1);  // object of another channel
-  const RegistrationResponse response = Ask(request)[0].response();
+  const RegistrationResponse response = SendRequest(request)[0].response();
   EXPECT_EQ(response.status(), RegistrationResponse::OK);
   EXPECT_EQ(response.request_sent_ns(), 42);
   EXPECT_EQ(response.server_epoch(), 5u);
@@ -106,43 +107,43 @@
 }
 
 TEST_F(InvalidationServerTest, TargetedSubscribersReceiveOnlyRequestedObjects) {
-  RegistrationRequest request = Request(1);
+  RegistrationRequest request = MakeRequest(1);
   request.set_base(RegistrationRequest::EXCLUDE_ALL);
   request.add_include()->set_object("model/b");
-  EXPECT_EQ(Ask(request)[0].response().objects(0).freshness(), STALE);
-  objects_.Raise("model/a");
-  EXPECT_TRUE(After(milliseconds(30)).empty());
-  RegistrationRequest increment = Request(1);
+  EXPECT_EQ(SendRequest(request)[0].response().objects(0).freshness(), STALE);
+  objects_.RaiseVersion("model/a");
+  EXPECT_TRUE(AdvanceAndTakeSent(milliseconds(30)).empty());
+  RegistrationRequest increment = MakeRequest(1);
   increment.set_base(RegistrationRequest::INCREMENT);
   increment.set_increment(1);
   increment.add_include()->set_object("model/a");
   increment.add_exclude("model/b");
-  const RegistrationResponse response = Ask(increment)[0].response();
+  const RegistrationResponse response = SendRequest(increment)[0].response();
   EXPECT_EQ(response.increment(), 1u);
   EXPECT_EQ(response.objects(0).version().epoch(), 2u);
-  objects_.Raise("model/a");
-  objects_.Raise("model/b");
-  const auto messages = After(milliseconds(30));
+  objects_.RaiseVersion("model/a");
+  objects_.RaiseVersion("model/b");
+  const auto messages = AdvanceAndTakeSent(milliseconds(30));
   ASSERT_EQ(messages.size(), 1u);
   ASSERT_EQ(messages[0].message().objects_size(), 1);
   EXPECT_EQ(messages[0].message().objects(0).object(), "model/a");
   increment.set_registration(99);
-  EXPECT_EQ(Ask(increment)[0].response().status(), RegistrationResponse::REFUSED);
+  EXPECT_EQ(SendRequest(increment)[0].response().status(), RegistrationResponse::REFUSED);
 }
 
 TEST_F(InvalidationServerTest, InvalidationsAreBatchedAndNumbered) {
-  Ask(Request(1));
-  objects_.Raise("model/a");
-  objects_.Raise("model/b");
-  objects_.Raise("tenant/t");
-  EXPECT_TRUE(After(milliseconds(19)).empty());
-  const auto messages = After(milliseconds(2));
+  SendRequest(MakeRequest(1));
+  objects_.RaiseVersion("model/a");
+  objects_.RaiseVersion("model/b");
+  objects_.RaiseVersion("tenant/t");
+  EXPECT_TRUE(AdvanceAndTakeSent(milliseconds(19)).empty());
+  const auto messages = AdvanceAndTakeSent(milliseconds(2));
   ASSERT_EQ(messages.size(), 1u);
   EXPECT_EQ(messages[0].message().objects_size(), 2);
   EXPECT_EQ(messages[0].message().sequence(), 1u);
   EXPECT_EQ(messages[0].message().server_epoch(), 5u);
   EXPECT_LE(messages[0].message().remaining_lifetime_ms(), 9980u);
-  const auto heartbeats = After(milliseconds(1400));
+  const auto heartbeats = AdvanceAndTakeSent(milliseconds(1400));
   ASSERT_EQ(heartbeats.size(), 1u);
   EXPECT_EQ(heartbeats[0].message().sequence(), 2u) << "the next invalidation's number";
   EXPECT_EQ(heartbeats[0].message().server_ns() - messages[0].message().server_ns(), 1'000'000'000)
@@ -150,21 +151,21 @@
 }
 
 TEST_F(InvalidationServerTest, HeartbeatNeverOvertakesPendingInvalidation) {
-  Ask(Request(1));
+  SendRequest(MakeRequest(1));
   const uint32_t heartbeat_ms = 1000;
   fake_.timers.Advance(milliseconds(heartbeat_ms - 5));
   fake_.TakeSent();
-  objects_.Raise("model/a");  // the batch period ends 15 ms after the heartbeat is due
-  const auto messages = After(milliseconds(10));
+  objects_.RaiseVersion("model/a");  // the batch period ends 15 ms after the heartbeat is due
+  const auto messages = AdvanceAndTakeSent(milliseconds(10));
   ASSERT_GE(messages.size(), 1u);
   EXPECT_EQ(messages[0].message().objects_size(), 1);
 }
 
 TEST_F(InvalidationServerTest, RegistrationNeverOvertakesPendingInvalidation) {
-  Ask(Request(1));
-  objects_.Raise("model/a");
+  SendRequest(MakeRequest(1));
+  objects_.RaiseVersion("model/a");
   ChannelEnvelope envelope;
-  *envelope.mutable_request() = Request(1);
+  *envelope.mutable_request() = MakeRequest(1);
   fake_.Deliver("sub:2", envelope);
   const auto sent = fake_.TakeSent();
   ASSERT_EQ(sent.size(), 2u);
@@ -173,82 +174,83 @@
 }
 
 TEST_F(InvalidationServerTest, SendsNothingAfterLeaseExpiry) {
-  Ask(Request(1));
+  SendRequest(MakeRequest(1));
   lease_end_ = fake_.clock.now + milliseconds(500);
   fake_.timers.Freeze(seconds(3));  // the process is frozen, then thawed
-  objects_.Raise("model/a");
-  EXPECT_TRUE(After(seconds(3)).empty());
-  EXPECT_EQ(Ask(Request(2), "sub:2")[0].response().status(), RegistrationResponse::REFUSED);
+  objects_.RaiseVersion("model/a");
+  EXPECT_TRUE(AdvanceAndTakeSent(seconds(3)).empty());
+  EXPECT_EQ(SendRequest(MakeRequest(2), "sub:2")[0].response().status(),
+            RegistrationResponse::REFUSED);
 }
 
 TEST_F(InvalidationServerTest, KeepsInvalidationsWhileNotServingAndSendsThemFirst) {
-  Ask(Request(1));
+  SendRequest(MakeRequest(1));
   serving_ = false;
-  objects_.Raise("model/a");
-  EXPECT_TRUE(After(milliseconds(1500)).empty());
+  objects_.RaiseVersion("model/a");
+  EXPECT_TRUE(AdvanceAndTakeSent(milliseconds(1500)).empty());
   serving_ = true;
-  const auto messages = After(milliseconds(1500));
+  const auto messages = AdvanceAndTakeSent(milliseconds(1500));
   ASSERT_GE(messages.size(), 1u);
   EXPECT_EQ(messages[0].message().objects_size(), 1);
 }
 
 TEST_F(InvalidationServerTest, EarlierEpochRegistrationsReceiveNothing) {
-  Ask(Request(1));
+  SendRequest(MakeRequest(1));
   epoch_ = 6;
-  objects_.Raise("model/a");
-  EXPECT_TRUE(After(seconds(2)).empty());
+  objects_.RaiseVersion("model/a");
+  EXPECT_TRUE(AdvanceAndTakeSent(seconds(2)).empty());
   EXPECT_EQ(server_->registration_count(), 0u);
 }
 
 TEST_F(InvalidationServerTest, DeadSubscriberExpiresWithItsLifetime) {
-  RegistrationRequest request = Request(1);
+  RegistrationRequest request = MakeRequest(1);
   request.set_lifetime_ms(3000);
-  Ask(request);
+  SendRequest(request);
   EXPECT_EQ(server_->registration_count(), 1u);
   fake_.timers.Advance(seconds(5));
   EXPECT_EQ(server_->registration_count(), 0u);
   fake_.TakeSent();
-  EXPECT_TRUE(After(seconds(5)).empty());
+  EXPECT_TRUE(AdvanceAndTakeSent(seconds(5)).empty());
 }
 
 TEST_F(InvalidationServerTest, DuplicateAndOvertakenRequestsAreIgnored) {
-  Ask(Request(2));
-  objects_.Raise("model/a");
-  EXPECT_EQ(After(milliseconds(30)).size(), 1u);
-  EXPECT_TRUE(Ask(Request(2)).empty()) << "the sequence must not restart";
-  EXPECT_TRUE(Ask(Request(1)).empty());
-  objects_.Raise("model/a");
-  const auto messages = After(milliseconds(30));
+  SendRequest(MakeRequest(2));
+  objects_.RaiseVersion("model/a");
+  EXPECT_EQ(AdvanceAndTakeSent(milliseconds(30)).size(), 1u);
+  EXPECT_TRUE(SendRequest(MakeRequest(2)).empty()) << "the sequence must not restart";
+  EXPECT_TRUE(SendRequest(MakeRequest(1)).empty());
+  objects_.RaiseVersion("model/a");
+  const auto messages = AdvanceAndTakeSent(milliseconds(30));
   ASSERT_EQ(messages.size(), 1u);
   EXPECT_EQ(messages[0].message().sequence(), 2u);
 }
 
 TEST_F(InvalidationServerTest, ZeroLifetimeKeepsNoState) {
-  RegistrationRequest request = Request(1);
+  RegistrationRequest request = MakeRequest(1);
   request.set_lifetime_ms(0);
-  const RegistrationResponse response = Ask(request)[0].response();
+  const RegistrationResponse response = SendRequest(request)[0].response();
   EXPECT_EQ(response.status(), RegistrationResponse::OK);
   EXPECT_EQ(response.lifetime_ms(), 0u);
   EXPECT_EQ(server_->registration_count(), 0u);
 }
 
 TEST_F(InvalidationServerTest, RedirectsSubscribersBeyondLimitToRelayInTheirZone) {
-  RegistrationRequest relay = Request(1);
+  RegistrationRequest relay = MakeRequest(1);
   relay.set_relay(true);
-  Ask(relay, "relay:1");
-  Ask(Request(1), "sub:2");
-  Ask(Request(1), "sub:3");
-  const RegistrationResponse redirected = Ask(Request(1), "sub:4")[0].response();
+  SendRequest(relay, "relay:1");
+  SendRequest(MakeRequest(1), "sub:2");
+  SendRequest(MakeRequest(1), "sub:3");
+  const RegistrationResponse redirected = SendRequest(MakeRequest(1), "sub:4")[0].response();
   EXPECT_EQ(redirected.status(), RegistrationResponse::REDIRECT);
   EXPECT_EQ(redirected.redirect_to(), "relay:1");
-  RegistrationRequest elsewhere = Request(1);
+  RegistrationRequest elsewhere = MakeRequest(1);
   elsewhere.set_zone("z2");
-  EXPECT_EQ(Ask(elsewhere, "sub:5")[0].response().status(), RegistrationResponse::OK);
-  RegistrationRequest avoiding = Request(2);
+  EXPECT_EQ(SendRequest(elsewhere, "sub:5")[0].response().status(), RegistrationResponse::OK);
+  RegistrationRequest avoiding = MakeRequest(2);
   avoiding.add_avoid("relay:1");
-  EXPECT_EQ(Ask(avoiding, "sub:4")[0].response().status(), RegistrationResponse::OK);
+  EXPECT_EQ(SendRequest(avoiding, "sub:4")[0].response().status(), RegistrationResponse::OK);
   relay.set_registration(2);
-  EXPECT_EQ(Ask(relay, "relay:1")[0].response().status(), RegistrationResponse::OK);
+  EXPECT_EQ(SendRequest(relay, "relay:1")[0].response().status(), RegistrationResponse::OK);
 }
 
 }  // namespace
--- a/src/posthatch/invalidation/invalidation_server.cc
+++ b/src/posthatch/invalidation/invalidation_server.cc
@@ -14,7 +14,7 @@
       metrics_(runtime) {
   ExportMetrics();
   objects_->AddListener(lifetime_.Guard([this](const std::string& object, const ObjectVersion&) {
-    publisher_.ObjectChanged(object);
+    publisher_.OnObjectChanged(object);
   }));
   runtime_->transport->SetReceiver(
       runtime::SERVICE_CHANNELS, [this](const runtime::Envelope& envelope) { Receive(envelope); });
@@ -51,7 +51,7 @@
   // The time is read before the check: if this process is suspended in between, the check sees the
   // later time, while the proof states the earlier one.
   PublisherProof proof;
-  proof.proven = runtime_->clock->Now();
+  proof.proven_until = runtime_->clock->Now();
   const ServingState state = serving_();
   proof.live = state.serving;
   proof.epoch = state.epoch;
--- a/src/posthatch/invalidation/invalidation_subscriber.cc
+++ b/src/posthatch/invalidation/invalidation_subscriber.cc
@@ -87,7 +87,7 @@
   }
 }
 
-ChannelSubscription* InvalidationSubscriber::FindFor(const std::string& object) const {
+ChannelSubscription* InvalidationSubscriber::FindSubscription(const std::string& object) const {
   const std::string channel = options_.aggregate ? kAggregateChannel : ChannelOf(object);
   const auto found = subscriptions_.find(channel);
   return found == subscriptions_.end() ? nullptr : found->second.get();
@@ -95,23 +95,23 @@
 
 bool InvalidationSubscriber::IsFresh(const std::string& object,
                                      const ObjectVersion& version) const {
-  const ChannelSubscription* subscription = FindFor(object);
+  const ChannelSubscription* subscription = FindSubscription(object);
   return subscription != nullptr && subscription->IsFresh(object, version);
 }
 
 bool InvalidationSubscriber::CurrentVersion(const std::string& object,
                                             ObjectVersion* version) const {
-  const ChannelSubscription* subscription = FindFor(object);
+  const ChannelSubscription* subscription = FindSubscription(object);
   return subscription != nullptr && subscription->CurrentVersion(object, version);
 }
 
 void InvalidationSubscriber::Include(const std::string& object) {
-  ChannelSubscription* subscription = FindFor(object);
+  ChannelSubscription* subscription = FindSubscription(object);
   if (subscription != nullptr) subscription->Include(object);
 }
 
 void InvalidationSubscriber::Exclude(const std::string& object) {
-  ChannelSubscription* subscription = FindFor(object);
+  ChannelSubscription* subscription = FindSubscription(object);
   if (subscription != nullptr) subscription->Exclude(object);
 }
 
--- a/src/posthatch/invalidation/invalidation_subscriber.h
+++ b/src/posthatch/invalidation/invalidation_subscriber.h
@@ -64,7 +64,7 @@
   void OnRenewed(const std::string& channel) override;
   void OnLost(const std::string& channel) override;
 
-  ChannelSubscription* FindFor(const std::string& object) const;
+  ChannelSubscription* FindSubscription(const std::string& object) const;
   void AddChannel(const std::string& channel, const ChannelSubscription::Endpoints& endpoints);
   void Receive(const runtime::Envelope& envelope);
 
--- a/src/posthatch/invalidation/object_states.cc
+++ b/src/posthatch/invalidation/object_states.cc
@@ -10,8 +10,8 @@
 
 using VersionsByObject = absl::flat_hash_map<std::string, ObjectVersion>;
 
-Freshness Classify(const VersionsByObject& subscriber_versions, const std::string& object,
-                   const ObjectVersion& newest) {
+Freshness ClassifyFreshness(const VersionsByObject& subscriber_versions, const std::string& object,
+                            const ObjectVersion& newest) {
   const auto found = subscriber_versions.find(object);
   if (found == subscriber_versions.end()) return UNKNOWN;
   const int comparison = CompareVersions(found->second, newest);
@@ -42,7 +42,7 @@
     for (const auto& object : source.Objects(request.channel())) {
       if (excluded.contains(object.object())) continue;
       AddState(object.object(), object.version(),
-               Classify(subscriber_versions, object.object(), object.version()), response);
+               ClassifyFreshness(subscriber_versions, object.object(), object.version()), response);
       subscriber_versions.erase(object.object());
     }
   }
@@ -50,8 +50,8 @@
     if (!subscriber_versions.contains(object.object())) continue;  // added above
     ObjectVersion newest;
     if (source.Find(request.channel(), object.object(), &newest)) {
-      AddState(object.object(), newest, Classify(subscriber_versions, object.object(), newest),
-               response);
+      AddState(object.object(), newest,
+               ClassifyFreshness(subscriber_versions, object.object(), newest), response);
     } else {
       AddState(object.object(), ObjectVersion(), EXCLUDED, response);
     }
--- a/src/posthatch/invalidation/publisher_source.h
+++ b/src/posthatch/invalidation/publisher_source.h
@@ -11,9 +11,9 @@
 
 // What a publisher can prove about a channel at the time of the call.
 struct PublisherProof {
-  bool live = false;              // if false, nothing that renews trust may be sent
-  uint64_t epoch = 0;             // scopes the publisher's clock and sequence numbers
-  runtime::MonotonicTime proven;  // publisher's clock: its objects are the newest up to here
+  bool live = false;                    // if false, nothing that renews trust may be sent
+  uint64_t epoch = 0;                   // scopes the publisher's clock and sequence numbers
+  runtime::MonotonicTime proven_until;  // objects are the newest up to here, by publisher's clock
 };
 
 // Where a publisher's objects come from: the control state at an invalidation server, the upstream
--- a/src/posthatch/invalidation/registration_table-test.cc
+++ b/src/posthatch/invalidation/registration_table-test.cc
@@ -29,12 +29,12 @@
   Add("models", "b", seconds(1));
   Add("models", "a", seconds(2));
   Add("stores", "a", seconds(3));
-  const auto models = table_.OfChannel("models");
+  const auto models = table_.FindByChannel("models");
   ASSERT_EQ(models.size(), 2U);
   EXPECT_EQ(models[0]->endpoint, "a");
   EXPECT_EQ(models[1]->endpoint, "b");
-  EXPECT_EQ(table_.CountOfChannel("models"), 2U);
-  EXPECT_EQ(table_.CountOfChannel("tenants"), 0U);
+  EXPECT_EQ(table_.CountByChannel("models"), 2U);
+  EXPECT_EQ(table_.CountByChannel("tenants"), 0U);
   EXPECT_EQ(table_.size(), 3U);
 }
 
@@ -56,7 +56,7 @@
   table_.Erase("models", "unknown");
   EXPECT_EQ(table_.Find("models", "a"), nullptr);
   EXPECT_EQ(table_.NextHeartbeat()->endpoint, "b");
-  EXPECT_EQ(table_.CountOfChannel("models"), 1U);
+  EXPECT_EQ(table_.CountByChannel("models"), 1U);
 }
 
 TEST(RegistrationTest, ListedObjectsAreIncludedOrExcluded) {
--- a/src/posthatch/invalidation/registration_table.cc
+++ b/src/posthatch/invalidation/registration_table.cc
@@ -38,7 +38,7 @@
   return registrations_.find(heartbeat_schedule_.begin()->second)->second.get();
 }
 
-std::vector<Registration*> RegistrationTable::OfChannel(const std::string& channel) const {
+std::vector<Registration*> RegistrationTable::FindByChannel(const std::string& channel) const {
   std::vector<Registration*> found;
   for (auto it = registrations_.lower_bound(Key(channel, ""));
        it != registrations_.end() && it->first.first == channel; ++it) {
@@ -47,7 +47,7 @@
   return found;
 }
 
-size_t RegistrationTable::CountOfChannel(const std::string& channel) const {
+size_t RegistrationTable::CountByChannel(const std::string& channel) const {
   const auto count = count_by_channel_.find(channel);
   return count == count_by_channel_.end() ? 0 : count->second;
 }
--- a/src/posthatch/invalidation/registration_table.h
+++ b/src/posthatch/invalidation/registration_table.h
@@ -53,8 +53,8 @@
   // The registration whose heartbeat is due first; null if there is none.
   Registration* NextHeartbeat() const;
   // Registrations of a channel, ordered by endpoint.
-  std::vector<Registration*> OfChannel(const std::string& channel) const;
-  size_t CountOfChannel(const std::string& channel) const;
+  std::vector<Registration*> FindByChannel(const std::string& channel) const;
+  size_t CountByChannel(const std::string& channel) const;
   size_t size() const { return registrations_.size(); }
 
  private:
--- a/src/posthatch/invalidation/server_selector.cc
+++ b/src/posthatch/invalidation/server_selector.cc
@@ -3,9 +3,9 @@
 namespace posthatch::invalidation {
 namespace {
 
-constexpr int kMaxRedirections = 3;
+constexpr int kMaxConsecutiveRedirections = 3;
 // How long a failed relay point is avoided.
-constexpr runtime::Duration kRelayAvoidance = std::chrono::seconds(30);
+constexpr runtime::Duration kRelayAvoidancePeriod = std::chrono::seconds(30);
 
 }  // namespace
 
@@ -26,24 +26,24 @@
 }
 
 bool ServerSelector::Redirect(const std::string& from, const std::string& to) {
-  if (++consecutive_redirections_ > kMaxRedirections) return false;
+  if (++consecutive_redirections_ > kMaxConsecutiveRedirections) return false;
   redirected_from_ = from;
   redirected_to_ = to;
   return true;
 }
 
 void ServerSelector::OnRefused(const std::string& server) {
-  if (!redirected_to_.empty()) Avoid(server);
+  if (!redirected_to_.empty()) AvoidRelay(server);
   consecutive_redirections_ = 0;
 }
 
 void ServerSelector::OnNoResponse(const std::string& server) {
-  if (!redirected_to_.empty()) Avoid(server);
+  if (!redirected_to_.empty()) AvoidRelay(server);
 }
 
 void ServerSelector::OnRegistrationLost(const std::string& server) {
   if (server != redirected_to_) return;
-  Avoid(server);
+  AvoidRelay(server);
   redirected_to_.clear();
   redirected_from_.clear();
 }
@@ -54,8 +54,8 @@
   ++controller_index_;
 }
 
-void ServerSelector::Avoid(const std::string& relay) {
-  avoided_until_[relay] = clock_->Now() + kRelayAvoidance;
+void ServerSelector::AvoidRelay(const std::string& relay) {
+  avoided_until_[relay] = clock_->Now() + kRelayAvoidancePeriod;
 }
 
 }  // namespace posthatch::invalidation
--- a/src/posthatch/invalidation/server_selector.h
+++ b/src/posthatch/invalidation/server_selector.h
@@ -45,7 +45,7 @@
   void Advance();
 
  private:
-  void Avoid(const std::string& relay);
+  void AvoidRelay(const std::string& relay);
 
   const runtime::Clock* const clock_;
   const Endpoints controllers_;
--- a/src/posthatch/invalidation/subscribed_objects.cc
+++ b/src/posthatch/invalidation/subscribed_objects.cc
@@ -20,12 +20,12 @@
   }
 }
 
-void SubscribedObjects::Uncover(const std::string& object) {
+void SubscribedObjects::MarkNotCovered(const std::string& object) {
   const auto found = objects_.find(object);
   if (found != objects_.end()) found->second.covered = false;
 }
 
-void SubscribedObjects::UncoverAll() {
+void SubscribedObjects::MarkAllNotCovered() {
   for (auto& [name, object] : objects_) object.covered = false;
 }
 
--- a/src/posthatch/invalidation/subscribed_objects.h
+++ b/src/posthatch/invalidation/subscribed_objects.h
@@ -22,8 +22,8 @@
   };
 
   void Apply(const google::protobuf::RepeatedPtrField<ObjectState>& states);
-  void Uncover(const std::string& object);
-  void UncoverAll();
+  void MarkNotCovered(const std::string& object);
+  void MarkAllNotCovered();
 
   // Returns null if the object is not covered.
   const Object* FindCovered(const std::string& name) const;
