--- a/src/posthatch/invalidation/publisher_source.h
+++ b/src/posthatch/invalidation/publisher_source.h
@@ -9,9 +9,9 @@
 
 namespace posthatch::invalidation {
 
-// What a publisher can prove about a channel at the time of the call.
+// A publisher's proof for a channel at the time of the call.
 struct PublisherProof {
-  bool live = false;                    // if false, nothing that renews trust may be sent
+  bool live = false;                    // whether messages that renew trust may be sent
   uint64_t epoch = 0;                   // scopes the publisher's clock and sequence numbers
   runtime::MonotonicTime proven_until;  // objects are the newest up to here, by publisher's clock
 };
