--- a/src/posthatch/invalidation/channel_messages-fuzz.cc
+++ b/src/posthatch/invalidation/channel_messages-fuzz.cc
@@ -5,15 +5,15 @@
 #include "posthatch/invalidation/invalidation_relay.h"
 #include "posthatch/invalidation/invalidation_subscriber.h"
 
-// Arbitrary bytes as a channel message, to a subscriber that is also a relay point: it must not
-// crash and must trust nothing, since no registration was ever granted by its number.
+// Delivers arbitrary bytes as a channel message to a subscriber that is also a relay point. It must
+// not crash and must trust nothing, since no registration of its number was ever granted.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using posthatch::invalidation::FakeRuntime;
   FakeRuntime fake;
-  posthatch::invalidation::InvalidationSubscriber set(
+  posthatch::invalidation::InvalidationSubscriber subscriber(
       &fake.runtime, {}, [] { return std::vector<std::string>{"10.0.0.9:7000"}; });
-  posthatch::invalidation::InvalidationRelay relay(&fake.runtime, {}, &set);
-  set.Start();
+  posthatch::invalidation::InvalidationRelay relay(&fake.runtime, {}, &subscriber);
+  subscriber.Start();
   posthatch::runtime::Envelope envelope;
   envelope.set_from_endpoint("10.0.0.9:7000");
   envelope.set_payload(data, size);
--- a/src/posthatch/invalidation/invalidation_relay-test.cc
+++ b/src/posthatch/invalidation/invalidation_relay-test.cc
@@ -13,8 +13,8 @@
 constexpr char kServer[] = "10.0.0.9:7000";
 constexpr char kSubscriber[] = "10.0.0.3:7000";
 
-// The test acts as the upstream server and the downstream subscribers. The server's clock is the
-// relay point's, so that a time proved upstream can be compared with what is proved downstream.
+// The test acts as the upstream server and the downstream subscribers. The server shares the
+// relay point's clock, so that times proved upstream and downstream can be compared.
 class InvalidationRelayTest : public testing::Test {
  protected:
   InvalidationRelayTest() {
@@ -44,7 +44,7 @@
     fake_.TakeSent();
   }
   int64_t Now() const { return runtime::ToNanoseconds(fake_.clock.now); }
-  void HeartbeatFromUpstream(const std::string& channel) {
+  void DeliverUpstreamHeartbeat(const std::string& channel) {
     ChannelEnvelope envelope;
     ChannelMessage* message = envelope.mutable_message();
     message->set_channel(channel);
@@ -83,13 +83,13 @@
 TEST_F(InvalidationRelayTest, MessagesProveWhatUpstreamHasProvedImmediately) {
   Register("models");
   fake_.timers.Freeze(milliseconds(800));
-  HeartbeatFromUpstream("models");
+  DeliverUpstreamHeartbeat("models");
   const auto renewed = fake_.TakeSent(kSubscriber);
   ASSERT_EQ(renewed.size(), 1u);
   const int64_t proved = renewed[0].message().server_ns();
   EXPECT_LE(proved, Now());
-  EXPECT_GE(proved, Now() - 1'000'000) << "less the allowance for clock rates";
-  fake_.timers.Advance(milliseconds(1100));  // its own heartbeat, without a message from upstream
+  EXPECT_GE(proved, Now() - 1'000'000) << "reduced at most by the allowance for clock rates";
+  fake_.timers.Advance(milliseconds(1100));  // the relay's own heartbeat, none from upstream
   const auto own = fake_.TakeSent(kSubscriber);
   ASSERT_GE(own.size(), 1u);
   EXPECT_EQ(own.back().message().server_ns(), proved);
@@ -98,7 +98,7 @@
 TEST_F(InvalidationRelayTest, AggregateProvesOldestOfItsChannels) {
   const int64_t proved = Now();
   fake_.timers.Freeze(milliseconds(900));
-  HeartbeatFromUpstream("models");
+  DeliverUpstreamHeartbeat("models");
   EXPECT_EQ(Register(kAggregateChannel).response().proven_ns(), proved);
   fake_.timers.Advance(milliseconds(1005));
   const auto heartbeats = fake_.TakeSent(kSubscriber);
@@ -110,7 +110,7 @@
   Register(kAggregateChannel);
   for (int i = 0; i < 3; ++i) {
     fake_.timers.Advance(milliseconds(900));
-    HeartbeatFromUpstream("models");  // and none for "tenants"
+    DeliverUpstreamHeartbeat("models");  // no heartbeat for "tenants"
   }
   std::vector<std::string> excluded;
   int64_t proved = 0;
