--- a/src/posthatch/ctl/admin_request.cc
+++ b/src/posthatch/ctl/admin_request.cc
@@ -9,7 +9,7 @@
 namespace posthatch::ctl {
 namespace {
 
-constexpr const char* kPath = "/admin/v1/";
+constexpr const char* kAdminPathPrefix = "/admin/v1/";
 
 absl::StatusOr<boost::json::object> ReadObject(const std::string& text) {
   boost::json::error_code error;
@@ -37,7 +37,7 @@
   return {{"requirements", std::move(requirements)}};
 }
 
-std::string ViewName(const Invocation& invocation) {
+std::string ResourcePath(const Invocation& invocation) {
   switch (invocation.command) {
     case CommandKind::kConfigGet:
       return invocation.version == 0 ? "configuration"
@@ -65,7 +65,8 @@
   }
 }
 
-absl::StatusOr<std::string> FillChange(const Invocation& invocation, boost::json::object* body) {
+absl::StatusOr<std::string> FillChangeBody(const Invocation& invocation,
+                                           boost::json::object* body) {
   switch (invocation.command) {
     case CommandKind::kConfigApply: {
       absl::StatusOr<boost::json::object> content = ReadObject(invocation.file_content);
@@ -112,14 +113,14 @@
   }
   if (!IsChange(invocation.command)) {
     request.method = "GET";
-    request.target = kPath + ViewName(invocation);
+    request.target = kAdminPathPrefix + ResourcePath(invocation);
     return request;
   }
   boost::json::object body{{"request_id", invocation.request_id}};
-  absl::StatusOr<std::string> name = FillChange(invocation, &body);
-  if (!name.ok()) return name.status();
+  absl::StatusOr<std::string> resource = FillChangeBody(invocation, &body);
+  if (!resource.ok()) return resource.status();
   request.method = "POST";
-  request.target = kPath + *name;
+  request.target = kAdminPathPrefix + *resource;
   request.headers.Add("Content-Type", "application/json");
   request.body = boost::json::serialize(body);
   return request;
--- a/src/posthatch/ctl/ctl-test.cc
+++ b/src/posthatch/ctl/ctl-test.cc
@@ -76,7 +76,7 @@
         auto server = runtime->http_servers->Listen(
             host->http_endpoint(), {}, [this, host](const http::Request& request, auto writer) {
               bodies_.push_back(request.body);
-              writer->SendResponse(answers_[host->name()][request.method]);
+              writer->SendResponse(responses_[host->name()][request.method]);
             });
         return std::make_shared<std::unique_ptr<http::HttpServer>>(*std::move(server));
       });
@@ -88,8 +88,9 @@
     world_.FindHost("tool")->Start();
   }
 
-  void Answer(const std::string& host, const std::string& method, int status, std::string body) {
-    answers_[host][method] = {status, {}, std::move(body)};
+  void SetResponse(const std::string& host, const std::string& method, int status,
+                   std::string body) {
+    responses_[host][method] = {status, {}, std::move(body)};
   }
   RunResult Run(const std::vector<const char*>& arguments) {
     CommandRunner runner(world_.FindHost("tool")->runtime(), Parse(arguments).invocation.value());
@@ -104,13 +105,13 @@
   }
 
   simulation::SimWorld world_;
-  std::map<std::string, std::map<std::string, http::Response>> answers_;
+  std::map<std::string, std::map<std::string, http::Response>> responses_;
   std::vector<std::string> bodies_;
 };
 
 TEST_F(CommandRunnerTest, RetriesAtNextTargetWithSameRequestId) {
-  Answer("10.0.0.1", "POST", 503, R"({"error":{"code":"uncertain"}})");
-  Answer("10.0.0.2", "POST", 200, R"({"acknowledged":true,"version":2})");
+  SetResponse("10.0.0.1", "POST", 503, R"({"error":{"code":"uncertain"}})");
+  SetResponse("10.0.0.2", "POST", 200, R"({"acknowledged":true,"version":2})");
   const RunResult result = Run({"config", "rollback", "1"});
   EXPECT_EQ(result.exit_code, ExitCode::kOk);
   ASSERT_EQ(bodies_.size(), 2);
@@ -120,13 +121,13 @@
 }
 
 TEST_F(CommandRunnerTest, RejectionIsNotRetried) {
-  Answer("10.0.0.1", "POST", 409, R"({"error":{"code":"version_conflict"},"version":5})");
+  SetResponse("10.0.0.1", "POST", 409, R"({"error":{"code":"version_conflict"},"version":5})");
   EXPECT_EQ(Run({"config", "rollback", "1"}).exit_code, ExitCode::kRefused);
   EXPECT_EQ(bodies_.size(), 1);
 }
 
 TEST_F(CommandRunnerTest, UncertainResultPrintsRequestIdForResend) {
-  Answer("10.0.0.1", "POST", 503, R"({"error":{"code":"uncertain"}})");
+  SetResponse("10.0.0.1", "POST", 503, R"({"error":{"code":"uncertain"}})");
   world_.FindHost("10.0.0.2")->Crash();
   const RunResult result = Run({"--request-id", "mine", "config", "rollback", "1"});
   EXPECT_EQ(result.exit_code, ExitCode::kUncertain);
@@ -134,10 +135,10 @@
 }
 
 TEST_F(CommandRunnerTest, SelectorMatchingNothingOrAllNeedsConfirmation) {
-  Answer("10.0.0.1", "GET", 200,
-         R"({"version":1,"backends":[{"id":"a","kind":"worker","endpoint":"x","zone":"z1"},)"
-         R"({"id":"b","kind":"worker","endpoint":"x","zone":"z2"}]})");
-  Answer("10.0.0.1", "POST", 200, R"({"acknowledged":true})");
+  SetResponse("10.0.0.1", "GET", 200,
+              R"({"version":1,"backends":[{"id":"a","kind":"worker","endpoint":"x","zone":"z1"},)"
+              R"({"id":"b","kind":"worker","endpoint":"x","zone":"z2"}]})");
+  SetResponse("10.0.0.1", "POST", 200, R"({"acknowledged":true})");
   EXPECT_EQ(Run({"evacuate", "e", "--selector", "zone=z3"}).exit_code, ExitCode::kRefused);
   EXPECT_EQ(Run({"evacuate", "e", "--selector", "*"}).exit_code, ExitCode::kRefused);
   EXPECT_EQ(Run({"evacuate", "e", "--selector", "zone=z1"}).exit_code, ExitCode::kOk);
--- a/src/posthatch/ctl/invocation.cc
+++ b/src/posthatch/ctl/invocation.cc
@@ -29,7 +29,7 @@
     AddConfigCommands();
     AddEvacuationCommands();
     AddModelCommands();
-    AddViews();
+    AddReadCommands();
   }
 
   ParseOutcome Parse(int argument_count, const char* const* arguments) {
@@ -53,8 +53,8 @@
   }
 
  private:
-  CLI::App* Add(CLI::App* parent, const std::string& name, const std::string& help,
-                CommandKind kind) {
+  CLI::App* AddCommand(CLI::App* parent, const std::string& name, const std::string& help,
+                       CommandKind kind) {
     CLI::App* command = parent->add_subcommand(name, help);
     command->callback([this, kind] { invocation_.command = kind; });
     return command;
@@ -88,30 +88,30 @@
     CLI::App* config = app_.add_subcommand("config", "The operators' configuration");
     config->require_subcommand(1);
     CLI::App* apply =
-        Add(config, "apply", "Puts a configuration in force", CommandKind::kConfigApply);
+        AddCommand(config, "apply", "Puts a configuration in force", CommandKind::kConfigApply);
     apply->add_option("file", file_, "JSON file: a whole configuration")->required();
     apply->add_flag("--patch", invocation_.is_patch, "The file is a partial change");
     AddExpectedVersion(apply);
-    CLI::App* get = Add(config, "get", "Shows a configuration", CommandKind::kConfigGet);
+    CLI::App* get = AddCommand(config, "get", "Shows a configuration", CommandKind::kConfigGet);
     get->add_option("--version", invocation_.version, "Default: the newest");
-    Add(config, "history", "Lists the versions that are kept", CommandKind::kConfigHistory);
-    CLI::App* diff =
-        Add(config, "diff", "Names what differs between two versions", CommandKind::kConfigDiff);
+    AddCommand(config, "history", "Lists the versions that are kept", CommandKind::kConfigHistory);
+    CLI::App* diff = AddCommand(config, "diff", "Names what differs between two versions",
+                                CommandKind::kConfigDiff);
     diff->add_option("from", invocation_.from_version)->required();
     diff->add_option("to", invocation_.to_version, "Default: the newest");
-    CLI::App* rollback = Add(config, "rollback", "Makes a new version equal to an old one",
-                             CommandKind::kConfigRollback);
+    CLI::App* rollback = AddCommand(config, "rollback", "Makes a new version equal to an old one",
+                                    CommandKind::kConfigRollback);
     rollback->add_option("version", invocation_.version)->required()->check(CLI::PositiveNumber);
     AddExpectedVersion(rollback);
   }
 
   void AddEvacuationCommands() {
-    CLI::App* evacuate =
-        Add(&app_, "evacuate", "Keeps new work away from all that match", CommandKind::kEvacuate);
+    CLI::App* evacuate = AddCommand(&app_, "evacuate", "Keeps new work away from all that match",
+                                    CommandKind::kEvacuate);
     evacuate->add_option("name", invocation_.name)->required();
     evacuate->add_option("--selector", invocation_.selector, "For example zone=eu-1a,!canary")
         ->required();
-    CLI::App* lift = Add(&app_, "lift", "Ends an evacuation", CommandKind::kLift);
+    CLI::App* lift = AddCommand(&app_, "lift", "Ends an evacuation", CommandKind::kLift);
     lift->add_option("name", invocation_.name)->required();
     CLI::App* drain = app_.add_subcommand(
         "drain", "Keeps new work away from one back end: evacuates drain-ID by id=ID");
@@ -121,27 +121,29 @@
       invocation_.name = "drain-" + drain_id_;
       invocation_.selector = "id=" + drain_id_;
     });
-    Add(&app_, "evacuations", "Lists the standing evacuations", CommandKind::kEvacuations);
+    AddCommand(&app_, "evacuations", "Lists the standing evacuations", CommandKind::kEvacuations);
   }
 
   void AddModelCommands() {
-    CLI::App* revision =
-        Add(&app_, "model-revision", "Names a model's new weights", CommandKind::kModelRevision);
+    CLI::App* revision = AddCommand(&app_, "model-revision", "Names a model's new weights",
+                                    CommandKind::kModelRevision);
     revision->add_option("model", invocation_.name)->required();
     revision->add_option("weights", invocation_.weights)->required();
     revision->add_option("--expected-revision", invocation_.expected_version,
                          "Refuse if this isn't the newest revision");
-    Add(&app_, "model-revisions", "Lists the newest revisions", CommandKind::kModelRevisions);
+    AddCommand(&app_, "model-revisions", "Lists the newest revisions",
+               CommandKind::kModelRevisions);
   }
 
-  void AddViews() {
-    Add(&app_, "members", "Lists the processes that the target knows", CommandKind::kMembers);
-    Add(&app_, "leases", "Lists which gateway holds which worker", CommandKind::kLeases);
-    Add(&app_, "inventory", "Lists the back ends", CommandKind::kInventory);
-    Add(&app_, "controllers", "Shows the replicated log's state", CommandKind::kControllers);
+  void AddReadCommands() {
+    AddCommand(&app_, "members", "Lists the processes that the target knows",
+               CommandKind::kMembers);
+    AddCommand(&app_, "leases", "Lists which gateway holds which worker", CommandKind::kLeases);
+    AddCommand(&app_, "inventory", "Lists the back ends", CommandKind::kInventory);
+    AddCommand(&app_, "controllers", "Shows the replicated log's state", CommandKind::kControllers);
     CLI::App* index = app_.add_subcommand("index", "The prefix cache index");
     index->require_subcommand(1);
-    Add(index, "stats", "Shows the target's index", CommandKind::kIndexStats);
+    AddCommand(index, "stats", "Shows the target's index", CommandKind::kIndexStats);
   }
 
   void AddExpectedVersion(CLI::App* command) {
--- a/src/posthatch/ctl/output.cc
+++ b/src/posthatch/ctl/output.cc
@@ -11,7 +11,7 @@
 
 using Row = std::vector<std::string>;
 
-std::string Cell(const boost::json::value& value) {
+std::string RenderCell(const boost::json::value& value) {
   if (value.is_string()) return {value.get_string().data(), value.get_string().size()};
   return boost::json::serialize(value);
 }
@@ -57,7 +57,7 @@
     Row& row = rows.emplace_back();
     for (const std::string& column : columns) {
       const boost::json::value* value = entry.get_object().if_contains(column);
-      row.push_back(value == nullptr ? "" : Cell(*value));
+      row.push_back(value == nullptr ? "" : RenderCell(*value));
     }
   }
   return RenderRows(rows);
@@ -77,10 +77,10 @@
       absl::StrAppend(&lists, RenderTable(field.value().get_array()));
     } else if (field.value().is_array()) {
       for (const boost::json::value& entry : field.value().get_array()) {
-        absl::StrAppend(&lists, key, ": ", Cell(entry), "\n");
+        absl::StrAppend(&lists, key, ": ", RenderCell(entry), "\n");
       }
     } else {
-      absl::StrAppend(&text, key, ": ", Cell(field.value()), "\n");
+      absl::StrAppend(&text, key, ": ", RenderCell(field.value()), "\n");
     }
   }
   return text + lists;
--- a/src/posthatch/ctl/target_caller.cc
+++ b/src/posthatch/ctl/target_caller.cc
@@ -32,8 +32,8 @@
 }
 
 void TargetCaller::StartAttempt() {
-  const runtime::Duration left = deadline_ - runtime_->clock->Now();
-  if (left <= runtime::Duration::zero()) {
+  const runtime::Duration remaining = deadline_ - runtime_->clock->Now();
+  if (remaining <= runtime::Duration::zero()) {
     call_.reset();
     Finish();
     return;
@@ -41,7 +41,7 @@
   const std::string& target = targets_[attempts_++ % targets_.size()];
   outcome_.response = {};
   http::CallOptions options;
-  options.head_timeout = std::min(kAttemptTimeout, left);
+  options.head_timeout = std::min(kAttemptTimeout, remaining);
   options.body_idle_timeout = options.head_timeout;
   http::CallObserver observer;
   observer.on_head = [this](const http::Response& head) { outcome_.response = head; };
