--- a/src/posthatch/ctl/admin_request.cc
+++ b/src/posthatch/ctl/admin_request.cc
@@ -15,7 +15,7 @@
   boost::json::error_code error;
   boost::json::value value = boost::json::parse(text, error);
   if (error || !value.is_object()) {
-    return absl::InvalidArgumentError("the file must hold one JSON object");
+    return absl::InvalidArgumentError("the file must contain one JSON object");
   }
   return std::move(value.get_object());
 }
@@ -37,6 +37,7 @@
   return {{"requirements", std::move(requirements)}};
 }
 
+// Path and query of a command that reads, relative to kAdminPathPrefix.
 std::string ResourcePath(const Invocation& invocation) {
   switch (invocation.command) {
     case CommandKind::kConfigGet:
@@ -65,6 +66,8 @@
   }
 }
 
+// Adds the fields of a change to `body` and returns the path of its resource, relative to
+// kAdminPathPrefix.
 absl::StatusOr<std::string> FillChangeBody(const Invocation& invocation,
                                            boost::json::object* body) {
   switch (invocation.command) {
--- a/src/posthatch/ctl/admin_request.h
+++ b/src/posthatch/ctl/admin_request.h
@@ -8,19 +8,20 @@
 
 namespace posthatch::ctl {
 
-// Whether the command changes something, and so carries a request id.
+// Whether the command changes the control state. Its request then carries a request id.
 bool IsChange(CommandKind command);
 
-// The HTTP request of a command (docs/API.md). InvalidArgument if the file or the selector can't be
-// read. `invocation.request_id` must be set for changes.
+// Makes the HTTP request of a command (docs/API.md). InvalidArgument if the file or the selector
+// can't be read. `invocation.request_id` must be set for changes.
 absl::StatusOr<http::Request> MakeRequest(const Invocation& invocation);
 
-// The number of back ends that an evacuation's selector matches, and of all back ends, by the body
-// of GET /admin/v1/inventory.
+// Numbers of back ends in an inventory.
 struct MatchCount {
-  int matching = 0;
+  int matching = 0;  // matched by an evacuation's selector
   int all = 0;
 };
+// Counts the back ends that `selector` matches. `inventory_json` is the body of a response to
+// GET /admin/v1/inventory. InvalidArgument if either can't be parsed.
 absl::StatusOr<MatchCount> CountMatches(const std::string& selector,
                                         const std::string& inventory_json);
 
--- a/src/posthatch/ctl/command_runner.cc
+++ b/src/posthatch/ctl/command_runner.cc
@@ -40,7 +40,7 @@
   caller_.Call(*MakeRequest(inventory), [this](const CallOutcome& outcome) {
     if (!outcome.has_final_response || outcome.response.status != kStatusOk) {
       done_({ExitCode::kRefused, "",
-             "can't read the inventory to see what the selector matches; --yes goes on without\n"});
+             "can't read the inventory to check the selector; --yes skips the check\n"});
       return;
     }
     const absl::StatusOr<MatchCount> count =
@@ -78,9 +78,10 @@
     return;
   }
   result.exit_code = ExitCode::kUncertain;
-  absl::StrAppend(&result.notes, "no final answer: ", outcome.error, "\n");
+  absl::StrAppend(&result.notes, "no final response: ", outcome.error, "\n");
   if (is_change && outcome.may_be_applied) {
-    absl::StrAppend(&result.notes, "it may be applied: send it again with --request-id ",
+    absl::StrAppend(&result.notes,
+                    "the change may have been applied: send it again with --request-id ",
                     invocation_.request_id, "\n");
   }
   done_(std::move(result));
--- a/src/posthatch/ctl/command_runner.h
+++ b/src/posthatch/ctl/command_runner.h
@@ -9,10 +9,11 @@
 
 namespace posthatch::ctl {
 
+// What posthatchctl prints and its exit code.
 struct RunResult {
   ExitCode exit_code = ExitCode::kOk;
-  std::string output;  // for standard output
-  std::string notes;   // for standard error: the request id, and what to do next
+  std::string output;  // written to standard output
+  std::string notes;   // written to standard error: the request id, errors, and how to retry
 };
 
 // Runs one command. Event loop thread only.
@@ -25,7 +26,8 @@
   void Run(Done done);
 
  private:
-  // An evacuation whose selector matches nothing or everything must be confirmed.
+  // Reads the inventory before an evacuation: a selector that matches no back end or all of them
+  // must be confirmed.
   void CheckSelector();
   void SendCommand();
   void OnOutcome(const CallOutcome& outcome);
--- a/src/posthatch/ctl/ctl-test.cc
+++ b/src/posthatch/ctl/ctl-test.cc
@@ -66,7 +66,7 @@
   EXPECT_EQ(RenderOutput("not json", OutputFormat::kTable), "not json\n");
 }
 
-// Two nodes with responses set by the test, and the tool on a third machine.
+// Two nodes whose responses the test sets, and posthatchctl on a third host.
 class CommandRunnerTest : public testing::Test {
  protected:
   CommandRunnerTest() : world_(1) {
@@ -88,6 +88,7 @@
     world_.FindHost("tool")->Start();
   }
 
+  // Sets the response of a host to all requests of one method.
   void SetResponse(const std::string& host, const std::string& method, int status,
                    std::string body) {
     responses_[host][method] = {status, {}, std::move(body)};
--- a/src/posthatch/ctl/invocation.cc
+++ b/src/posthatch/ctl/invocation.cc
@@ -20,10 +20,10 @@
   return true;
 }
 
-// The command line's grammar; values are stored directly in the invocation.
+// Defines the options and subcommands; CLI11 stores their values in `invocation_`.
 class CommandLine {
  public:
-  CommandLine() : app_("Operates a posthatch fleet from any of its gateways or controllers") {
+  CommandLine() : app_("Manages a posthatch fleet through any of its gateways or controllers") {
     app_.require_subcommand(1);
     AddOptions();
     AddConfigCommands();
@@ -72,13 +72,13 @@
     app_.add_option("--token-file", token_file_, "File with the operators' bearer token");
     app_.add_option(
             "--request-id", invocation_.request_id,
-            "Id of the change, 1 to 128 characters: give the printed one again to resend it")
+            "Id of the change, 1 to 128 characters: pass the printed one again to resend it")
         ->check([](const std::string& text) {
           return text.empty() || text.size() > 128 ? std::string("1 to 128 characters")
                                                    : std::string();
         });
     app_.add_option("--timeout-ms", invocation_.timeout_ms,
-                    "How long to try for, all targets together")
+                    "Time-out in milliseconds, for all targets together")
         ->check(CLI::Range(100, 600000));
     app_.add_flag("--yes", invocation_.confirmed,
                   "Confirms a selector that matches nothing or everything");
@@ -89,58 +89,61 @@
     config->require_subcommand(1);
     CLI::App* apply =
         AddCommand(config, "apply", "Puts a configuration in force", CommandKind::kConfigApply);
-    apply->add_option("file", file_, "JSON file: a whole configuration")->required();
-    apply->add_flag("--patch", invocation_.is_patch, "The file is a partial change");
+    apply->add_option("file", file_, "JSON file with a complete configuration")->required();
+    apply->add_flag("--patch", invocation_.is_patch, "The file contains a partial change");
     AddExpectedVersion(apply);
     CLI::App* get = AddCommand(config, "get", "Shows a configuration", CommandKind::kConfigGet);
     get->add_option("--version", invocation_.version, "Default: the newest");
-    AddCommand(config, "history", "Lists the versions that are kept", CommandKind::kConfigHistory);
-    CLI::App* diff = AddCommand(config, "diff", "Names what differs between two versions",
+    AddCommand(config, "history", "Lists the stored versions", CommandKind::kConfigHistory);
+    CLI::App* diff = AddCommand(config, "diff", "Lists the differences between two versions",
                                 CommandKind::kConfigDiff);
     diff->add_option("from", invocation_.from_version)->required();
     diff->add_option("to", invocation_.to_version, "Default: the newest");
-    CLI::App* rollback = AddCommand(config, "rollback", "Makes a new version equal to an old one",
+    CLI::App* rollback = AddCommand(config, "rollback", "Creates a new version equal to an old one",
                                     CommandKind::kConfigRollback);
     rollback->add_option("version", invocation_.version)->required()->check(CLI::PositiveNumber);
     AddExpectedVersion(rollback);
   }
 
   void AddEvacuationCommands() {
-    CLI::App* evacuate = AddCommand(&app_, "evacuate", "Keeps new work away from all that match",
-                                    CommandKind::kEvacuate);
+    CLI::App* evacuate =
+        AddCommand(&app_, "evacuate", "Routes new requests around all matching back ends",
+                   CommandKind::kEvacuate);
     evacuate->add_option("name", invocation_.name)->required();
     evacuate->add_option("--selector", invocation_.selector, "For example zone=eu-1a,!canary")
         ->required();
     CLI::App* lift = AddCommand(&app_, "lift", "Ends an evacuation", CommandKind::kLift);
     lift->add_option("name", invocation_.name)->required();
     CLI::App* drain = app_.add_subcommand(
-        "drain", "Keeps new work away from one back end: evacuates drain-ID by id=ID");
+        "drain", "Routes new requests around one back end: evacuation drain-ID, selector id=ID");
     drain->add_option("id", drain_id_)->required();
     drain->callback([this] {
       invocation_.command = CommandKind::kEvacuate;
       invocation_.name = "drain-" + drain_id_;
       invocation_.selector = "id=" + drain_id_;
     });
-    AddCommand(&app_, "evacuations", "Lists the standing evacuations", CommandKind::kEvacuations);
+    AddCommand(&app_, "evacuations", "Lists the active evacuations", CommandKind::kEvacuations);
   }
 
   void AddModelCommands() {
-    CLI::App* revision = AddCommand(&app_, "model-revision", "Names a model's new weights",
-                                    CommandKind::kModelRevision);
+    CLI::App* revision =
+        AddCommand(&app_, "model-revision", "Sets new weights as a model's newest revision",
+                   CommandKind::kModelRevision);
     revision->add_option("model", invocation_.name)->required();
     revision->add_option("weights", invocation_.weights)->required();
     revision->add_option("--expected-revision", invocation_.expected_version,
-                         "Refuse if this isn't the newest revision");
-    AddCommand(&app_, "model-revisions", "Lists the newest revisions",
+                         "Rejects the change if this isn't the newest revision");
+    AddCommand(&app_, "model-revisions", "Lists the newest revision of each model",
                CommandKind::kModelRevisions);
   }
 
   void AddReadCommands() {
     AddCommand(&app_, "members", "Lists the processes that the target knows",
                CommandKind::kMembers);
-    AddCommand(&app_, "leases", "Lists which gateway holds which worker", CommandKind::kLeases);
+    AddCommand(&app_, "leases", "Lists the worker leases and their holders", CommandKind::kLeases);
     AddCommand(&app_, "inventory", "Lists the back ends", CommandKind::kInventory);
-    AddCommand(&app_, "controllers", "Shows the replicated log's state", CommandKind::kControllers);
+    AddCommand(&app_, "controllers", "Shows the state of the replicated log",
+               CommandKind::kControllers);
     CLI::App* index = app_.add_subcommand("index", "The prefix cache index");
     index->require_subcommand(1);
     AddCommand(index, "stats", "Shows the target's index", CommandKind::kIndexStats);
@@ -148,10 +151,10 @@
 
   void AddExpectedVersion(CLI::App* command) {
     command->add_option("--expected-version", invocation_.expected_version,
-                        "Refuse if this isn't the newest version");
+                        "Rejects the change if this isn't the newest version");
   }
 
-  // The error; empty if there is none.
+  // Returns the error; empty if there is none.
   std::string ReadFiles() {
     if (!file_.empty() && !ReadFile(file_, &invocation_.file_content)) {
       return "can't read " + file_ + "\n";
--- a/src/posthatch/ctl/invocation.h
+++ b/src/posthatch/ctl/invocation.h
@@ -17,7 +17,7 @@
 
 enum class OutputFormat { kTable, kJson };
 
-// The commands.
+// The commands of posthatchctl (docs/operations/posthatchctl.md).
 enum class CommandKind {
   kConfigApply,
   kConfigGet,
@@ -46,25 +46,26 @@
   bool confirmed = false;  // --yes
 
   CommandKind command = CommandKind::kMembers;
-  std::string file_content;  // of config apply
+  std::string file_content;  // config apply: content of the JSON file
   bool is_patch = false;
   uint64_t expected_version = 0;
   uint64_t version = 0;  // config get, rollback: 0 for the newest
   uint64_t from_version = 0;
   uint64_t to_version = 0;
-  std::string name;  // of an evacuation, or a model
+  std::string name;  // name of an evacuation or a model
   std::string selector;
   std::string weights;
 };
 
+// Result of ParseCommandLine.
 struct ParseOutcome {
-  // What to run. Empty after a call for help or an error: print `message`, end with `exit_code`.
+  // The command to run. Empty after --help or an error: print `message`, exit with `exit_code`.
   std::optional<Invocation> invocation;
   ExitCode exit_code = ExitCode::kOk;
   std::string message;
 };
 
-// Reads a command line, and the files that it names.
+// Parses a command line and reads the files that it names.
 ParseOutcome ParseCommandLine(int argument_count, const char* const* arguments);
 
 }  // namespace posthatch::ctl
--- a/src/posthatch/ctl/main.cc
+++ b/src/posthatch/ctl/main.cc
@@ -1,4 +1,4 @@
-// posthatchctl: the operators' program (docs/operations/posthatchctl.md).
+// posthatchctl: the command line program of operators (docs/operations/posthatchctl.md).
 #include <cstdio>
 #include <memory>
 
--- a/src/posthatch/ctl/output.cc
+++ b/src/posthatch/ctl/output.cc
@@ -16,13 +16,14 @@
   return boost::json::serialize(value);
 }
 
+// Whether `value` is rendered as columns: a non-empty list of objects.
 bool IsTable(const boost::json::value& value) {
   return value.is_array() && !value.get_array().empty() &&
          std::all_of(value.get_array().begin(), value.get_array().end(),
                      [](const boost::json::value& entry) { return entry.is_object(); });
 }
 
-// Columns are the keys of all rows, in order of their first appearance.
+// Returns the keys of all entries, in order of their first appearance.
 Row Columns(const boost::json::array& entries) {
   Row columns;
   for (const boost::json::value& entry : entries) {
@@ -34,6 +35,7 @@
   return columns;
 }
 
+// Aligns the columns of `rows`, of which there is at least one.
 std::string RenderRows(const std::vector<Row>& rows) {
   std::vector<size_t> widths(rows.front().size(), 0);
   for (const Row& row : rows) {
--- a/src/posthatch/ctl/target_caller.cc
+++ b/src/posthatch/ctl/target_caller.cc
@@ -9,11 +9,10 @@
 namespace {
 
 constexpr int kStatusUnavailable = 503;
-// The error code of a 503 that says that the change may have been applied; any other code says that
-// it was not.
+// Error code of a 503 response if the change may have been applied; with any other code it was not.
 constexpr const char* kUncertainCode = "\"uncertain\"";
 constexpr runtime::Duration kRetryBackoff = std::chrono::milliseconds(300);
-// Timeout for one target: a change may wait for a session lease and an election.
+// Time-out of an attempt at one target: a change may wait for a session lease and an election.
 constexpr runtime::Duration kAttemptTimeout = std::chrono::seconds(10);
 
 }  // namespace
@@ -68,8 +67,8 @@
   ScheduleNextAttempt();
 }
 
-// Moved out first: `done_` may start the next call.
 void TargetCaller::Finish() {
+  // Both are moved out before the call, since the callback may start the next request.
   const Done done = std::exchange(done_, nullptr);
   done(std::exchange(outcome_, {}));
 }
--- a/src/posthatch/ctl/target_caller.h
+++ b/src/posthatch/ctl/target_caller.h
@@ -10,11 +10,12 @@
 
 namespace posthatch::ctl {
 
+// Result of TargetCaller::Call.
 struct CallOutcome {
   bool has_final_response = false;  // `response` is final: neither 503 nor a failure
   bool may_be_applied = false;      // no final response, and a target may have applied it
   http::Response response;
-  std::string error;  // of the last attempt
+  std::string error;  // error of the last attempt
 };
 
 // Sends one request to the targets in turn, with identical bytes, until one gives a final response
