--- a/src/posthatch/membership/failure_detector.cc
+++ b/src/posthatch/membership/failure_detector.cc
@@ -26,8 +26,8 @@
   return duration * (1 + health_score_);
 }
 
-void FailureDetector::AdjustHealthScore(int by) {
-  health_score_ = std::clamp(health_score_ + by, 0, options_->max_health_score);
+void FailureDetector::AdjustHealthScore(int delta) {
+  health_score_ = std::clamp(health_score_ + delta, 0, options_->max_health_score);
 }
 
 void FailureDetector::SendPing(const std::string& endpoint, const std::string& node_id,
@@ -48,17 +48,17 @@
   probe.endpoint = target.member.internal_endpoint;
   probe.record = record;
   probe.timer = std::make_unique<runtime::Timer>(runtime_->timers);
-  probe.timer->Start(Scaled(options_->probe_retry), [this, sequence] { Retry(sequence); });
+  probe.timer->Start(Scaled(options_->probe_retry), [this, sequence] { RetryProbe(sequence); });
   SendPing(probe.endpoint, probe.node_id, sequence, record);
 }
 
-void FailureDetector::Retry(uint64_t sequence) {
+void FailureDetector::RetryProbe(uint64_t sequence) {
   pause_detector_->OnActivity();
   const auto found = probes_.find(sequence);
   if (found == probes_.end()) return;
   ActiveProbe& probe = found->second;
   probe.timer->Start(Scaled(options_->probe_deadline - options_->probe_retry),
-                     [this, sequence] { Expire(sequence); });
+                     [this, sequence] { ExpireProbe(sequence); });
   SendPing(probe.endpoint, probe.node_id, sequence, probe.record);
   MembershipMessage message;
   message.mutable_ping_request()->set_sequence(sequence);
@@ -72,7 +72,7 @@
   }
 }
 
-void FailureDetector::Expire(uint64_t sequence) {
+void FailureDetector::ExpireProbe(uint64_t sequence) {
   pause_detector_->OnActivity();
   const auto found = probes_.find(sequence);
   if (found == probes_.end()) return;
--- a/src/posthatch/membership/failure_detector.h
+++ b/src/posthatch/membership/failure_detector.h
@@ -45,7 +45,7 @@
 
   int health_score() const { return health_score_; }
   // 0: healthy. Time-outs are multiplied by 1 + score; positive `by` is worse.
-  void AdjustHealthScore(int by);
+  void AdjustHealthScore(int delta);
   // When any process last responded to this one.
   runtime::MonotonicTime last_response_at() const { return last_response_at_; }
 
@@ -67,8 +67,8 @@
   runtime::Duration Scaled(runtime::Duration duration) const;
   void SendPing(const std::string& endpoint, const std::string& node_id, uint64_t sequence,
                 const std::string& record);
-  void Retry(uint64_t sequence);
-  void Expire(uint64_t sequence);
+  void RetryProbe(uint64_t sequence);
+  void ExpireProbe(uint64_t sequence);
   void ExpireRelay(uint64_t sequence);
 
   runtime::Runtime* const runtime_;
--- a/src/posthatch/membership/gossip_membership-test.cc
+++ b/src/posthatch/membership/gossip_membership-test.cc
@@ -20,7 +20,7 @@
     behaviour.reordering = loss / 2;
     world_.SetNetwork(behaviour);
   }
-  void CutBothWays(size_t from, size_t to) {
+  void PartitionBothWays(size_t from, size_t to) {
     world_.Partition(absl::StrCat("n", from), absl::StrCat("n", to));
     world_.Partition(absl::StrCat("n", to), absl::StrCat("n", from));
   }
@@ -32,9 +32,9 @@
     });
   }
   // Partitions the nodes below `border` from the others.
-  void Split(const GossipFleet& fleet, size_t border) {
+  void PartitionAt(const GossipFleet& fleet, size_t border) {
     for (size_t low = 0; low < border; ++low) {
-      for (size_t high = border; high < fleet.size(); ++high) CutBothWays(low, high);
+      for (size_t high = border; high < fleet.size(); ++high) PartitionBothWays(low, high);
     }
   }
 
@@ -128,7 +128,7 @@
   }
 }
 
-TEST_P(GossipTest, WakingProcessSuspectsNobodyAndRejoins) {
+TEST_P(GossipTest, ResumedProcessSuspectsNobodyAndRejoins) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   fleet.host(5)->Freeze();
@@ -141,12 +141,12 @@
   EXPECT_TRUE(fleet.false_deaths().empty());
 }
 
-TEST_P(GossipTest, SuspicionInterruptedByPauseDoesNotExpireOnWaking) {
+TEST_P(GossipTest, SuspicionInterruptedByPauseDoesNotExpireOnResume) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
   // Partitioned long enough for a suspicion, not for a death.
   for (size_t other = 0; other < fleet.size(); ++other) {
-    if (other != 6) CutBothWays(other, 6);
+    if (other != 6) PartitionBothWays(other, 6);
   }
   ASSERT_TRUE(
       world_.RunUntil([&] { return fleet.StateSeen(5, 6) == MemberState::kSuspect; }, seconds(15)));
@@ -197,7 +197,7 @@
 TEST_P(GossipTest, HealedPartitionMergesWithoutFurtherDeaths) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
-  Split(fleet, 10);
+  PartitionAt(fleet, 10);
   world_.RunFor(seconds(60));
   EXPECT_EQ(fleet.membership(0)->live_count(), 9u);
   EXPECT_EQ(fleet.membership(19)->live_count(), 9u);
@@ -211,7 +211,7 @@
   GossipFleet fleet(&world_, 6);
   // Started while partitioned from all seeds: a separate fleet, which knows only the seeds' names.
   for (size_t i = 0; i < 3; ++i) fleet.Add();
-  Split(fleet, 6);
+  PartitionAt(fleet, 6);
   world_.RunFor(seconds(30));
   world_.HealAll();
   EXPECT_TRUE(fleet.RunUntilConverged(seconds(60)));
@@ -312,27 +312,27 @@
 TEST_P(GossipTest, DuplicateNodeIdsOverrideEachOtherAtLimitedRate) {
   GossipFleet fleet(&world_, 10);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
-  simulation::SimHost* twin = world_.AddHost("n5", "zone", "10.9.9.9");
+  simulation::SimHost* duplicate = world_.AddHost("n5", "zone", "10.9.9.9");
   int changes = 0;
   fleet.membership(0)->AddListener([&](const Member& member) {
     if (member.node_id == "n5") ++changes;
   });
-  twin->SetBoot([&](runtime::Runtime* runtime) {
+  duplicate->SetBoot([&](runtime::Runtime* runtime) {
     Member self;
     self.node_id = "n5";
-    self.internal_endpoint = twin->internal_endpoint();
+    self.internal_endpoint = duplicate->internal_endpoint();
     auto membership = std::make_shared<GossipMembership>(
         runtime, self, std::vector<std::string>{fleet.host(0)->internal_endpoint()});
     membership->Start();
     return membership;
   });
-  twin->Start();
+  duplicate->Start();
   const uint64_t bytes = fleet.sent_bytes();
   world_.RunFor(seconds(60));
   EXPECT_LE(changes, 130);
   EXPECT_LT(fleet.sent_bytes() - bytes, 10u * 60u * 1500u);
   EXPECT_GT(TraceLinesWith("ConflictingIncarnationOverridden"), 10);
-  twin->Crash();
+  duplicate->Crash();
   EXPECT_TRUE(fleet.RunUntilConverged(seconds(90)));
 }
 
--- a/src/posthatch/membership/gossip_membership.cc
+++ b/src/posthatch/membership/gossip_membership.cc
@@ -8,7 +8,7 @@
 namespace posthatch::membership {
 namespace {
 
-constexpr runtime::Duration kTick = std::chrono::milliseconds(250);
+constexpr runtime::Duration kTickInterval = std::chrono::milliseconds(250);
 // Shortest interval between two probes of a member because of contradicting records.
 constexpr runtime::Duration kVerifyInterval = std::chrono::seconds(2);
 // A leaving process notifies this many others, this many times, because it may end right after.
@@ -220,14 +220,14 @@
 
 void GossipMembership::Tick() {
   pause_detector_.OnActivity();
-  tick_timer_.Start(kTick, [this] { Tick(); });
+  tick_timer_.Start(kTickInterval, [this] { Tick(); });
   if (left_) return;
   ExpireSuspicions();
   merger_.ReleaseDamped();
   if (AdvanceIfDue(&next_probe_, options_.probe_interval)) ProbeNext();
-  const bool alone = table_.live_count() == 0;
+  const bool no_live_peers = table_.live_count() == 0;
   if (AdvanceIfDue(&next_join_attempt_,
-                   alone ? options_.join_interval : options_.reconnect_interval)) {
+                   no_live_peers ? options_.join_interval : options_.reconnect_interval)) {
     ContactUnknownPeers();
   }
   const bool differed = sync_.differed();
--- a/src/posthatch/membership/gossip_sender.cc
+++ b/src/posthatch/membership/gossip_sender.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // Tag and length fields around updates in a message.
-constexpr size_t kMessageMargin = 8;
+constexpr size_t kMessageFramingBytes = 8;
 
 }  // namespace
 
@@ -39,7 +39,7 @@
 
 void GossipSender::SendWithUpdates(const std::string& endpoint, MembershipMessage message) {
   if (!queue_->empty()) {
-    const size_t used_bytes = message.ByteSizeLong() + kMessageMargin;
+    const size_t used_bytes = message.ByteSizeLong() + kMessageFramingBytes;
     const size_t free_bytes = kMaxPayloadBytes - std::min(used_bytes, kMaxPayloadBytes);
     for (std::string& record :
          queue_->Take(std::min(free_bytes, options_->piggyback_bytes), TransmitLimit())) {
@@ -76,7 +76,7 @@
   for (const MemberEntry* member :
        table_->PickLive(static_cast<size_t>(options_->gossip_fanout), "")) {
     if (gossip_budget_bytes_ <= 0) break;
-    SendGossip(member->member.internal_endpoint, kMaxPayloadBytes - kMessageMargin);
+    SendGossip(member->member.internal_endpoint, kMaxPayloadBytes - kMessageFramingBytes);
   }
   metrics_->queued_updates.Set(static_cast<double>(queue_->size()));
   if (table_->live_count() > 0) ScheduleGossip();
--- a/src/posthatch/membership/membership-bench.cc
+++ b/src/posthatch/membership/membership-bench.cc
@@ -41,7 +41,7 @@
 // Three decimals: enough for all figures here.
 double Rounded(double value) { return std::round(value * 1000) / 1000; }
 
-double ProcessorSeconds() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
+double CpuSeconds() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
 
 void Print(const boost::json::object& line) {
   // Numbers are written by fmt: Boost.JSON prints every double with an exponent.
@@ -74,7 +74,7 @@
     MeasureJoin();
     MeasureDetection();
     MeasurePauses();
-    MeasureSplit();
+    MeasurePartition();
   }
 
  private:
@@ -100,14 +100,14 @@
     fleet_.ClearFalseDeaths();
     const uint64_t bytes = fleet_.sent_bytes();
     const uint64_t datagrams = fleet_.sent_datagrams();
-    const double processor = ProcessorSeconds();
+    const double start_cpu_seconds = CpuSeconds();
     world_.RunFor(seconds(settings_.steady_seconds));
     const double node_seconds = static_cast<double>(size_) * settings_.steady_seconds;
     const auto sent = static_cast<double>(fleet_.sent_datagrams() - datagrams);
     const auto payload = static_cast<double>(fleet_.sent_bytes() - bytes);
     boost::json::object line = Line("steady");
     line["loss"] = loss;
-    line["processor_us_per_node_second"] = (ProcessorSeconds() - processor) * 1e6 / node_seconds;
+    line["processor_us_per_node_second"] = (CpuSeconds() - start_cpu_seconds) * 1e6 / node_seconds;
     line["datagrams_per_node_second"] = sent / node_seconds;
     line["payload_bytes_per_node_second"] = payload / node_seconds;
     line["wire_bytes_per_node_second"] = (payload + sent * kHeaderBytes) / node_seconds;
@@ -137,30 +137,30 @@
   void MeasureDetection() {
     std::vector<double> first;
     std::vector<double> last;
-    size_t unnoticed = 0;
+    size_t undetected = 0;
     for (size_t i = 0; i < settings_.failures; ++i) {
       const size_t victim = fleet_.size() - 1 - i % (fleet_.size() / 2);
       const runtime::MonotonicTime start = world_.Now();
       fleet_.host(victim)->PowerLoss();
-      const auto noticed = [&](size_t observer) {
+      const auto detected = [&](size_t observer) {
         return fleet_.StateSeen(observer, victim) == MemberState::kDead;
       };
-      const auto anyone = [&] {
+      const auto detected_by_any = [&] {
         for (size_t observer = 0; observer < fleet_.size(); ++observer) {
-          if (observer != victim && noticed(observer)) return true;
+          if (observer != victim && detected(observer)) return true;
         }
         return false;
       };
-      while (!anyone() && world_.Now() - start < kLimit) world_.RunFor(milliseconds(50));
+      while (!detected_by_any() && world_.Now() - start < kLimit) world_.RunFor(milliseconds(50));
       first.push_back(Seconds(world_.Now() - start));
-      if (!fleet_.RunUntilGone(victim, kLimit)) ++unnoticed;
+      if (!fleet_.RunUntilGone(victim, kLimit)) ++undetected;
       last.push_back(Seconds(world_.Now() - start));
       fleet_.host(victim)->Start();
       world_.RunFor(seconds(20));
     }
     boost::json::object line = Line("detection");
     line["failures"] = settings_.failures;
-    line["unnoticed"] = unnoticed;
+    line["unnoticed"] = undetected;
     line["first_p50_seconds"] = Quantile(first, 0.5);
     line["first_p99_seconds"] = Quantile(first, 0.99);
     line["all_p50_seconds"] = Quantile(last, 0.5);
@@ -193,7 +193,7 @@
   }
 
   // Two halves are partitioned from each other for two minutes.
-  void MeasureSplit() {
+  void MeasurePartition() {
     const size_t border = fleet_.size() / 2;
     for (size_t low = 0; low < border; ++low) {
       for (size_t high = border; high < fleet_.size(); ++high) {
--- a/src/posthatch/membership/record_merger.cc
+++ b/src/posthatch/membership/record_merger.cc
@@ -9,7 +9,7 @@
 // node id.
 constexpr runtime::Duration kOverrideInterval = std::chrono::seconds(1);
 // Answers to overrides, in a row, after which another process with this node id must be running.
-constexpr uint32_t kAnswersOfRunningProcess = 2;
+constexpr uint32_t kMinResponsesOfRunningProcess = 2;
 
 }  // namespace
 
@@ -97,12 +97,12 @@
 void RecordMerger::TraceOverride(const MemberRecord& record) {
   // Only a running process raises its version: a former incarnation never answers an override,
   // though an older record of it may still arrive after the first one.
-  const bool answered =
+  const bool responded =
       record.incarnation() == overridden_incarnation_ && record.version() > overridden_version_ + 1;
-  answers_to_override_ = answered ? answers_to_override_ + 1 : 0;
+  override_responses_ = responded ? override_responses_ + 1 : 0;
   overridden_incarnation_ = record.incarnation();
   overridden_version_ = record.version();
-  if (answers_to_override_ >= kAnswersOfRunningProcess) {
+  if (override_responses_ >= kMinResponsesOfRunningProcess) {
     runtime_->trace->Event(runtime::Severity::kWarning, "ConflictingIncarnationOverridden",
                            {{"incarnation", record.incarnation()}, {"version", record.version()}});
   } else {
--- a/src/posthatch/membership/record_merger.h
+++ b/src/posthatch/membership/record_merger.h
@@ -85,7 +85,7 @@
   // were answered.
   uint64_t overridden_incarnation_ = 0;
   uint64_t overridden_version_ = 0;
-  uint32_t answers_to_override_ = 0;
+  uint32_t override_responses_ = 0;
 };
 
 }  // namespace posthatch::membership
--- a/src/posthatch/membership/state_sync.cc
+++ b/src/posthatch/membership/state_sync.cc
@@ -57,7 +57,7 @@
 void StateSync::RequestWindow() {
   MembershipMessage message;
   BucketRequest* request = message.mutable_bucket_request();
-  request->set_request(++last_request_);
+  request->set_request(++last_request_id_);
   received_parts_.clear();
   const size_t count =
       std::min(pending_buckets_.size(), static_cast<size_t>(options_->pull_window_buckets));
@@ -103,7 +103,7 @@
 }
 
 void StateSync::OnBucketChunk(const BucketChunk& chunk) {
-  if (!pulling() || chunk.request() != last_request_) return;
+  if (!pulling() || chunk.request() != last_request_id_) return;
   received_parts_.insert(chunk.part());
   if (received_parts_.size() < chunk.parts()) return;
   retries_ = 0;
--- a/src/posthatch/membership/state_sync.h
+++ b/src/posthatch/membership/state_sync.h
@@ -56,7 +56,7 @@
   bool differed_ = false;
   std::string pull_endpoint_;
   std::vector<uint32_t> pending_buckets_;  // requested from the end
-  uint64_t last_request_ = 0;
+  uint64_t last_request_id_ = 0;
   std::set<uint32_t> received_parts_;
   size_t pull_bucket_count_ = 0;
   int retries_ = 0;
--- a/src/posthatch/membership/suspicion_list.cc
+++ b/src/posthatch/membership/suspicion_list.cc
@@ -11,7 +11,7 @@
   if (!added) return;
   const double scale = std::max(1.0, std::log10(static_cast<double>(fleet_size)));
   found->second.start = now;
-  found->second.shortest = runtime::Duration(
+  found->second.min_timeout = runtime::Duration(
       static_cast<int64_t>(static_cast<double>(options_->min_suspicion.count()) * scale));
   found->second.accusers.insert(accuser);
 }
@@ -30,12 +30,12 @@
 
 runtime::Duration SuspicionList::TimeoutOf(const Suspicion& suspicion) const {
   const auto confirmations = static_cast<double>(suspicion.accusers.size() - 1);
-  const double shrinking =
+  const double reduction =
       std::log(confirmations + 1) / std::log(static_cast<double>(options_->confirmations) + 1);
   const double factor = std::max(
-      1.0, options_->max_suspicion_factor - (options_->max_suspicion_factor - 1) * shrinking);
+      1.0, options_->max_suspicion_factor - (options_->max_suspicion_factor - 1) * reduction);
   return runtime::Duration(
-      static_cast<int64_t>(static_cast<double>(suspicion.shortest.count()) * factor));
+      static_cast<int64_t>(static_cast<double>(suspicion.min_timeout.count()) * factor));
 }
 
 std::vector<std::string> SuspicionList::TakeExpired(runtime::MonotonicTime now) {
--- a/src/posthatch/membership/suspicion_list.h
+++ b/src/posthatch/membership/suspicion_list.h
@@ -31,7 +31,7 @@
  private:
   struct Suspicion {
     runtime::MonotonicTime start;
-    runtime::Duration shortest;
+    runtime::Duration min_timeout;
     std::set<std::string> accusers;
   };
   runtime::Duration TimeoutOf(const Suspicion& suspicion) const;
