--- a/src/posthatch/ctl/command_runner.h
+++ b/src/posthatch/ctl/command_runner.h
@@ -9,7 +9,7 @@
 
 namespace posthatch::ctl {
 
-// What posthatchctl prints and its exit code.
+// Output and exit code of posthatchctl.
 struct RunResult {
   ExitCode exit_code = ExitCode::kOk;
   std::string output;  // written to standard output
--- a/src/posthatch/ctl/invocation.h
+++ b/src/posthatch/ctl/invocation.h
@@ -36,7 +36,7 @@
   kIndexStats,
 };
 
-// One validated command line of posthatchctl.
+// A validated command line of posthatchctl.
 struct Invocation {
   std::vector<std::string> targets;  // "ip:port", tried in turn
   OutputFormat output = OutputFormat::kTable;
--- a/src/posthatch/ctl/target_caller.cc
+++ b/src/posthatch/ctl/target_caller.cc
@@ -68,7 +68,8 @@
 }
 
 void TargetCaller::Finish() {
-  // Both are moved out before the call, since the callback may start the next request.
+  // `done_` and `outcome_` are moved out before the call, since the callback may start the next
+  // request.
   const Done done = std::exchange(done_, nullptr);
   done(std::exchange(outcome_, {}));
 }
--- a/src/posthatch/membership/broadcast_queue.h
+++ b/src/posthatch/membership/broadcast_queue.h
@@ -27,7 +27,7 @@
   size_t size() const { return updates_.size(); }
 
  private:
-  // Tag and length of a repeated bytes field.
+  // Protobuf tag and length of one record in a message.
   static constexpr size_t kFramingBytes = 3;
   struct Update {
     std::string node_id;
@@ -36,7 +36,7 @@
   // Order of transmission: fewest transmissions first, then the newest.
   struct Key {
     int transmissions;
-    uint64_t tie_breaker;  // falls with each update added
+    uint64_t tie_breaker;  // decreases with each added update
     auto operator<=>(const Key&) const = default;
   };
 
--- a/src/posthatch/membership/failure_detector.cc
+++ b/src/posthatch/membership/failure_detector.cc
@@ -6,7 +6,7 @@
 namespace posthatch::membership {
 namespace {
 
-// Maximum of concurrent pings on request of others; further requests are ignored.
+// Maximum number of concurrent pings on behalf of others; further requests are ignored.
 constexpr size_t kMaxRelays = 256;
 
 }  // namespace
@@ -77,7 +77,7 @@
   const auto found = probes_.find(sequence);
   if (found == probes_.end()) return;
   const std::string node_id = found->second.node_id;
-  // A proxy that sent not even a nack: the fault may be this process's own.
+  // If a proxy sent neither an ack nor a nack, the fault may be this process's own.
   if (found->second.nacks < found->second.requests) AdjustHealthScore(1);
   probes_.erase(found);
   probe_by_node_.erase(node_id);
--- a/src/posthatch/membership/failure_detector.h
+++ b/src/posthatch/membership/failure_detector.h
@@ -15,9 +15,9 @@
 namespace posthatch::membership {
 
 // Probes members (SWIM, section 3.1): a ping, then a repetition both direct and indirect, by ping
-// requests to other members, then the failure of the probe. Also pings on request of others, and
-// keeps the local health score, which lengthens this process's time-outs when the fault is probably
-// its own (Lifeguard, section IV.A). Owned by GossipMembership; event loop thread only.
+// requests to other members, then the failure of the probe. Also pings members on behalf of others,
+// and keeps the local health score, which lengthens this process's time-outs when the fault is
+// probably its own (Lifeguard, section IV.A). Owned by GossipMembership; event loop thread only.
 class FailureDetector {
  public:
   // Results of probes.
@@ -44,9 +44,10 @@
   void OnNack(const Nack& nack);
 
   int health_score() const { return health_score_; }
-  // 0: healthy. Time-outs are multiplied by 1 + score; positive `by` is worse.
+  // Adds `delta` to the local health score, within 0 (healthy) and max_health_score. Time-outs are
+  // multiplied by 1 + score.
   void AdjustHealthScore(int delta);
-  // When any process last responded to this one.
+  // Time of the last response from any process.
   runtime::MonotonicTime last_response_at() const { return last_response_at_; }
 
  private:
--- a/src/posthatch/membership/flap_damper.h
+++ b/src/posthatch/membership/flap_damper.h
@@ -18,10 +18,10 @@
   FlapDamper(const runtime::Clock* clock, const GossipOptions* options)
       : clock_(clock), options_(options) {}
 
-  // The member has died, or has been restarted.
+  // Counts a flap: the member has died or was restarted.
   void CountFlap(MemberEntry* entry) const;
-  // The member has come back: damps it, or extends its damping, if it has flapped too often. True
-  // if it is damped from now on and was not before.
+  // Damps a member that has come back, or extends its damping, if it has flapped too often. True
+  // if it was not damped before and is now.
   [[nodiscard]] bool DampIfFlapping(MemberEntry* entry);
   // Ends the damping. True if the member was damped.
   bool Release(MemberEntry* entry);
--- a/src/posthatch/membership/gossip_fleet.cc
+++ b/src/posthatch/membership/gossip_fleet.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-// One process of the fleet.
+// A running GossipMembership of the fleet. Records its false reports of deaths and suspicions.
 class GossipFleet::Process {
  public:
   Process(GossipFleet* fleet, size_t node, runtime::Runtime* runtime)
--- a/src/posthatch/membership/gossip_fleet.h
+++ b/src/posthatch/membership/gossip_fleet.h
@@ -11,7 +11,7 @@
 namespace posthatch::membership {
 
 // A simulated fleet of processes that run nothing but GossipMembership, for tests and
-// membership-bench. Node i is host "n<i>"; the first three are everybody's seeds.
+// membership-bench. Node i is host "n<i>"; the first three are the seeds of all nodes.
 class GossipFleet {
  public:
   // A listener's report that some member is dead while its process was running.
@@ -22,7 +22,7 @@
   };
 
   GossipFleet(simulation::SimWorld* world, size_t size, GossipOptions options = {});
-  // Ends all its processes.
+  // Crashes all hosts of the fleet.
   ~GossipFleet();
   GossipFleet(const GossipFleet&) = delete;
   GossipFleet& operator=(const GossipFleet&) = delete;
@@ -39,7 +39,8 @@
   uint64_t sent_bytes() const;
   uint64_t sent_datagrams() const;
 
-  // What `observer` reports of `member`: its state, or kLeft if it doesn't know it.
+  // State of `member` as reported by `observer`; kLeft if the observer doesn't know the member or
+  // isn't running.
   MemberState StateSeen(size_t observer, size_t member) const;
   // Whether every running node reports all running nodes and no others.
   bool Converged() const;
@@ -49,7 +50,7 @@
   bool RunUntilGone(size_t member, runtime::Duration limit);
 
   const std::vector<FalseDeath>& false_deaths() const { return false_deaths_; }
-  // Reports that a running process is suspected.
+  // Number of reports that a running process is suspected.
   uint64_t false_suspicions() const { return false_suspicions_; }
   void ClearFalseDeaths() {
     false_deaths_.clear();
@@ -61,6 +62,7 @@
     simulation::SimHost* host;
     std::vector<std::string> seeds;
     GossipMembership* process = nullptr;
+    // Sums over processes that have ended.
     uint64_t ended_bytes = 0;
     uint64_t ended_datagrams = 0;
   };
--- a/src/posthatch/membership/gossip_membership-test.cc
+++ b/src/posthatch/membership/gossip_membership-test.cc
@@ -24,7 +24,7 @@
     world_.Partition(absl::StrCat("n", from), absl::StrCat("n", to));
     world_.Partition(absl::StrCat("n", to), absl::StrCat("n", from));
   }
-  // Among the newest trace lines.
+  // Number of the newest trace lines that contain `event`.
   int64_t TraceLinesWith(std::string_view event) {
     const std::vector<std::string> lines = world_.RecentTrace();
     return std::count_if(lines.begin(), lines.end(), [event](const std::string& line) {
@@ -66,7 +66,8 @@
   // Long enough for the peer cache to be written.
   world_.RunFor(seconds(80));
   for (const size_t seed : {0, 1, 2}) fleet.host(seed)->PowerLoss();
-  // One has its peer cache on disk, the other has nothing: the others still know its address.
+  // Node 10 has its peer cache on disk. Node 11 has lost its disk, but the others still know its
+  // address.
   fleet.host(10)->Crash();
   fleet.host(11)->Crash();
   fleet.host(11)->LoseDisk();
@@ -209,7 +210,8 @@
 
 TEST_P(GossipTest, FleetsWithCommonSeedMerge) {
   GossipFleet fleet(&world_, 6);
-  // Started while partitioned from all seeds: a separate fleet, which knows only the seeds' names.
+  // The added nodes are partitioned from all seeds from the start: a separate fleet, which knows
+  // only the seeds' addresses.
   for (size_t i = 0; i < 3; ++i) fleet.Add();
   PartitionAt(fleet, 6);
   world_.RunFor(seconds(30));
@@ -236,7 +238,8 @@
   }
 }
 
-// An incident's record was read as two live processes where one had restarted.
+// Guards against tracing a restart as ConflictingIncarnationOverridden, which in an incident was
+// read as two live processes with one node id.
 TEST_P(GossipTest, RestartIsReportedAsFormerIncarnationOnly) {
   GossipFleet fleet(&world_, 20);
   ASSERT_TRUE(fleet.RunUntilConverged(seconds(20)));
--- a/src/posthatch/membership/gossip_membership.cc
+++ b/src/posthatch/membership/gossip_membership.cc
@@ -11,7 +11,8 @@
 constexpr runtime::Duration kTickInterval = std::chrono::milliseconds(250);
 // Shortest interval between two probes of a member because of contradicting records.
 constexpr runtime::Duration kVerifyInterval = std::chrono::seconds(2);
-// A leaving process notifies this many others, this many times, because it may end right after.
+// A leaving process notifies kLeaveFanout random members, kLeaveSends times, because it may exit
+// right after.
 constexpr size_t kLeaveFanout = 8;
 constexpr int kLeaveSends = 3;
 constexpr runtime::Duration kLeaveInterval = std::chrono::milliseconds(100);
@@ -89,7 +90,7 @@
   return entry->damped ? MemberState::kDead : entry->member.state;
 }
 
-// Receiving.
+// Message handling.
 
 void GossipMembership::OnEnvelope(const runtime::Envelope& envelope) {
   pause_detector_.OnActivity();
@@ -153,7 +154,7 @@
   return MakeRecord(entry->member, entry->version, false).SerializeAsString();
 }
 
-// Reports of the parts.
+// Callbacks of the components.
 
 void GossipMembership::OnProbeSucceeded(const std::string& node_id) {
   if (MemberEntry* entry = table_.Find(node_id)) entry->failed_probes = 0;
@@ -194,7 +195,7 @@
                          {{"member", member.node_id},
                           {"state", static_cast<int>(member.state)},
                           {"incarnation", member.incarnation}});
-  // By index: a listener may add another one.
+  // Iterates by index, since a listener may add another listener.
   // NOLINTNEXTLINE(modernize-loop-convert)
   for (size_t i = 0; i < listeners_.size(); ++i) listeners_[i](member);
 }
@@ -213,7 +214,8 @@
 bool GossipMembership::AdvanceIfDue(runtime::MonotonicTime* next, runtime::Duration interval) {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (now < *next) return false;
-  // Jitter of a quarter, so that processes started together don't stay synchronized.
+  // Jitter of an eighth in both directions, so that processes started together don't stay
+  // synchronized.
   *next = now + runtime_->random->Between(interval - interval / 8, interval + interval / 8);
   return true;
 }
@@ -245,7 +247,7 @@
 void GossipMembership::ProbeNext() {
   MemberEntry* target = table_.NextToProbe();
   if (target == nullptr) return;
-  // The ping tells a suspect of the suspicion, so that it can refute it.
+  // The ping carries the suspicion to a suspect, so that it can refute it.
   const bool suspected = target->member.state == MemberState::kSuspect;
   detector_.Probe(*target,
                   suspected ? MakeRecord(target->member, target->version, false).SerializeAsString()
--- a/src/posthatch/membership/gossip_membership.h
+++ b/src/posthatch/membership/gossip_membership.h
@@ -65,8 +65,8 @@
 
   void OnEnvelope(const runtime::Envelope& envelope);
   void Dispatch(const runtime::Envelope& envelope, const MembershipMessage& message);
-  // The serialized record of a sender that is not known as alive in this incarnation, for it to
-  // refute; else empty.
+  // Returns the serialized record about the sender if it isn't known as alive in its current
+  // incarnation, so that it can refute the record; else empty.
   std::string RecordForSender(const runtime::Envelope& envelope);
 
   void Tick();
@@ -75,12 +75,12 @@
   void SyncWithRandomMember();
   void ExpireSuspicions();
   void BroadcastLeave(int remaining_sends);
-  // This process was stopped for `gap`: what it knows is that old.
+  // Called after this process was stopped for `gap`, by which its records are outdated.
   void OnPause(runtime::Duration gap);
   // Whether this process's failed probes say anything about others: not while it seems to be
   // isolated itself, nor shortly after it was stopped.
   bool MayAccuse() const;
-  // Whether `next` has passed; then sets it to about `interval` from now.
+  // Whether `next` has passed. If so, sets it to `interval` from now, with jitter.
   bool AdvanceIfDue(runtime::MonotonicTime* next, runtime::Duration interval);
 
   runtime::Runtime* const runtime_;
--- a/src/posthatch/membership/gossip_options.h
+++ b/src/posthatch/membership/gossip_options.h
@@ -7,8 +7,8 @@
 
 namespace posthatch::membership {
 
-// All tunables of GossipMembership. The defaults are for 3 to some thousands of processes with
-// round trips up to 250 ms; see docs/design-docs/membership.md for what follows from them.
+// Options of GossipMembership. The defaults are for 3 to some thousands of processes with round
+// trips up to 250 ms; see docs/design-docs/membership.md for their effects.
 struct GossipOptions {
   // Failure detection (SWIM, sections 3.1 and 4.2; Lifeguard, section IV).
   runtime::Duration probe_interval = std::chrono::seconds(1);
@@ -23,19 +23,19 @@
   // Shortest suspicion before a member counts as dead, for 10 processes or fewer; it is multiplied
   // by log10 of the number of processes.
   runtime::Duration min_suspicion = std::chrono::milliseconds(1500);
-  // Longest suspicion (nobody else confirms it), as a multiple of the shortest.
+  // Longest suspicion, if nobody else confirms it, as a multiple of the shortest.
   int max_suspicion_factor = 3;
-  // Confirmations by others that shorten a suspicion to the shortest.
+  // Number of confirmations by others that reduce a suspicion to the shortest.
   int confirmations = 2;
-  // Upper end of the local health score; time-outs are multiplied by 1 + score.
+  // Maximum of the local health score; time-outs are multiplied by 1 + score.
   int max_health_score = 8;
   // A gap between two callbacks of at least this means that this process was stopped.
   runtime::Duration pause_threshold = std::chrono::milliseconds(2500);
-  // How long nobody is suspected after such a pause.
+  // How long this process suspects nobody after it was stopped.
   runtime::Duration pause_grace = std::chrono::seconds(5);
-  // Without any response for this long, this process considers itself isolated and suspects nobody,
+  // Without any response for this long, this process considers itself isolated and suspects nobody.
   runtime::Duration isolation_timeout = std::chrono::seconds(2);
-  // for at most this long.
+  // Longest time for which an isolated process suspects nobody.
   runtime::Duration max_isolation = std::chrono::seconds(30);
 
   // Dissemination.
@@ -58,7 +58,8 @@
   // Discovery: seeds, cached peers, and dead members that may be reachable again.
   runtime::Duration join_interval = std::chrono::seconds(1);
   runtime::Duration reconnect_interval = std::chrono::seconds(10);
-  // How many processes of the whole fleet contact one such address per reconnect_interval.
+  // How many processes of the whole fleet contact a seed, cached peer or dead member per
+  // reconnect_interval.
   int reconnects_per_interval = 8;
   runtime::Duration dead_member_retention = std::chrono::hours(24);
   // Where the peer cache is stored, on machines with a disk.
--- a/src/posthatch/membership/gossip_sender.cc
+++ b/src/posthatch/membership/gossip_sender.cc
@@ -8,7 +8,7 @@
 namespace posthatch::membership {
 namespace {
 
-// Tag and length fields around updates in a message.
+// Bytes reserved for the tags and lengths of a message around its updates.
 constexpr size_t kMessageFramingBytes = 8;
 
 }  // namespace
--- a/src/posthatch/membership/gossip_sender.h
+++ b/src/posthatch/membership/gossip_sender.h
@@ -23,14 +23,14 @@
 
   void SendWithUpdates(const std::string& endpoint, MembershipMessage message) override;
   void SendPlain(const std::string& endpoint, const MembershipMessage& message) override;
-  // Schedules the next round of gossip if updates are queued and none is scheduled. To be called
-  // after whatever may have queued an update.
+  // Schedules the next round of gossip if updates are queued and none is scheduled. Must be called
+  // after every operation that may queue an update.
   void ScheduleGossip();
 
  private:
   void GossipToRandomMembers();
   void SendGossip(const std::string& endpoint, size_t max_bytes);
-  // How often this process transmits one update; grows with the fleet's logarithm.
+  // How often this process transmits one update; grows with the logarithm of the fleet size.
   int TransmitLimit() const;
 
   runtime::Runtime* const runtime_;
--- a/src/posthatch/membership/gossip_sockets-test.cc
+++ b/src/posthatch/membership/gossip_sockets-test.cc
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A process over real sockets; all processes of a test run in its thread, in turn.
+// A process that uses real sockets. All processes of a test run in the test's thread, in turn.
 struct Process {
   Process(size_t number, std::vector<std::string> seeds) {
     net::AsioRuntimeOptions options;
--- a/src/posthatch/membership/isolation_monitor.h
+++ b/src/posthatch/membership/isolation_monitor.h
@@ -10,8 +10,8 @@
 namespace posthatch::membership {
 
 // Decides whether this process seems to be isolated from the network: nobody has responded to it
-// for some time. It must suspect nobody then, since all its probes fail. After `max_isolation` the
-// others are considered dead after all. Owned by GossipMembership; event loop thread only.
+// for some time. It must suspect nobody then, since all its probes fail. After `max_isolation`
+// failed probes lead to suspicions again. Owned by GossipMembership; event loop thread only.
 class IsolationMonitor {
  public:
   // The pointers must outlive this object.
@@ -19,10 +19,10 @@
                    const MemberTable* table, const FailureDetector* detector)
       : clock_(clock), options_(options), table_(table), detector_(detector) {}
 
-  // By the clock at this moment.
+  // Whether this process seems to be isolated now.
   bool IsIsolated() const;
-  // To be called regularly. The length of an isolation that ended since the last call, else
-  // nothing.
+  // Returns the duration of an isolation that ended since the last call, else nullopt. Must be
+  // called regularly.
   std::optional<runtime::Duration> TakeEndedIsolation();
 
  private:
--- a/src/posthatch/membership/member_record.h
+++ b/src/posthatch/membership/member_record.h
@@ -7,14 +7,15 @@
 
 namespace posthatch::membership {
 
+// Conversions between Member and its wire form, MemberRecord.
+
 RecordState ToRecordState(MemberState state);
 MemberState FromRecordState(RecordState state);
 
-// Conversions between Member and its wire form, MemberRecord.
-
-// Without details, the receiver must already know this incarnation of the member.
+// Makes the wire form of `member`. Without details, the receiver must already know this incarnation
+// of the member.
 MemberRecord MakeRecord(const Member& member, uint32_t version, bool with_details);
-// The inverse; the record must have details.
+// Inverse of MakeRecord; the record must have details.
 Member MakeMember(const MemberRecord& record);
 
 // Whether a record is newer than what is known at (`version`, `incarnation`, `state`).
--- a/src/posthatch/membership/member_table.cc
+++ b/src/posthatch/membership/member_table.cc
@@ -44,8 +44,8 @@
   if (entry->member.node_id == self_node_id_) return;
   entry->live_position = live_.size();
   live_.push_back(entry);
-  // At a random position of the current pass: waiting for the next one would leave a new member
-  // unprobed for up to a whole pass, minutes in a large fleet.
+  // Inserts at a random position of the current pass: waiting for the next one would leave a new
+  // member unprobed for up to a whole pass, minutes in a large fleet.
   probe_order_.push_back(entry->member.node_id);
   std::swap(probe_order_.back(), probe_order_[random_->Uniform(probe_order_.size())]);
 }
--- a/src/posthatch/membership/member_table.h
+++ b/src/posthatch/membership/member_table.h
@@ -12,15 +12,15 @@
 
 namespace posthatch::membership {
 
-// What this process believes about one process. `member` and `version` change only through
+// This process's view of one process. `member` and `version` change only through
 // MemberTable; the other fields may be changed freely.
 struct MemberEntry {
   Member member;
   uint32_t version = 0;
   runtime::MonotonicTime state_since{};
-  // Probes by this process that failed in a row.
+  // Number of consecutive failed probes by this process.
   int failed_probes = 0;
-  // No further probe because of contradicting records before this time.
+  // Earliest time of the next probe that verifies contradicting records.
   runtime::MonotonicTime next_verify_at{};
   // Damping of flapping: decaying count of deaths, as of `flaps_updated_at`; while `damped`, not
   // reported as live before `damped_until`.
@@ -38,9 +38,9 @@
   }
 };
 
-// All known processes by node id, this one included; hash digests of the live ones in buckets; and
-// random choice among the live others. Entries stay at their address until ForgetBefore
-// removes them. Owned by GossipMembership; event loop thread only.
+// All known processes keyed by node id, this one included, with hash digests of the live ones per
+// bucket and random choice among the other live ones. Entries stay at their address until
+// ForgetBefore removes them. Owned by GossipMembership; event loop thread only.
 class MemberTable {
  public:
   static constexpr size_t kBuckets = 128;
@@ -51,7 +51,7 @@
 
   MemberEntry* Find(const std::string& node_id);
   const MemberEntry* Find(const std::string& node_id) const;
-  // Adds or replaces; keeps the other fields of an existing entry.
+  // Adds or replaces a member; keeps the other fields of an existing entry.
   MemberEntry* Upsert(const Member& member, uint32_t version, runtime::MonotonicTime now);
   // Changes version and state of an entry.
   void SetState(MemberEntry* entry, uint32_t version, MemberState state,
@@ -59,9 +59,9 @@
   // Removes dead and left members whose state is older than `since`.
   void ForgetBefore(runtime::MonotonicTime since);
 
-  // Number of live members without this process.
+  // Number of live members, excluding this process.
   size_t live_count() const { return live_.size(); }
-  // Up to `count` different live members, without this process and without `except`.
+  // Picks up to `count` different live members at random, excluding this process and `except`.
   std::vector<MemberEntry*> PickLive(size_t count, const std::string& except);
   // Next member to probe: each live one once per pass, in a random order drawn for each pass, with
   // new members inserted at random (SWIM, section 4.3). Null if there is none.
--- a/src/posthatch/membership/membership-bench.cc
+++ b/src/posthatch/membership/membership-bench.cc
@@ -62,7 +62,7 @@
   return values[std::min(index, values.size() - 1)];
 }
 
-// One fleet of one size, measured in several ways one after another.
+// Runs all measurements, one after another, on a fleet of one size.
 class FleetMeasurement {
  public:
   FleetMeasurement(const Settings& settings, size_t size)
@@ -82,7 +82,7 @@
     return {{"figure", figure}, {"nodes", size_}, {"seed", settings_.seed}};
   }
 
-  // All start at once from three seeds.
+  // Measures the start of all nodes at once, with three seeds.
   void MeasureStart() {
     const bool converged = fleet_.RunUntilConverged(kLimit);
     boost::json::object line = Line("start_all");
@@ -90,7 +90,7 @@
     line["seconds"] = Seconds(world_.Now().time_since_epoch());
     line["bytes_per_node"] = static_cast<double>(fleet_.sent_bytes()) / static_cast<double>(size_);
     Print(line);
-    world_.RunFor(seconds(60));  // until the updates of the start are disseminated
+    world_.RunFor(seconds(60));  // the updates of the start are disseminated
   }
 
   void MeasureSteadyState(double loss) {
@@ -117,7 +117,7 @@
     world_.SetNetwork({});
   }
 
-  // Adds a node, until it knows all, and until all know it.
+  // Adds a node and measures until it knows all members and until all members know it.
   void MeasureJoin() {
     world_.RunFor(seconds(30));
     const runtime::MonotonicTime start = world_.Now();
@@ -133,7 +133,8 @@
     Print(line);
   }
 
-  // Nodes lose power one by one; per failure, until the first and until the last has detected it.
+  // Powers nodes off one by one and measures until the first and until the last member has detected
+  // each failure.
   void MeasureDetection() {
     std::vector<double> first;
     std::vector<double> last;
@@ -168,7 +169,7 @@
     Print(line);
   }
 
-  // A twentieth of the nodes are frozen for 25 s; deaths of the others are false.
+  // Freezes a twentieth of the nodes for 25 s; reported deaths of other nodes are false.
   void MeasurePauses() {
     std::set<std::string> paused;
     while (paused.size() < fleet_.size() / 20 + 1) {
@@ -192,7 +193,7 @@
     Print(line);
   }
 
-  // Two halves are partitioned from each other for two minutes.
+  // Partitions the fleet into two halves for two minutes and measures the merge.
   void MeasurePartition() {
     const size_t border = fleet_.size() / 2;
     for (size_t low = 0; low < border; ++low) {
@@ -227,7 +228,7 @@
   Settings settings;
   CLI::App app{"Measures gossip membership in the simulator and prints JSON lines"};
   app.add_option("--nodes", settings.sizes, "Sizes of the fleets")->capture_default_str();
-  app.add_option("--loss", settings.losses, "Shares of datagrams lost")->capture_default_str();
+  app.add_option("--loss", settings.losses, "Fractions of datagrams lost")->capture_default_str();
   app.add_option("--seed", settings.seed, "Seed of the simulation")->capture_default_str();
   app.add_option("--failures", settings.failures, "Failures per size")->capture_default_str();
   app.add_option("--steady-seconds", settings.steady_seconds,
--- a/src/posthatch/membership/membership.h
+++ b/src/posthatch/membership/membership.h
@@ -10,6 +10,7 @@
 enum class MemberRole { kGateway, kController };
 enum class MemberState { kAlive, kSuspect, kDead, kLeft };
 
+// A process of the fleet, as this process knows it.
 struct Member {
   std::string node_id;
   MemberRole role = MemberRole::kGateway;
@@ -21,8 +22,8 @@
   MemberState state = MemberState::kAlive;
 };
 
-// The processes that this one believes to be alive. A hint for finding peers and spreading load,
-// never the basis of a decision about leases or quorums. Event loop thread only.
+// The processes that this one believes to be alive. Used to find peers and spread load, never to
+// decide about leases or quorums. Event loop thread only.
 class Membership {
  public:
   using Listener = std::function<void(const Member&)>;
@@ -31,7 +32,8 @@
   // Alive and suspect members without this process itself, sorted by node id.
   virtual std::vector<Member> LiveMembers() const = 0;
   virtual const Member& self() const = 0;
-  // Called for each member that is new or whose state, endpoint or incarnation changed.
+  // Adds a listener, called for each member that is new or whose state, endpoint or incarnation
+  // changed.
   virtual void AddListener(Listener listener) = 0;
   // Notifies the others that this process leaves (when it drains).
   virtual void Leave() = 0;
--- a/src/posthatch/membership/pause_detector.h
+++ b/src/posthatch/membership/pause_detector.h
@@ -7,20 +7,20 @@
 
 namespace posthatch::membership {
 
-// Notices that this process was stopped (a freeze, a suspended machine) from the gap between two of
-// its callbacks. Owned by GossipMembership; event loop thread only.
+// Detects that this process was stopped (frozen, or on a suspended machine) by the gap between two
+// of its callbacks. Owned by GossipMembership; event loop thread only.
 class PauseDetector {
  public:
-  // Called with the length of the gap.
+  // Callback after a pause, with the length of the gap.
   using Listener = std::function<void(runtime::Duration gap)>;
 
   // A gap of `threshold` or more counts as a pause. `clock` must outlive this object.
   PauseDetector(const runtime::Clock* clock, runtime::Duration threshold, Listener listener)
       : clock_(clock), threshold_(threshold), listener_(std::move(listener)) {}
 
-  // Begins to count from now.
+  // Starts to measure gaps from now on.
   void Start() { last_activity_ = clock_->Now(); }
-  // To be called first in every callback, before any conclusion is drawn from elapsed time.
+  // Must be called first in every callback, before elapsed time is evaluated.
   void OnActivity() {
     const runtime::MonotonicTime now = clock_->Now();
     const runtime::Duration gap = now - last_activity_;
--- a/src/posthatch/membership/peer_cache.h
+++ b/src/posthatch/membership/peer_cache.h
@@ -11,8 +11,8 @@
 
 namespace posthatch::membership {
 
-// Addresses at which others may be found when nobody is known: the seeds, and the peers that were
-// alive in a previous incarnation, stored in a file on machines with a disk. Owned by
+// Addresses at which other processes may be found when none is known: the seeds, and the peers that
+// were alive in a previous incarnation, stored in a file on machines with a disk. Owned by
 // GossipMembership; event loop thread only.
 class PeerCache {
  public:
@@ -40,7 +40,7 @@
   std::vector<std::string> cached_peers_;
   std::string last_written_;
   bool writing_ = false;
-  // A write in flight may end after this object.
+  // Guards the callback of a write in flight, which may complete after this object is destroyed.
   util::Lifetime lifetime_;
 };
 
--- a/src/posthatch/membership/peer_discovery.cc
+++ b/src/posthatch/membership/peer_discovery.cc
@@ -6,7 +6,7 @@
 namespace posthatch::membership {
 namespace {
 
-// Addresses contacted at a time by a process that knows nobody.
+// Number of addresses contacted at a time by a process that knows no live member.
 constexpr size_t kJoinFanout = 4;
 
 }  // namespace
--- a/src/posthatch/membership/peer_discovery.h
+++ b/src/posthatch/membership/peer_discovery.h
@@ -10,8 +10,8 @@
 
 namespace posthatch::membership {
 
-// Chooses addresses at which processes may be that this one doesn't know: seeds, cached peers, and
-// members that count as dead but may only have been unreachable. Owned by GossipMembership; event
+// Chooses addresses of processes that this one may not know: seeds, cached peers, and members that
+// count as dead but may only have been unreachable. Owned by GossipMembership; event
 // loop thread only.
 class PeerDiscovery {
  public:
@@ -21,8 +21,8 @@
       : options_(options), table_(table), peers_(peers), random_(random) {}
 
   // Addresses to contact now, without `self_endpoint` and those of live members. A process that
-  // knows nobody gets several; otherwise the fleet as a whole tries a few per reconnect_interval,
-  // whatever its size.
+  // knows no live member gets several; otherwise the fleet as a whole tries a few per
+  // reconnect_interval, whatever its size.
   std::vector<std::string> ChooseAddresses(const std::string& self_endpoint);
 
  private:
--- a/src/posthatch/membership/record_merger.cc
+++ b/src/posthatch/membership/record_merger.cc
@@ -8,7 +8,8 @@
 // Shortest time between two records by which this process overrides another incarnation of its
 // node id.
 constexpr runtime::Duration kOverrideInterval = std::chrono::seconds(1);
-// Answers to overrides, in a row, after which another process with this node id must be running.
+// Number of responses to overrides, in a row, after which another process with this node id must be
+// running.
 constexpr uint32_t kMinResponsesOfRunningProcess = 2;
 
 }  // namespace
@@ -86,7 +87,8 @@
 }
 
 bool RecordMerger::MayOverrideNow(const MemberRecord& record) {
-  // Two live processes with one node id would otherwise override each other at full speed.
+  // Without this limit, two live processes with one node id would override each other at full
+  // speed.
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (now < next_override_) return false;
   next_override_ = now + kOverrideInterval;
@@ -95,8 +97,8 @@
 }
 
 void RecordMerger::TraceOverride(const MemberRecord& record) {
-  // Only a running process raises its version: a former incarnation never answers an override,
-  // though an older record of it may still arrive after the first one.
+  // Only a running process raises its version: a previous incarnation never responds to an
+  // override, though an older record of it may still arrive after the first one.
   const bool responded =
       record.incarnation() == overridden_incarnation_ && record.version() > overridden_version_ + 1;
   override_responses_ = responded ? override_responses_ + 1 : 0;
@@ -146,7 +148,8 @@
 void RecordMerger::ApplySuspect(MemberEntry* entry, const MemberRecord& record,
                                 Dissemination dissemination) {
   if (record.incarnation() != entry->member.incarnation) {
-    // About another incarnation than the one known to be alive: that one must raise its version.
+    // The record is about another incarnation than the one known to be alive, which must raise its
+    // version.
     if (entry->live()) owner_->Verify(entry, record.SerializeAsString());
     return;
   }
@@ -166,7 +169,7 @@
   const bool reported_by_itself = record.state() == RECORD_LEFT && known_incarnation;
   const bool suspected = entry->member.state == MemberState::kSuspect && known_incarnation;
   if (entry->live() && !reported_by_itself && !suspected) {
-    // May come from a process that was isolated; the member itself can refute it.
+    // The record may come from a process that was isolated; the member itself can refute it.
     owner_->Verify(entry, record.SerializeAsString());
     return;
   }
--- a/src/posthatch/membership/record_merger.h
+++ b/src/posthatch/membership/record_merger.h
@@ -23,16 +23,16 @@
 // only.
 class RecordMerger {
  public:
-  // What RecordMerger needs from its owner.
+  // Callbacks of RecordMerger to its owner.
   class Owner {
    public:
     virtual ~Owner() = default;
-    // The reported view of a member has changed.
+    // Called when the reported state of a member has changed.
     virtual void Notify(const Member& member) = 0;
-    // `record` (serialized), from others, contradicts a live `entry`: the member itself should be
-    // probed with it, so that it can refute it.
+    // Called when `record` (serialized), from others, contradicts a live `entry`: the member itself
+    // should be probed with the record, so that it can refute it.
     virtual void Verify(MemberEntry* entry, const std::string& record) = 0;
-    // This process has refuted a false suspicion of itself.
+    // Called when this process has refuted a false record about its current incarnation.
     virtual void OnRefuted() = 0;
   };
 
@@ -47,9 +47,9 @@
 
   // Applies a record received from another process, or made by this one about another.
   void Apply(const MemberRecord& record, Dissemination dissemination);
-  // This process's probes of the member failed: starts or confirms a suspicion.
+  // Starts or confirms the suspicion of a member after this process's probes of it failed.
   void Suspect(MemberEntry* entry);
-  // The suspicion of the member has expired.
+  // Declares a member dead whose suspicion has expired.
   void DeclareDead(const std::string& node_id);
   // Reports the members whose damping is over.
   void ReleaseDamped();
@@ -60,7 +60,8 @@
  private:
   void ApplyToSelf(const MemberRecord& record);
   bool MayOverrideNow(const MemberRecord& record);
-  // Says whether `record`, about this node id, is of a former incarnation or of a running process.
+  // Traces whether `record`, about this node id, is of a previous incarnation or of another running
+  // process.
   void TraceOverride(const MemberRecord& record);
   void AddNew(const MemberRecord& record, Dissemination dissemination);
   void ApplyAlive(MemberEntry* entry, const MemberRecord& record, Dissemination dissemination);
@@ -81,8 +82,8 @@
   FlapDamper flap_damper_;
   MemberEntry* self_ = nullptr;
   runtime::MonotonicTime next_override_{};
-  // The last override of a record of another incarnation, and how many of its predecessors in a row
-  // were answered.
+  // Incarnation and version of the record that was overridden last, and how many overrides in a row
+  // before it got a response.
   uint64_t overridden_incarnation_ = 0;
   uint64_t overridden_version_ = 0;
   uint32_t override_responses_ = 0;
--- a/src/posthatch/membership/state_sync.cc
+++ b/src/posthatch/membership/state_sync.cc
@@ -8,8 +8,10 @@
 namespace posthatch::membership {
 namespace {
 
-// Records in one chunk; with tag, sequence and part numbers it stays below kMaxPayloadBytes.
+// Maximum bytes of records in one chunk: with tag, request and part numbers the message stays below
+// kMaxPayloadBytes.
 constexpr size_t kChunkBytes = kMaxPayloadBytes - 40;
+// Protobuf tag and length of one record.
 constexpr size_t kFramingBytes = 3;
 
 }  // namespace
@@ -76,8 +78,8 @@
 }
 
 void StateSync::OnBucketRequest(const std::string& from_endpoint, const BucketRequest& request) {
-  // More than any process of ours requests is ignored: it would amplify small requests into large
-  // responses.
+  // Requests for more buckets than any process of this fleet requests are ignored: they would
+  // amplify small requests into large responses.
   if (request.buckets_size() > options_->pull_window_buckets) return;
   std::vector<MembershipMessage> chunks(1);
   size_t bytes = 0;
--- a/src/posthatch/membership/state_sync.h
+++ b/src/posthatch/membership/state_sync.h
@@ -21,7 +21,7 @@
   StateSync(runtime::Runtime* runtime, const GossipOptions* options, MemberTable* table,
             MessageSender* sender);
 
-  // Called when a pull is complete.
+  // Sets the callback for each complete pull.
   void set_on_pulled(std::function<void()> on_pulled) { on_pulled_ = std::move(on_pulled); }
 
   // Sends this process's digest to another; the rest of the exchange is driven by its messages.
@@ -29,7 +29,7 @@
   void OnDigest(const std::string& from_endpoint, const Digest& digest,
                 const std::string& record_of_sender);
   void OnBucketRequest(const std::string& from_endpoint, const BucketRequest& request);
-  // To be called after the chunk's records have been applied.
+  // Handles a chunk whose records have already been applied.
   void OnBucketChunk(const BucketChunk& chunk);
 
   // Whether the last comparison found a difference, or a pull is running.
@@ -39,7 +39,7 @@
   bool pulling_many_buckets() const { return pulling() && pull_bucket_count_ > kLargePullBuckets; }
 
  private:
-  // In buckets.
+  // Pulls of more buckets than this are large.
   static constexpr size_t kLargePullBuckets = 16;
 
   void SendDigest(const std::string& endpoint, bool reply_wanted, const std::string& record);
--- a/src/posthatch/membership/suspicion_list.h
+++ b/src/posthatch/membership/suspicion_list.h
@@ -16,7 +16,7 @@
  public:
   explicit SuspicionList(const GossipOptions* options) : options_(options) {}
 
-  // Starts a suspicion in a fleet of `fleet_size`; nothing if there is one already.
+  // Starts a suspicion in a fleet of `fleet_size` processes; no effect if there is one already.
   void Start(const std::string& node_id, const std::string& accuser, size_t fleet_size,
              runtime::MonotonicTime now);
   // Adds an accuser; true if it was new and still shortened the time-out.
