--- a/src/posthatch/membership/record_merger.h
+++ b/src/posthatch/membership/record_merger.h
@@ -82,8 +82,8 @@
   FlapDamper flap_damper_;
   MemberEntry* self_ = nullptr;
   runtime::MonotonicTime next_override_{};
-  // Incarnation and version of the record that was overridden last, and how many overrides in a row
-  // before it got a response.
+  // Incarnation and version of the record that was overridden last, and the number of consecutive
+  // overrides before it to which another process responded.
   uint64_t overridden_incarnation_ = 0;
   uint64_t overridden_version_ = 0;
   uint32_t override_responses_ = 0;
