--- a/src/posthatch/ctl/admin_request.cc
+++ b/src/posthatch/ctl/admin_request.cc
@@ -9,13 +9,13 @@
 namespace posthatch::ctl {
 namespace {
 
-constexpr const char* kPath = "/admin/v1/";
+constexpr const char* kAdminPathPrefix = "/admin/v1/";
 
 absl::StatusOr<boost::json::object> ReadObject(const std::string& text) {
   boost::json::error_code error;
   boost::json::value value = boost::json::parse(text, error);
   if (error || !value.is_object()) {
-    return absl::InvalidArgumentError("the file must hold one JSON object");
+    return absl::InvalidArgumentError("the file must contain one JSON object");
   }
   return std::move(value.get_object());
 }
@@ -37,7 +37,8 @@
   return {{"requirements", std::move(requirements)}};
 }
 
-std::string ViewName(const Invocation& invocation) {
+// Path and query of a command that reads, relative to kAdminPathPrefix.
+std::string ResourcePath(const Invocation& invocation) {
   switch (invocation.command) {
     case CommandKind::kConfigGet:
       return invocation.version == 0 ? "configuration"
@@ -65,7 +66,10 @@
   }
 }
 
-absl::StatusOr<std::string> FillChange(const Invocation& invocation, boost::json::object* body) {
+// Adds the fields of a change to `body` and returns the path of its resource, relative to
+// kAdminPathPrefix.
+absl::StatusOr<std::string> FillChangeBody(const Invocation& invocation,
+                                           boost::json::object* body) {
   switch (invocation.command) {
     case CommandKind::kConfigApply: {
       absl::StatusOr<boost::json::object> content = ReadObject(invocation.file_content);
@@ -112,14 +116,14 @@
   }
   if (!IsChange(invocation.command)) {
     request.method = "GET";
-    request.target = kPath + ViewName(invocation);
+    request.target = kAdminPathPrefix + ResourcePath(invocation);
     return request;
   }
   boost::json::object body{{"request_id", invocation.request_id}};
-  absl::StatusOr<std::string> name = FillChange(invocation, &body);
-  if (!name.ok()) return name.status();
+  absl::StatusOr<std::string> resource = FillChangeBody(invocation, &body);
+  if (!resource.ok()) return resource.status();
   request.method = "POST";
-  request.target = kPath + *name;
+  request.target = kAdminPathPrefix + *resource;
   request.headers.Add("Content-Type", "application/json");
   request.body = boost::json::serialize(body);
   return request;
--- a/src/posthatch/ctl/output.cc
+++ b/src/posthatch/ctl/output.cc
@@ -11,18 +11,19 @@
 
 using Row = std::vector<std::string>;
 
-std::string Cell(const boost::json::value& value) {
+std::string RenderCell(const boost::json::value& value) {
   if (value.is_string()) return {value.get_string().data(), value.get_string().size()};
   return boost::json::serialize(value);
 }
 
+// Whether `value` is rendered as columns: a non-empty list of objects.
 bool IsTable(const boost::json::value& value) {
   return value.is_array() && !value.get_array().empty() &&
          std::all_of(value.get_array().begin(), value.get_array().end(),
                      [](const boost::json::value& entry) { return entry.is_object(); });
 }
 
-// Columns are the keys of all rows, in order of their first appearance.
+// Returns the keys of all entries, in order of their first appearance.
 Row Columns(const boost::json::array& entries) {
   Row columns;
   for (const boost::json::value& entry : entries) {
@@ -34,6 +35,7 @@
   return columns;
 }
 
+// Aligns the columns of `rows`, of which there is at least one.
 std::string RenderRows(const std::vector<Row>& rows) {
   std::vector<size_t> widths(rows.front().size(), 0);
   for (const Row& row : rows) {
@@ -57,7 +59,7 @@
     Row& row = rows.emplace_back();
     for (const std::string& column : columns) {
       const boost::json::value* value = entry.get_object().if_contains(column);
-      row.push_back(value == nullptr ? "" : Cell(*value));
+      row.push_back(value == nullptr ? "" : RenderCell(*value));
     }
   }
   return RenderRows(rows);
@@ -77,10 +79,10 @@
       absl::StrAppend(&lists, RenderTable(field.value().get_array()));
     } else if (field.value().is_array()) {
       for (const boost::json::value& entry : field.value().get_array()) {
-        absl::StrAppend(&lists, key, ": ", Cell(entry), "\n");
+        absl::StrAppend(&lists, key, ": ", RenderCell(entry), "\n");
       }
     } else {
-      absl::StrAppend(&text, key, ": ", Cell(field.value()), "\n");
+      absl::StrAppend(&text, key, ": ", RenderCell(field.value()), "\n");
     }
   }
   return text + lists;
--- a/src/posthatch/ctl/target_caller.cc
+++ b/src/posthatch/ctl/target_caller.cc
@@ -9,11 +9,10 @@
 namespace {
 
 constexpr int kStatusUnavailable = 503;
-// The error code of a 503 that says that the change may have been applied; any other code says that
-// it was not.
+// Error code of a 503 response if the change may have been applied; with any other code it was not.
 constexpr const char* kUncertainCode = "\"uncertain\"";
 constexpr runtime::Duration kRetryBackoff = std::chrono::milliseconds(300);
-// Timeout for one target: a change may wait for a session lease and an election.
+// Time-out of an attempt at one target: a change may wait for a session lease and an election.
 constexpr runtime::Duration kAttemptTimeout = std::chrono::seconds(10);
 
 }  // namespace
@@ -32,8 +31,8 @@
 }
 
 void TargetCaller::StartAttempt() {
-  const runtime::Duration left = deadline_ - runtime_->clock->Now();
-  if (left <= runtime::Duration::zero()) {
+  const runtime::Duration remaining = deadline_ - runtime_->clock->Now();
+  if (remaining <= runtime::Duration::zero()) {
     call_.reset();
     Finish();
     return;
@@ -41,7 +40,7 @@
   const std::string& target = targets_[attempts_++ % targets_.size()];
   outcome_.response = {};
   http::CallOptions options;
-  options.head_timeout = std::min(kAttemptTimeout, left);
+  options.head_timeout = std::min(kAttemptTimeout, remaining);
   options.body_idle_timeout = options.head_timeout;
   http::CallObserver observer;
   observer.on_head = [this](const http::Response& head) { outcome_.response = head; };
@@ -68,8 +67,9 @@
   ScheduleNextAttempt();
 }
 
-// Moved out first: `done_` may start the next call.
 void TargetCaller::Finish() {
+  // `done_` and `outcome_` are moved out before the call, since the callback may start the next
+  // request.
   const Done done = std::exchange(done_, nullptr);
   done(std::exchange(outcome_, {}));
 }
--- a/src/posthatch/membership/membership-bench.cc
+++ b/src/posthatch/membership/membership-bench.cc
@@ -41,7 +41,7 @@
 // Three decimals: enough for all figures here.
 double Rounded(double value) { return std::round(value * 1000) / 1000; }
 
-double ProcessorSeconds() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
+double CpuSeconds() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
 
 void Print(const boost::json::object& line) {
   // Numbers are written by fmt: Boost.JSON prints every double with an exponent.
@@ -62,7 +62,7 @@
   return values[std::min(index, values.size() - 1)];
 }
 
-// One fleet of one size, measured in several ways one after another.
+// Runs all measurements, one after another, on a fleet of one size.
 class FleetMeasurement {
  public:
   FleetMeasurement(const Settings& settings, size_t size)
@@ -74,7 +74,7 @@
     MeasureJoin();
     MeasureDetection();
     MeasurePauses();
-    MeasureSplit();
+    MeasurePartition();
   }
 
  private:
@@ -82,7 +82,7 @@
     return {{"figure", figure}, {"nodes", size_}, {"seed", settings_.seed}};
   }
 
-  // All start at once from three seeds.
+  // Measures the start of all nodes at once, with three seeds.
   void MeasureStart() {
     const bool converged = fleet_.RunUntilConverged(kLimit);
     boost::json::object line = Line("start_all");
@@ -90,7 +90,7 @@
     line["seconds"] = Seconds(world_.Now().time_since_epoch());
     line["bytes_per_node"] = static_cast<double>(fleet_.sent_bytes()) / static_cast<double>(size_);
     Print(line);
-    world_.RunFor(seconds(60));  // until the updates of the start are disseminated
+    world_.RunFor(seconds(60));  // the updates of the start are disseminated
   }
 
   void MeasureSteadyState(double loss) {
@@ -100,14 +100,14 @@
     fleet_.ClearFalseDeaths();
     const uint64_t bytes = fleet_.sent_bytes();
     const uint64_t datagrams = fleet_.sent_datagrams();
-    const double processor = ProcessorSeconds();
+    const double start_cpu_seconds = CpuSeconds();
     world_.RunFor(seconds(settings_.steady_seconds));
     const double node_seconds = static_cast<double>(size_) * settings_.steady_seconds;
     const auto sent = static_cast<double>(fleet_.sent_datagrams() - datagrams);
     const auto payload = static_cast<double>(fleet_.sent_bytes() - bytes);
     boost::json::object line = Line("steady");
     line["loss"] = loss;
-    line["processor_us_per_node_second"] = (ProcessorSeconds() - processor) * 1e6 / node_seconds;
+    line["processor_us_per_node_second"] = (CpuSeconds() - start_cpu_seconds) * 1e6 / node_seconds;
     line["datagrams_per_node_second"] = sent / node_seconds;
     line["payload_bytes_per_node_second"] = payload / node_seconds;
     line["wire_bytes_per_node_second"] = (payload + sent * kHeaderBytes) / node_seconds;
@@ -117,7 +117,7 @@
     world_.SetNetwork({});
   }
 
-  // Adds a node, until it knows all, and until all know it.
+  // Adds a node and measures until it knows all members and until all members know it.
   void MeasureJoin() {
     world_.RunFor(seconds(30));
     const runtime::MonotonicTime start = world_.Now();
@@ -133,34 +133,35 @@
     Print(line);
   }
 
-  // Nodes lose power one by one; per failure, until the first and until the last has detected it.
+  // Powers nodes off one by one and measures until the first and until the last member has detected
+  // each failure.
   void MeasureDetection() {
     std::vector<double> first;
     std::vector<double> last;
-    size_t unnoticed = 0;
+    size_t undetected = 0;
     for (size_t i = 0; i < settings_.failures; ++i) {
       const size_t victim = fleet_.size() - 1 - i % (fleet_.size() / 2);
       const runtime::MonotonicTime start = world_.Now();
       fleet_.host(victim)->PowerLoss();
-      const auto noticed = [&](size_t observer) {
+      const auto detected = [&](size_t observer) {
         return fleet_.StateSeen(observer, victim) == MemberState::kDead;
       };
-      const auto anyone = [&] {
+      const auto detected_by_any = [&] {
         for (size_t observer = 0; observer < fleet_.size(); ++observer) {
-          if (observer != victim && noticed(observer)) return true;
+          if (observer != victim && detected(observer)) return true;
         }
         return false;
       };
-      while (!anyone() && world_.Now() - start < kLimit) world_.RunFor(milliseconds(50));
+      while (!detected_by_any() && world_.Now() - start < kLimit) world_.RunFor(milliseconds(50));
       first.push_back(Seconds(world_.Now() - start));
-      if (!fleet_.RunUntilGone(victim, kLimit)) ++unnoticed;
+      if (!fleet_.RunUntilGone(victim, kLimit)) ++undetected;
       last.push_back(Seconds(world_.Now() - start));
       fleet_.host(victim)->Start();
       world_.RunFor(seconds(20));
     }
     boost::json::object line = Line("detection");
     line["failures"] = settings_.failures;
-    line["unnoticed"] = unnoticed;
+    line["unnoticed"] = undetected;
     line["first_p50_seconds"] = Quantile(first, 0.5);
     line["first_p99_seconds"] = Quantile(first, 0.99);
     line["all_p50_seconds"] = Quantile(last, 0.5);
@@ -168,7 +169,7 @@
     Print(line);
   }
 
-  // A twentieth of the nodes are frozen for 25 s; deaths of the others are false.
+  // Freezes a twentieth of the nodes for 25 s; reported deaths of other nodes are false.
   void MeasurePauses() {
     std::set<std::string> paused;
     while (paused.size() < fleet_.size() / 20 + 1) {
@@ -192,8 +193,8 @@
     Print(line);
   }
 
-  // Two halves are partitioned from each other for two minutes.
-  void MeasureSplit() {
+  // Partitions the fleet into two halves for two minutes and measures the merge.
+  void MeasurePartition() {
     const size_t border = fleet_.size() / 2;
     for (size_t low = 0; low < border; ++low) {
       for (size_t high = border; high < fleet_.size(); ++high) {
@@ -227,7 +228,7 @@
   Settings settings;
   CLI::App app{"Measures gossip membership in the simulator and prints JSON lines"};
   app.add_option("--nodes", settings.sizes, "Sizes of the fleets")->capture_default_str();
-  app.add_option("--loss", settings.losses, "Shares of datagrams lost")->capture_default_str();
+  app.add_option("--loss", settings.losses, "Fractions of datagrams lost")->capture_default_str();
   app.add_option("--seed", settings.seed, "Seed of the simulation")->capture_default_str();
   app.add_option("--failures", settings.failures, "Failures per size")->capture_default_str();
   app.add_option("--steady-seconds", settings.steady_seconds,
--- a/src/posthatch/membership/state_sync.cc
+++ b/src/posthatch/membership/state_sync.cc
@@ -8,8 +8,10 @@
 namespace posthatch::membership {
 namespace {
 
-// Records in one chunk; with tag, sequence and part numbers it stays below kMaxPayloadBytes.
+// Maximum bytes of records in one chunk: with tag, request and part numbers the message stays below
+// kMaxPayloadBytes.
 constexpr size_t kChunkBytes = kMaxPayloadBytes - 40;
+// Protobuf tag and length of one record.
 constexpr size_t kFramingBytes = 3;
 
 }  // namespace
@@ -57,7 +59,7 @@
 void StateSync::RequestWindow() {
   MembershipMessage message;
   BucketRequest* request = message.mutable_bucket_request();
-  request->set_request(++last_request_);
+  request->set_request(++last_request_id_);
   received_parts_.clear();
   const size_t count =
       std::min(pending_buckets_.size(), static_cast<size_t>(options_->pull_window_buckets));
@@ -76,8 +78,8 @@
 }
 
 void StateSync::OnBucketRequest(const std::string& from_endpoint, const BucketRequest& request) {
-  // More than any process of ours requests is ignored: it would amplify small requests into large
-  // responses.
+  // Requests for more buckets than any process of this fleet requests are ignored: they would
+  // amplify small requests into large responses.
   if (request.buckets_size() > options_->pull_window_buckets) return;
   std::vector<MembershipMessage> chunks(1);
   size_t bytes = 0;
@@ -103,7 +105,7 @@
 }
 
 void StateSync::OnBucketChunk(const BucketChunk& chunk) {
-  if (!pulling() || chunk.request() != last_request_) return;
+  if (!pulling() || chunk.request() != last_request_id_) return;
   received_parts_.insert(chunk.part());
   if (received_parts_.size() < chunk.parts()) return;
   retries_ = 0;
--- a/src/posthatch/membership/suspicion_list.h
+++ b/src/posthatch/membership/suspicion_list.h
@@ -16,7 +16,7 @@
  public:
   explicit SuspicionList(const GossipOptions* options) : options_(options) {}
 
-  // Starts a suspicion in a fleet of `fleet_size`; nothing if there is one already.
+  // Starts a suspicion in a fleet of `fleet_size` processes; no effect if there is one already.
   void Start(const std::string& node_id, const std::string& accuser, size_t fleet_size,
              runtime::MonotonicTime now);
   // Adds an accuser; true if it was new and still shortened the time-out.
@@ -31,7 +31,7 @@
  private:
   struct Suspicion {
     runtime::MonotonicTime start;
-    runtime::Duration shortest;
+    runtime::Duration min_timeout;
     std::set<std::string> accusers;
   };
   runtime::Duration TimeoutOf(const Suspicion& suspicion) const;
