--- a/src/posthatch/control/state/revision_timeline.h
+++ b/src/posthatch/control/state/revision_timeline.h
@@ -13,7 +13,8 @@
 // When each model revision was set, by this process's monotonic clock. The deadline after which no
 // request may begin under an older revision counts from then. A process that learns of a revision
 // late, or after a restart, adopts the age that other processes report. The largest reported age
-// applies, so that the deadline is never extended. Owned by the process; event loop thread only.
+// applies, so that the deadline is never extended. Owned by GatewaySession or ControllerService;
+// event loop thread only.
 class RevisionTimeline {
  public:
   // Records the revisions of a state that this process has applied. One above all known ones counts
