--- a/src/posthatch/server/command_line-test.cc
+++ b/src/posthatch/server/command_line-test.cc
@@ -16,7 +16,7 @@
 using ::testing::HasSubstr;
 using ::testing::StartsWith;
 
-// Script and observations of the process under test.
+// Scripted behaviour of the process under test, and what the test observed of it.
 struct Script {
   std::function<void(runtime::Runtime*, const std::string& http_endpoint)> on_start;
   absl::Status start_status;
@@ -24,8 +24,8 @@
   bool ready = true;
   int started = 0;
   int drained = 0;
-  std::vector<std::shared_ptr<http::ResponseWriter>> held;  // answers to GET /hold
-  std::unique_ptr<http::Call> call;                         // the last call of SendAll
+  std::vector<std::shared_ptr<http::ResponseWriter>> held;  // of GET /hold, not yet responded
+  std::unique_ptr<http::Call> call;                         // latest call of SendAll
 };
 
 class ScriptedProcess : public Process {
@@ -34,7 +34,7 @@
       : runtime_(runtime), http_endpoint_(std::move(http_endpoint)), script_(script) {}
 
   ~ScriptedProcess() override {
-    // As in every component, nothing may outlive the runtime.
+    // Response writers and calls must not outlive the runtime.
     script_->held.clear();
     script_->call.reset();
   }
@@ -148,7 +148,7 @@
 TEST_F(CommandLineTest, InvalidSettingsExitWithTwo) {
   std::filesystem::create_directories(folder_ + "/data");
   EXPECT_EQ(RunGateway({"--zone", "not a zone"}), kExitBadSettings);
-  EXPECT_EQ(RunGateway({"--data-folder", folder_}), kExitBadSettings);  // of controllers
+  EXPECT_EQ(RunGateway({"--data-folder", folder_}), kExitBadSettings);  // only for controllers
   EXPECT_EQ(RunGateway({"--no-such-flag"}), kExitBadSettings);
   EXPECT_EQ(Run({"gateway"}), kExitBadSettings);
   EXPECT_EQ(Run({"gateway", "--config", folder_ + "/missing.toml"}), kExitBadSettings);
--- a/src/posthatch/server/command_line.cc
+++ b/src/posthatch/server/command_line.cc
@@ -25,7 +25,7 @@
   std::string config_file;
   bool check_config = false;
   bool enable_fault_injection = false;
-  std::map<std::string, std::string> flags;  // key to text; filled for flags that were given
+  std::map<std::string, std::string> flags;  // texts by setting key; empty if not given
 
   SettingsSource Source(std::string text) const {
     SettingsSource source{config_file, std::move(text), {}};
@@ -46,7 +46,7 @@
   command->command->add_flag("--check-config", command->check_config,
                              "Check settings and flags, start nothing");
   command->command->add_flag("--enable-fault-injection", command->enable_fault_injection,
-                             "Answer PUT /debug/faults; for rehearsals only");
+                             "Accept PUT /debug/faults; for rehearsals only");
   for (const SettingDescription& setting : SettingsTable()) {
     if (!setting.AppliesTo(role)) continue;
     command->command->add_option(setting.Flag(), command->flags[setting.Key()],
@@ -79,7 +79,8 @@
   return net::AsioRuntime::Create(options);
 }
 
-// Each connection needs a file descriptor: raises the limit to the maximum that the system allows.
+// Raises the limit of open file descriptors, of which each connection needs one, to the maximum
+// that the system allows.
 void RaiseDescriptorLimit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -92,7 +93,7 @@
   return kExitStartFailed;
 }
 
-// `load` reads the role's settings, `make` builds its process.
+// Runs a process of one role: `load` reads the role's settings, `make` builds the process.
 template <typename Settings, typename Load, typename Make>
 int RunRole(const RoleCommand& command, const Load& load, const Make& make) {
   auto text = ReadFileContents(command.config_file);
@@ -138,7 +139,8 @@
   RoleCommand gateway;
   RoleCommand controller;
   AddRole(&app, Role::kGateway, "gateway", "Takes callers' requests and routes them", &gateway);
-  AddRole(&app, Role::kController, "controller", "Holds the replicated log", &controller);
+  AddRole(&app, Role::kController, "controller", "Runs a replica of the replicated log",
+          &controller);
   CLI::App* table = app.add_subcommand("settings-table", "Print docs/operations/settings.md");
   try {
     app.parse(argc, argv);
--- a/src/posthatch/server/common_http.h
+++ b/src/posthatch/server/common_http.h
@@ -11,12 +11,13 @@
 
 namespace posthatch::server {
 
-// Changes to a running process by operators and fleet tests.
+// Changes to a running process that operators and fleet tests request over HTTP.
 class ProcessControls {
  public:
   // `level` as in the setting log_level. Errors: InvalidArgument.
   virtual absl::Status SetLogLevel(std::string_view level) = 0;
-  // Whether the process was started with fault injection; PUT /debug/faults is unknown otherwise.
+  // Whether the process was started with fault injection; otherwise PUT /debug/faults is passed to
+  // the process like any other path.
   virtual bool FaultInjectionEnabled() const = 0;
   // Replaces the injected faults; `json` as in ParseFaultRules. Errors: InvalidArgument.
   virtual absl::Status SetFaults(std::string_view json) = 0;
@@ -28,15 +29,17 @@
 struct CommonHttpOptions {
   Process* process = nullptr;
   prometheus::Registry* metrics = nullptr;
-  // Null in the simulator: its endpoints are then passed to the process.
+  // Null in the simulator: PUT /admin/v1/log-level and /debug/faults are then passed to the
+  // process.
   ProcessControls* controls = nullptr;
-  // As NodeSettings::admin_token_sha256; required by the PUT endpoints.
+  // SHA-256 of the token that the PUT endpoints require (NodeSettings::admin_token_sha256).
   std::string admin_token_sha256;
 };
 
-// The endpoints common to all processes, in front of Process::HandleHttp: GET /healthz, /readyz,
-// /metrics, PUT /admin/v1/log-level and, with fault injection, PUT /debug/faults. Owned by the
-// listening code; outlives the server that uses it. Event loop thread only.
+// Serves the endpoints common to all processes (GET /healthz, /readyz, /metrics, PUT
+// /admin/v1/log-level and, with fault injection, PUT /debug/faults) and passes other requests to
+// Process::HandleHttp. Owned by the process runner; outlives the HTTP servers that use it. Event
+// loop thread only.
 class CommonHttp {
  public:
   explicit CommonHttp(CommonHttpOptions options);
@@ -46,7 +49,7 @@
   // Handler of a listener for readiness and administration: the common endpoints, /admin/v1/...,
   // and readiness at any other path.
   void HandleReadiness(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
-  // From now on /readyz answers 503.
+  // Makes /readyz respond 503 from now on.
   void SetDraining() { draining_ = true; }
 
  private:
--- a/src/posthatch/server/controller_node.h
+++ b/src/posthatch/server/controller_node.h
@@ -30,7 +30,7 @@
                        private control::ControllerHost {
  public:
   // `formats`: the formats of the platform, for a fleet with routed traffic; null for a fleet that
-  // serves only the product's own interface.
+  // serves only posthatch's own HTTP API.
   ControllerNode(runtime::Runtime* runtime, ControllerSettings settings,
                  const PlatformFormats* formats = nullptr);
 
@@ -43,7 +43,7 @@
   void HandleHttp(http::Request request, std::shared_ptr<http::ResponseWriter> writer) override;
   void OnSeedsChanged(const std::vector<std::string>& seeds) override;
 
-  // Whether this controller leads and has recent responses of a majority.
+  // Whether this controller leads and has recent responses from a majority.
   bool HasLeaderLease() const override;
 
   const consensus::RaftReplica& replica() const { return replica_; }
@@ -71,7 +71,7 @@
   control::ControllerService service_;
   invalidation::InvalidationServer invalidation_server_;
   control::AdminApi admin_api_;
-  // Both null without `formats`.
+  // `operator_api_` and `rollouts_` are null if `formats_` is null.
   std::unique_ptr<control::OperatorApi> operator_api_;
   std::unique_ptr<rollout::RolloutCoordinator> rollouts_;
   runtime::Timer leave_timer_;
--- a/src/posthatch/server/gateway_node.cc
+++ b/src/posthatch/server/gateway_node.cc
@@ -18,7 +18,7 @@
 }
 
 uint32_t CountLiveGateways(const membership::Membership& membership) {
-  uint32_t count = 1;  // this one
+  uint32_t count = 1;  // LiveMembers excludes this gateway
   for (const membership::Member& member : membership.LiveMembers()) {
     if (member.role == membership::MemberRole::kGateway) ++count;
   }
--- a/src/posthatch/server/gateway_node.h
+++ b/src/posthatch/server/gateway_node.h
@@ -13,7 +13,7 @@
 
 namespace posthatch::server {
 
-// A gateway of the product's own interface: finds the controllers by gossip, holds a session lease,
+// A gateway for posthatch's own HTTP API: finds the controllers by gossip, holds a session lease,
 // maintains the prefix cache index, serves callers, and manages the workers whose leases it holds.
 // The same in real processes and in the simulator. Owned by the process runner; event loop thread
 // only.
--- a/src/posthatch/server/member_views.h
+++ b/src/posthatch/server/member_views.h
@@ -8,10 +8,10 @@
 #include "posthatch/membership/membership.h"
 #include "posthatch/server/settings/node_settings.h"
 
-// Derived from the members known by gossip, for gateways and controllers.
+// Views of the fleet members known by gossip, for gateways and controllers.
 namespace posthatch::server {
 
-// This process as a member, as gossip spreads it.
+// Returns the member that advertises this process by gossip.
 membership::Member MakeSelfMember(const NodeSettings& node, membership::MemberRole role,
                                   uint64_t incarnation);
 
@@ -21,7 +21,7 @@
                                        membership::MemberRole role,
                                        const std::vector<std::string>& seeds);
 
-// The other live gateways.
+// Returns the live gateways except this process, as peers of the prefix cache index.
 std::vector<index::IndexPeer> LiveIndexPeers(const membership::Membership& membership);
 
 // Body of GET /admin/v1/members: this process first, then the others by node id.
--- a/src/posthatch/server/node_options.h
+++ b/src/posthatch/server/node_options.h
@@ -9,7 +9,7 @@
 #include "posthatch/membership/membership.h"
 #include "posthatch/server/settings/node_settings.h"
 
-// Parts and options common to the kinds of processes.
+// Options and request handlers that several kinds of processes have in common.
 namespace posthatch::server {
 
 // Time for the last messages (session end, gossip) to go out before the process ends.
@@ -21,7 +21,7 @@
 control::AdminApiOptions MakeAdminOptions(const NodeSettings& node,
                                           const membership::Membership* membership);
 
-// Answers GET /admin/v1/index of an authorized operator; returns false for any other request.
+// Responds to GET /admin/v1/index of an authorized operator; returns false for any other request.
 bool HandleIndexStats(const http::Request& request, const control::AdminApi& admin_api,
                       const index::IndexNode& index, http::ResponseWriter* writer);
 
--- a/src/posthatch/server/platform_formats.h
+++ b/src/posthatch/server/platform_formats.h
@@ -8,8 +8,8 @@
 
 namespace posthatch::server {
 
-// The formats of a platform: the interfaces that an adapter implements to run posthatch there. All
-// of them live as long as the process.
+// The formats of a platform: the interfaces that an adapter implements to run posthatch there. The
+// pointed-to formats outlive the process.
 struct PlatformFormats {
   const control::InventoryFormat* inventory = nullptr;
   const control::OperatorFormat* operators = nullptr;
--- a/src/posthatch/server/platform_gateway_node.cc
+++ b/src/posthatch/server/platform_gateway_node.cc
@@ -10,12 +10,13 @@
 
 constexpr int kNotFound = 404;
 constexpr runtime::Duration kMemberRefresh = std::chrono::milliseconds(300);
-// Long-poll time of a read of a worker's cache events.
+// Long-poll time-out of a read of a worker's cache events.
 constexpr runtime::Duration kEventWait = std::chrono::milliseconds(900);
-// Fraction of single missing events that is tolerated; beyond it a worker's entries are dropped.
+// Fraction of a worker's cache events that may be missing before its index entries lose their
+// trust; applies to events that get lost one by one.
 constexpr double kToleratedMissingEvents = 0.2;
-// Revisions whose entries are retained: the newest, the one that a roll-out replaces, and the one
-// before, if a further revision was named during a roll-out.
+// Number of model revisions whose index entries are retained: the newest, the one that a rollout
+// replaces, and the one before that, in case a further revision was set during the rollout.
 constexpr size_t kRetainedRevisions = 3;
 
 index::IndexOptions MakeIndexOptions(const GatewaySettings& settings,
@@ -24,7 +25,7 @@
   options.index_budget_bytes = settings.index_budget_bytes;
   options.zone = settings.node.zone;
   options.retained_revisions = kRetainedRevisions;
-  // One registration and heartbeat per gateway, since the leader serves all gateways.
+  // The leader serves all gateways, so each has only one registration and heartbeat.
   options.aggregate_channel = true;
   options.events.format = formats.cache_events;
   options.events.wait = kEventWait;
@@ -75,8 +76,8 @@
   return LiveEndpoints(membership_, membership::MemberRole::kController, settings_.node.seeds);
 }
 
-// Only the leader serves the channels, and without a lease no index entry is used: without a
-// leader, polling the other controllers would only load them.
+// Returns only the leader, since no other controller serves the channels. Without a leader there is
+// no lease and no index entry is used, so polling the other controllers would only add load.
 std::vector<std::string> PlatformGatewayNode::ChannelServers() const {
   const std::string leader = session_.leader_endpoint();
   return leader.empty() ? std::vector<std::string>() : std::vector<std::string>{leader};
--- a/src/posthatch/server/platform_gateway_node.h
+++ b/src/posthatch/server/platform_gateway_node.h
@@ -16,9 +16,10 @@
 namespace posthatch::server {
 
 // A gateway for routed traffic on the users' platform: finds the controllers by gossip, follows the
-// fleet's state, maintains the prefix cache index, and serves callers in the platform's formats by
-// routing::TrafficGateway. Without controllers it continues with the last known state and uses no
-// index entry beyond its freshness. Owned by the process runner; event loop thread only.
+// fleet's state, maintains the prefix cache index, and serves callers in the platform's formats
+// through routing::TrafficGateway. Without controllers it continues with the last known state and
+// uses no index entry whose freshness has expired. Owned by the process runner; event loop thread
+// only.
 class PlatformGatewayNode : public Process {
  public:
   PlatformGatewayNode(runtime::Runtime* runtime, GatewaySettings settings,
@@ -50,7 +51,7 @@
   routing::TrafficGateway traffic_;
   control::AdminApi admin_api_;
   runtime::Timer leave_timer_;
-  // Refreshed at most once per kMemberRefresh.
+  // Live gateways known by gossip; recomputed on access, at most once per kMemberRefresh.
   mutable std::vector<std::string> gateway_ids_;
   mutable std::vector<routing::LoadPeer> other_gateways_;
   mutable std::vector<index::IndexPeer> index_peers_;
--- a/src/posthatch/server/process.h
+++ b/src/posthatch/server/process.h
@@ -29,15 +29,15 @@
   // possibly within this call). The caller limits the wait to `drain_deadline`.
   virtual void Drain(std::function<void()> done) = 0;
 
-  // The seeds have changed: internal endpoints of up to three processes.
+  // Called when the settings file has new seeds: internal endpoints of up to three processes.
   virtual void OnSeedsChanged(const std::vector<std::string>& /*seeds*/) {}
 
   // Handles a request that is not for a common endpoint (common_http.h). Also called while
   // draining.
   virtual void HandleHttp(http::Request request, std::shared_ptr<http::ResponseWriter> writer) = 0;
 
-  // Handles an operator's request under /admin/v1/ at the listener for readiness, where the process
-  // has one; HandleHttp then gets callers' requests only.
+  // Handles an operator's request under /admin/v1/ from the readiness listener. In a process that
+  // has this listener, HandleHttp receives only callers' requests.
   virtual void HandleAdmin(http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
     HandleHttp(std::move(request), std::move(writer));
   }
--- a/src/posthatch/server/process_factory.h
+++ b/src/posthatch/server/process_factory.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::server {
 
-// Builds the process of a role; replaced by a trivial one in tests.
+// Builds the process of a role; tests use a factory of scripted processes instead.
 class ProcessFactory {
  public:
   virtual ~ProcessFactory() = default;
--- a/src/posthatch/server/process_runner.cc
+++ b/src/posthatch/server/process_runner.cc
@@ -31,7 +31,7 @@
         drain_poll_(runtime_->timers) {}
 
   absl::Status Run(const MakeProcess& make_process) {
-    // No request is read before the event loop runs; the process exists by then.
+    // The handler may use `process_`: no request is read before the event loop runs.
     auto server = runtime_->http_servers->Listen(
         node_.http_endpoint, limits_,
         [this](http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
@@ -84,7 +84,7 @@
   absl::Status SetFaults(std::string_view json) override {
     auto rules = net::ParseFaultRules(json);
     if (!rules.ok()) return rules.status();
-    // After the response to this call has gone out: it may partition its own caller.
+    // Applies the rules only after this request's response is sent: they may partition its caller.
     asio_runtime_->Post([this, rules = *std::move(rules)]() mutable {
       asio_runtime_->faults()->SetRules(std::move(rules));
     });
@@ -92,7 +92,7 @@
     return absl::OkStatus();
   }
 
-  // A listener for readiness: it continues to respond while the other one drains.
+  // Starts the readiness listener, which continues to respond while the callers' listener drains.
   absl::Status ListenForReadiness() {
     if (node_.readiness_endpoint.empty()) return absl::OkStatus();
     auto server = runtime_->http_servers->Listen(
--- a/src/posthatch/server/process_runner.h
+++ b/src/posthatch/server/process_runner.h
@@ -13,7 +13,7 @@
 
 namespace posthatch::server {
 
-// Builds a process, once its HTTP endpoint is bound.
+// Builds a process after its HTTP endpoint is bound.
 using MakeProcess = std::function<std::unique_ptr<Process>(const std::string& http_endpoint)>;
 
 // The settings file of a process, and a function that reads its seeds.
@@ -22,12 +22,12 @@
   SettingsWatch::ReadSeeds read_seeds;
 };
 
-// Makes and starts a process, answers its HTTP endpoint and runs the event loop until a SIGTERM or
+// Builds and starts a process, serves its HTTP endpoint and runs the event loop until a SIGTERM or
 // SIGINT has been followed by a drain:
-//   1. /readyz answers 503 and answers end their connections; after `drain_notice` the listener
-//      closes and idle connections close;
+//   1. /readyz responds 503 and each response closes its connection; after `drain_notice` the
+//      listener and idle connections are closed;
 //   2. Process::Drain;
-//   3. once that is done and every answer has ended, or at `drain_deadline`, the event loop stops.
+//   3. once that is done and every response has ended, or at `drain_deadline`, the event loop ends.
 // Destroys the process before it returns. Returns OK after a drain, also one that was cut short;
 // errors are those of Process::Start and of listening.
 absl::Status RunProcess(net::AsioRuntime* asio_runtime, const NodeSettings& node,
--- a/src/posthatch/server/settings/controller_table.cc
+++ b/src/posthatch/server/settings/controller_table.cc
@@ -20,16 +20,18 @@
        .minimum = 0,
        .maximum = 9,
        .target = Target<&ControllerSettings::bootstrap_expect>,
-       .help = "Fresh controllers that must see each other before they form the first cluster; the "
-               "same on all. 0: this one only joins a cluster that exists."},
+       .help =
+           "Number of fresh controllers that must discover each other before they form the first "
+           "cluster; the same on all controllers. 0: this one only joins an existing cluster."},
       {.table = "controller",
        .name = "founded_by_seeds",
        .kind = SettingKind::kSwitch,
        .roles = SettingRoles::kController,
        .target = Target<&ControllerSettings::founded_by_seeds>,
-       .help = "The first cluster is formed by the controllers at the seed addresses, all of them "
-               "together, whatever bootstrap_expect above 0 says; the seeds must be the same on "
-               "all. For fleets that aren't told how many controllers there are."},
+       .help =
+           "The first cluster is formed by the controllers at the seed addresses, all of them "
+           "together, whatever the value of bootstrap_expect above 0; the seeds must be the same "
+           "on all controllers. For fleets that aren't configured with the number of controllers."},
       {.table = "controller",
        .name = "target_voters",
        .kind = SettingKind::kCount,
@@ -37,7 +39,7 @@
        .minimum = 1,
        .maximum = 9,
        .target = Target<&ControllerSettings::target_voters>,
-       .help = "Voters that automatic repair keeps up."},
+       .help = "Number of voters that automatic repair maintains."},
       {.table = "controller",
        .name = "session_lease_ms",
        .kind = SettingKind::kMilliseconds,
@@ -45,8 +47,8 @@
        .minimum = 500,
        .maximum = kMinuteMs,
        .target = Target<&ControllerSettings::session_lease>,
-       .help = "Length of a gateway's session lease; a cut-off gateway delays acknowledgements by "
-               "so long."},
+       .help = "Duration of a gateway's session lease; a partitioned gateway delays "
+               "acknowledgements by as long."},
       {.table = "controller",
        .name = "inventory_poll_interval_ms",
        .kind = SettingKind::kMilliseconds,
@@ -54,7 +56,7 @@
        .minimum = 50,
        .maximum = 10'000,
        .target = Target<&ControllerSettings::inventory_poll_interval>,
-       .help = "Between readings of the inventory by the leading controller."},
+       .help = "Interval between reads of the inventory by the leading controller."},
       {.table = "controller",
        .name = "order_handover_ms",
        .kind = SettingKind::kMilliseconds,
@@ -62,9 +64,8 @@
        .minimum = 0,
        .maximum = kMinuteMs,
        .target = Target<&ControllerSettings::order_handover>,
-       .help =
-           "How long a new leading controller waits before it orders workers, so that two never "
-           "order one by turns."},
+       .help = "How long a new leading controller waits before it commands workers, so that two "
+               "controllers never command the same worker alternately."},
       {.table = "controller",
        .name = "rollout_deadline_ms",
        .kind = SettingKind::kMilliseconds,
@@ -72,8 +73,8 @@
        .minimum = 100,
        .maximum = 10 * kMinuteMs,
        .target = Target<&ControllerSettings::rollout_deadline>,
-       .help = "Routed traffic: from when a model revision is named until every worker must have "
-               "been commanded to load it; the same as the gateways' revision_deadline_ms."},
+       .help = "Routed traffic: time after a model revision is set within which every worker must "
+               "have been commanded to load it; the same as the gateways' revision_deadline_ms."},
   };
 }
 
--- a/src/posthatch/server/settings/gateway_table.cc
+++ b/src/posthatch/server/settings/gateway_table.cc
@@ -20,8 +20,8 @@
        .minimum = 50,
        .maximum = 5000,
        .target = Target<&GatewaySettings::session_renew_interval>,
-       .help = "Between renewals of the session lease; a quarter of the controllers' "
-               "session_lease_ms or less."},
+       .help = "Interval between renewals of the session lease; at most a quarter of the "
+               "controllers' session_lease_ms."},
       {.table = "gateway",
        .name = "index_budget_bytes",
        .kind = SettingKind::kBytes,
@@ -29,7 +29,7 @@
        .minimum = kMebibyte,
        .maximum = 64 * kGibibyte,
        .target = Target<&GatewaySettings::index_budget_bytes>,
-       .help = "Memory for index entries; the least used are dropped beyond it."},
+       .help = "Memory limit of index entries; beyond it the least used are evicted."},
       {.table = "gateway",
        .name = "routing_mode",
        .kind = SettingKind::kRoutingMode,
@@ -44,9 +44,8 @@
        .minimum = 0,
        .maximum = 10,
        .target = Target<&GatewaySettings::retry_budget_ratio>,
-       .help =
-           "Routed traffic: arrivals at workers beyond the first of each request, as a share of "
-           "the requests, for all gateways together."},
+       .help = "Routed traffic: retry budget, the number of attempts that reach workers beyond the "
+               "first of each request, as a fraction of the requests, for all gateways together."},
       {.table = "gateway",
        .name = "retry_budget_slack",
        .kind = SettingKind::kDecimal,
@@ -54,8 +53,8 @@
        .minimum = 0,
        .maximum = 1'000'000,
        .target = Target<&GatewaySettings::retry_budget_slack>,
-       .help = "Routed traffic: such arrivals in 10 s that are allowed beside the share, for all "
-               "gateways together."},
+       .help = "Routed traffic: attempts per 10 s that the retry budget allows in addition to "
+               "retry_budget_ratio, for all gateways together."},
       {.table = "gateway",
        .name = "inventory_reads_per_second",
        .kind = SettingKind::kDecimal,
@@ -63,8 +62,8 @@
        .minimum = 0,
        .maximum = 1'000'000,
        .target = Target<&GatewaySettings::inventory_reads_per_second>,
-       .help = "Readings of the inventory that all gateways together may make while no controller "
-               "reads it."},
+       .help = "Reads of the inventory per second that all gateways together may make while no "
+               "controller reads it."},
       {.table = "gateway",
        .name = "revision_deadline_ms",
        .kind = SettingKind::kMilliseconds,
@@ -72,8 +71,8 @@
        .minimum = 100,
        .maximum = 10 * kMinuteMs,
        .target = Target<&GatewaySettings::revision_deadline>,
-       .help = "Routed traffic: from the order of a model revision until no request may start on "
-               "an older one."},
+       .help = "Routed traffic: time after a model revision is set from which no request may start "
+               "on an older one."},
       {.table = "gateway",
        .name = "drain_bound_ms",
        .kind = SettingKind::kMilliseconds,
@@ -81,9 +80,9 @@
        .minimum = 2000,
        .maximum = 10 * kMinuteMs,
        .target = Target<&GatewaySettings::drain_bound>,
-       .help = "Routed traffic: from when the inventory shows a worker as draining until it gets "
-               "nothing more. A gateway reads the inventory itself 1500 ms before, if no "
-               "controller has."},
+       .help = "Routed traffic: time after the inventory shows a worker as draining from which the "
+               "worker receives no more requests. A gateway reads the inventory itself 1500 ms "
+               "before, if no controller has."},
   };
 }
 
--- a/src/posthatch/server/settings/limits_table.cc
+++ b/src/posthatch/server/settings/limits_table.cc
@@ -19,14 +19,14 @@
        .minimum = kKibibyte,
        .maximum = kMebibyte,
        .target = Target<&http::ServerLimits::max_header_bytes>,
-       .help = "Request line and header fields; more is answered 431."},
+       .help = "Size of the request line and header fields; larger ones are rejected with 431."},
       {.table = "limits",
        .name = "max_body_bytes",
        .kind = SettingKind::kBytes,
        .minimum = kKibibyte,
        .maximum = 256 * kMebibyte,
        .target = Target<&http::ServerLimits::max_body_bytes>,
-       .help = "Body of a request; more is answered 413."},
+       .help = "Size of a request body; larger ones are rejected with 413."},
       {.table = "limits",
        .name = "max_connections",
        .kind = SettingKind::kCount,
@@ -40,32 +40,32 @@
        .minimum = 4 * kKibibyte,
        .maximum = 64 * kMebibyte,
        .target = Target<&http::ServerLimits::max_buffered_bytes>,
-       .help =
-           "Of one streamed answer, waiting for its caller; beyond it reading from the back end "
-           "pauses."},
+       .help = "Bytes of one streamed response that are buffered until its caller reads them; "
+               "beyond it reading from the back end pauses."},
       {.table = "limits",
        .name = "header_timeout_ms",
        .kind = SettingKind::kMilliseconds,
        .minimum = 100,
        .maximum = 10 * kMinuteMs,
        .target = Target<&http::ServerLimits::header_timeout>,
-       .help = "From the first byte of a request to the end of its header; later is answered 408."},
+       .help = "Time from the first byte of a request to the end of its header; later ones are "
+               "rejected with 408."},
       {.table = "limits",
        .name = "body_timeout_ms",
        .kind = SettingKind::kMilliseconds,
        .minimum = 100,
        .maximum = 10 * kMinuteMs,
        .target = Target<&http::ServerLimits::body_timeout>,
-       .help =
-           "From the header's end to the body's end; later is answered 408. A caller that takes "
-           "nothing of its answer for so long is cut."},
+       .help = "Time from the end of a request's header to the end of its body; later ones are "
+               "rejected with 408. A caller that reads nothing of its response for as long is "
+               "disconnected."},
       {.table = "limits",
        .name = "idle_timeout_ms",
        .kind = SettingKind::kMilliseconds,
        .minimum = 100,
        .maximum = 60 * kMinuteMs,
        .target = Target<&http::ServerLimits::idle_timeout>,
-       .help = "Between requests on a kept connection; then it is closed."},
+       .help = "Time without a request after which a persistent connection is closed."},
   };
 }
 
--- a/src/posthatch/server/settings/node_settings.h
+++ b/src/posthatch/server/settings/node_settings.h
@@ -30,7 +30,7 @@
   // From SIGTERM until new connections are refused; readiness fails at once.
   runtime::Duration drain_notice{0};
   std::string admin_token_sha256;  // operators' bearer token, hashed; empty: none required
-  std::string data_folder;         // of a controller: log and snapshots
+  std::string data_folder;         // log and snapshots; controllers only
   std::string log_file;            // empty: stderr
   runtime::Severity log_level = runtime::Severity::kInfo;
 };
@@ -42,7 +42,8 @@
   // Memory limit of index entries, in bytes.
   uint64_t index_budget_bytes = 64ull * 1024 * 1024;
   gateway::RoutingMode routing_mode = gateway::RoutingMode::kPrefixAware;
-  // Of routed traffic, for all gateways together; see docs/design-docs/platform.md.
+  // Limits of routed traffic; the retry budget and the inventory reads are those of all gateways
+  // together. See docs/design-docs/platform.md.
   double retry_budget_ratio = 0.2;
   double retry_budget_slack = 20;
   double inventory_reads_per_second = 4;
--- a/src/posthatch/server/settings/routing_table.cc
+++ b/src/posthatch/server/settings/routing_table.cc
@@ -25,44 +25,47 @@
   using Switches = routing::RoutingSwitches;
   return {
       RoutingSwitch("index", Target<&Switches::index>,
-                    "Place prompts by what the index knows of kept segments."),
+                    "Place prompts by the cached segments that the prefix cache index lists."),
       RoutingSwitch("older_revisions", Target<&Switches::older_revisions>,
-                    "Use kept segments of workers that a roll-out has not reached yet."),
+                    "Use cached segments of workers that a rollout has not reached yet."),
       RoutingSwitch(
           "announcements", Target<&Switches::announcements>,
-          "Tell the other gateways which prompts are being read, and use what they tell."),
+          "Announce prefills to the other gateways, and place prompts by their announcements."),
       RoutingSwitch("rank", Target<&Switches::rank>,
-                    "Send prompts that nobody is known to keep to the workers that all gateways "
+                    "Send prompts without a known cache holder to the workers that all gateways "
                     "rank first for them."),
-      RoutingSwitch("guessed_source", Target<&Switches::guessed_source>,
-                    "Name the worker ranked first as the source where nothing is known."),
+      RoutingSwitch(
+          "guessed_source", Target<&Switches::guessed_source>,
+          "Name the worker ranked first as the source of cached segments if no holder is known."),
       RoutingSwitch("peer_moves", Target<&Switches::peer_moves>,
-                    "Let workers fetch kept segments from another worker that keeps them."),
+                    "Let workers fetch cached segments from another worker that holds them."),
       RoutingSwitch("stores", Target<&Switches::stores>,
                     "Save shared segments to the stores and fetch them from there."),
       RoutingSwitch("loads", Target<&Switches::loads>,
-                    "Count what the other gateways have under way at a worker."),
-      RoutingSwitch("urgent_loads", Target<&Switches::urgent_loads>,
-                    "Tell waiting prompts and announcements within milliseconds."),
-      RoutingSwitch("interference", Target<&Switches::interference>,
-                    "Weigh what reading a long prompt does to the streams that run there."),
+                    "Count the load that the other gateways have in flight at a worker."),
+      RoutingSwitch(
+          "urgent_loads", Target<&Switches::urgent_loads>,
+          "Report pending prompts and announcements to the other gateways within milliseconds."),
+      RoutingSwitch(
+          "interference", Target<&Switches::interference>,
+          "Weight the effect of a long prefill on the streams that run at the same worker."),
       RoutingSwitch("gathering", Target<&Switches::gathering>,
-                    "Gather short prompts where streams run already."),
+                    "Place short prompts together at workers that have running streams already."),
       RoutingSwitch("kept_connections", Target<&Switches::kept_connections>,
-                    "Prefer workers that a connection is kept to."),
+                    "Prefer workers with a pooled connection."),
       RoutingSwitch("near_candidates", Target<&Switches::near_candidates>,
-                    "In a large fleet, look for free workers in the own zone, whose loads are "
+                    "In a large fleet, look for free workers in the local zone, whose loads are "
                     "known sooner."),
       RoutingSwitch("measured_waits", Target<&Switches::measured_waits>,
-                    "Weigh how much later than expected first events came from a worker lately."),
-      RoutingSwitch("ejection", Target<&Switches::ejection>,
-                    "Keep away for a while from workers that fail."),
+                    "Weight how much later than expected the first events of recent streams came "
+                    "from a worker."),
+      RoutingSwitch("ejection", Target<&Switches::ejection>, "Eject failing workers temporarily."),
       RoutingSwitch("resumption", Target<&Switches::resumption>,
-                    "Take resumable streams up at another worker."),
+                    "Resume interrupted resumable streams at another worker."),
       RoutingSwitch("retries", Target<&Switches::retries>,
-                    "Try a second worker after a failure, within the retry budget."),
+                    "Retry at a second worker after a failure, within the retry budget."),
       RoutingSwitch("priorities", Target<&Switches::priorities>,
-                    "Tell workers how urgent a prompt is."),
+                    "Send the priority of a prompt to its worker."),
   };
 }
 
--- a/src/posthatch/server/settings/setting_description.h
+++ b/src/posthatch/server/settings/setting_description.h
@@ -12,7 +12,8 @@
 
 enum class Role { kGateway, kController };
 
-// Settings while a file is read: the common ones are copied into the role's settings at the end.
+// Settings under construction while a file is read; `node` and `limits` are copied into the role's
+// settings at the end.
 struct SettingsDraft {
   NodeSettings node;
   http::ServerLimits limits;
@@ -51,9 +52,9 @@
   SettingKind kind;
   bool required = false;
   SettingRoles roles = SettingRoles::kBoth;
-  int64_t minimum = 0;  // of numbers
+  int64_t minimum = 0;  // inclusive range of numeric settings
   int64_t maximum = 0;
-  SettingTarget (*target)(SettingsDraft*);  // the field it fills
+  SettingTarget (*target)(SettingsDraft*);  // the field that stores the value
   std::string_view help;
 
   bool AppliesTo(Role role) const;
@@ -61,7 +62,7 @@
   std::string Flag() const;  // with leading "--"
 };
 
-// "1024 to 65536 bytes", for messages and the documentation.
+// Returns for example "1024 to 65536 bytes", for error messages and the documentation.
 std::string AllowedRange(const SettingDescription& setting);
 
 }  // namespace posthatch::server
--- a/src/posthatch/server/settings/setting_tables.h
+++ b/src/posthatch/server/settings/setting_tables.h
@@ -17,7 +17,7 @@
 std::vector<SettingDescription> NodeTable();
 std::vector<SettingDescription> LimitsTable();
 std::vector<SettingDescription> GatewayTable();
-// Switches of the routing mechanisms; off only to measure their effect.
+// Switches of the routing mechanisms, turned off only to measure their effect.
 std::vector<SettingDescription> RoutingTable();
 std::vector<SettingDescription> ControllerTable();
 
--- a/src/posthatch/server/settings/setting_value.h
+++ b/src/posthatch/server/settings/setting_value.h
@@ -17,8 +17,8 @@
 // Converts a flag's text to the value a file would have. Errors: InvalidArgument.
 absl::StatusOr<RawSetting> RawFromText(const SettingDescription& setting, const std::string& text);
 
-// Checks `value` against kind and range and stores it. Errors: InvalidArgument, with the allowed
-// range and the value in the message.
+// Checks `value` against the setting's kind and range and stores it. Errors: InvalidArgument, with
+// the allowed range and the value in the message.
 absl::Status StoreSetting(const SettingDescription& setting, const RawSetting& value,
                           SettingsDraft* draft);
 
--- a/src/posthatch/server/settings/settings_loader-fuzz.cc
+++ b/src/posthatch/server/settings/settings_loader-fuzz.cc
@@ -1,4 +1,5 @@
-// Any text as a settings file: errors or settings, never a crash; flags from the same bytes.
+// Fuzzes the settings loader: any text as a settings file, and a flag from the same bytes, must
+// give settings or errors, never a crash.
 #include <cstddef>
 #include <cstdint>
 #include <string>
--- a/src/posthatch/server/settings/settings_loader-test.cc
+++ b/src/posthatch/server/settings/settings_loader-test.cc
@@ -144,7 +144,7 @@
   EXPECT_EQ(settings.node.data_folder, "/data");
 }
 
-// Each number accepts exactly its range, and its default is within it.
+// Each numeric setting accepts exactly its range, and its default is within it.
 TEST(SettingsTableTest, EnforcesBoundsOfEveryNumber) {
   int numbers = 0;
   for (const SettingDescription& setting : SettingsTable()) {
--- a/src/posthatch/server/settings/settings_loader.cc
+++ b/src/posthatch/server/settings/settings_loader.cc
@@ -16,7 +16,7 @@
 
 constexpr const char* kCommandLine = "command line";
 
-// A value and its source, for messages.
+// A value and where it was given, for error messages.
 struct LocatedValue {
   RawSetting value;
   std::string file;
@@ -71,7 +71,7 @@
                                    [&](const auto& setting) { return setting.table == name; });
     if (table == nullptr || !known) {
       Add(source_.file_name, LineOf(node), name,
-          "unknown; settings stand in [node], [limits], [gateway] or [controller]");
+          "unknown; settings belong in [node], [limits], [gateway] or [controller]");
       return;
     }
     for (const auto& [key, value] : *table) {
@@ -145,7 +145,7 @@
     }
   }
 
-  // Rules that involve several settings.
+  // Checks rules that involve several settings.
   void CheckCombinations(const SettingsDraft& draft) {
     const bool any_port = draft.node.http_endpoint.ends_with(":0");
     if (draft.node.internal_endpoint == draft.node.http_endpoint && !any_port) {
@@ -158,7 +158,7 @@
   const Role role_;
   const SettingsSource& source_;
   std::vector<SettingsError> errors_;
-  // Values by key; nullopt for those already reported.
+  // Keyed by setting key; nullopt if an error of this setting has been reported.
   absl::btree_map<std::string, std::optional<LocatedValue>> seen_;
 };
 
--- a/src/posthatch/server/settings/settings_loader.h
+++ b/src/posthatch/server/settings/settings_loader.h
@@ -10,7 +10,7 @@
 // An error in the settings.
 struct SettingsError {
   std::string file;  // "command line" for flags
-  int line = 0;      // 0 if it has no line: a missing key, or a flag
+  int line = 0;      // 0 for a missing key or a flag
   std::string key;   // empty for a file that can't be read as TOML
   std::string message;
 
@@ -18,14 +18,14 @@
   std::string ToString() const;
 };
 
-// A flag that was given.
+// A flag on the command line, which overrides the file.
 struct SettingOverride {
   std::string key;  // "node.zone"
   std::string text;
 };
 
 struct SettingsSource {
-  std::string file_name;  // for messages
+  std::string file_name;  // shown in error messages
   std::string text;       // TOML
   std::vector<SettingOverride> overrides;
 };
--- a/src/posthatch/server/settings/settings_page.h
+++ b/src/posthatch/server/settings/settings_page.h
@@ -6,10 +6,10 @@
 
 namespace posthatch::server {
 
-// The default as it would stand in the file; empty if the setting is required or empty.
+// The default as written in a settings file; empty if the setting is required or has no default.
 std::string DefaultText(const SettingDescription& setting);
 
-// docs/operations/settings.md, made from the settings' table.
+// Returns the contents of docs/operations/settings.md, generated from SettingsTable().
 std::string SettingsMarkdown();
 
 }  // namespace posthatch::server
--- a/src/posthatch/server/settings/settings_watch.cc
+++ b/src/posthatch/server/settings/settings_watch.cc
@@ -12,7 +12,7 @@
 constexpr runtime::Duration kPollInterval = std::chrono::seconds(2);
 constexpr int64_t kNanosecondsPerSecond = 1'000'000'000;
 
-// 0 if there is no such file.
+// Returns nanoseconds since the Unix epoch; 0 if the file doesn't exist.
 int64_t ModificationTime(const std::string& file) {
   struct stat status {};
   if (stat(file.c_str(), &status) != 0) return 0;
--- a/src/posthatch/server/settings/settings_watch.h
+++ b/src/posthatch/server/settings/settings_watch.h
@@ -8,9 +8,9 @@
 
 namespace posthatch::server {
 
-// Watches a process's settings file for changed seeds: the only setting that may change while a
-// process runs. Checked on demand and every few seconds, since not every platform sends a signal.
-// Owned by the process runner; event loop thread only.
+// Watches a process's settings file for changed seeds, the only setting that may change while a
+// process runs. Checks the file on demand and every few seconds, since not every platform sends a
+// signal. Owned by the process runner; event loop thread only.
 class SettingsWatch {
  public:
   // Reads the file and returns its seeds; empty if it can't be read or isn't valid.
