--- a/src/posthatch/server/platform_fleet-test.cc
+++ b/src/posthatch/server/platform_fleet-test.cc
@@ -3,7 +3,7 @@
 namespace posthatch::server {
 namespace {
 
-// Time from an acknowledgement until a change is in force, with the platform's processes.
+// Maximum time from the acknowledgement of a change until it is in force at every gateway.
 constexpr runtime::Duration kInForce = seconds(3);
 
 // POSTHATCH_GATEWAYS overrides CI's fleet size.
@@ -24,7 +24,7 @@
       EXPECT_EQ(fleet_.VersionAt(host), 1U) << host->name();
     }
   }
-  // Sends changes, one each `gap`.
+  // Sends configurations `first` to `last`, one per `gap` or after the previous acknowledgement.
   void ChangeRepeatedly(uint64_t first, uint64_t last, runtime::Duration gap) {
     for (uint64_t version = first; version <= last; ++version) {
       fleet_.Change(version);
@@ -82,7 +82,7 @@
   }
   const uint64_t before = fleet_.list_calls;
   fleet_.RunAndWatch(seconds(10));
-  // One reader per zone (six) and second; one call per gateway would be thousands.
+  // One gateway in each of the six zones reads once per second; reads by all would be thousands.
   EXPECT_GE(fleet_.list_calls - before, 30U);
   EXPECT_LE(fleet_.list_calls - before, 90U);
 }
--- a/src/posthatch/server/platform_fleet-test.h
+++ b/src/posthatch/server/platform_fleet-test.h
@@ -27,7 +27,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The inventory as a serialized Inventory.
+// An inventory page is a serialized control::Inventory.
 class TestInventoryFormat : public control::InventoryFormat {
  public:
   http::Request PageRequest(const std::string& /*page*/) const override {
@@ -121,14 +121,14 @@
   int gateways = 100;
   int zones = 6;
   int workers = 40;
-  // A worker takes so long to load weights, and to read one prompt; it reads one at a time.
+  // Time in which a worker loads weights, and prefills one prompt; it prefills one at a time.
   runtime::Duration load_time = milliseconds(1100);
   runtime::Duration prefill_time = milliseconds(40);
 };
 
-// The first token of a prompt at a worker.
+// Start of a prompt at a worker, which then sends the first token.
 struct PromptStart {
-  std::string request_id;  // its gateway's name comes first
+  std::string request_id;  // "GATEWAY/NUMBER"
   std::string worker_id;
   uint64_t revision = 0;
   runtime::MonotonicTime at;
@@ -145,7 +145,8 @@
     operator_->SetBoot([](runtime::Runtime*) { return std::make_shared<int>(0); });
     for (simulation::SimHost* host : world.hosts()) host->Start();
   }
-  // For comparing two builds by their test reports: equal behaviour gives an equal hash.
+  // Records a hash of the behaviour in the test report; builds that behave equally have equal
+  // hashes.
   ~PlatformFleet() {
     testing::Test::RecordProperty("behaviour_hash",
                                   absl::StrCat(absl::Hex(world.behaviour_hash())));
@@ -193,7 +194,8 @@
     Send(absl::StrCat("revision ", revision), command,
          [this, revision] { revision_acknowledged[revision] = world.Now(); });
   }
-  // Runs for `duration`, while callers send so many prompts a second, each to any ready gateway.
+  // Runs for `duration`, while callers send `per_second` prompts a second, each to a random
+  // gateway.
   void RunWithPrompts(runtime::Duration duration, int per_second) {
     const runtime::MonotonicTime until = world.Now() + duration;
     while (world.Now() < until) {
@@ -201,8 +203,8 @@
       world.RunFor(runtime::Duration(seconds(1)) / per_second);
     }
   }
-  // Prompts that began at a worker with an older revision more than `bound` after a newer one had
-  // been acknowledged, counted within one stretch without a core event.
+  // Describes each prompt that started on an old revision although a newer one had been
+  // acknowledged for more than `bound` of uninterrupted time in which the controllers were stable.
   std::vector<std::string> OutdatedStarts(runtime::Duration bound) const {
     std::vector<std::string> late;
     for (const PromptStart& start : prompt_starts) {
@@ -215,7 +217,8 @@
     }
     return late;
   }
-  // The longest part of the time between that lies `kContact` or more after each core event.
+  // Longest period between `from` and `to` without a core event and at least `kContact` after the
+  // previous one.
   runtime::Duration LongestStableStretch(runtime::MonotonicTime from,
                                          runtime::MonotonicTime to) const {
     runtime::Duration longest{0};
@@ -239,7 +242,7 @@
     return outdated;
   }
 
-  // The newest version whose route the gateway has; 0 if it has none or isn't running.
+  // Newest configuration version whose route the gateway has; 0 if it has none or isn't running.
   uint64_t VersionAt(const simulation::SimHost* host) {
     const auto found = gateways_.find(host);
     if (!host->running() || found == gateways_.end()) return 0;
@@ -258,7 +261,7 @@
     }
     return nullptr;
   }
-  // Partitions the controllers of `side` from the others.
+  // Partitions the controllers in `side` from the other controllers.
   void CutCore(const std::set<const simulation::SimHost*>& side) {
     for (const simulation::SimHost* left : controller_hosts) {
       for (const simulation::SimHost* right : controller_hosts) {
@@ -267,8 +270,8 @@
       }
     }
   }
-  // Runs for `duration`, and records how long after its acknowledgement each version was not yet in
-  // force at some gateway.
+  // Runs for `duration`, and records the longest time after an acknowledgement for which a gateway
+  // did not have the version in force.
   void RunAndWatch(runtime::Duration duration) {
     const runtime::MonotonicTime until = world.Now() + duration;
     while (world.Now() < until) {
@@ -280,11 +283,11 @@
   simulation::SimWorld world;
   std::vector<simulation::SimHost*> controller_hosts;
   std::vector<simulation::SimHost*> gateway_hosts;
-  std::map<uint64_t, runtime::MonotonicTime> acknowledged;           // by version
-  std::map<uint64_t, runtime::MonotonicTime> revision_acknowledged;  // by revision
+  std::map<uint64_t, runtime::MonotonicTime> acknowledged;           // keyed by version
+  std::map<uint64_t, runtime::MonotonicTime> revision_acknowledged;  // keyed by revision
   std::vector<PromptStart> prompt_starts;
-  // What the test does to controllers, in the order of time: for `kContact` after it the core does
-  // not count as stable.
+  // Times at which the test stopped or started a controller, ascending. The controllers count as
+  // unstable for `kContact` after each.
   std::vector<runtime::MonotonicTime> core_events;
   runtime::Duration longest_lag{0};
   std::string latest_gateway;
@@ -299,12 +302,12 @@
     size_t next_controller = 0;
   };
 
-  // What a worker does, beside its entry in the list.
+  // State of a simulated worker besides its inventory entry.
   struct WorkerModel {
     control::Backend* backend = nullptr;
     runtime::Runtime* runtime = nullptr;
-    bool ordered = false;                  // no prompt begins until the order is done
-    runtime::MonotonicTime prefills_done;  // of the prompts that it has
+    bool ordered = false;                  // loading weights; no prompt starts
+    runtime::MonotonicTime prefills_done;  // when its last prefill ends
   };
 
   void SendPrompt() {
@@ -331,7 +334,7 @@
     response.headers.Add("Refused", "1");
     return response;
   }
-  // Why the worker doesn't begin the prompt now; 0 if it does.
+  // HTTP status with which the worker rejects the prompt; 0 if it can start it.
   static int RejectionOf(const http::Request& request, const WorkerModel& worker) {
     const std::string expected(request.headers.Get("Revision"));
     if (request.headers.Get("Instance") != worker.backend->id()) return 421;
@@ -382,7 +385,7 @@
     request.method = "POST";
     request.target = absl::StrCat("/v", version, "/x");
     request.headers.Add("Host", "h");
-    request.headers.Add("Malformed", "1");  // rejected once its route is known
+    request.headers.Add("Malformed", "1");  // rejected with 400 if the gateway has the route
     auto writer = std::make_shared<gateway::FakeWriter>();
     node->HandleHttp(std::move(request), writer);
     return writer->whole.status == 400;
@@ -505,7 +508,7 @@
     }
     writer->SendResponse(response);
   }
-  // The status of the response to an order to load `revision`.
+  // Handles a command to load `revision`; returns the status of the response.
   int AcceptOrder(uint64_t revision, WorkerModel* worker) {
     if (worker->ordered) return 409;
     if (worker->backend->model_revision() >= revision) return 200;
--- a/src/posthatch/server/revision_bound-test.cc
+++ b/src/posthatch/server/revision_bound-test.cc
@@ -1,12 +1,12 @@
-// The bound on old model revisions, over the whole path: acknowledgement, roll-out, gateways,
-// workers.
+// Tests the bound on prompts that start on old model revisions, end to end: acknowledgement,
+// rollout, gateways, workers.
 #include "posthatch/server/platform_fleet-test.h"
 
 namespace posthatch::server {
 namespace {
 
-// From the acknowledgement of a revision until no prompt may begin under an older one: the default
-// of the settings.
+// Time after the acknowledgement of a revision from which no prompt may start on an older one; the
+// default of the setting revision_deadline_ms.
 constexpr runtime::Duration kRevisionBound = seconds(12);
 constexpr int kPromptsPerSecond = 60;
 
@@ -34,7 +34,7 @@
     ASSERT_TRUE(fleet_->revision_acknowledged.contains(revision));
   }
   void Run(runtime::Duration duration) { fleet_->RunWithPrompts(duration, kPromptsPerSecond); }
-  // Gateways end and start anew, one after another.
+  // Restarts the gateways one after another.
   void RestartGateways(runtime::Duration gap) {
     for (simulation::SimHost* host : fleet_->gateway_hosts) {
       host->Crash();
@@ -43,7 +43,7 @@
       Run(gap / 2);
     }
   }
-  // `uncounted`: time without a core, in which the bound doesn't run.
+  // `uncounted`: time without running controllers, which the bound excludes.
   void ExpectNoOutdatedStart(size_t least_completed, runtime::Duration uncounted = {}) {
     const std::vector<std::string> late = fleet_->OutdatedStarts(kRevisionBound + uncounted);
     EXPECT_TRUE(late.empty()) << late.size() << " prompts, the first: " << late.front();
@@ -68,7 +68,7 @@
 TEST_P(RevisionBoundTest, HoldsWhenPromptsWaitLongAtWorkers) {
   PlatformFleetPlan plan = SmallFleet();
   plan.load_time = seconds(6);
-  plan.prefill_time = milliseconds(600);  // some 30 a second, and the callers bring twice as many
+  plan.prefill_time = milliseconds(600);  // about 30 prompts a second; callers send 60
   StartFleet(plan);
   Name(2);
   Run(seconds(26));
@@ -86,7 +86,7 @@
   ExpectNoOutdatedStart(600);
 }
 
-// Nobody is left who saw the revision named: its age stands in the log.
+// No running process remembers when the revision was set: its age is read from the replicated log.
 TEST_P(RevisionBoundTest, HoldsWhenAllProcessesRestartDuringRollout) {
   PlatformFleetPlan plan = SmallFleet();
   plan.load_time = seconds(8);
@@ -138,8 +138,8 @@
   return seeds == nullptr ? 20 : std::strtoull(seeds, nullptr, 10);
 }
 
-// Revisions, restarts, freezes and changes of leader that overlap, drawn by seed, over workers that
-// load and read at any speed.
+// Overlapping revisions, restarts, freezes and leader changes, drawn at random by seed, with
+// workers of random load and prefill times.
 class RevisionBoundSoakTest : public RevisionBoundTest {
  protected:
   void DrawPlan() {
@@ -194,7 +194,7 @@
         }
         break;
       default:
-        break;  // calm
+        break;  // no fault
     }
   }
 
@@ -212,7 +212,7 @@
     Run(random().Between(milliseconds(100), seconds(3)));
   }
   Run(seconds(30));
-  ExpectNoOutdatedStart(20);  // two slow workers complete little
+  ExpectNoOutdatedStart(20);  // the fleet may have only two slow workers
   EXPECT_EQ(fleet_->OutdatedWorkers(revision_), 0U);
 }
 
