--- a/src/posthatch/server/command_line-test.cc
+++ b/src/posthatch/server/command_line-test.cc
@@ -20,12 +20,13 @@
 struct Script {
   std::function<void(runtime::Runtime*, const std::string& http_endpoint)> on_start;
   absl::Status start_status;
-  bool drain_ends = true;
+  bool completes_drain = true;
   bool ready = true;
-  int started = 0;
-  int drained = 0;
-  std::vector<std::shared_ptr<http::ResponseWriter>> held;  // of GET /hold, not yet responded
-  std::unique_ptr<http::Call> call;                         // latest call of SendAll
+  int start_count = 0;
+  int drain_count = 0;
+  // Writers of the requests GET /hold, whose responses are pending.
+  std::vector<std::shared_ptr<http::ResponseWriter>> pending_writers;
+  std::unique_ptr<http::Call> call;  // latest call of SendAll
 };
 
 class ScriptedProcess : public Process {
@@ -35,23 +36,23 @@
 
   ~ScriptedProcess() override {
     // Response writers and calls must not outlive the runtime.
-    script_->held.clear();
+    script_->pending_writers.clear();
     script_->call.reset();
   }
 
   absl::Status Start() override {
-    ++script_->started;
+    ++script_->start_count;
     if (script_->on_start) script_->on_start(runtime_, http_endpoint_);
     return script_->start_status;
   }
   bool Ready() const override { return script_->ready; }
   void Drain(std::function<void()> done) override {
-    ++script_->drained;
-    if (script_->drain_ends) done();
+    ++script_->drain_count;
+    if (script_->completes_drain) done();
   }
   void HandleHttp(http::Request request, std::shared_ptr<http::ResponseWriter> writer) override {
     if (request.target == "/hold") {
-      script_->held.push_back(std::move(writer));
+      script_->pending_writers.push_back(std::move(writer));
     } else {
       writer->SendResponse({.status = 404, .headers = {}, .body = "the process"});
     }
@@ -116,14 +117,14 @@
     requests.erase(requests.begin());
     http::CallObserver observer;
     observer.on_head = [this](const http::Response& head) {
-      answers_.push_back(std::to_string(head.status) + " ");
+      responses_.push_back(std::to_string(head.status) + " ");
     };
-    observer.on_chunk = [this](const std::string& piece) { answers_.back() += piece; };
+    observer.on_chunk = [this](const std::string& chunk) { responses_.back() += chunk; };
     observer.on_end = [this, runtime, endpoint, requests, then] {
       SendAll(runtime, endpoint, requests, then);
     };
     observer.on_error = [this, then](const http::CallError& error) {
-      answers_.push_back(error.status.ToString());
+      responses_.push_back(error.status.ToString());
       then();
     };
     script_.call = runtime->http_client->Start(endpoint, std::move(next), {}, observer);
@@ -132,7 +133,7 @@
   const std::string folder_;
   const std::string config_;
   Script script_;
-  std::vector<std::string> answers_;
+  std::vector<std::string> responses_;
 };
 
 http::Request Request(const std::string& method, const std::string& target,
@@ -158,13 +159,13 @@
                  "--session-lease-ms", "1"}),
             kExitBadSettings);
   EXPECT_TRUE(std::filesystem::is_empty(folder_ + "/data"));
-  EXPECT_EQ(script_.started, 0);
+  EXPECT_EQ(script_.start_count, 0);
 }
 
 TEST_F(CommandLineTest, CheckConfigStartsNoProcess) {
   EXPECT_EQ(RunGateway({"--check-config"}), kExitOk);
   EXPECT_EQ(Run({"settings-table"}), kExitOk);
-  EXPECT_EQ(script_.started, 0);
+  EXPECT_EQ(script_.start_count, 0);
 }
 
 TEST_F(CommandLineTest, FailedStartExitsWithOne) {
@@ -187,17 +188,17 @@
             [] { raise(SIGTERM); });
   };
   EXPECT_EQ(RunGateway({"--admin-token-sha256", kSecret}), kExitOk);
-  ASSERT_EQ(answers_.size(), 10u);
-  EXPECT_THAT(answers_[0], StartsWith("200"));
-  EXPECT_THAT(answers_[1], StartsWith("200"));
-  EXPECT_THAT(answers_[2], HasSubstr("posthatch_http_server_connections 1"));
-  EXPECT_THAT(answers_[3], StartsWith("200"));
-  EXPECT_THAT(answers_[4], StartsWith("401"));
-  EXPECT_THAT(answers_[5], StartsWith("400"));
-  EXPECT_THAT(answers_[6], StartsWith("400"));
-  EXPECT_THAT(answers_[7], StartsWith("405"));
-  EXPECT_EQ(answers_[8], "404 the process");  // no fault injection
-  EXPECT_EQ(answers_[9], "404 the process");
+  ASSERT_EQ(responses_.size(), 10u);
+  EXPECT_THAT(responses_[0], StartsWith("200"));
+  EXPECT_THAT(responses_[1], StartsWith("200"));
+  EXPECT_THAT(responses_[2], HasSubstr("posthatch_http_server_connections 1"));
+  EXPECT_THAT(responses_[3], StartsWith("200"));
+  EXPECT_THAT(responses_[4], StartsWith("401"));
+  EXPECT_THAT(responses_[5], StartsWith("400"));
+  EXPECT_THAT(responses_[6], StartsWith("400"));
+  EXPECT_THAT(responses_[7], StartsWith("405"));
+  EXPECT_EQ(responses_[8], "404 the process");  // no fault injection
+  EXPECT_EQ(responses_[9], "404 the process");
 }
 
 TEST_F(CommandLineTest, FaultInjectionNeedsFlag) {
@@ -214,10 +215,10 @@
             });
   };
   EXPECT_EQ(RunGateway({"--enable-fault-injection"}), kExitOk);
-  ASSERT_EQ(answers_.size(), 3u);
-  EXPECT_THAT(answers_[0], StartsWith("400"));
-  EXPECT_THAT(answers_[1], StartsWith("503"));
-  EXPECT_THAT(answers_[2], StartsWith("200"));
+  ASSERT_EQ(responses_.size(), 3u);
+  EXPECT_THAT(responses_[0], StartsWith("400"));
+  EXPECT_THAT(responses_[1], StartsWith("503"));
+  EXPECT_THAT(responses_[2], StartsWith("200"));
 }
 
 TEST_F(CommandLineTest, DrainWaitsForResponsesInProgress) {
@@ -231,20 +232,20 @@
       raise(SIGTERM);
     });
     runtime->timers->Schedule(std::chrono::milliseconds(150), [this] {
-      for (auto& writer : script_.held) {
+      for (auto& writer : script_.pending_writers) {
         writer->SendResponse({.status = 200, .headers = {}, .body = "ended"});
       }
-      script_.held.clear();
+      script_.pending_writers.clear();
     });
   };
   EXPECT_EQ(RunGateway({"--drain-deadline-ms", "5000"}), kExitOk);
-  EXPECT_EQ(script_.drained, 1);
-  ASSERT_EQ(answers_.size(), 1u);
-  EXPECT_EQ(answers_[0], "200 ended");
+  EXPECT_EQ(script_.drain_count, 1);
+  ASSERT_EQ(responses_.size(), 1u);
+  EXPECT_EQ(responses_[0], "200 ended");
 }
 
 TEST_F(CommandLineTest, DrainEndsAtItsDeadline) {
-  script_.drain_ends = false;
+  script_.completes_drain = false;
   auto start = std::chrono::steady_clock::now();
   script_.on_start = [&](runtime::Runtime* runtime, const std::string& endpoint) {
     SendAll(runtime, endpoint, {Request("GET", "/hold")}, [] {});
@@ -254,9 +255,9 @@
     });
   };
   EXPECT_EQ(RunGateway(), kExitOk);  // with a deadline of 300 ms
-  const auto took = std::chrono::steady_clock::now() - start;
-  EXPECT_GE(took, std::chrono::milliseconds(300));
-  EXPECT_LT(took, std::chrono::milliseconds(2000));
+  const auto elapsed = std::chrono::steady_clock::now() - start;
+  EXPECT_GE(elapsed, std::chrono::milliseconds(300));
+  EXPECT_LT(elapsed, std::chrono::milliseconds(2000));
 }
 
 }  // namespace
--- a/src/posthatch/server/command_line.cc
+++ b/src/posthatch/server/command_line.cc
@@ -141,13 +141,14 @@
   AddRole(&app, Role::kGateway, "gateway", "Takes callers' requests and routes them", &gateway);
   AddRole(&app, Role::kController, "controller", "Runs a replica of the replicated log",
           &controller);
-  CLI::App* table = app.add_subcommand("settings-table", "Print docs/operations/settings.md");
+  CLI::App* settings_table =
+      app.add_subcommand("settings-table", "Print docs/operations/settings.md");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
     return app.exit(error) == 0 ? kExitOk : kExitBadSettings;
   }
-  if (table->parsed()) {
+  if (settings_table->parsed()) {
     std::cout << SettingsMarkdown();
     return kExitOk;
   }
--- a/src/posthatch/server/common_http.cc
+++ b/src/posthatch/server/common_http.cc
@@ -60,9 +60,9 @@
   constexpr std::string_view kScheme = "Bearer ";
   if (!absl::StartsWithIgnoreCase(util::ToAbsl(header), util::ToAbsl(kScheme))) return false;
   const std::string digest = Sha256(header.substr(kScheme.size()));
-  const std::string wanted = absl::HexStringToBytes(util::ToAbsl(token_sha256));
-  return digest.size() == wanted.size() &&
-         CRYPTO_memcmp(digest.data(), wanted.data(), digest.size()) == 0;
+  const std::string expected = absl::HexStringToBytes(util::ToAbsl(token_sha256));
+  return digest.size() == expected.size() &&
+         CRYPTO_memcmp(digest.data(), expected.data(), digest.size()) == 0;
 }
 
 CommonHttp::CommonHttp(CommonHttpOptions options) : options_(std::move(options)) {}
--- a/src/posthatch/server/controller_node.cc
+++ b/src/posthatch/server/controller_node.cc
@@ -35,9 +35,9 @@
                                  runtime->transport->incarnation()),
                   settings_.node.seeds, membership::GossipOptions{}),
       replica_(runtime, MakeReplicaOptions(settings_, &membership_), &state_),
-      service_(runtime, ServiceOptions(), this, &replica_, this, &state_),
+      service_(runtime, MakeServiceOptions(), this, &replica_, this, &state_),
       invalidation_server_(runtime, invalidation::InvalidationServerOptions{}, &state_,
-                           [this] { return Serving(); }),
+                           [this] { return MakeServingState(); }),
       admin_api_(runtime, MakeAdminOptions(settings_.node, &membership_), service_.client(),
                  service_.client()),
       leave_timer_(runtime->timers) {
@@ -45,11 +45,11 @@
   operator_api_ = std::make_unique<control::OperatorApi>(runtime, control::OperatorApiOptions{},
                                                          formats_->operators, service_.client(),
                                                          service_.client());
-  rollouts_ = std::make_unique<rollout::RolloutCoordinator>(runtime, RolloutSettings(),
+  rollouts_ = std::make_unique<rollout::RolloutCoordinator>(runtime, MakeRolloutOptions(),
                                                             MakeRolloutDependencies());
 }
 
-rollout::RolloutOptions ControllerNode::RolloutSettings() const {
+rollout::RolloutOptions ControllerNode::MakeRolloutOptions() const {
   rollout::RolloutOptions options;
   options.issuer = settings_.node.node_id;
   options.handover_period = settings_.order_handover;
@@ -72,7 +72,7 @@
   membership_.SetSeeds(seeds);
 }
 
-control::ControllerServiceOptions ControllerNode::ServiceOptions() const {
+control::ControllerServiceOptions ControllerNode::MakeServiceOptions() const {
   control::ControllerServiceOptions options;
   options.session_lease = settings_.session_lease;
   options.inventory.endpoint = settings_.node.inventory_endpoint;
@@ -116,7 +116,7 @@
 
 bool ControllerNode::HasLeaderLease() const { return replica_.HasQuorumNow(); }
 
-invalidation::ServingState ControllerNode::Serving() const {
+invalidation::ServingState ControllerNode::MakeServingState() const {
   invalidation::ServingState serving;
   serving.serving = service_.leading() && replica_.HasQuorumNow();
   serving.epoch = replica_.term();
--- a/src/posthatch/server/controller_node.h
+++ b/src/posthatch/server/controller_node.h
@@ -50,15 +50,15 @@
   const control::ControlState& state() const { return state_; }
 
  private:
-  invalidation::ServingState Serving() const;
+  invalidation::ServingState MakeServingState() const;
   // control::ControllerHost.
   std::vector<std::string> ControllerEndpoints() const override;
   std::optional<std::string> ControllersView() const override;
   void AnnotateInventory(control::Inventory* inventory) override;
   void OnLeadershipChange(bool is_leader, uint64_t term) override;
 
-  control::ControllerServiceOptions ServiceOptions() const;
-  rollout::RolloutOptions RolloutSettings() const;
+  control::ControllerServiceOptions MakeServiceOptions() const;
+  rollout::RolloutOptions MakeRolloutOptions() const;
   rollout::RolloutCoordinator::Dependencies MakeRolloutDependencies();
   void LeaveFleet(std::function<void()> done);
 
--- a/src/posthatch/server/platform_fleet-test.h
+++ b/src/posthatch/server/platform_fleet-test.h
@@ -48,13 +48,13 @@
 class TestOperatorFormat : public control::OperatorFormat {
  public:
   control::OperatorRequest ParseRequest(const http::Request& request) const override {
-    control::OperatorRequest order;
-    if (request.target == "/read") order.kind = control::OperatorRequest::Kind::kReadConfiguration;
-    if (request.target != "/change") return order;
-    order.kind = order.command.ParseFromString(request.body)
-                     ? control::OperatorRequest::Kind::kChange
-                     : control::OperatorRequest::Kind::kMalformed;
-    return order;
+    control::OperatorRequest parsed;
+    if (request.target == "/read") parsed.kind = control::OperatorRequest::Kind::kReadConfiguration;
+    if (request.target != "/change") return parsed;
+    parsed.kind = parsed.command.ParseFromString(request.body)
+                      ? control::OperatorRequest::Kind::kChange
+                      : control::OperatorRequest::Kind::kMalformed;
+    return parsed;
   }
   http::Response RenderMalformed(const std::string& error) const override {
     return {400, {}, error};
@@ -72,10 +72,10 @@
 
 class TestWorkerCommandFormat : public rollout::WorkerCommandFormat {
  public:
-  http::Request MakeLoadWeightsRequest(const rollout::LoadWeightsCommand& order) const override {
+  http::Request MakeLoadWeightsRequest(const rollout::LoadWeightsCommand& command) const override {
     http::Request request;
     request.method = "POST";
-    request.target = absl::StrCat("/order/", order.revision);
+    request.target = absl::StrCat("/order/", command.revision);
     return request;
   }
   rollout::WorkerCommandResult ParseCommandResult(const http::Response& head) const override {
@@ -98,10 +98,10 @@
   }
   absl::StatusOr<rollout::WorkerStatus> ParseStatus(const std::string& body,
                                                     const std::string& /*model*/) const override {
-    rollout::WorkerStatus report;
-    if (!absl::SimpleAtoi(body, &report.revision)) return absl::InvalidArgumentError("no report");
-    report.busy = report.revision == 0;
-    return report;
+    rollout::WorkerStatus status;
+    if (!absl::SimpleAtoi(body, &status.revision)) return absl::InvalidArgumentError("no report");
+    status.busy = status.revision == 0;
+    return status;
   }
 };
 
@@ -109,10 +109,10 @@
   TestInventoryFormat inventory;
   TestOperatorFormat operators;
   routing::TestCallFormat calls;
-  TestWorkerCommandFormat orders;
+  TestWorkerCommandFormat worker_commands;
 
   PlatformFormats all() const {
-    return {&inventory, &operators, &calls, index::NativeKvEventFormat(), &orders};
+    return {&inventory, &operators, &calls, index::NativeKvEventFormat(), &worker_commands};
   }
 };
 
@@ -138,7 +138,7 @@
  public:
   PlatformFleet(uint64_t seed, const PlatformFleetPlan& plan) : world(seed), plan_(plan) {
     for (int i = 0; i < plan.workers; ++i) AddWorker(i);
-    AddList();
+    AddInventory();
     for (int i = 0; i < plan.controllers; ++i) AddController(i);
     for (int i = 0; i < plan.gateways; ++i) AddGateway(i);
     operator_ = world.AddHost("operator", "z0", "10.0.9.1");
@@ -156,16 +156,16 @@
 
   // Sends configuration `version`, with a route /vN/ for every version N up to it, to controllers
   // in turn until it is acknowledged.
-  void Change(uint64_t version) {
+  void SendConfiguration(uint64_t version) {
     control::Command command;
     control::ChangeTraffic* change = command.mutable_change_traffic();
     change->set_base_version(version - 1);
     change->set_version(version);
-    control::TrafficConfiguration* whole = change->mutable_whole();
-    whole->add_services()->set_name("llm");
-    whole->mutable_services(0)->mutable_engine()->add_models("m");
+    control::TrafficConfiguration* configuration = change->mutable_whole();
+    configuration->add_services()->set_name("llm");
+    configuration->mutable_services(0)->mutable_engine()->add_models("m");
     for (uint64_t i = 1; i <= version; ++i) {
-      control::TrafficRoute* route = whole->add_routes();
+      control::TrafficRoute* route = configuration->add_routes();
       route->set_name(absl::StrCat("v", i));
       route->set_host("h");
       route->set_path_prefix(absl::StrCat("/v", i, "/"));
@@ -175,8 +175,8 @@
       route->add_targets()->set_service("llm");
       route->mutable_targets(0)->set_weight(1);
     }
-    control::TrafficRoute* prompts = whole->add_routes();
-    *prompts = whole->routes(0);
+    control::TrafficRoute* prompts = configuration->add_routes();
+    *prompts = configuration->routes(0);
     prompts->set_name("prompt");
     prompts->set_path_prefix("/prompt/");
     prompts->set_kind(control::STREAMING);
@@ -186,11 +186,11 @@
     Send(absl::StrCat("change ", version), command,
          [this, version] { acknowledged[version] = world.Now(); });
   }
-  void NameRevision(uint64_t revision) {
+  void SetRevision(uint64_t revision) {
     control::Command command;
-    control::SetModelRevision* order = command.mutable_set_model_revision();
-    order->set_model("m");
-    order->set_revision(revision);
+    control::SetModelRevision* set_revision = command.mutable_set_model_revision();
+    set_revision->set_model("m");
+    set_revision->set_revision(revision);
     Send(absl::StrCat("revision ", revision), command,
          [this, revision] { revision_acknowledged[revision] = world.Now(); });
   }
@@ -210,22 +210,22 @@
     for (const PromptStart& start : prompt_starts) {
       const auto newer = revision_acknowledged.upper_bound(start.revision);
       if (newer == revision_acknowledged.end()) continue;
-      if (LongestStableStretch(newer->second, start.at) <= bound) continue;
+      if (LongestStablePeriod(newer->second, start.at) <= bound) continue;
       late.push_back(absl::StrCat(start.request_id, " at ", start.worker_id, " on ", start.revision,
                                   " ", runtime::ToMilliseconds(start.at - newer->second),
                                   " ms after ", newer->first, " was acknowledged"));
     }
     return late;
   }
-  // Longest period between `from` and `to` without a core event and at least `kContact` after the
-  // previous one.
-  runtime::Duration LongestStableStretch(runtime::MonotonicTime from,
-                                         runtime::MonotonicTime to) const {
+  // Longest period between `from` and `to` without a core event and at least `kCoreSettleTime`
+  // after the previous one.
+  runtime::Duration LongestStablePeriod(runtime::MonotonicTime from,
+                                        runtime::MonotonicTime to) const {
     runtime::Duration longest{0};
     for (const runtime::MonotonicTime event : core_events) {
-      if (event + kContact <= from || event >= to) continue;
+      if (event + kCoreSettleTime <= from || event >= to) continue;
       longest = std::max(longest, event - from);
-      from = event + kContact;
+      from = event + kCoreSettleTime;
     }
     return std::max(longest, to - from);
   }
@@ -236,7 +236,7 @@
   // Workers whose revision is older than `revision`.
   size_t OutdatedWorkers(uint64_t revision) const {
     size_t outdated = 0;
-    for (const control::Backend& backend : list_.backends()) {
+    for (const control::Backend& backend : inventory_.backends()) {
       if (backend.model_revision() < revision) ++outdated;
     }
     return outdated;
@@ -248,7 +248,7 @@
     if (!host->running() || found == gateways_.end()) return 0;
     const std::shared_ptr<PlatformGatewayNode> node = found->second.lock();
     uint64_t version = 0;
-    while (node != nullptr && node->Ready() && Knows(node.get(), version + 1)) ++version;
+    while (node != nullptr && node->Ready() && HasRoute(node.get(), version + 1)) ++version;
     return version;
   }
   // The leader's host; null if no controller leads.
@@ -262,7 +262,7 @@
     return nullptr;
   }
   // Partitions the controllers in `side` from the other controllers.
-  void CutCore(const std::set<const simulation::SimHost*>& side) {
+  void PartitionControllers(const std::set<const simulation::SimHost*>& side) {
     for (const simulation::SimHost* left : controller_hosts) {
       for (const simulation::SimHost* right : controller_hosts) {
         if (side.contains(left) != side.contains(right))
@@ -272,11 +272,11 @@
   }
   // Runs for `duration`, and records the longest time after an acknowledgement for which a gateway
   // did not have the version in force.
-  void RunAndWatch(runtime::Duration duration) {
+  void RunAndRecordLag(runtime::Duration duration) {
     const runtime::MonotonicTime until = world.Now() + duration;
     while (world.Now() < until) {
       world.RunFor(milliseconds(100));
-      for (const simulation::SimHost* host : gateway_hosts) Watch(host);
+      for (const simulation::SimHost* host : gateway_hosts) RecordLag(host);
     }
   }
 
@@ -287,16 +287,16 @@
   std::map<uint64_t, runtime::MonotonicTime> revision_acknowledged;  // keyed by revision
   std::vector<PromptStart> prompt_starts;
   // Times at which the test stopped or started a controller, ascending. The controllers count as
-  // unstable for `kContact` after each.
+  // unstable for `kCoreSettleTime` after each.
   std::vector<runtime::MonotonicTime> core_events;
   runtime::Duration longest_lag{0};
-  std::string latest_gateway;
-  uint64_t list_calls = 0;
+  std::string slowest_gateway;
+  uint64_t inventory_reads = 0;
 
-  static constexpr runtime::Duration kContact = seconds(3);
+  static constexpr runtime::Duration kCoreSettleTime = seconds(3);
 
  private:
-  struct Order {
+  struct PendingCommand {
     std::unique_ptr<http::Call> call;
     std::unique_ptr<runtime::Timer> retry;
     size_t next_controller = 0;
@@ -306,8 +306,8 @@
   struct WorkerModel {
     control::Backend* backend = nullptr;
     runtime::Runtime* runtime = nullptr;
-    bool ordered = false;                  // loading weights; no prompt starts
-    runtime::MonotonicTime prefills_done;  // when its last prefill ends
+    bool loading = false;                 // rejects prompts while loading weights
+    runtime::MonotonicTime prefills_end;  // when its last prefill ends
   };
 
   void SendPrompt() {
@@ -335,22 +335,22 @@
     return response;
   }
   // HTTP status with which the worker rejects the prompt; 0 if it can start it.
-  static int RejectionOf(const http::Request& request, const WorkerModel& worker) {
+  static int RejectionStatus(const http::Request& request, const WorkerModel& worker) {
     const std::string expected(request.headers.Get("Revision"));
     if (request.headers.Get("Instance") != worker.backend->id()) return 421;
     if (expected != std::to_string(worker.backend->model_revision())) return 421;
-    return worker.ordered ? 503 : 0;
+    return worker.loading ? 503 : 0;
   }
   void ServePrompt(const http::Request& request, WorkerModel* worker,
                    const std::shared_ptr<http::ResponseWriter>& writer) {
-    if (const int status = RejectionOf(request, *worker); status != 0) {
+    if (const int status = RejectionStatus(request, *worker); status != 0) {
       return writer->SendResponse(NotExecuted(request, status));
     }
     auto caller_gone = std::make_shared<bool>(false);
     writer->OnCallerDisconnected([caller_gone] { *caller_gone = true; });
     const runtime::MonotonicTime now = worker->runtime->clock->Now();
-    worker->prefills_done = std::max(worker->prefills_done, now) + plan_.prefill_time;
-    worker->runtime->timers->Schedule(worker->prefills_done - now,
+    worker->prefills_end = std::max(worker->prefills_end, now) + plan_.prefill_time;
+    worker->runtime->timers->Schedule(worker->prefills_end - now,
                                       [this, request, worker, writer, caller_gone] {
                                         if (!*caller_gone)
                                           BeginPrompt(request, *worker, writer.get());
@@ -358,7 +358,7 @@
   }
   void BeginPrompt(const http::Request& request, const WorkerModel& worker,
                    http::ResponseWriter* writer) {
-    if (const int status = RejectionOf(request, worker); status != 0) {
+    if (const int status = RejectionStatus(request, worker); status != 0) {
       return writer->SendResponse(NotExecuted(request, status));
     }
     prompt_starts.push_back({std::string(request.headers.Get("Id")), worker.backend->id(),
@@ -370,17 +370,17 @@
     writer->FinishStream();
   }
 
-  void Watch(const simulation::SimHost* host) {
+  void RecordLag(const simulation::SimHost* host) {
     const uint64_t version = VersionAt(host);
     const auto next = acknowledged.upper_bound(version);
     if (version == 0 || next == acknowledged.end()) return;
     const runtime::Duration lag = world.Now() - next->second;
     if (lag <= longest_lag) return;
     longest_lag = lag;
-    latest_gateway = absl::StrCat(host->name(), " with ", version, " at ",
-                                  runtime::ToMilliseconds(world.Now().time_since_epoch()));
+    slowest_gateway = absl::StrCat(host->name(), " with ", version, " at ",
+                                   runtime::ToMilliseconds(world.Now().time_since_epoch()));
   }
-  static bool Knows(PlatformGatewayNode* node, uint64_t version) {
+  static bool HasRoute(PlatformGatewayNode* node, uint64_t version) {
     http::Request request;
     request.method = "POST";
     request.target = absl::StrCat("/v", version, "/x");
@@ -393,13 +393,13 @@
 
   void Send(const std::string& name, const control::Command& command,
             const std::function<void()>& done) {
-    Order& order = orders_[name];
-    if (order.retry == nullptr) {
-      order.retry = std::make_unique<runtime::Timer>(operator_->runtime()->timers);
-      order.next_controller = world.random()->Uniform(controller_hosts.size());
+    PendingCommand& pending = pending_commands_[name];
+    if (pending.retry == nullptr) {
+      pending.retry = std::make_unique<runtime::Timer>(operator_->runtime()->timers);
+      pending.next_controller = world.random()->Uniform(controller_hosts.size());
     }
     const simulation::SimHost* controller =
-        controller_hosts[order.next_controller++ % controller_hosts.size()];
+        controller_hosts[pending.next_controller++ % controller_hosts.size()];
     http::Request request;
     request.method = "POST";
     request.target = "/change";
@@ -407,16 +407,16 @@
     auto status = std::make_shared<int>(0);
     http::CallObserver observer;
     const auto retry = [this, name, command, done] {
-      orders_[name].retry->Start(milliseconds(100),
-                                 [this, name, command, done] { Send(name, command, done); });
+      pending_commands_[name].retry->Start(
+          milliseconds(100), [this, name, command, done] { Send(name, command, done); });
     };
     observer.on_head = [status](const http::Response& head) { *status = head.status; };
     observer.on_end = [status, done, retry] { *status == 200 ? done() : retry(); };
     observer.on_error = [retry](const http::CallError&) { retry(); };
     http::CallOptions options;
     options.head_timeout = seconds(1);
-    order.call = operator_->runtime()->http_client->Start(controller->http_endpoint(), request,
-                                                          options, std::move(observer));
+    pending.call = operator_->runtime()->http_client->Start(controller->http_endpoint(), request,
+                                                            options, std::move(observer));
   }
 
   NodeSettings NodeSettingsOf(const simulation::SimHost* host) const {
@@ -472,7 +472,7 @@
   void AddWorker(int number) {
     simulation::SimHost* host = world.AddHost(absl::StrCat("w", 100 + number), ZoneOf(number),
                                               absl::StrCat("10.2.0.", number + 1));
-    control::Backend* backend = list_.add_backends();
+    control::Backend* backend = inventory_.add_backends();
     backend->set_id(host->name());
     backend->set_kind(control::BACKEND_KIND_WORKER);
     backend->set_endpoint(host->http_endpoint());
@@ -482,16 +482,16 @@
     backend->set_model_revision(1);
     host->SetBoot([this, host, backend](runtime::Runtime* runtime) -> std::shared_ptr<void> {
       WorkerModel* worker = &workers_[host->name()];
-      *worker = {.backend = backend, .runtime = runtime, .prefills_done = {}};
+      *worker = {.backend = backend, .runtime = runtime, .prefills_end = {}};
       auto server = runtime->http_servers->Listen(
           host->http_endpoint(), {}, [this, worker](const http::Request& request, auto writer) {
-            AnswerAsWorker(request, worker, writer);
+            HandleWorkerRequest(request, worker, writer);
           });
       return std::shared_ptr<http::HttpServer>(*std::move(server));
     });
   }
-  void AnswerAsWorker(const http::Request& request, WorkerModel* worker,
-                      const std::shared_ptr<http::ResponseWriter>& writer) {
+  void HandleWorkerRequest(const http::Request& request, WorkerModel* worker,
+                           const std::shared_ptr<http::ResponseWriter>& writer) {
     if (request.target == "/prompt/x") return ServePrompt(request, worker, writer);
     http::Response response;
     if (absl::StartsWith(request.target, "/kv_events")) {
@@ -501,31 +501,31 @@
       return;
     }
     if (absl::StartsWith(request.target, "/order/")) {
-      response.status = AcceptOrder(std::stoull(request.target.substr(7)), worker);
+      response.status = HandleLoadCommand(std::stoull(request.target.substr(7)), worker);
     }
     if (request.target == "/report") {
-      response.body = std::to_string(worker->ordered ? 0 : worker->backend->model_revision());
+      response.body = std::to_string(worker->loading ? 0 : worker->backend->model_revision());
     }
     writer->SendResponse(response);
   }
   // Handles a command to load `revision`; returns the status of the response.
-  int AcceptOrder(uint64_t revision, WorkerModel* worker) {
-    if (worker->ordered) return 409;
+  int HandleLoadCommand(uint64_t revision, WorkerModel* worker) {
+    if (worker->loading) return 409;
     if (worker->backend->model_revision() >= revision) return 200;
-    worker->ordered = true;
+    worker->loading = true;
     worker->runtime->timers->Schedule(plan_.load_time, [worker, revision] {
       worker->backend->set_model_revision(revision);
-      worker->ordered = false;
+      worker->loading = false;
     });
     return 202;
   }
-  void AddList() {
+  void AddInventory() {
     simulation::SimHost* host = world.AddHost("list", "z0", "10.0.8.1");
     host->SetBoot([this, host](runtime::Runtime* runtime) -> std::shared_ptr<void> {
       auto server = runtime->http_servers->Listen(
           host->http_endpoint(), {}, [this](const http::Request&, auto writer) {
-            ++list_calls;
-            writer->SendResponse({200, {}, list_.SerializeAsString()});
+            ++inventory_reads;
+            writer->SendResponse({200, {}, inventory_.SerializeAsString()});
           });
       return std::shared_ptr<http::HttpServer>(*std::move(server));
     });
@@ -534,12 +534,12 @@
   const PlatformFleetPlan plan_;
   const TestFormats formats_;
   PlatformFormats formats_all_;
-  control::Inventory list_;
+  control::Inventory inventory_;
   std::map<std::string, WorkerModel> workers_;
   std::vector<std::shared_ptr<gateway::FakeWriter>> writers_;
   uint64_t prompts_sent_ = 0;
   simulation::SimHost* operator_ = nullptr;
-  std::map<std::string, Order> orders_;
+  std::map<std::string, PendingCommand> pending_commands_;
   std::map<const simulation::SimHost*, std::weak_ptr<ControllerNode>> controllers_;
   std::map<const simulation::SimHost*, std::weak_ptr<PlatformGatewayNode>> gateways_;
   std::map<const simulation::SimHost*, std::unique_ptr<http::HttpServer>> servers_;
--- a/src/posthatch/server/platform_gateway_node.cc
+++ b/src/posthatch/server/platform_gateway_node.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr int kNotFound = 404;
-constexpr runtime::Duration kMemberRefresh = std::chrono::milliseconds(300);
+constexpr runtime::Duration kMemberRefreshInterval = std::chrono::milliseconds(300);
 // Long-poll time-out of a read of a worker's cache events.
-constexpr runtime::Duration kEventWait = std::chrono::milliseconds(900);
+constexpr runtime::Duration kEventLongPollTimeout = std::chrono::milliseconds(900);
 // Fraction of a worker's cache events that may be missing before its index entries lose their
 // trust; applies to events that get lost one by one.
 constexpr double kToleratedMissingEvents = 0.2;
@@ -28,7 +28,7 @@
   // The leader serves all gateways, so each has only one registration and heartbeat.
   options.aggregate_channel = true;
   options.events.format = formats.cache_events;
-  options.events.wait = kEventWait;
+  options.events.wait = kEventLongPollTimeout;
   options.events.tolerated_missing_share = kToleratedMissingEvents;
   options.dispatches.workers_save_to_store = false;
   options.dispatches.events_carry_salts = true;
@@ -49,11 +49,12 @@
       index_(
           runtime, MakeIndexOptions(settings_, formats), &session_, &session_,
           [this] { return OtherIndexPeers(); }, [this] { return ChannelServers(); }),
-      traffic_(runtime, TrafficOptions(formats), &session_, index_.locator(), index_.trust()),
+      traffic_(runtime, MakeTrafficOptions(formats), &session_, index_.locator(), index_.trust()),
       admin_api_(runtime, MakeAdminOptions(settings_.node, &membership_), &session_, &session_),
       leave_timer_(runtime->timers) {}
 
-routing::TrafficGatewayOptions PlatformGatewayNode::TrafficOptions(const PlatformFormats& formats) {
+routing::TrafficGatewayOptions PlatformGatewayNode::MakeTrafficOptions(
+    const PlatformFormats& formats) {
   routing::TrafficGatewayOptions options;
   options.gateway_id = settings_.node.node_id;
   options.zone = settings_.node.zone;
@@ -85,7 +86,7 @@
 
 void PlatformGatewayNode::RefreshGateways() const {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  if (!gateway_ids_.empty() && now - gateways_refreshed_at_ < kMemberRefresh) return;
+  if (!gateway_ids_.empty() && now - gateways_refreshed_at_ < kMemberRefreshInterval) return;
   gateway_ids_ = {settings_.node.node_id};
   other_gateways_.clear();
   index_peers_.clear();
--- a/src/posthatch/server/platform_gateway_node.h
+++ b/src/posthatch/server/platform_gateway_node.h
@@ -34,7 +34,7 @@
   void OnSeedsChanged(const std::vector<std::string>& seeds) override;
 
  private:
-  routing::TrafficGatewayOptions TrafficOptions(const PlatformFormats& formats);
+  routing::TrafficGatewayOptions MakeTrafficOptions(const PlatformFormats& formats);
   std::vector<std::string> ControllerEndpoints() const;
   std::vector<std::string> ChannelServers() const;
   std::vector<std::string> GatewayIds() const;
@@ -51,7 +51,7 @@
   routing::TrafficGateway traffic_;
   control::AdminApi admin_api_;
   runtime::Timer leave_timer_;
-  // Live gateways known by gossip; recomputed on access, at most once per kMemberRefresh.
+  // Live gateways known by gossip; recomputed on access, at most once per kMemberRefreshInterval.
   mutable std::vector<std::string> gateway_ids_;
   mutable std::vector<routing::LoadPeer> other_gateways_;
   mutable std::vector<index::IndexPeer> index_peers_;
--- a/src/posthatch/server/revision_bound-test.cc
+++ b/src/posthatch/server/revision_bound-test.cc
@@ -14,7 +14,7 @@
  protected:
   void StartFleet(const PlatformFleetPlan& plan) {
     fleet_ = std::make_unique<PlatformFleet>(GetParam(), plan);
-    fleet_->Change(1);
+    fleet_->SendConfiguration(1);
     fleet_->world.RunUntil([this] { return fleet_->acknowledged.contains(1); }, seconds(10));
     fleet_->RunWithPrompts(seconds(3), kPromptsPerSecond);
     ASSERT_FALSE(fleet_->prompt_starts.empty());
@@ -27,8 +27,8 @@
     plan.workers = 18;
     return plan;
   }
-  void Name(uint64_t revision) {
-    fleet_->NameRevision(revision);
+  void SetRevisionAndWait(uint64_t revision) {
+    fleet_->SetRevision(revision);
     fleet_->world.RunUntil([&] { return fleet_->revision_acknowledged.contains(revision); },
                            seconds(5));
     ASSERT_TRUE(fleet_->revision_acknowledged.contains(revision));
@@ -43,11 +43,11 @@
       Run(gap / 2);
     }
   }
-  // `uncounted`: time without running controllers, which the bound excludes.
-  void ExpectNoOutdatedStart(size_t least_completed, runtime::Duration uncounted = {}) {
-    const std::vector<std::string> late = fleet_->OutdatedStarts(kRevisionBound + uncounted);
-    EXPECT_TRUE(late.empty()) << late.size() << " prompts, the first: " << late.front();
-    EXPECT_GE(fleet_->CompletedPrompts(), least_completed);
+  // `excluded`: time without running controllers, which the bound excludes.
+  void ExpectNoOutdatedStart(size_t min_completed, runtime::Duration excluded = {}) {
+    const std::vector<std::string> outdated = fleet_->OutdatedStarts(kRevisionBound + excluded);
+    EXPECT_TRUE(outdated.empty()) << outdated.size() << " prompts, the first: " << outdated.front();
+    EXPECT_GE(fleet_->CompletedPrompts(), min_completed);
   }
 
   std::unique_ptr<PlatformFleet> fleet_;
@@ -59,7 +59,7 @@
   PlatformFleetPlan plan = SmallFleet();
   plan.load_time = seconds(6);
   StartFleet(plan);
-  Name(2);
+  SetRevisionAndWait(2);
   Run(seconds(26));
   ExpectNoOutdatedStart(600);
   EXPECT_EQ(fleet_->OutdatedWorkers(2), 0U);
@@ -70,7 +70,7 @@
   plan.load_time = seconds(6);
   plan.prefill_time = milliseconds(600);  // about 30 prompts a second; callers send 60
   StartFleet(plan);
-  Name(2);
+  SetRevisionAndWait(2);
   Run(seconds(26));
   ExpectNoOutdatedStart(100);
 }
@@ -79,7 +79,7 @@
   PlatformFleetPlan plan = SmallFleet();
   plan.load_time = seconds(8);
   StartFleet(plan);
-  Name(2);
+  SetRevisionAndWait(2);
   Run(seconds(4));
   RestartGateways(milliseconds(800));
   Run(seconds(16));
@@ -91,7 +91,7 @@
   PlatformFleetPlan plan = SmallFleet();
   plan.load_time = seconds(8);
   StartFleet(plan);
-  Name(2);
+  SetRevisionAndWait(2);
   Run(seconds(6));
   std::vector<simulation::SimHost*> all = fleet_->controller_hosts;
   all.insert(all.end(), fleet_->gateway_hosts.begin(), fleet_->gateway_hosts.end());
@@ -107,7 +107,7 @@
   plan.load_time = seconds(4);
   StartFleet(plan);
   for (uint64_t revision = 2; revision <= 6; ++revision) {
-    Name(revision);
+    SetRevisionAndWait(revision);
     Run(seconds(4));
   }
   Run(seconds(20));
@@ -118,7 +118,7 @@
   PlatformFleetPlan plan = SmallFleet();
   plan.load_time = seconds(3);
   StartFleet(plan);
-  Name(2);
+  SetRevisionAndWait(2);
   for (int i = 0; i < 4; ++i) {
     Run(milliseconds(1800));
     simulation::SimHost* leader = fleet_->Leader();
@@ -142,7 +142,7 @@
 // workers of random load and prefill times.
 class RevisionBoundSoakTest : public RevisionBoundTest {
  protected:
-  void DrawPlan() {
+  void StartRandomFleet() {
     runtime::Random draw(GetParam());
     PlatformFleetPlan plan = SmallFleet();
     plan.workers = static_cast<int>(2 + draw.Uniform(30));
@@ -151,11 +151,11 @@
     StartFleet(plan);
   }
   runtime::Random& random() { return *fleet_->world.random(); }
-  simulation::SimHost* AnyGateway() {
+  simulation::SimHost* RandomGateway() {
     return fleet_->gateway_hosts[random().Uniform(fleet_->gateway_hosts.size())];
   }
   void RecordCoreEvent() { fleet_->core_events.push_back(fleet_->world.Now()); }
-  void RestartSoon(simulation::SimHost* host, bool is_controller) {
+  void CrashAndRestart(simulation::SimHost* host, bool is_controller) {
     if (!host->running()) return;
     host->Crash();
     if (is_controller) RecordCoreEvent();
@@ -165,7 +165,7 @@
                        if (is_controller) RecordCoreEvent();
                      });
   }
-  void FreezeAWhile(simulation::SimHost* host) {
+  void FreezeTemporarily(simulation::SimHost* host) {
     if (!host->running()) return;
     host->Freeze();
     fleet_->world.At(random().Between(milliseconds(500), seconds(8)), [host] { host->Thaw(); });
@@ -174,23 +174,23 @@
     switch (random().Uniform(8)) {
       case 0:
       case 1:
-        fleet_->NameRevision(++revision_);
+        fleet_->SetRevision(++revision_);
         break;
       case 2:
         for (simulation::SimHost* host : fleet_->gateway_hosts) {
           fleet_->world.At(random().Between(milliseconds(1), seconds(6)),
-                           [this, host] { RestartSoon(host, false); });
+                           [this, host] { CrashAndRestart(host, false); });
         }
         break;
       case 3:
-        RestartSoon(AnyGateway(), false);
+        CrashAndRestart(RandomGateway(), false);
         break;
       case 4:
-        FreezeAWhile(AnyGateway());
+        FreezeTemporarily(RandomGateway());
         break;
       case 5:
         if (simulation::SimHost* leader = fleet_->Leader(); leader != nullptr) {
-          RestartSoon(leader, true);
+          CrashAndRestart(leader, true);
         }
         break;
       default:
@@ -205,8 +205,8 @@
                          testing::Range<uint64_t>(1, SoakSeeds() + 1));
 
 TEST_P(RevisionBoundSoakTest, HoldsUnderOverlappingFaults) {
-  DrawPlan();
-  fleet_->NameRevision(++revision_);
+  StartRandomFleet();
+  fleet_->SetRevision(++revision_);
   for (int step = 0; step < 30; ++step) {
     InjectFault();
     Run(random().Between(milliseconds(100), seconds(3)));
--- a/src/posthatch/server/settings/setting_value.cc
+++ b/src/posthatch/server/settings/setting_value.cc
@@ -30,7 +30,7 @@
   }
 };
 
-absl::Status Refuse(const SettingDescription& setting, const RawSetting& value) {
+absl::Status InvalidValueError(const SettingDescription& setting, const RawSetting& value) {
   return absl::InvalidArgumentError(
       absl::StrCat("must be ", AllowedRange(setting), ", is ", std::visit(RawFormatter(), value)));
 }
@@ -69,8 +69,9 @@
 absl::Status StoreText(const SettingDescription& setting, const RawSetting& value,
                        SettingTarget target) {
   const auto* text = std::get_if<std::string>(&value);
-  if (text == nullptr || !IsValidText(setting.kind, *text)) return Refuse(setting, value);
-  if (setting.required && text->empty()) return Refuse(setting, value);
+  if (text == nullptr || !IsValidText(setting.kind, *text))
+    return InvalidValueError(setting, value);
+  if (setting.required && text->empty()) return InvalidValueError(setting, value);
   std::string stored = *text;
   if (setting.kind == SettingKind::kSha256) absl::AsciiStrToLower(&stored);
   *std::get<std::string*>(target) = std::move(stored);
@@ -80,17 +81,18 @@
 absl::Status StoreSwitch(const SettingDescription& setting, const RawSetting& value,
                          SettingTarget target) {
   const auto* text = std::get_if<std::string>(&value);
-  if (text == nullptr || (*text != "on" && *text != "off")) return Refuse(setting, value);
+  if (text == nullptr || (*text != "on" && *text != "off"))
+    return InvalidValueError(setting, value);
   *std::get<bool*>(target) = *text == "on";
   return absl::OkStatus();
 }
 
-absl::Status StoreLevel(const SettingDescription& setting, const RawSetting& value,
-                        SettingTarget target) {
+absl::Status StoreLogLevel(const SettingDescription& setting, const RawSetting& value,
+                           SettingTarget target) {
   const auto* text = std::get_if<std::string>(&value);
-  if (text == nullptr) return Refuse(setting, value);
+  if (text == nullptr) return InvalidValueError(setting, value);
   const auto level = net::ParseSeverity(*text);
-  if (!level.ok()) return Refuse(setting, value);
+  if (!level.ok()) return InvalidValueError(setting, value);
   *std::get<runtime::Severity*>(target) = *level;
   return absl::OkStatus();
 }
@@ -98,9 +100,9 @@
 absl::Status StoreRoutingMode(const SettingDescription& setting, const RawSetting& value,
                               SettingTarget target) {
   const auto* text = std::get_if<std::string>(&value);
-  if (text == nullptr) return Refuse(setting, value);
+  if (text == nullptr) return InvalidValueError(setting, value);
   const std::optional<gateway::RoutingMode> mode = gateway::ParseRoutingMode(*text);
-  if (!mode) return Refuse(setting, value);
+  if (!mode) return InvalidValueError(setting, value);
   *std::get<gateway::RoutingMode*>(target) = *mode;
   return absl::OkStatus();
 }
@@ -108,11 +110,11 @@
 absl::Status StoreEndpoints(const SettingDescription& setting, const RawSetting& value,
                             SettingTarget target) {
   const auto* list = std::get_if<std::vector<std::string>>(&value);
-  if (list == nullptr || list->size() > kMaxSeeds) return Refuse(setting, value);
-  const absl::flat_hash_set<std::string> different(list->begin(), list->end());
-  if (different.size() != list->size() ||
+  if (list == nullptr || list->size() > kMaxSeeds) return InvalidValueError(setting, value);
+  const absl::flat_hash_set<std::string> unique(list->begin(), list->end());
+  if (unique.size() != list->size() ||
       !std::all_of(list->begin(), list->end(), net::IsConnectableEndpoint)) {
-    return Refuse(setting, value);
+    return InvalidValueError(setting, value);
   }
   *std::get<std::vector<std::string>*>(target) = *list;
   return absl::OkStatus();
@@ -122,12 +124,12 @@
                          SettingTarget target) {
   const auto* number = std::get_if<int64_t>(&value);
   if (number == nullptr || *number < setting.minimum || *number > setting.maximum) {
-    return Refuse(setting, value);
+    return InvalidValueError(setting, value);
   }
-  if (auto* const* small = std::get_if<uint32_t*>(&target)) {
-    **small = static_cast<uint32_t>(*number);
-  } else if (auto* const* large = std::get_if<uint64_t*>(&target)) {
-    **large = static_cast<uint64_t>(*number);
+  if (auto* const* uint32_target = std::get_if<uint32_t*>(&target)) {
+    **uint32_target = static_cast<uint32_t>(*number);
+  } else if (auto* const* uint64_target = std::get_if<uint64_t*>(&target)) {
+    **uint64_target = static_cast<uint64_t>(*number);
   } else {
     *std::get<runtime::Duration*>(target) = std::chrono::milliseconds(*number);
   }
@@ -141,7 +143,7 @@
   if (text == nullptr || !absl::SimpleAtod(*text, &number) ||
       !(number >= static_cast<double>(setting.minimum) &&
         number <= static_cast<double>(setting.maximum))) {
-    return Refuse(setting, value);
+    return InvalidValueError(setting, value);
   }
   *std::get<double*>(target) = number;
   return absl::OkStatus();
@@ -155,7 +157,7 @@
     case SettingKind::kBytes:
     case SettingKind::kMilliseconds: {
       int64_t number = 0;
-      if (!absl::SimpleAtoi(text, &number)) return Refuse(setting, text);
+      if (!absl::SimpleAtoi(text, &number)) return InvalidValueError(setting, text);
       return number;
     }
     case SettingKind::kEndpointList:
@@ -179,7 +181,7 @@
     case SettingKind::kSwitch:
       return StoreSwitch(setting, value, target);
     case SettingKind::kLogLevel:
-      return StoreLevel(setting, value, target);
+      return StoreLogLevel(setting, value, target);
     case SettingKind::kDecimal:
       return StoreDecimal(setting, value, target);
     case SettingKind::kEndpointList:
--- a/src/posthatch/server/settings/settings_loader-test.cc
+++ b/src/posthatch/server/settings/settings_loader-test.cc
@@ -146,10 +146,10 @@
 
 // Each numeric setting accepts exactly its range, and its default is within it.
 TEST(SettingsTableTest, EnforcesBoundsOfEveryNumber) {
-  int numbers = 0;
+  int numeric_settings = 0;
   for (const SettingDescription& setting : SettingsTable()) {
     if (setting.maximum == 0) continue;
-    ++numbers;
+    ++numeric_settings;
     const auto load_text = [&setting](const std::string& value) {
       SettingsSource source{"x.toml", kGateway, {{setting.Key(), value}}};
       GatewaySettings gateway;
@@ -163,10 +163,10 @@
     EXPECT_TRUE(load(setting.maximum)) << setting.Key();
     EXPECT_FALSE(load(setting.minimum - 1)) << setting.Key();
     EXPECT_FALSE(load(setting.maximum + 1)) << setting.Key();
-    const std::string standard = absl::StrReplaceAll(DefaultText(setting), {{"\"", ""}});
-    EXPECT_TRUE(load_text(standard)) << setting.Key();
+    const std::string default_text = absl::StrReplaceAll(DefaultText(setting), {{"\"", ""}});
+    EXPECT_TRUE(load_text(default_text)) << setting.Key();
   }
-  EXPECT_GE(numbers, 14);
+  EXPECT_GE(numeric_settings, 14);
 }
 
 TEST(SettingsTableTest, NamesAreUnique) {
--- a/src/posthatch/server/settings/settings_loader.cc
+++ b/src/posthatch/server/settings/settings_loader.cc
@@ -39,7 +39,7 @@
   }
 
  private:
-  void Add(const std::string& file, int line, const std::string& key, std::string message) {
+  void AddError(const std::string& file, int line, const std::string& key, std::string message) {
     errors_.push_back({file, line, key, std::move(message)});
   }
 
@@ -57,8 +57,8 @@
       for (const auto& [name, node] : document) ReadTable(std::string(name.str()), node);
       return true;
     } catch (const toml::parse_error& error) {
-      Add(source_.file_name, static_cast<int>(error.source().begin.line), "",
-          absl::StrCat("not TOML: ", std::string(error.description())));
+      AddError(source_.file_name, static_cast<int>(error.source().begin.line), "",
+               absl::StrCat("not TOML: ", std::string(error.description())));
       return false;
     }
   }
@@ -70,8 +70,8 @@
     const bool known = std::any_of(SettingsTable().begin(), SettingsTable().end(),
                                    [&](const auto& setting) { return setting.table == name; });
     if (table == nullptr || !known) {
-      Add(source_.file_name, LineOf(node), name,
-          "unknown; settings belong in [node], [limits], [gateway] or [controller]");
+      AddError(source_.file_name, LineOf(node), name,
+               "unknown; settings belong in [node], [limits], [gateway] or [controller]");
       return;
     }
     for (const auto& [key, value] : *table) {
@@ -82,18 +82,19 @@
   void ReadValue(const std::string& key, const toml::node& node) {
     const SettingDescription* setting = Find(key);
     if (setting == nullptr || !setting->AppliesTo(role_)) {
-      Add(source_.file_name, LineOf(node), key,
-          setting == nullptr ? "unknown setting" : "not a setting of this role");
-      seen_.insert_or_assign(key, std::nullopt);
+      AddError(source_.file_name, LineOf(node), key,
+               setting == nullptr ? "unknown setting" : "not a setting of this role");
+      values_.insert_or_assign(key, std::nullopt);
       return;
     }
     std::optional<RawSetting> raw = RawFromNode(node);
     if (!raw) {
-      Add(source_.file_name, LineOf(node), key, absl::StrCat("must be ", AllowedRange(*setting)));
-      seen_.insert_or_assign(key, std::nullopt);
+      AddError(source_.file_name, LineOf(node), key,
+               absl::StrCat("must be ", AllowedRange(*setting)));
+      values_.insert_or_assign(key, std::nullopt);
       return;
     }
-    seen_.insert_or_assign(key, LocatedValue{*std::move(raw), source_.file_name, LineOf(node)});
+    values_.insert_or_assign(key, LocatedValue{*std::move(raw), source_.file_name, LineOf(node)});
   }
 
   static std::optional<RawSetting> RawFromNode(const toml::node& node) {
@@ -114,26 +115,26 @@
     for (const auto& [key, text] : source_.overrides) {
       const SettingDescription* setting = Find(key);
       if (setting == nullptr || !setting->AppliesTo(role_)) {
-        Add(kCommandLine, 0, key, "not a setting of this role");
+        AddError(kCommandLine, 0, key, "not a setting of this role");
         continue;
       }
       const auto raw = RawFromText(*setting, text);
       if (raw.ok()) {
-        seen_.insert_or_assign(key, LocatedValue{*raw, kCommandLine, 0});
+        values_.insert_or_assign(key, LocatedValue{*raw, kCommandLine, 0});
       } else {
-        Add(kCommandLine, 0, key, absl::StrCat(raw.status().message()));
-        seen_.insert_or_assign(key, std::nullopt);
+        AddError(kCommandLine, 0, key, absl::StrCat(raw.status().message()));
+        values_.insert_or_assign(key, std::nullopt);
       }
     }
   }
 
   void Store(const SettingDescription& setting, SettingsDraft* draft) {
     if (!setting.AppliesTo(role_)) return;
-    const auto found = seen_.find(setting.Key());
-    if (found == seen_.end()) {
+    const auto found = values_.find(setting.Key());
+    if (found == values_.end()) {
       if (setting.required) {
-        Add(source_.file_name, 0, setting.Key(),
-            absl::StrCat("missing; must be ", AllowedRange(setting)));
+        AddError(source_.file_name, 0, setting.Key(),
+                 absl::StrCat("missing; must be ", AllowedRange(setting)));
       }
       return;
     }
@@ -141,7 +142,7 @@
     const LocatedValue& located = *found->second;
     absl::Status status = StoreSetting(setting, located.value, draft);
     if (!status.ok()) {
-      Add(located.file, located.line, setting.Key(), absl::StrCat(status.message()));
+      AddError(located.file, located.line, setting.Key(), absl::StrCat(status.message()));
     }
   }
 
@@ -149,9 +150,9 @@
   void CheckCombinations(const SettingsDraft& draft) {
     const bool any_port = draft.node.http_endpoint.ends_with(":0");
     if (draft.node.internal_endpoint == draft.node.http_endpoint && !any_port) {
-      const auto& located = seen_.find("node.http_endpoint")->second;
-      Add(located->file, located->line, "node.http_endpoint",
-          "must differ from node.internal_endpoint");
+      const auto& located = values_.find("node.http_endpoint")->second;
+      AddError(located->file, located->line, "node.http_endpoint",
+               "must differ from node.internal_endpoint");
     }
   }
 
@@ -159,7 +160,7 @@
   const SettingsSource& source_;
   std::vector<SettingsError> errors_;
   // Keyed by setting key; nullopt if an error of this setting has been reported.
-  absl::btree_map<std::string, std::optional<LocatedValue>> seen_;
+  absl::btree_map<std::string, std::optional<LocatedValue>> values_;
 };
 
 }  // namespace
--- a/src/posthatch/server/settings/settings_page.cc
+++ b/src/posthatch/server/settings/settings_page.cc
@@ -48,10 +48,10 @@
 
 // Returns the row of `setting` in the page's table.
 std::string SettingRow(const SettingDescription& setting) {
-  const std::string standard = DefaultText(setting);
+  const std::string default_text = DefaultText(setting);
   std::string shown_default = "required";
   if (!setting.required) {
-    shown_default = standard.empty() ? "empty" : absl::StrCat("`", standard, "`");
+    shown_default = default_text.empty() ? "empty" : absl::StrCat("`", default_text, "`");
   }
   return absl::StrCat("| `", util::ToAbsl(setting.name), "` | ", util::ToAbsl(RolesOf(setting)),
                       " | ", AllowedRange(setting), " | ", shown_default, " | ",
