--- a/src/posthatch/server/controller_node.h
+++ b/src/posthatch/server/controller_node.h
@@ -30,7 +30,7 @@
                        private control::ControllerHost {
  public:
   // `formats`: the formats of the platform, for a fleet with routed traffic; null for a fleet that
-  // serves only the product's own interface.
+  // serves only posthatch's own HTTP API.
   ControllerNode(runtime::Runtime* runtime, ControllerSettings settings,
                  const PlatformFormats* formats = nullptr);
 
@@ -43,22 +43,22 @@
   void HandleHttp(http::Request request, std::shared_ptr<http::ResponseWriter> writer) override;
   void OnSeedsChanged(const std::vector<std::string>& seeds) override;
 
-  // Whether this controller leads and has recent responses of a majority.
+  // Whether this controller leads and has recent responses from a majority.
   bool HasLeaderLease() const override;
 
   const consensus::RaftReplica& replica() const { return replica_; }
   const control::ControlState& state() const { return state_; }
 
  private:
-  invalidation::ServingState Serving() const;
+  invalidation::ServingState MakeServingState() const;
   // control::ControllerHost.
   std::vector<std::string> ControllerEndpoints() const override;
   std::optional<std::string> ControllersView() const override;
   void AnnotateInventory(control::Inventory* inventory) override;
   void OnLeadershipChange(bool is_leader, uint64_t term) override;
 
-  control::ControllerServiceOptions ServiceOptions() const;
-  rollout::RolloutOptions RolloutSettings() const;
+  control::ControllerServiceOptions MakeServiceOptions() const;
+  rollout::RolloutOptions MakeRolloutOptions() const;
   rollout::RolloutCoordinator::Dependencies MakeRolloutDependencies();
   void LeaveFleet(std::function<void()> done);
 
@@ -71,7 +71,7 @@
   control::ControllerService service_;
   invalidation::InvalidationServer invalidation_server_;
   control::AdminApi admin_api_;
-  // Both null without `formats`.
+  // `operator_api_` and `rollouts_` are null if `formats_` is null.
   std::unique_ptr<control::OperatorApi> operator_api_;
   std::unique_ptr<rollout::RolloutCoordinator> rollouts_;
   runtime::Timer leave_timer_;
