--- a/src/posthatch/http/http.h
+++ b/src/posthatch/http/http.h
@@ -158,7 +158,7 @@
   virtual std::unique_ptr<Call> Start(const std::string& endpoint, Request request,
                                       CallOptions options, CallObserver observer) = 0;
   // Whether a call to "ip:port" would use a pooled connection now, with that max_idle_fraction.
-  virtual bool HasPooledConnection(const std::string& endpoint, double share) const = 0;
+  virtual bool HasPooledConnection(const std::string& endpoint, double max_idle_fraction) const = 0;
 };
 
 }  // namespace posthatch::http
--- a/src/posthatch/net/asio_file_system-test.cc
+++ b/src/posthatch/net/asio_file_system-test.cc
@@ -49,10 +49,11 @@
     return result.value_or(absl::UnknownError("no completion"));
   }
 
-  static FileOperation Append(const std::string& path, const std::string& data) {
+  static FileOperation MakeAppend(const std::string& path, const std::string& data) {
     return {.kind = Kind::kAppend, .path = path, .data = data, .target = {}};
   }
-  static FileOperation On(Kind kind, const std::string& path, const std::string& target = {}) {
+  static FileOperation MakeOperation(Kind kind, const std::string& path,
+                                     const std::string& target = {}) {
     return {.kind = kind, .path = path, .data = {}, .target = target};
   }
 
@@ -61,20 +62,20 @@
 };
 
 TEST_F(AsioFileSystemTest, OperationsPersistAcrossRestart) {
-  ASSERT_TRUE(Run({On(Kind::kCreateDirectory, "log/old"),
-                   Append("log/1", "abc"),
-                   Append("log/1", "def"),
-                   On(Kind::kSync, "log/1"),
+  ASSERT_TRUE(Run({MakeOperation(Kind::kCreateDirectory, "log/old"),
+                   MakeAppend("log/1", "abc"),
+                   MakeAppend("log/1", "def"),
+                   MakeOperation(Kind::kSync, "log/1"),
                    {.kind = Kind::kFullWrite, .path = "log/2.new", .data = "two", .target = {}},
-                   On(Kind::kSync, "log/2.new"),
-                   On(Kind::kRename, "log/2.new", "log/2"),
-                   On(Kind::kSyncDirectory, "log"),
+                   MakeOperation(Kind::kSync, "log/2.new"),
+                   MakeOperation(Kind::kRename, "log/2.new", "log/2"),
+                   MakeOperation(Kind::kSyncDirectory, "log"),
                    {.kind = Kind::kTruncate, .path = "log/1", .data = {}, .target = {}, .size = 4},
-                   Append("log/1", "X"),
-                   Append("log/3", "three"),
-                   On(Kind::kRemove, "log/3"),
-                   On(Kind::kRemove, "log/never there"),
-                   On(Kind::kSyncDirectory, "")})
+                   MakeAppend("log/1", "X"),
+                   MakeAppend("log/3", "three"),
+                   MakeOperation(Kind::kRemove, "log/3"),
+                   MakeOperation(Kind::kRemove, "log/never there"),
+                   MakeOperation(Kind::kSyncDirectory, "")})
                   .ok());
   Open();
   EXPECT_EQ(files()->ReadFile("log/1").value(), "abcdX");
@@ -88,7 +89,7 @@
   std::string expected;
   for (int k = 0; k < 200; ++k) {
     expected += std::to_string(k) + ",";
-    files()->Submit({Append("f", std::to_string(k) + ","), On(Kind::kSync, "f")},
+    files()->Submit({MakeAppend("f", std::to_string(k) + ","), MakeOperation(Kind::kSync, "f")},
                     [&completed, k](const absl::Status& status) {
                       EXPECT_TRUE(status.ok());
                       completed.push_back(k);
@@ -101,18 +102,18 @@
 }
 
 TEST_F(AsioFileSystemTest, StopsAtFirstErrorAndMapsIt) {
-  absl::Status missing = Run({On(Kind::kSync, "missing"), Append("after", "x")});
+  absl::Status missing = Run({MakeOperation(Kind::kSync, "missing"), MakeAppend("after", "x")});
   EXPECT_EQ(missing.code(), absl::StatusCode::kNotFound);
   EXPECT_EQ(files()->ReadFile("after").status().code(), absl::StatusCode::kNotFound);
   EXPECT_EQ(files()->ListDirectory("missing").status().code(), absl::StatusCode::kNotFound);
-  EXPECT_EQ(Run({Append("no folder/f", "x")}).code(), absl::StatusCode::kNotFound);
-  ASSERT_TRUE(Run({On(Kind::kCreateDirectory, "d")}).ok());
-  EXPECT_EQ(Run({Append("d", "x")}).code(), absl::StatusCode::kInternal);
+  EXPECT_EQ(Run({MakeAppend("no folder/f", "x")}).code(), absl::StatusCode::kNotFound);
+  ASSERT_TRUE(Run({MakeOperation(Kind::kCreateDirectory, "d")}).ok());
+  EXPECT_EQ(Run({MakeAppend("d", "x")}).code(), absl::StatusCode::kInternal);
   for (const char* path : {"../x", "a/../../x", "/x", "a//b"}) {
-    EXPECT_EQ(Run({Append(path, "x")}).code(), absl::StatusCode::kInvalidArgument) << path;
+    EXPECT_EQ(Run({MakeAppend(path, "x")}).code(), absl::StatusCode::kInvalidArgument) << path;
     EXPECT_EQ(files()->ReadFile(path).status().code(), absl::StatusCode::kInvalidArgument);
   }
-  EXPECT_TRUE(Run({Append("goes on", "x")}).ok());
+  EXPECT_TRUE(Run({MakeAppend("goes on", "x")}).ok());
 }
 
 TEST_F(AsioFileSystemTest, DataFolderIsLocked) {
@@ -129,12 +130,12 @@
   FaultRules rules;
   rules.disk_full = true;
   runtime_->faults()->SetRules(rules);
-  EXPECT_EQ(Run({Append("f", "x")}).code(), absl::StatusCode::kResourceExhausted);
+  EXPECT_EQ(Run({MakeAppend("f", "x")}).code(), absl::StatusCode::kResourceExhausted);
   rules.disk_full = false;
   rules.disk_sync_delay = std::chrono::milliseconds(100);
   runtime_->faults()->SetRules(rules);
   const auto start = runtime_->runtime()->clock->Now();
-  EXPECT_TRUE(Run({Append("f", "x"), On(Kind::kSync, "f")}).ok());
+  EXPECT_TRUE(Run({MakeAppend("f", "x"), MakeOperation(Kind::kSync, "f")}).ok());
   EXPECT_GE(runtime_->runtime()->clock->Now() - start, std::chrono::milliseconds(100));
 }
 
@@ -142,25 +143,25 @@
   std::filesystem::create_symlink("/dev/full", folder_ + "/full");
   EXPECT_EQ(Run({{.kind = Kind::kFullWrite, .path = "full", .data = "x", .target = {}}}).code(),
             absl::StatusCode::kResourceExhausted);
-  EXPECT_TRUE(Run({Append("f", "goes on")}).ok());
+  EXPECT_TRUE(Run({MakeAppend("f", "goes on")}).ok());
   // An append that can't be truncated leaves the file uncertain: all later batches fail.
-  EXPECT_EQ(Run({Append("full", "x")}).code(), absl::StatusCode::kResourceExhausted);
-  EXPECT_EQ(Run({Append("f", "x")}).code(), absl::StatusCode::kInternal);
+  EXPECT_EQ(Run({MakeAppend("full", "x")}).code(), absl::StatusCode::kResourceExhausted);
+  EXPECT_EQ(Run({MakeAppend("f", "x")}).code(), absl::StatusCode::kInternal);
 }
 
 TEST_F(AsioFileSystemTest, PartialAppendIsTruncated) {
-  ASSERT_TRUE(Run({Append("f", std::string(1000, 'a'))}).ok());
+  ASSERT_TRUE(Run({MakeAppend("f", std::string(1000, 'a'))}).ok());
   rlimit former{};
   getrlimit(RLIMIT_FSIZE, &former);
   rlimit small = former;
   small.rlim_cur = 1500;
   const auto former_handler = signal(SIGXFSZ, SIG_IGN);
   setrlimit(RLIMIT_FSIZE, &small);
-  absl::Status status = Run({Append("f", std::string(1000, 'b'))});
+  absl::Status status = Run({MakeAppend("f", std::string(1000, 'b'))});
   setrlimit(RLIMIT_FSIZE, &former);
   signal(SIGXFSZ, former_handler);
   EXPECT_FALSE(status.ok());
-  ASSERT_TRUE(Run({Append("f", "c")}).ok());
+  ASSERT_TRUE(Run({MakeAppend("f", "c")}).ok());
   EXPECT_EQ(files()->ReadFile("f").value(), std::string(1000, 'a') + "c");
 }
 
--- a/src/posthatch/net/asio_file_system.cc
+++ b/src/posthatch/net/asio_file_system.cc
@@ -44,15 +44,15 @@
                    .Help("Batches that failed")
                    .Register(*registry)
                    .Add({})),
-        waiting(prometheus::BuildGauge()
-                    .Name("posthatch_disk_waiting_batches")
-                    .Help("Batches submitted and not ended")
-                    .Register(*registry)
-                    .Add({})) {}
+        pending_batches(prometheus::BuildGauge()
+                            .Name("posthatch_disk_waiting_batches")
+                            .Help("Batches submitted and not ended")
+                            .Register(*registry)
+                            .Add({})) {}
 
   prometheus::Histogram& batch_seconds;
   prometheus::Counter& errors;
-  prometheus::Gauge& waiting;
+  prometheus::Gauge& pending_batches;
 };
 
 class AsioFileSystem : public runtime::FileSystem {
@@ -77,7 +77,7 @@
   }
 
   void Submit(std::vector<FileOperation> operations, Done done) override {
-    metrics_.waiting.Increment();
+    metrics_.pending_batches.Increment();
     {
       const std::lock_guard lock(mutex_);
       batches_.push_back({std::move(operations), std::move(done), BootNow()});
@@ -139,7 +139,7 @@
       status = RunOperation(operation);
       if (!status.ok()) break;
     }
-    metrics_.waiting.Decrement();
+    metrics_.pending_batches.Decrement();
     metrics_.batch_seconds.Observe(
         std::chrono::duration<double>(BootNow() - batch->submitted).count());
     if (!status.ok()) metrics_.errors.Increment();
--- a/src/posthatch/net/asio_runtime-test.cc
+++ b/src/posthatch/net/asio_runtime-test.cc
@@ -142,9 +142,9 @@
         observer));
   }
   asio_runtime->RunUntil([&] { return writers.size() == 5; }, std::chrono::seconds(5));
-  FaultRules cut;
-  cut.drop_to.insert(server->endpoint());
-  asio_runtime->faults()->SetRules(cut);
+  FaultRules partition;
+  partition.drop_to.insert(server->endpoint());
+  asio_runtime->faults()->SetRules(partition);
   asio_runtime->runtime()->transport->Send(server->endpoint(), runtime::SERVICE_CONTROL, "x",
                                            runtime::Delivery::kStream);
   calls.clear();
--- a/src/posthatch/net/asio_runtime.cc
+++ b/src/posthatch/net/asio_runtime.cc
@@ -20,7 +20,7 @@
 namespace posthatch::net {
 namespace {
 
-uint64_t TrueRandom() {
+uint64_t RandomSeed() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32) | device();
 }
@@ -54,7 +54,7 @@
       : trace_(std::move(trace)),
         work_(io_context_.get_executor()),
         timers_(&io_context_),
-        random_(TrueRandom()) {
+        random_(RandomSeed()) {
     environment_.io_context = &io_context_;
   }
 
--- a/src/posthatch/net/asio_transport-test.cc
+++ b/src/posthatch/net/asio_transport-test.cc
@@ -56,7 +56,7 @@
   std::unique_ptr<AsioRuntime> runtime_;
 };
 
-bool RunBoth(Node* a, Node* b, const std::function<bool()>& done, runtime::Duration limit) {
+bool RunUntilDone(Node* a, Node* b, const std::function<bool()>& done, runtime::Duration limit) {
   const auto deadline = a->runtime()->runtime()->clock->Now() + limit;
   while (!done()) {
     if (a->runtime()->runtime()->clock->Now() >= deadline) return false;
@@ -66,8 +66,8 @@
   return true;
 }
 
-void RunBothFor(Node* a, Node* b, runtime::Duration time) {
-  RunBoth(
+void RunNodesFor(Node* a, Node* b, runtime::Duration time) {
+  RunUntilDone(
       a, b, [] { return false; }, time);
 }
 
@@ -79,7 +79,7 @@
     sent.push_back(std::to_string(k) + std::string(static_cast<size_t>(k * 7 % 9000), 'x'));
     a.Send(&b, sent.back());
   }
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return b.received.size() == sent.size(); }, std::chrono::seconds(10)));
   EXPECT_EQ(b.received, sent);
   EXPECT_EQ(b.last.from_node(), "a");
@@ -92,7 +92,7 @@
   Node b("b");
   a.Send(&b, "hello", Delivery::kDatagram);
   a.Send(&b, std::string(runtime::kMaxDatagramBytes, 'x'), Delivery::kDatagram);
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return !b.received.empty(); }, std::chrono::seconds(5)));
   EXPECT_EQ(b.received, std::vector<std::string>{"hello"});
   EXPECT_EQ(a.Dropped("too_long"), 1);
@@ -103,7 +103,7 @@
   auto b = std::make_unique<Node>("b");
   const std::string endpoint = b->endpoint();
   a.Send(b.get(), "before");
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, b.get(), [&] { return !b->received.empty(); }, std::chrono::seconds(5)));
   const uint64_t first_incarnation = b->transport()->incarnation();
   b.reset();
@@ -118,7 +118,7 @@
   EXPECT_NE(b->transport()->incarnation(), first_incarnation);
   RunFor(a.runtime(), milliseconds(1100));  // the maximum backoff
   a.Send(b.get(), "after");
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, b.get(), [&] { return !b->received.empty() && b->received.back() == "after"; },
       std::chrono::seconds(5)));
 }
@@ -130,10 +130,10 @@
   Node b("b");
   for (int k = 0; k < 20; ++k) a.Send(&b, std::string(10'000, 'x'));  // before the loop runs
   EXPECT_EQ(a.Dropped("queue_full"), 11);
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return b.received.size() == 9; }, std::chrono::seconds(5)));
   a.Send(&b, "room again");
-  EXPECT_TRUE(RunBoth(
+  EXPECT_TRUE(RunUntilDone(
       &a, &b, [&] { return b.received.back() == "room again"; }, std::chrono::seconds(5)));
 }
 
@@ -144,13 +144,13 @@
   Node b("b");
   a.Send(&b, std::string(1000, 'x'));
   a.Send(&b, "short");
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return !b.received.empty(); }, std::chrono::seconds(5)));
   EXPECT_EQ(b.received, std::vector<std::string>{"short"});
   EXPECT_EQ(a.Dropped("too_long"), 1);
 }
 
-runtime::Envelope GoodEnvelope() {
+runtime::Envelope MakeValidEnvelope() {
   runtime::Envelope envelope;
   envelope.set_service(runtime::SERVICE_CONTROL);
   envelope.set_from_node("x");
@@ -163,9 +163,9 @@
   AsioRuntimeOptions options;
   options.transport.max_message_bytes = 100'000;
   Node b("b", options);
-  runtime::Envelope no_sender = GoodEnvelope();
+  runtime::Envelope no_sender = MakeValidEnvelope();
   no_sender.clear_from_endpoint();
-  runtime::Envelope no_service = GoodEnvelope();
+  runtime::Envelope no_service = MakeValidEnvelope();
   no_service.clear_service();
   const std::vector<std::string> cases = {
       std::string("\xff\xff\xff\xff", 4),
@@ -186,14 +186,14 @@
   EXPECT_TRUE(b.received.empty());
 
   // Truncated, slow and half-closed senders.
-  RawSocket good = RawSocket::Connect(b.endpoint());
+  RawSocket valid = RawSocket::Connect(b.endpoint());
   RawSocket truncated = RawSocket::Connect(b.endpoint());
-  const std::string frame = EncodeFrame(GoodEnvelope());
+  const std::string frame = EncodeFrame(MakeValidEnvelope());
   truncated.Send(b.runtime(), frame.substr(0, frame.size() / 2));
   truncated.ShutdownSend();
   truncated.ReadToEnd(b.runtime());
   EXPECT_TRUE(truncated.ended());
-  for (const char byte : frame + frame) good.Send(b.runtime(), std::string(1, byte));
+  for (const char byte : frame + frame) valid.Send(b.runtime(), std::string(1, byte));
   EXPECT_TRUE(
       b.runtime()->RunUntil([&] { return b.received.size() == 2; }, std::chrono::seconds(5)));
 }
@@ -209,7 +209,7 @@
       htons(static_cast<uint16_t>(std::stoi(b.endpoint().substr(b.endpoint().rfind(':') + 1))));
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
-    std::string bytes = EncodeFrame(GoodEnvelope());
+    std::string bytes = EncodeFrame(MakeValidEnvelope());
     for (int change = 0; change < 3; ++change) {
       bytes[random() % bytes.size()] = static_cast<char>(random());
     }
@@ -222,7 +222,7 @@
   close(datagrams);
   a.Send(&b, "still here");
   a.Send(&b, "and here", Delivery::kDatagram);
-  EXPECT_TRUE(RunBoth(
+  EXPECT_TRUE(RunUntilDone(
       &a, &b,
       [&] {
         return std::count(b.received.begin(), b.received.end(), "still here") == 1 &&
@@ -234,7 +234,7 @@
 TEST(FrameDecoderTest, AnyChunkingGivesSameEnvelopes) {
   std::string stream;
   for (int k = 0; k < 20; ++k) {
-    runtime::Envelope envelope = GoodEnvelope();
+    runtime::Envelope envelope = MakeValidEnvelope();
     envelope.set_payload(std::string(static_cast<size_t>(k * 37), 'p'));
     stream += EncodeFrame(envelope);
   }
@@ -265,20 +265,20 @@
   Node a("a");
   Node b("b");
   a.Send(&b, "one");
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return b.received.size() == 1; }, std::chrono::seconds(5)));
-  FaultRules cut;
-  cut.drop_to.insert(b.endpoint());
-  a.faults()->SetRules(cut);
+  FaultRules partition;
+  partition.drop_to.insert(b.endpoint());
+  a.faults()->SetRules(partition);
   a.Send(&b, "two");
   a.Send(&b, "two", Delivery::kDatagram);
   b.Send(&a, "other direction");
-  RunBothFor(&a, &b, milliseconds(200));
+  RunNodesFor(&a, &b, milliseconds(200));
   EXPECT_EQ(b.received.size(), 1u);
   EXPECT_EQ(a.received, std::vector<std::string>{"other direction"});
   a.faults()->SetRules({});
   // The connection survives a short partition, as a real one does; datagrams are lost.
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return b.received.size() == 2; }, std::chrono::seconds(5)));
   EXPECT_EQ(b.received.back(), "two");
 }
@@ -287,30 +287,30 @@
   Node a("a");
   Node b("b");
   a.Send(&b, "one");
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return b.received.size() == 1; }, std::chrono::seconds(5)));
-  FaultRules cut;
-  cut.drop_from.insert(a.endpoint());
-  b.faults()->SetRules(cut);
+  FaultRules partition;
+  partition.drop_from.insert(a.endpoint());
+  b.faults()->SetRules(partition);
   a.Send(&b, "two");
   a.Send(&b, "datagram", Delivery::kDatagram);
-  RunBothFor(&a, &b, milliseconds(100));
+  RunNodesFor(&a, &b, milliseconds(100));
   EXPECT_EQ(b.received.size(), 1u);
   b.faults()->SetRules({});
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return b.received.size() == 2; }, std::chrono::seconds(5)));
 
   // A connection opened during the partition loses its messages and breaks on healing.
   Node c("c");
-  cut.drop_from.insert(c.endpoint());
-  b.faults()->SetRules(cut);
+  partition.drop_from.insert(c.endpoint());
+  b.faults()->SetRules(partition);
   c.Send(&b, "lost");
-  RunBothFor(&c, &b, milliseconds(100));
+  RunNodesFor(&c, &b, milliseconds(100));
   EXPECT_EQ(b.received.size(), 2u);
   b.faults()->SetRules({});
-  RunBothFor(&c, &b, milliseconds(200));
+  RunNodesFor(&c, &b, milliseconds(200));
   c.Send(&b, "after");
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &c, &b, [&] { return b.received.back() == "after"; }, std::chrono::seconds(5)));
   EXPECT_EQ(b.received.size(), 3u);
 }
@@ -323,14 +323,14 @@
   a.transport()->Send(listener.endpoint(), runtime::SERVICE_CONTROL, "one", Delivery::kStream);
   RawSocket peer = listener.Accept(a.runtime());
   peer.ReadUntil(a.runtime(), "one");
-  FaultRules cut;
-  cut.drop_to.insert(listener.endpoint());
-  a.faults()->SetRules(cut);
+  FaultRules partition;
+  partition.drop_to.insert(listener.endpoint());
+  a.faults()->SetRules(partition);
   a.transport()->Send(listener.endpoint(), runtime::SERVICE_CONTROL, "two", Delivery::kStream);
   peer.ReadToEnd(a.runtime(), milliseconds(400));
   EXPECT_FALSE(peer.ended());
   EXPECT_GE(a.Dropped("connection_lost"), 1);
-  EXPECT_FALSE(listener.ConnectionCame(a.runtime(), milliseconds(200)));
+  EXPECT_FALSE(listener.WaitForConnection(a.runtime(), milliseconds(200)));
   a.faults()->SetRules({});
   peer.ReadToEnd(a.runtime());
   EXPECT_TRUE(peer.ended());
@@ -341,15 +341,15 @@
   Node a("a");
   Node b("b");
   a.Send(&b, "0");
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return b.received.size() == 1; }, std::chrono::seconds(5)));
-  FaultRules slow;
-  slow.delay_to[b.endpoint()] = milliseconds(150);
-  a.faults()->SetRules(slow);
+  FaultRules delay;
+  delay.delay_to[b.endpoint()] = milliseconds(150);
+  a.faults()->SetRules(delay);
   const auto start = a.runtime()->runtime()->clock->Now();
   for (int k = 1; k < 10; ++k) a.Send(&b, std::to_string(k));
   a.Send(&b, "datagram", Delivery::kDatagram);
-  ASSERT_TRUE(RunBoth(
+  ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return b.received.size() == 11; }, std::chrono::seconds(5)));
   EXPECT_GE(a.runtime()->runtime()->clock->Now() - start, milliseconds(150));
   std::erase(b.received, "datagram");
--- a/src/posthatch/net/asio_transport.cc
+++ b/src/posthatch/net/asio_transport.cc
@@ -62,7 +62,7 @@
             Delivery delivery) override;
 
  private:
-  absl::Status Bind(const TcpEndpoint& wanted);
+  absl::Status Bind(const TcpEndpoint& requested);
   void Accept(TcpSocket socket, std::string remote_endpoint);
   void SendStream(const std::string& to_endpoint, const Envelope& envelope);
   void SendDatagram(const std::string& to_endpoint, const Envelope& envelope);
@@ -93,12 +93,12 @@
 };
 
 absl::Status AsioTransport::Listen() {
-  const auto wanted = ParseEndpoint(identity_.endpoint);
-  if (!wanted.ok()) return wanted.status();
+  const auto requested = ParseEndpoint(identity_.endpoint);
+  if (!requested.ok()) return requested.status();
   absl::Status status;
   for (int attempt = 0; attempt < kBindAttempts; ++attempt) {
-    status = Bind(*wanted);
-    if (status.ok() || wanted->port() != 0) break;
+    status = Bind(*requested);
+    if (status.ok() || requested->port() != 0) break;
   }
   if (!status.ok()) return status;
   identity_.endpoint = FormatEndpoint(listener_.endpoint());
@@ -107,13 +107,13 @@
   return absl::OkStatus();
 }
 
-absl::Status AsioTransport::Bind(const TcpEndpoint& wanted) {
+absl::Status AsioTransport::Bind(const TcpEndpoint& requested) {
   absl::Status status =
-      listener_.Listen(wanted, [this](TcpSocket socket, std::string remote_endpoint) {
+      listener_.Listen(requested, [this](TcpSocket socket, std::string remote_endpoint) {
         Accept(std::move(socket), std::move(remote_endpoint));
       });
   if (!status.ok()) return status;
-  status = datagrams_.Bind(TcpEndpoint(wanted.address(), listener_.endpoint().port()));
+  status = datagrams_.Bind(TcpEndpoint(requested.address(), listener_.endpoint().port()));
   if (!status.ok()) listener_.Close();
   return status;
 }
--- a/src/posthatch/net/beast_http_client-test.cc
+++ b/src/posthatch/net/beast_http_client-test.cc
@@ -17,14 +17,14 @@
   std::string body;
   bool ended = false;
   std::optional<http::CallError> error;
-  bool over() const { return ended || error.has_value(); }
+  bool finished() const { return ended || error.has_value(); }
 
   http::CallObserver Observer() {
     http::CallObserver observer;
-    observer.on_head = [this](const http::Response& given) { head = given; };
+    observer.on_head = [this](const http::Response& received) { head = received; };
     observer.on_chunk = [this](const std::string& chunk) { body += chunk; };
     observer.on_end = [this] { ended = true; };
-    observer.on_error = [this](const http::CallError& given) { error = given; };
+    observer.on_error = [this](const http::CallError& received) { error = received; };
     return observer;
   }
 };
@@ -43,24 +43,25 @@
     request.body = "body";
     auto call = runtime_->runtime()->http_client->Start(endpoint, std::move(request), options_,
                                                         outcome->Observer());
-    EXPECT_FALSE(outcome->over()) << "callback before Start returned";
+    EXPECT_FALSE(outcome->finished()) << "callback before Start returned";
     return call;
   }
 
-  void Finish(const Outcome& outcome) {
-    EXPECT_TRUE(runtime_->RunUntil([&outcome] { return outcome.over(); }, std::chrono::seconds(5)));
+  void WaitUntilFinished(const Outcome& outcome) {
+    EXPECT_TRUE(
+        runtime_->RunUntil([&outcome] { return outcome.finished(); }, std::chrono::seconds(5)));
   }
 
   // Runs a call against a server that sends `answer` and then closes.
-  Outcome CallAnswered(const std::string& answer) {
+  Outcome CallWithResponse(const std::string& response) {
     RawListener listener;
     Outcome outcome;
     const auto call = Start(listener.endpoint(), &outcome);
     RawSocket server = listener.Accept(runtime_.get());
     server.ReadUntil(runtime_.get(), "body");
-    server.Send(runtime_.get(), answer);
+    server.Send(runtime_.get(), response);
     server.Close();
-    Finish(outcome);
+    WaitUntilFinished(outcome);
     return outcome;
   }
 
@@ -84,14 +85,14 @@
   }
   Outcome outcome;
   const auto call = Start(endpoint, &outcome);
-  Finish(outcome);
+  WaitUntilFinished(outcome);
   ExpectError(outcome, absl::StatusCode::kUnavailable, http::CallProgress::kNotSent);
 }
 
 TEST_F(HttpClientTest, MalformedEndpointOrFieldIsNotSent) {
   Outcome outcome;
   const auto call = Start("no endpoint", &outcome);
-  Finish(outcome);
+  WaitUntilFinished(outcome);
   ExpectError(outcome, absl::StatusCode::kInvalidArgument, http::CallProgress::kNotSent);
 
   const RawListener listener;
@@ -101,42 +102,42 @@
   request.target = "/x HTTP/1.1\r\nX-Injected: y";
   const auto second = runtime_->runtime()->http_client->Start(listener.endpoint(), request,
                                                               options_, split.Observer());
-  Finish(split);
+  WaitUntilFinished(split);
   ExpectError(split, absl::StatusCode::kInvalidArgument, http::CallProgress::kNotSent);
 }
 
 TEST_F(HttpClientTest, ConnectionClosedWithoutResponseMayHaveExecuted) {
-  ExpectError(CallAnswered(""), absl::StatusCode::kUnavailable, http::CallProgress::kSent);
-  ExpectError(CallAnswered("HTTP/1.1 200 O"), absl::StatusCode::kUnavailable,
+  ExpectError(CallWithResponse(""), absl::StatusCode::kUnavailable, http::CallProgress::kSent);
+  ExpectError(CallWithResponse("HTTP/1.1 200 O"), absl::StatusCode::kUnavailable,
               http::CallProgress::kSent);
 }
 
 TEST_F(HttpClientTest, TruncatedOrMalformedResponsesAreNeverComplete) {
   const std::string ok = "HTTP/1.1 200 OK\r\n";
-  const std::vector<std::string> cut = {
+  const std::vector<std::string> truncated = {
       ok + "Content-Length: 10\r\n\r\nabc",
       ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nab",
       ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
       ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n",
       ok + "Transfer-Encoding: chunked\r\n\r\nnonsense\r\n",
-      ok + "\r\nuntil the end, which a cut would look like",
+      ok + "\r\ndelimited by close, like a truncated body",
   };
-  for (const std::string& answer : cut) {
-    SCOPED_TRACE(answer);
-    ExpectError(CallAnswered(answer), absl::StatusCode::kDataLoss,
+  for (const std::string& response : truncated) {
+    SCOPED_TRACE(response);
+    ExpectError(CallWithResponse(response), absl::StatusCode::kDataLoss,
                 http::CallProgress::kHeadReceived);
   }
-  ExpectError(CallAnswered("SSH-2.0-nonsense\r\n\r\n"), absl::StatusCode::kDataLoss,
+  ExpectError(CallWithResponse("SSH-2.0-nonsense\r\n\r\n"), absl::StatusCode::kDataLoss,
               http::CallProgress::kSent);
 }
 
 TEST_F(HttpClientTest, CompleteResponsesAreReported) {
-  const Outcome sized = CallAnswered("HTTP/1.1 201 OK\r\nA: b\r\nContent-Length: 3\r\n\r\nabc");
+  const Outcome sized = CallWithResponse("HTTP/1.1 201 OK\r\nA: b\r\nContent-Length: 3\r\n\r\nabc");
   EXPECT_TRUE(sized.ended);
   EXPECT_EQ(sized.head->status, 201);
   EXPECT_EQ(sized.head->headers.Get("a"), "b");
   EXPECT_EQ(sized.body, "abc");
-  const Outcome chunked = CallAnswered(
+  const Outcome chunked = CallWithResponse(
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
       "3\r\nabc\r\n2\r\nde\r\n0\r\nX-Trailer: t\r\n\r\n");
   EXPECT_TRUE(chunked.ended);
@@ -147,10 +148,10 @@
 
 TEST_F(HttpClientTest, CloseDelimitedResponseNeedsOption) {
   options_.accept_close_delimited = true;
-  const Outcome outcome = CallAnswered("HTTP/1.1 200 OK\r\n\r\nuntil the end");
+  const Outcome outcome = CallWithResponse("HTTP/1.1 200 OK\r\n\r\nuntil the end");
   EXPECT_TRUE(outcome.ended);
   EXPECT_EQ(outcome.body, "until the end");
-  ExpectError(CallAnswered("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"),
+  ExpectError(CallWithResponse("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"),
               absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
 }
 
@@ -162,11 +163,11 @@
         connections.push_back(request.connection_id);
         writer->SendResponse({});
       });
-  for (const double share : {0.75, 0.75, 0.0}) {
-    options_.max_idle_fraction = share;
+  for (const double max_idle_fraction : {0.75, 0.75, 0.0}) {
+    options_.max_idle_fraction = max_idle_fraction;
     Outcome outcome;
     const auto call = Start((*server)->endpoint(), &outcome);
-    Finish(outcome);
+    WaitUntilFinished(outcome);
   }
   ASSERT_EQ(connections.size(), 3U);
   EXPECT_EQ(connections[0], connections[1]);
@@ -183,7 +184,7 @@
       });
   Outcome outcome;
   const auto call = Start((*server)->endpoint(), &outcome);
-  Finish(outcome);
+  WaitUntilFinished(outcome);
   EXPECT_EQ(outcome.body, "piece");
   ExpectError(outcome, absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
 }
@@ -192,7 +193,7 @@
   RawListener listener;
   Outcome before_head;
   const auto first = Start(listener.endpoint(), &before_head);
-  Finish(before_head);
+  WaitUntilFinished(before_head);
   ExpectError(before_head, absl::StatusCode::kDeadlineExceeded, http::CallProgress::kSent);
   const RawSocket ignored = listener.Accept(runtime_.get());
 
@@ -200,7 +201,7 @@
   const auto second = Start(listener.endpoint(), &in_body);
   RawSocket server = listener.Accept(runtime_.get());
   server.Send(runtime_.get(), "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
-  Finish(in_body);
+  WaitUntilFinished(in_body);
   ExpectError(in_body, absl::StatusCode::kDeadlineExceeded, http::CallProgress::kHeadReceived);
 }
 
@@ -216,7 +217,7 @@
     options_.fresh_connection = fresh;
     Outcome outcome;
     const auto call = Start((*server)->endpoint(), &outcome);
-    Finish(outcome);
+    WaitUntilFinished(outcome);
     EXPECT_TRUE(outcome.ended);
   }
   ASSERT_EQ(connections.size(), 4u);
@@ -233,7 +234,7 @@
     RawSocket server = listener.Accept(runtime_.get());
     server.ReadUntil(runtime_.get(), "body");
     server.Send(runtime_.get(), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    Finish(first);
+    WaitUntilFinished(first);
   }
   RunFor(runtime_.get(), milliseconds(20));
   Outcome second;
@@ -241,7 +242,7 @@
   RawSocket server = listener.Accept(runtime_.get());
   server.ReadUntil(runtime_.get(), "body");
   server.Send(runtime_.get(), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  Finish(second);
+  WaitUntilFinished(second);
   EXPECT_TRUE(second.ended);
 }
 
@@ -251,10 +252,10 @@
   const auto call = Start(listener.endpoint(), &first);
   RawSocket server = listener.Accept(runtime_.get());
   server.ReadUntil(runtime_.get(), "body");
-  const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+  const std::string response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
   server.Send(runtime_.get(),
-              answer + answer);  // a second response must not be delivered to another call
-  Finish(first);
+              response + response);  // a second response must not be delivered to another call
+  WaitUntilFinished(first);
   EXPECT_TRUE(first.ended);
   server.ReadToEnd(runtime_.get());
   EXPECT_TRUE(server.ended());
@@ -274,28 +275,28 @@
   server.Send(runtime_.get(), "def");
   RunFor(runtime_.get(), milliseconds(300));  // longer than body_idle_timeout
   EXPECT_EQ(outcome.body, "abc");
-  EXPECT_FALSE(outcome.over());
+  EXPECT_FALSE(outcome.finished());
   call->ResumeReading();
   server.Send(runtime_.get(), std::string(kBody - 6, 'x'));
-  Finish(outcome);
+  WaitUntilFinished(outcome);
   EXPECT_TRUE(outcome.ended);
   EXPECT_EQ(outcome.body.size(), kBody);
 }
 
 TEST_F(HttpClientTest, DestroyedHandleClosesConnectionWithoutCallback) {
-  bool gone = false;
+  bool disconnected = false;
   auto server = runtime_->runtime()->http_servers->Listen(
       "127.0.0.1:0", {},
       [&](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
         writer->StartStream({});
-        writer->OnCallerDisconnected([&gone, writer] { gone = true; });
+        writer->OnCallerDisconnected([&disconnected, writer] { disconnected = true; });
       });
   Outcome outcome;
   auto call = Start((*server)->endpoint(), &outcome);
   runtime_->RunUntil([&] { return outcome.head.has_value(); }, std::chrono::seconds(5));
   call.reset();
-  EXPECT_TRUE(runtime_->RunUntil([&] { return gone; }, std::chrono::seconds(5)));
-  EXPECT_FALSE(outcome.over());
+  EXPECT_TRUE(runtime_->RunUntil([&] { return disconnected; }, std::chrono::seconds(5)));
+  EXPECT_FALSE(outcome.finished());
 }
 
 // Bytes buffered by the kernel during a partition must not reach the server after the call failed.
@@ -316,7 +317,7 @@
   const auto call = Start(listener.endpoint(), &outcome);
   RawSocket server = listener.Accept(runtime_.get());
   server.ReadUntil(runtime_.get(), "body");
-  Finish(outcome);
+  WaitUntilFinished(outcome);
   server.ReadToEnd(runtime_.get());
   EXPECT_TRUE(server.was_reset());
 }
@@ -329,18 +330,18 @@
   options_.head_timeout = std::chrono::seconds(20);
   RawListener listener;
   Outcome first;
-  const auto answered = Start(listener.endpoint(), &first);
+  const auto completed = Start(listener.endpoint(), &first);
   RawSocket server = listener.Accept(runtime_.get());
   server.ReadUntil(runtime_.get(), "body");
   server.Send(runtime_.get(), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  Finish(first);
-  server.ForgetReceived();
-  FaultRules cut;
-  cut.drop_to.insert(listener.endpoint());
-  runtime_->faults()->SetRules(cut);
+  WaitUntilFinished(first);
+  server.ClearReceived();
+  FaultRules partition;
+  partition.drop_to.insert(listener.endpoint());
+  runtime_->faults()->SetRules(partition);
   Outcome second;
   const auto lost = Start(listener.endpoint(), &second);
-  Finish(second);
+  WaitUntilFinished(second);
   ExpectError(second, absl::StatusCode::kUnavailable, http::CallProgress::kNotSent);
   runtime_->faults()->SetRules({});
   EXPECT_EQ(server.ReadToEnd(runtime_.get()), "");
@@ -354,10 +355,10 @@
   const auto call = Start(listener.endpoint(), &outcome);
   RawSocket server = listener.Accept(runtime_.get());
   server.ReadUntil(runtime_.get(), "body");
-  runtime_->RunUntil([&] { return outcome.over(); }, milliseconds(1000));
-  EXPECT_FALSE(outcome.over());
+  runtime_->RunUntil([&] { return outcome.finished(); }, milliseconds(1000));
+  EXPECT_FALSE(outcome.finished());
   server.Send(runtime_.get(), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  Finish(outcome);
+  WaitUntilFinished(outcome);
   EXPECT_TRUE(outcome.ended);
 }
 
@@ -374,15 +375,16 @@
   server.Send(runtime_.get(), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc");
   server.ReadToEnd(runtime_.get());
   EXPECT_TRUE(server.ended());
-  EXPECT_FALSE(outcome.over());
+  EXPECT_FALSE(outcome.finished());
 }
 
 TEST_F(HttpClientTest, RejectsOversizedResponse) {
   options_.max_body_bytes = 5;
-  ExpectError(CallAnswered("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabcdef"),
-              absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
-  ExpectError(CallAnswered("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n"),
+  ExpectError(CallWithResponse("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabcdef"),
               absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
+  ExpectError(
+      CallWithResponse("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n"),
+      absl::StatusCode::kDataLoss, http::CallProgress::kHeadReceived);
 }
 
 }  // namespace
--- a/src/posthatch/net/beast_http_client.cc
+++ b/src/posthatch/net/beast_http_client.cc
@@ -58,12 +58,12 @@
                    .Register(*metrics)),
         calls_new_(calls_.Add({{"connection", "new"}})),
         calls_pooled_(calls_.Add({{"connection", "kept"}})),
-        idle_(prometheus::BuildGauge()
-                  .Name("posthatch_http_client_idle_connections")
-                  .Help("Kept connections that wait for a call")
-                  .Register(*metrics)
-                  .Add({})),
-        pool_(options, &idle_) {}
+        idle_connections_(prometheus::BuildGauge()
+                              .Name("posthatch_http_client_idle_connections")
+                              .Help("Kept connections that wait for a call")
+                              .Register(*metrics)
+                              .Add({})),
+        pool_(options, &idle_connections_) {}
 
   std::unique_ptr<http::Call> Start(const std::string& endpoint, http::Request request,
                                     http::CallOptions options,
@@ -97,7 +97,7 @@
   prometheus::Family<prometheus::Counter>& calls_;
   prometheus::Counter& calls_new_;
   prometheus::Counter& calls_pooled_;
-  prometheus::Gauge& idle_;
+  prometheus::Gauge& idle_connections_;
   uint64_t last_call_ = 0;
   IdleConnectionPool pool_;
 };
--- a/src/posthatch/net/beast_http_server-test.cc
+++ b/src/posthatch/net/beast_http_server-test.cc
@@ -14,7 +14,7 @@
 using ::testing::Not;
 using ::testing::StartsWith;
 
-constexpr const char* kGoodRequest = "GET /good HTTP/1.1\r\nHost: x\r\n\r\n";
+constexpr const char* kValidRequest = "GET /good HTTP/1.1\r\nHost: x\r\n\r\n";
 
 class HttpServerTest : public ::testing::Test {
  protected:
@@ -52,7 +52,7 @@
 
   void ExpectStillServing() {
     RawSocket socket = Connect();
-    socket.Send(runtime_.get(), kGoodRequest);
+    socket.Send(runtime_.get(), kValidRequest);
     EXPECT_THAT(socket.ReadUntil(runtime_.get(), "echo:"), StartsWith("HTTP/1.1 200"));
   }
 
@@ -63,7 +63,7 @@
   std::unique_ptr<http::HttpServer> server_;
 };
 
-struct Garbage {
+struct MalformedRequest {
   std::string name;
   std::string bytes;
   std::string status;  // empty: closed without a response
@@ -72,7 +72,7 @@
 TEST_F(HttpServerTest, MalformedRequestGetsErrorAndServingContinues) {
   Listen();
   const std::string big_field = "X: " + std::string(10UL * 1024 * 1024, 'a');
-  const std::vector<Garbage> cases = {
+  const std::vector<MalformedRequest> cases = {
       {"binary", std::string("\x00\x01\x02\xff\xfe\r\n\r\n", 9), "400"},
       {"no method", " / HTTP/1.1\r\n\r\n", "400"},
       {"bad version", "GET / HTTP/9.9\r\n\r\n", "400"},
@@ -97,19 +97,19 @@
       {"slow chunk", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", "408"},
       {"nothing", "", ""},
   };
-  for (const Garbage& garbage : cases) {
-    SCOPED_TRACE(garbage.name);
-    const std::string answer = Exchange(garbage.bytes);
-    if (garbage.status.empty()) {
-      EXPECT_EQ(answer, "");
+  for (const MalformedRequest& malformed : cases) {
+    SCOPED_TRACE(malformed.name);
+    const std::string response = Exchange(malformed.bytes);
+    if (malformed.status.empty()) {
+      EXPECT_EQ(response, "");
       continue;
     }
-    EXPECT_THAT(answer, StartsWith("HTTP/1.1 " + garbage.status));
-    const size_t body = answer.find("\r\n\r\n");
+    EXPECT_THAT(response, StartsWith("HTTP/1.1 " + malformed.status));
+    const size_t body = response.find("\r\n\r\n");
     ASSERT_NE(body, std::string::npos);
     boost::system::error_code error;
-    const auto json = boost::json::parse(answer.substr(body + 4), error);
-    ASSERT_FALSE(error) << answer;
+    const auto json = boost::json::parse(response.substr(body + 4), error);
+    ASSERT_FALSE(error) << response;
     EXPECT_TRUE(json.at("error").as_object().contains("executed"));
   }
   EXPECT_EQ(handled_, 0);
@@ -120,12 +120,12 @@
 
 TEST_F(HttpServerTest, SurvivesRandomInput) {
   Listen();
-  const std::string whole =
+  const std::string valid_requests =
       "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
       "POST /b HTTP/1.1\r\nContent-Length: 4\r\nIdempotency-Key: k\r\n\r\nbody";
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
-    std::string bytes = whole;
+    std::string bytes = valid_requests;
     for (uint64_t change = random() % 4 + 1; change > 0; --change) {
       bytes[random() % bytes.size()] = static_cast<char>(random());
     }
@@ -160,17 +160,17 @@
 }
 
 TEST_F(HttpServerTest, HalfClosedCallerGetsDelayedResponse) {
-  std::shared_ptr<http::ResponseWriter> kept;
-  handler_ = [&kept](const http::Request&, std::shared_ptr<http::ResponseWriter> writer) {
-    kept = std::move(writer);
+  std::shared_ptr<http::ResponseWriter> saved_writer;
+  handler_ = [&saved_writer](const http::Request&, std::shared_ptr<http::ResponseWriter> writer) {
+    saved_writer = std::move(writer);
   };
   Listen();
   RawSocket socket = Connect();
-  socket.Send(runtime_.get(), kGoodRequest);
+  socket.Send(runtime_.get(), kValidRequest);
   socket.ShutdownSend();
   RunFor(runtime_.get(), std::chrono::milliseconds(50));
-  ASSERT_NE(kept, nullptr);
-  kept->SendResponse({.status = 200, .headers = {}, .body = "late"});
+  ASSERT_NE(saved_writer, nullptr);
+  saved_writer->SendResponse({.status = 200, .headers = {}, .body = "late"});
   EXPECT_THAT(socket.ReadToEnd(runtime_.get()), HasSubstr("late"));
 }
 
@@ -188,10 +188,10 @@
     bytes += "POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\n" + std::to_string(10 + k);
   }
   socket.Send(runtime_.get(), bytes);
-  const std::string& answers = socket.ReadUntil(runtime_.get(), "echo:29;");
+  const std::string& responses = socket.ReadUntil(runtime_.get(), "echo:29;");
   size_t position = 0;
   for (int k = 0; k < 20; ++k) {
-    position = answers.find("echo:" + std::to_string(10 + k) + ";", position);
+    position = responses.find("echo:" + std::to_string(10 + k) + ";", position);
     ASSERT_NE(position, std::string::npos) << k;
   }
   ASSERT_EQ(connections.size(), 20u);
@@ -206,17 +206,17 @@
   };
   Listen();
   RawSocket socket = Connect();
-  socket.Send(runtime_.get(), kGoodRequest);
-  const std::string& answer = socket.ReadToEnd(runtime_.get());
+  socket.Send(runtime_.get(), kValidRequest);
+  const std::string& response = socket.ReadToEnd(runtime_.get());
   EXPECT_TRUE(socket.ended());
-  EXPECT_THAT(answer, HasSubstr("5\r\npiece\r\n"));
-  EXPECT_THAT(answer, Not(HasSubstr("\r\n0\r\n")));
+  EXPECT_THAT(response, HasSubstr("5\r\npiece\r\n"));
+  EXPECT_THAT(response, Not(HasSubstr("\r\n0\r\n")));
 }
 
 TEST_F(HttpServerTest, DroppedWriterClosesConnection) {
   handler_ = [](const http::Request&, const std::shared_ptr<http::ResponseWriter>&) {};
   Listen();
-  EXPECT_EQ(Exchange(kGoodRequest), "");
+  EXPECT_EQ(Exchange(kValidRequest), "");
   EXPECT_EQ(handled_, 1);
 }
 
@@ -230,7 +230,7 @@
   };
   Listen();
   RawSocket socket = Connect();
-  socket.Send(runtime_.get(), kGoodRequest);
+  socket.Send(runtime_.get(), kValidRequest);
   EXPECT_THAT(socket.ReadUntil(runtime_.get(), "\r\n0\r\n\r\n"),
               HasSubstr("2\r\np0\r\n2\r\np1\r\n2\r\np2\r\n2\r\np3\r\n0\r\n\r\n"));
 }
@@ -240,13 +240,13 @@
   limits_.max_buffered_bytes = 4 * kPiece;
   limits_.body_timeout = std::chrono::seconds(10);
   std::shared_ptr<http::ResponseWriter> writer;
-  handler_ = [&writer](const http::Request&, std::shared_ptr<http::ResponseWriter> given) {
-    writer = std::move(given);
+  handler_ = [&writer](const http::Request&, std::shared_ptr<http::ResponseWriter> new_writer) {
+    writer = std::move(new_writer);
     writer->StartStream({});
   };
   Listen();
   RawSocket socket = Connect();
-  socket.Send(runtime_.get(), kGoodRequest);
+  socket.Send(runtime_.get(), kValidRequest);
   ASSERT_TRUE(runtime_->RunUntil([&] { return writer != nullptr; }, std::chrono::seconds(5)));
   size_t written = 0;
   const auto fill = [&] {
@@ -269,51 +269,52 @@
 }
 
 TEST_F(HttpServerTest, StalledCallerIsDisconnected) {
-  bool gone = false;
-  handler_ = [&gone](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
-    writer->OnCallerDisconnected([&gone, writer] { gone = true; });
+  bool disconnected = false;
+  handler_ = [&disconnected](const http::Request&,
+                             const std::shared_ptr<http::ResponseWriter>& writer) {
+    writer->OnCallerDisconnected([&disconnected, writer] { disconnected = true; });
     writer->StartStream({});
     writer->WriteChunk(std::string(32UL * 1024 * 1024, 'x'));
   };
   Listen();
   RawSocket socket = Connect();
-  socket.Send(runtime_.get(), kGoodRequest);
-  EXPECT_TRUE(runtime_->RunUntil([&] { return gone; }, std::chrono::seconds(5)));
+  socket.Send(runtime_.get(), kValidRequest);
+  EXPECT_TRUE(runtime_->RunUntil([&] { return disconnected; }, std::chrono::seconds(5)));
   EXPECT_EQ(server_->open_connections(), 0u);
 }
 
 TEST_F(HttpServerTest, DisconnectWhileStreamingIsReported) {
-  bool gone = false;
-  std::weak_ptr<http::ResponseWriter> held;
+  bool disconnected = false;
+  std::weak_ptr<http::ResponseWriter> writer_observer;
   handler_ = [&](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
-    held = writer;
+    writer_observer = writer;
     writer->StartStream({});
-    writer->OnCallerDisconnected([&gone, writer] { gone = true; });
+    writer->OnCallerDisconnected([&disconnected, writer] { disconnected = true; });
   };
   Listen();
   {
     RawSocket socket = Connect();
-    socket.Send(runtime_.get(), kGoodRequest);
+    socket.Send(runtime_.get(), kValidRequest);
     socket.ReadUntil(runtime_.get(), "chunked");
-    EXPECT_FALSE(gone);
+    EXPECT_FALSE(disconnected);
   }
-  EXPECT_TRUE(runtime_->RunUntil([&] { return gone; }, std::chrono::seconds(5)));
-  EXPECT_TRUE(held.expired());
+  EXPECT_TRUE(runtime_->RunUntil([&] { return disconnected; }, std::chrono::seconds(5)));
+  EXPECT_TRUE(writer_observer.expired());
   EXPECT_EQ(server_->open_connections(), 0u);
 }
 
 TEST_F(HttpServerTest, DisconnectCallbackIsReleasedAfterResponse) {
-  std::weak_ptr<http::ResponseWriter> held;
+  std::weak_ptr<http::ResponseWriter> writer_observer;
   handler_ = [&](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
-    held = writer;
+    writer_observer = writer;
     writer->OnCallerDisconnected([writer] {});
     writer->SendResponse({});
   };
   Listen();
   RawSocket socket = Connect();
-  socket.Send(runtime_.get(), kGoodRequest);
+  socket.Send(runtime_.get(), kValidRequest);
   socket.ReadUntil(runtime_.get(), "\r\n\r\n");
-  EXPECT_TRUE(held.expired());
+  EXPECT_TRUE(writer_observer.expired());
 }
 
 TEST_F(HttpServerTest, ClosesConnectionsOverLimit) {
@@ -335,9 +336,9 @@
     writer->SendResponse(std::move(response));
   };
   Listen();
-  const std::string answer = Exchange(kGoodRequest);
-  EXPECT_THAT(answer, StartsWith("HTTP/1.1 500"));
-  EXPECT_THAT(answer, Not(HasSubstr("X-Injected")));
+  const std::string response = Exchange(kValidRequest);
+  EXPECT_THAT(response, StartsWith("HTTP/1.1 500"));
+  EXPECT_THAT(response, Not(HasSubstr("X-Injected")));
 }
 
 TEST_F(HttpServerTest, DrainCompletesResponsesAndClosesIdleConnections) {
@@ -352,7 +353,7 @@
   limits_.idle_timeout = std::chrono::seconds(30);
   Listen();
   RawSocket idle = Connect();
-  idle.Send(runtime_.get(), kGoodRequest);
+  idle.Send(runtime_.get(), kValidRequest);
   idle.ReadUntil(runtime_.get(), "echo:");
   RawSocket busy = Connect();
   busy.Send(runtime_.get(), "GET /wait HTTP/1.1\r\n\r\n");
--- a/src/posthatch/net/fault_injection-test.cc
+++ b/src/posthatch/net/fault_injection-test.cc
@@ -61,28 +61,28 @@
   // Returns the error, or OK.
   http::CallError Call() {
     http::CallError result;
-    bool over = false;
+    bool finished = false;
     http::CallObserver observer;
     observer.on_head = [](const http::Response&) {};
     observer.on_chunk = [](const std::string&) {};
-    observer.on_end = [&over] { over = true; };
+    observer.on_end = [&finished] { finished = true; };
     observer.on_error = [&](const http::CallError& error) {
       result = error;
-      over = true;
+      finished = true;
     };
     const auto start = runtime_->runtime()->clock->Now();
     const auto call = runtime_->runtime()->http_client->Start(
         server_->endpoint(), {.method = "GET", .target = "/", .headers = {}, .body = {}}, options_,
         observer);
-    EXPECT_TRUE(runtime_->RunUntil([&over] { return over; }, std::chrono::seconds(5)));
-    took_ = runtime_->runtime()->clock->Now() - start;
+    EXPECT_TRUE(runtime_->RunUntil([&finished] { return finished; }, std::chrono::seconds(5)));
+    elapsed_ = runtime_->runtime()->clock->Now() - start;
     return result;
   }
 
-  void Partition(bool to, bool from) {
+  void Partition(bool outbound, bool inbound) {
     FaultRules rules;
-    if (to) rules.drop_to.insert(server_->endpoint());
-    if (from) rules.drop_from.insert(server_->endpoint());
+    if (outbound) rules.drop_to.insert(server_->endpoint());
+    if (inbound) rules.drop_from.insert(server_->endpoint());
     runtime_->faults()->SetRules(rules);
   }
 
@@ -90,16 +90,16 @@
   std::unique_ptr<http::HttpServer> server_;
   http::CallOptions options_;
   int handled_ = 0;
-  runtime::Duration took_;
+  runtime::Duration elapsed_;
 };
 
 TEST_F(HttpFaultTest, PartitionedConnectTimesOut) {
-  for (const bool to : {true, false}) {
-    Partition(to, !to);
+  for (const bool outbound : {true, false}) {
+    Partition(outbound, !outbound);
     const http::CallError error = Call();
     EXPECT_EQ(error.status.code(), absl::StatusCode::kDeadlineExceeded);
     EXPECT_EQ(error.progress, http::CallProgress::kNotSent);
-    EXPECT_GE(took_, milliseconds(100));
+    EXPECT_GE(elapsed_, milliseconds(100));
   }
   EXPECT_EQ(handled_, 0);
   Partition(false, false);
@@ -126,10 +126,10 @@
   rules.delay_from[server_->endpoint()] = milliseconds(30);
   runtime_->faults()->SetRules(rules);
   ASSERT_TRUE(Call().status.ok());  // one round trip to connect, one for the call
-  EXPECT_GE(took_, milliseconds(100));
+  EXPECT_GE(elapsed_, milliseconds(100));
   ASSERT_TRUE(Call().status.ok());
-  EXPECT_GE(took_, milliseconds(50));
-  EXPECT_LT(took_, milliseconds(100));
+  EXPECT_GE(elapsed_, milliseconds(50));
+  EXPECT_LT(elapsed_, milliseconds(100));
 }
 
 }  // namespace
--- a/src/posthatch/net/fault_injection.cc
+++ b/src/posthatch/net/fault_injection.cc
@@ -13,7 +13,7 @@
 
 constexpr int64_t kMaxDelayMs = 3'600'000;
 
-absl::Status BadKey(std::string_view key, std::string_view expected) {
+absl::Status InvalidValueError(std::string_view key, std::string_view expected) {
   return absl::InvalidArgumentError(
       absl::StrCat(util::ToAbsl(key), " must be ", util::ToAbsl(expected)));
 }
@@ -21,10 +21,10 @@
 absl::Status ReadEndpoints(std::string_view key, const json::value& value,
                            absl::flat_hash_set<std::string>* endpoints) {
   const json::array* list = value.if_array();
-  if (list == nullptr) return BadKey(key, "a list of \"ip:port\"");
+  if (list == nullptr) return InvalidValueError(key, "a list of \"ip:port\"");
   for (const json::value& item : *list) {
     const json::string* endpoint = item.if_string();
-    if (endpoint == nullptr) return BadKey(key, "a list of \"ip:port\"");
+    if (endpoint == nullptr) return InvalidValueError(key, "a list of \"ip:port\"");
     endpoints->insert(std::string(*endpoint));
   }
   return absl::OkStatus();
@@ -33,7 +33,7 @@
 absl::StatusOr<runtime::Duration> ReadMilliseconds(std::string_view key, const json::value& value) {
   const int64_t* milliseconds = value.if_int64();
   if (milliseconds == nullptr || *milliseconds < 0 || *milliseconds > kMaxDelayMs) {
-    return BadKey(key, absl::StrCat("0 to ", kMaxDelayMs, " milliseconds"));
+    return InvalidValueError(key, absl::StrCat("0 to ", kMaxDelayMs, " milliseconds"));
   }
   return std::chrono::milliseconds(*milliseconds);
 }
@@ -42,15 +42,15 @@
                         absl::flat_hash_map<std::string, runtime::Duration>* delays) {
   constexpr std::string_view kExpected = R"(a list of {"endpoint": "ip:port", "ms": n})";
   const json::array* list = value.if_array();
-  if (list == nullptr) return BadKey(key, kExpected);
+  if (list == nullptr) return InvalidValueError(key, kExpected);
   for (const json::value& item : *list) {
     const json::object* entry = item.if_object();
-    if (entry == nullptr) return BadKey(key, kExpected);
+    if (entry == nullptr) return InvalidValueError(key, kExpected);
     const json::value* endpoint = entry->if_contains("endpoint");
     const json::value* milliseconds = entry->if_contains("ms");
     if (endpoint == nullptr || !endpoint->is_string() || milliseconds == nullptr ||
         entry->size() != 2) {
-      return BadKey(key, kExpected);
+      return InvalidValueError(key, kExpected);
     }
     const auto delay = ReadMilliseconds(key, *milliseconds);
     if (!delay.ok()) return delay.status();
@@ -71,14 +71,14 @@
     return absl::OkStatus();
   }
   if (key == "disk_full") {
-    if (!value.is_bool()) return BadKey(key, "true or false");
+    if (!value.is_bool()) return InvalidValueError(key, "true or false");
     rules->disk_full = value.get_bool();
     return absl::OkStatus();
   }
   return absl::InvalidArgumentError(absl::StrCat("unknown key ", util::ToAbsl(key)));
 }
 
-std::string AddressOf(const std::string& endpoint) {
+std::string AddressWithoutPort(const std::string& endpoint) {
   return endpoint.substr(0, endpoint.rfind(':'));
 }
 
@@ -87,7 +87,7 @@
 auto FindRule(const Container& container, const std::string& endpoint) {
   const auto exact = container.find(endpoint);
   if (exact != container.end() || container.empty()) return exact;
-  return container.find(AddressOf(endpoint));
+  return container.find(AddressWithoutPort(endpoint));
 }
 
 }  // namespace
--- a/src/posthatch/net/http_client_connection.cc
+++ b/src/posthatch/net/http_client_connection.cc
@@ -63,8 +63,8 @@
   paused_ = false;
   StartParser();
   Send(request);
-  if (fresh_) {
-    fresh_ = false;
+  if (first_call_) {
+    first_call_ = false;
     phase_ = Phase::kConnecting;
     stream_->SetDeadlineAfter(options_.connect_timeout);
     stream_->Connect(address);
@@ -160,7 +160,7 @@
 void HttpClientConnection::OnBytes(std::string_view bytes) {
   const auto self = shared_from_this();
   if (phase_ == Phase::kIdle) {  // bytes without a request
-    pool_->Forget(this);
+    pool_->OnConnectionClosed(this);
     stream_->Close();
     return;
   }
@@ -252,7 +252,7 @@
 void HttpClientConnection::OnReadEnd() {
   const auto self = shared_from_this();
   if (phase_ == Phase::kIdle) {
-    pool_->Forget(this);
+    pool_->OnConnectionClosed(this);
     stream_->Close();
   } else if (head_delivered_) {
     if (!FinishCloseDelimited()) Fail(absl::DataLossError("answer ended early"));
@@ -276,7 +276,7 @@
 void HttpClientConnection::OnBroken(absl::Status status) {
   const auto self = shared_from_this();
   if (phase_ == Phase::kIdle) {
-    pool_->Forget(this);
+    pool_->OnConnectionClosed(this);
     stream_->Close();
   } else if (head_delivered_) {
     Fail(absl::DataLossError(status.message()));
@@ -289,7 +289,7 @@
   const auto self = shared_from_this();
   switch (phase_) {
     case Phase::kIdle:
-      pool_->Forget(this);
+      pool_->OnConnectionClosed(this);
       stream_->Close();
       return;
     case Phase::kConnecting:
--- a/src/posthatch/net/http_client_connection.h
+++ b/src/posthatch/net/http_client_connection.h
@@ -19,7 +19,7 @@
   // Returns false if the pool is full; the connection is then closed.
   virtual bool ReturnToPool(const std::shared_ptr<HttpClientConnection>& connection) = 0;
   // An idle connection was closed.
-  virtual void Forget(HttpClientConnection* connection) = 0;
+  virtual void OnConnectionClosed(HttpClientConnection* connection) = 0;
 
  protected:
   ~HttpConnectionPool() = default;
@@ -58,8 +58,8 @@
     idle_lifetime_ = idle_lifetime;
   }
   // Whether the connection has been idle for less than the fraction `share` of that time.
-  bool IdleWithin(double share, runtime::MonotonicTime now) const {
-    return now - idle_since_ < idle_lifetime_ * share;
+  bool IdleWithin(double fraction, runtime::MonotonicTime now) const {
+    return now - idle_since_ < idle_lifetime_ * fraction;
   }
   const std::string& endpoint() const { return endpoint_; }
 
@@ -94,7 +94,7 @@
   std::shared_ptr<TcpStream> stream_;
   Phase phase_ = Phase::kIdle;
   uint64_t running_call_ = 0;
-  bool fresh_ = true;
+  bool first_call_ = true;
   bool paused_ = false;
   bool head_request_ = false;
   uint64_t written_at_start_ = 0;         // stream bytes written when this call began
--- a/src/posthatch/net/http_response_encoder.cc
+++ b/src/posthatch/net/http_response_encoder.cc
@@ -8,7 +8,7 @@
 // Bodies up to this size are copied behind the head, so that both leave in one buffer.
 constexpr size_t kMaxInlineBodyBytes = 8UL * 1024;
 // Room for status line and fields without growing, as they usually are.
-constexpr size_t kUsualHeadBytes = 512;
+constexpr size_t kReservedHeadBytes = 512;
 
 bool HasNoBody(int status) { return status == 204 || status == 304; }
 
@@ -45,7 +45,7 @@
   keep_alive_ = framing.keep_alive;
   status_ = response.status;
   std::string head;
-  head.reserve(kUsualHeadBytes);
+  head.reserve(kReservedHeadBytes);
   AppendResponseHead(response, framing, &head);
   const bool with_body = framing.body == BodyFraming::kLength && !head_request_;
   if (with_body && response.body.size() <= kMaxInlineBodyBytes) {
@@ -65,7 +65,7 @@
   chunked_ = framing.body == BodyFraming::kChunked;
   status_ = head.status;
   std::string text;
-  text.reserve(kUsualHeadBytes);
+  text.reserve(kReservedHeadBytes);
   AppendResponseHead(head, framing, &text);
   stream_->Queue(std::move(text));
   stream_->FlushSoon();
--- a/src/posthatch/net/idle_connection_pool.cc
+++ b/src/posthatch/net/idle_connection_pool.cc
@@ -31,9 +31,9 @@
 bool IdleConnectionPool::ReturnToPool(const std::shared_ptr<HttpClientConnection>& connection) {
   auto& connections = connections_[connection->endpoint()];
   if (connections.size() >= options_.max_idle_per_endpoint) return false;
-  const runtime::Duration stated = connection->keep_alive_timeout();
+  const runtime::Duration advertised = connection->keep_alive_timeout();
   const runtime::Duration idle_lifetime =
-      stated > runtime::Duration::zero() ? stated : options_.default_keep_alive_timeout;
+      advertised > runtime::Duration::zero() ? advertised : options_.default_keep_alive_timeout;
   connection->MarkIdle(BootNow(), idle_lifetime);
   connection->SetIdleDeadline(std::min(options_.idle_timeout, idle_lifetime));
   connections.push_back(connection);
@@ -41,7 +41,7 @@
   return true;
 }
 
-void IdleConnectionPool::Forget(HttpClientConnection* connection) {
+void IdleConnectionPool::OnConnectionClosed(HttpClientConnection* connection) {
   const auto found = connections_.find(connection->endpoint());
   if (found == connections_.end()) return;
   auto& connections = found->second;
--- a/src/posthatch/net/idle_connection_pool.h
+++ b/src/posthatch/net/idle_connection_pool.h
@@ -31,7 +31,7 @@
   bool Has(const std::string& endpoint, double max_idle_fraction) const;
 
   bool ReturnToPool(const std::shared_ptr<HttpClientConnection>& connection) override;
-  void Forget(HttpClientConnection* connection) override;
+  void OnConnectionClosed(HttpClientConnection* connection) override;
 
  private:
   const HttpClientOptions options_;
--- a/src/posthatch/net/json_trace_sink.cc
+++ b/src/posthatch/net/json_trace_sink.cc
@@ -21,17 +21,17 @@
 
 using runtime::Severity;
 
-constexpr size_t kMaxWaitingLines = 8192;
-constexpr std::array<std::string_view, 4> kNames = {"debug", "info", "warning", "error"};
+constexpr size_t kMaxQueuedLines = 8192;
+constexpr std::array<std::string_view, 4> kSeverityNames = {"debug", "info", "warning", "error"};
 
-boost::json::string_view View(std::string_view text) { return {text.data(), text.size()}; }
+boost::json::string_view ToJsonView(std::string_view text) { return {text.data(), text.size()}; }
 
 class SpdlogTraceSink : public JsonTraceSink {
  public:
   SpdlogTraceSink(spdlog::sink_ptr sink, std::string node_id, Severity level)
       : node_id_(std::move(node_id)),
         level_(level),
-        threads_(std::make_shared<spdlog::details::thread_pool>(kMaxWaitingLines, 1)),
+        threads_(std::make_shared<spdlog::details::thread_pool>(kMaxQueuedLines, 1)),
         logger_(std::make_shared<spdlog::async_logger>(
             "trace", std::move(sink), threads_, spdlog::async_overflow_policy::overrun_oldest)) {
     logger_->set_pattern("%v");
@@ -46,9 +46,9 @@
     if (severity < level()) return;
     boost::json::object line;
     line["time"] = absl::FormatTime("%Y-%m-%dT%H:%M:%E6SZ", absl::Now(), absl::UTCTimeZone());
-    line["severity"] = View(SeverityName(severity));
+    line["severity"] = ToJsonView(SeverityName(severity));
     line["node"] = node_id_;
-    line["type"] = View(type);
+    line["type"] = ToJsonView(type);
     for (const runtime::TraceField& field : fields) line[field.key] = field.value;
     logger_->log(spdlog::level::info, spdlog::string_view_t(boost::json::serialize(line)));
   }
@@ -81,11 +81,13 @@
   return std::make_unique<SpdlogTraceSink>(std::move(sink), node_id, level);
 }
 
-std::string_view SeverityName(Severity severity) { return kNames[static_cast<size_t>(severity)]; }
+std::string_view SeverityName(Severity severity) {
+  return kSeverityNames[static_cast<size_t>(severity)];
+}
 
 absl::StatusOr<Severity> ParseSeverity(std::string_view name) {
-  for (size_t index = 0; index < kNames.size(); ++index) {
-    if (kNames[index] == name) return static_cast<Severity>(index);
+  for (size_t index = 0; index < kSeverityNames.size(); ++index) {
+    if (kSeverityNames[index] == name) return static_cast<Severity>(index);
   }
   return absl::InvalidArgumentError(
       absl::StrCat("no level: ", util::ToAbsl(name), " (debug, info, warning, error)"));
--- a/src/posthatch/net/net-bench.cc
+++ b/src/posthatch/net/net-bench.cc
@@ -21,7 +21,10 @@
 class Load {
  public:
   Load(runtime::Runtime* runtime, std::string endpoint, int64_t total)
-      : runtime_(runtime), endpoint_(std::move(endpoint)), to_start_(total), to_end_(total) {
+      : runtime_(runtime),
+        endpoint_(std::move(endpoint)),
+        calls_to_start_(total),
+        calls_to_end_(total) {
     latencies_.reserve(static_cast<size_t>(total));
   }
 
@@ -30,18 +33,18 @@
     for (size_t slot = 0; slot < calls_.size(); ++slot) StartCall(slot);
   }
 
-  bool done() const { return to_end_ == 0; }
+  bool done() const { return calls_to_end_ == 0; }
   int64_t errors() const { return errors_; }
-  double PercentileMicroseconds(double share) {
+  double PercentileMicroseconds(double fraction) {
     std::sort(latencies_.begin(), latencies_.end());
-    const size_t index = static_cast<size_t>(share * static_cast<double>(latencies_.size() - 1));
+    const size_t index = static_cast<size_t>(fraction * static_cast<double>(latencies_.size() - 1));
     return static_cast<double>(latencies_[index].count()) / 1000.0;
   }
 
  private:
   void StartCall(size_t slot) {
-    if (to_start_ == 0) return;
-    --to_start_;
+    if (calls_to_start_ == 0) return;
+    --calls_to_start_;
     http::Request request;
     request.method = "POST";
     request.target = "/v1/completions";
@@ -53,30 +56,30 @@
     http::CallObserver observer;
     observer.on_head = [](const http::Response&) {};
     observer.on_chunk = [](const std::string&) {};
-    observer.on_end = [this, slot, start] { Ended(slot, start); };
+    observer.on_end = [this, slot, start] { OnCallEnded(slot, start); };
     observer.on_error = [this, slot, start](const http::CallError&) {
       ++errors_;
-      Ended(slot, start);
+      OnCallEnded(slot, start);
     };
     calls_[slot] = runtime_->http_client->Start(endpoint_, std::move(request), {}, observer);
   }
 
-  void Ended(size_t slot, runtime::MonotonicTime start) {
+  void OnCallEnded(size_t slot, runtime::MonotonicTime start) {
     latencies_.push_back(runtime_->clock->Now() - start);
-    --to_end_;
+    --calls_to_end_;
     StartCall(slot);
   }
 
   runtime::Runtime* const runtime_;
   const std::string endpoint_;
-  int64_t to_start_;
-  int64_t to_end_;
+  int64_t calls_to_start_;
+  int64_t calls_to_end_;
   int64_t errors_ = 0;
   std::vector<std::unique_ptr<http::Call>> calls_;
   std::vector<runtime::Duration> latencies_;
 };
 
-void BenchmarkWholeAnswers(benchmark::State& state) {
+void BenchmarkCompleteResponses(benchmark::State& state) {
   constexpr int64_t kCalls = 20000;
   const auto asio_runtime = MakeRuntime();
   auto server = asio_runtime->runtime()->http_servers->Listen(
@@ -101,17 +104,17 @@
   state.counters["p50_us"] = p50;
   state.counters["p99_us"] = p99;
 }
-BENCHMARK(BenchmarkWholeAnswers)->Arg(1)->Arg(32)->Arg(256)->Unit(benchmark::kMillisecond);
+BENCHMARK(BenchmarkCompleteResponses)->Arg(1)->Arg(32)->Arg(256)->Unit(benchmark::kMillisecond);
 
-void BenchmarkStreamedPieces(benchmark::State& state) {
-  constexpr int kPieces = 50;
+void BenchmarkStreamedChunks(benchmark::State& state) {
+  constexpr int kChunks = 50;
   constexpr int64_t kCalls = 1000;
   const auto asio_runtime = MakeRuntime();
   auto server = asio_runtime->runtime()->http_servers->Listen(
       "127.0.0.1:0", {},
       [](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
         writer->StartStream({});
-        for (int piece = 0; piece < kPieces; ++piece) writer->WriteChunk(std::string(100, 'z'));
+        for (int chunk = 0; chunk < kChunks; ++chunk) writer->WriteChunk(std::string(100, 'z'));
         writer->FinishStream();
       });
   for (auto _ : state) {
@@ -120,9 +123,9 @@
     asio_runtime->RunUntil([&load] { return load.done(); }, std::chrono::seconds(60));
     if (load.errors() > 0 || !load.done()) state.SkipWithError("calls failed");
   }
-  state.SetItemsProcessed(state.iterations() * kCalls * kPieces);
+  state.SetItemsProcessed(state.iterations() * kCalls * kChunks);
 }
-BENCHMARK(BenchmarkStreamedPieces)->Unit(benchmark::kMillisecond);
+BENCHMARK(BenchmarkStreamedChunks)->Unit(benchmark::kMillisecond);
 
 }  // namespace
 }  // namespace posthatch::net
--- a/src/posthatch/net/raw_socket-test.cc
+++ b/src/posthatch/net/raw_socket-test.cc
@@ -112,7 +112,7 @@
   if (accepted_ >= 0) close(accepted_);
 }
 
-bool RawListener::ConnectionCame(AsioRuntime* runtime, runtime::Duration time) {
+bool RawListener::WaitForConnection(AsioRuntime* runtime, runtime::Duration time) {
   return RunPolling(
       runtime,
       [this] {
@@ -123,7 +123,7 @@
 }
 
 RawSocket RawListener::Accept(AsioRuntime* runtime) {
-  EXPECT_TRUE(ConnectionCame(runtime, std::chrono::seconds(5)));
+  EXPECT_TRUE(WaitForConnection(runtime, std::chrono::seconds(5)));
   return RawSocket(std::exchange(accepted_, -1));
 }
 
--- a/src/posthatch/net/raw_socket-test.h
+++ b/src/posthatch/net/raw_socket-test.h
@@ -35,7 +35,7 @@
   bool ended() const { return ended_; }
   // Whether the peer reset the connection; undelivered bytes are lost.
   bool was_reset() const { return reset_; }
-  void ForgetReceived() { received_.clear(); }
+  void ClearReceived() { received_.clear(); }
 
  private:
   void Poll();
@@ -58,7 +58,7 @@
   // Runs `runtime` until a connection is accepted.
   RawSocket Accept(AsioRuntime* runtime);
   // Whether a connection is pending after running `runtime` for `time`.
-  bool ConnectionCame(AsioRuntime* runtime, runtime::Duration time);
+  bool WaitForConnection(AsioRuntime* runtime, runtime::Duration time);
 
  private:
   int descriptor_;
--- a/src/posthatch/net/transport_peer.cc
+++ b/src/posthatch/net/transport_peer.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Frames up to this size are copied together.
-constexpr size_t kCoalesceBytes = 4096;
+constexpr size_t kMaxCoalescedFrameBytes = 4096;
 
 }  // namespace
 
@@ -70,7 +70,7 @@
 void TransportPeer::SendPendingFrames() {
   const bool was_empty = stream_->queued_bytes() == 0;
   for (std::string& frame : pending_frames_) {
-    if (frame.size() <= kCoalesceBytes) {
+    if (frame.size() <= kMaxCoalescedFrameBytes) {
       stream_->QueueCopy(frame);
     } else {
       stream_->Queue(std::move(frame));
