--- a/src/posthatch/http/http.h
+++ b/src/posthatch/http/http.h
@@ -12,9 +12,9 @@
 #include "absl/status/statusor.h"
 #include "posthatch/runtime/clock.h"
 
-// HTTP as the rest of posthatch sees it: interfaces without a library behind them, so that gateways
-// and emulators run unchanged over Beast and in the simulator. Field names are compared
-// case-insensitively (RFC 9110, 5.1). All calls and callbacks are on the event loop thread.
+// HTTP interfaces that depend on no HTTP library, so that gateways and emulators run unchanged over
+// Beast and in the simulator. Field names are compared case-insensitively (RFC 9110, 5.1). All
+// calls and callbacks are on the event loop thread.
 namespace posthatch::http {
 
 class Headers {
@@ -104,8 +104,8 @@
 
 // How far a call got: what may be concluded about whether the back end executed it.
 enum class CallProgress {
-  kNotSent,       // no byte of the request went out: it can't have been executed
-  kSent,          // some byte went out: the back end may have executed it
+  kNotSent,       // no byte of the request was sent: it can't have been executed
+  kSent,          // some bytes were sent: the back end may have executed it
   kHeadReceived,  // the status line was received
 };
 
@@ -126,9 +126,9 @@
 
 struct CallOptions {
   runtime::Duration connect_timeout = std::chrono::milliseconds(500);
-  // Until the status line; zero for none.
+  // Longest time until the status line; zero for no limit.
   runtime::Duration head_timeout = std::chrono::seconds(30);
-  // Longest time without a body byte; zero for none.
+  // Longest time without a body byte; zero for no limit.
   runtime::Duration body_idle_timeout = std::chrono::seconds(30);
   size_t max_body_bytes = 64UL * 1024 * 1024;
   // Use a new connection even if a pooled one is idle: the peer may already have closed a pooled
--- a/src/posthatch/net/asio_file_system.cc
+++ b/src/posthatch/net/asio_file_system.cc
@@ -34,7 +34,7 @@
       : batch_seconds(
             prometheus::BuildHistogram()
                 .Name("posthatch_disk_batch_seconds")
-                .Help("Time from the submission of a batch to its end on the disk thread")
+                .Help("Time from the submission of a batch to its completion on the disk thread")
                 .Register(*registry)
                 .Add({},
                      prometheus::Histogram::BucketBoundaries{0.0005, 0.001, 0.002, 0.005, 0.01,
@@ -46,7 +46,7 @@
                    .Add({})),
         pending_batches(prometheus::BuildGauge()
                             .Name("posthatch_disk_waiting_batches")
-                            .Help("Batches submitted and not ended")
+                            .Help("Batches submitted and not yet completed")
                             .Register(*registry)
                             .Add({})) {}
 
@@ -57,7 +57,7 @@
 
 class AsioFileSystem : public runtime::FileSystem {
  public:
-  // Takes over `lock_descriptor`.
+  // Takes ownership of `lock_descriptor`.
   AsioFileSystem(const FileSystemOptions& options, int lock_descriptor,
                  prometheus::Registry* metrics)
       : options_(options),
@@ -176,7 +176,7 @@
   std::condition_variable changed_;
   std::deque<Batch> batches_;  // guarded by mutex_
   bool stopping_ = false;      // guarded by mutex_
-  std::thread thread_;         // last, so that it starts when all else is there
+  std::thread thread_;         // last, so that it starts when the other members exist
 };
 
 }  // namespace
--- a/src/posthatch/net/asio_runtime-test.cc
+++ b/src/posthatch/net/asio_runtime-test.cc
@@ -56,10 +56,10 @@
   LazyDeadline deadline(&io_context, [&expired] { ++expired; });
   const auto start = BootNow();
   deadline.Set(start + milliseconds(20));
-  deadline.Set(start + milliseconds(80));  // later: found when the timer fires
+  deadline.Set(start + milliseconds(80));  // later: seen only when the timer fires
   io_context.run_for(milliseconds(50));
   EXPECT_EQ(expired, 0);
-  deadline.Set(BootNow() + milliseconds(5));  // earlier
+  deadline.Set(BootNow() + milliseconds(5));  // earlier: the timer is armed again
   io_context.run_for(milliseconds(20));
   EXPECT_EQ(expired, 1);
   deadline.Set(BootNow() + milliseconds(5));
@@ -116,7 +116,8 @@
   }
 }
 
-// Pending calls, responses and messages must not outlive the runtime's parts.
+// Guards against pending calls, responses and messages that use parts of the runtime after their
+// destruction.
 TEST(AsioRuntimeTest, DestroysCleanlyWithPendingWork) {
   AsioRuntimeOptions options;
   options.internal_endpoint = "127.0.0.1:0";
--- a/src/posthatch/net/asio_runtime.cc
+++ b/src/posthatch/net/asio_runtime.cc
@@ -25,7 +25,8 @@
   return (static_cast<uint64_t>(device()) << 32) | device();
 }
 
-// Runs a callback at each of some signals, on the event loop thread, until it is destroyed.
+// Runs a callback on the event loop thread each time one of `signals` is received, until it is
+// destroyed.
 class SignalWatch {
  public:
   template <typename... Signals>
@@ -140,7 +141,7 @@
     runtime_.metrics = &metrics_;
   }
 
-  // In this order: the event loop outlives what hangs on it.
+  // The order of declaration matters: the event loop must outlive the objects that use it.
   const std::unique_ptr<JsonTraceSink> trace_;
   prometheus::Registry metrics_;
   std::unique_ptr<FaultInjection> faults_;
@@ -163,7 +164,7 @@
 
 absl::StatusOr<std::unique_ptr<AsioRuntime>> AsioRuntime::Create(
     const AsioRuntimeOptions& options) {
-  // Protobuf would write free text to stderr for each malformed message; those are counted.
+  // Protobuf would write text to stderr for each malformed message; they are counted in a metric.
   google::protobuf::SetLogHandler(nullptr);
   auto trace = JsonTraceSink::Open(options.log_file, options.node_id, options.log_level);
   if (!trace.ok()) return trace.status();
--- a/src/posthatch/net/asio_runtime.h
+++ b/src/posthatch/net/asio_runtime.h
@@ -19,9 +19,9 @@
   std::string node_id;
   // "ip:port" of the transport; empty: no transport (tools).
   std::string internal_endpoint;
-  // Empty: no file system.
+  // Folder of the file system; empty: no file system.
   std::string data_folder;
-  // Empty: stderr.
+  // File that log lines are appended to; empty: stderr.
   std::string log_file;
   runtime::Severity log_level = runtime::Severity::kInfo;
   // Enables fault injection (fault_injection.h); for fleet tests only.
@@ -30,8 +30,9 @@
   HttpClientOptions http_client;
 };
 
-// A real process's `runtime::Runtime`: one event loop thread (that of Run), a disk thread and
-// spdlog's thread. Owned by main or by a test; destroyed after every component that uses it.
+// The `runtime::Runtime` of a real process: one event loop thread (the one that calls Run), a disk
+// thread and spdlog's thread. Owned by main or by a test; destroyed after every component that uses
+// it.
 class AsioRuntime {
  public:
   // Opens log, data folder and internal endpoint. Errors: FailedPrecondition (data folder or
@@ -42,7 +43,7 @@
 
   virtual runtime::Runtime* runtime() = 0;
   virtual JsonTraceSink* trace() = 0;
-  // Null unless enabled.
+  // Null unless fault injection is enabled.
   virtual FaultInjection* faults() = 0;
 
   // Runs the event loop until Stop, on the caller's thread. May be called again after Stop.
--- a/src/posthatch/net/asio_timer_service.h
+++ b/src/posthatch/net/asio_timer_service.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::net {
 
-// One Asio timer an entry. Owned by AsioRuntime; event loop thread only.
+// Schedules each timer as an Asio timer of its own. Owned by AsioRuntime; event loop thread only.
 class AsioTimerService : public runtime::TimerService {
  public:
   explicit AsioTimerService(boost::asio::io_context* io_context) : io_context_(io_context) {}
--- a/src/posthatch/net/asio_transport-test.cc
+++ b/src/posthatch/net/asio_transport-test.cc
@@ -18,7 +18,8 @@
 using runtime::Delivery;
 using std::chrono::milliseconds;
 
-// A process with a transport; the two of a test run alternately in its thread.
+// A process with a transport. A test runs the event loops of its two nodes alternately in one
+// thread.
 class Node {
  public:
   explicit Node(const std::string& node_id, AsioRuntimeOptions options = {}) {
@@ -107,7 +108,7 @@
       &a, b.get(), [&] { return !b->received.empty(); }, std::chrono::seconds(5)));
   const uint64_t first_incarnation = b->transport()->incarnation();
   b.reset();
-  for (int k = 0; k < 5; ++k) {  // no listener: lost and counted
+  for (int k = 0; k < 5; ++k) {  // no listener: the message is dropped and counted
     a.transport()->Send(endpoint, runtime::SERVICE_CONTROL, "lost", Delivery::kStream);
     RunFor(a.runtime(), milliseconds(100));
   }
@@ -185,7 +186,7 @@
   EXPECT_EQ(b.Dropped("malformed"), static_cast<double>(cases.size()));
   EXPECT_TRUE(b.received.empty());
 
-  // Truncated, slow and half-closed senders.
+  // A truncated stream from a half-closed sender, and a sender of single bytes.
   RawSocket valid = RawSocket::Connect(b.endpoint());
   RawSocket truncated = RawSocket::Connect(b.endpoint());
   const std::string frame = EncodeFrame(MakeValidEnvelope());
@@ -259,7 +260,7 @@
   }
 }
 
-// --- Faults ---
+// Transports with injected partitions and delays.
 
 TEST(TransportFaultTest, OutboundPartitionStallsAndHeals) {
   Node a("a");
@@ -277,7 +278,7 @@
   EXPECT_EQ(b.received.size(), 1u);
   EXPECT_EQ(a.received, std::vector<std::string>{"other direction"});
   a.faults()->SetRules({});
-  // The connection survives a short partition, as a real one does; datagrams are lost.
+  // As in a real network, the connection survives a short partition; datagrams are lost.
   ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return b.received.size() == 2; }, std::chrono::seconds(5)));
   EXPECT_EQ(b.received.back(), "two");
@@ -300,7 +301,8 @@
   ASSERT_TRUE(RunUntilDone(
       &a, &b, [&] { return b.received.size() == 2; }, std::chrono::seconds(5)));
 
-  // A connection opened during the partition loses its messages and breaks on healing.
+  // A connection opened during the partition loses its messages and is closed when the partition
+  // heals.
   Node c("c");
   partition.drop_from.insert(c.endpoint());
   b.faults()->SetRules(partition);
--- a/src/posthatch/net/asio_transport.h
+++ b/src/posthatch/net/asio_transport.h
@@ -16,14 +16,14 @@
 
 struct TransportIdentity {
   std::string node_id;
-  std::string endpoint;  // "ip:port"; port 0: chosen by the kernel
+  std::string endpoint;  // "ip:port"; port 0: the kernel chooses one
   uint64_t incarnation = 0;
 };
 
 // Messages over TCP, one connection per direction and pair of processes, and over UDP on the same
 // port number. A connection carries frames (envelope_codec.h) one way only; responses arrive on the
-// peer's own connection. All pointers outlive the transport. Event loop thread only. Errors:
-// FailedPrecondition (address in use), InvalidArgument, Unavailable.
+// connection that the peer opened. All pointers outlive the transport. Event loop thread only.
+// Errors: FailedPrecondition (address in use), InvalidArgument, Unavailable.
 absl::StatusOr<std::unique_ptr<runtime::Transport>> MakeAsioTransport(
     IoEnvironment* environment, const TransportIdentity& identity, const TransportLimits& limits,
     runtime::Random* random, runtime::TraceSink* trace, prometheus::Registry* metrics);
--- a/src/posthatch/net/beast_http_client-test.cc
+++ b/src/posthatch/net/beast_http_client-test.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-// Results of the callbacks of one call.
+// Records the callbacks of one call.
 struct Outcome {
   std::optional<http::Response> head;
   std::string body;
@@ -52,7 +52,7 @@
         runtime_->RunUntil([&outcome] { return outcome.finished(); }, std::chrono::seconds(5)));
   }
 
-  // Runs a call against a server that sends `answer` and then closes.
+  // Runs a call against a server that sends `response` and then closes the connection.
   Outcome CallWithResponse(const std::string& response) {
     RawListener listener;
     Outcome outcome;
@@ -299,7 +299,8 @@
   EXPECT_FALSE(outcome.finished());
 }
 
-// Bytes buffered by the kernel during a partition must not reach the server after the call failed.
+// Guards against a request that the kernel buffered during a partition and would deliver after the
+// call has failed.
 TEST_F(HttpClientTest, CancelledCallResetsConnection) {
   RawListener listener;
   Outcome outcome;
@@ -322,7 +323,8 @@
   EXPECT_TRUE(server.was_reset());
 }
 
-// A pooled connection whose server is partitioned now.
+// A call on a pooled connection whose server has become unreachable: the request must not be
+// delivered after the call has failed.
 TEST_F(HttpClientTest, UndeliveredCallFailsEarlyAndNeverArrives) {
   AsioRuntimeOptions with_faults;
   with_faults.enable_fault_injection = true;
--- a/src/posthatch/net/beast_http_client.cc
+++ b/src/posthatch/net/beast_http_client.cc
@@ -52,15 +52,16 @@
   BeastHttpClient(IoEnvironment* environment, const HttpClientOptions& options,
                   prometheus::Registry* metrics)
       : environment_(environment),
-        calls_(prometheus::BuildCounter()
-                   .Name("posthatch_http_client_calls_total")
-                   .Help("HTTP calls started, by whether they went out on a new or kept connection")
-                   .Register(*metrics)),
+        calls_(
+            prometheus::BuildCounter()
+                .Name("posthatch_http_client_calls_total")
+                .Help("HTTP calls started, by whether they use a new or a pooled (kept) connection")
+                .Register(*metrics)),
         calls_new_(calls_.Add({{"connection", "new"}})),
         calls_pooled_(calls_.Add({{"connection", "kept"}})),
         idle_connections_(prometheus::BuildGauge()
                               .Name("posthatch_http_client_idle_connections")
-                              .Help("Kept connections that wait for a call")
+                              .Help("Idle connections in the pool")
                               .Register(*metrics)
                               .Add({})),
         pool_(options, &idle_connections_) {}
--- a/src/posthatch/net/beast_http_client.h
+++ b/src/posthatch/net/beast_http_client.h
@@ -15,7 +15,7 @@
   size_t max_idle_per_endpoint = 64;
   // Shorter than the servers' idle timeout, so that they rarely close a connection in use.
   runtime::Duration idle_timeout = std::chrono::seconds(60);
-  // Assumed for servers that do not send a Keep-Alive timeout.
+  // Idle time after which a server without a Keep-Alive timeout is assumed to close a connection.
   runtime::Duration default_keep_alive_timeout = std::chrono::seconds(60);
 };
 
--- a/src/posthatch/net/beast_http_server-test.cc
+++ b/src/posthatch/net/beast_http_server-test.cc
@@ -66,7 +66,7 @@
 struct MalformedRequest {
   std::string name;
   std::string bytes;
-  std::string status;  // empty: closed without a response
+  std::string status;  // expected status; empty: closed without a response
 };
 
 TEST_F(HttpServerTest, MalformedRequestGetsErrorAndServingContinues) {
@@ -140,7 +140,7 @@
                                  std::chrono::seconds(5)));
 }
 
-// An unread head may name an idempotency key whose earlier send has run.
+// An unparsed head may have an idempotency key of an earlier attempt that was executed.
 TEST_F(HttpServerTest, RejectionIsNotExecutedOnlyWithoutIdempotencyKey) {
   Listen();
   EXPECT_THAT(Exchange("POST / HTTP/1.1\r\nContent-Length: 99999\r\n\r\n"),
@@ -256,7 +256,7 @@
       RunFor(runtime_.get(), std::chrono::milliseconds(2));
     }
   };
-  fill();  // the kernel's buffer, and then the limit
+  fill();  // the socket buffer of the kernel, then the buffer of the response
   bool writable = false;
   writer->OnWritable([&writable] { writable = true; });
   RunFor(runtime_.get(), std::chrono::milliseconds(50));
--- a/src/posthatch/net/beast_http_server.cc
+++ b/src/posthatch/net/beast_http_server.cc
@@ -17,20 +17,22 @@
 // Metric families of all servers of one process.
 struct ServerMetrics {
   explicit ServerMetrics(prometheus::Registry* registry)
-      : responses(prometheus::BuildCounter()
-                      .Name("posthatch_http_server_answers_total")
-                      .Help("Answers ended, by first digit of the status; 0 was cut by us")
-                      .Register(*registry)),
+      : responses(
+            prometheus::BuildCounter()
+                .Name("posthatch_http_server_answers_total")
+                .Help("Responses ended, by first digit of the status; 0: aborted by the server")
+                .Register(*registry)),
         connections(prometheus::BuildGauge()
                         .Name("posthatch_http_server_connections")
-                        .Help("Open connections of callers")
+                        .Help("Open client connections")
                         .Register(*registry)
                         .Add({})),
-        refused_connections(prometheus::BuildCounter()
-                                .Name("posthatch_http_server_refused_connections_total")
-                                .Help("Connections closed at once: over max_connections")
-                                .Register(*registry)
-                                .Add({})) {
+        refused_connections(
+            prometheus::BuildCounter()
+                .Name("posthatch_http_server_refused_connections_total")
+                .Help("Connections closed on accept because max_connections were open")
+                .Register(*registry)
+                .Add({})) {
     for (int digit = 0; digit < 6; ++digit) {
       by_status_class.push_back(&responses.Add({{"status", std::to_string(digit)}}));
     }
@@ -90,7 +92,7 @@
   void Accept(TcpSocket socket, std::string remote_endpoint) {
     if (connections_.size() >= context_->limits.max_connections) {
       metrics_->refused_connections.Increment();
-      return;  // closes the socket
+      return;  // destroying `socket` closes it
     }
     const auto connection = std::make_shared<HttpServerConnection>(
         context_, std::move(socket), std::move(remote_endpoint), ++*last_connection_id_);
--- a/src/posthatch/net/beast_http_server.h
+++ b/src/posthatch/net/beast_http_server.h
@@ -10,7 +10,7 @@
 struct IoEnvironment;
 
 // HTTP/1.1 servers. The requests of one connection are processed one after another. A request that
-// can't be read is answered 400, 408, 413 or 431 with the error body of docs/API.md, and its
+// can't be read gets status 400, 408, 413 or 431 with the error body of docs/API.md, and its
 // connection is closed. `environment` and `metrics` must outlive the factory and its servers. Event
 // loop thread only.
 std::unique_ptr<http::HttpServerFactory> MakeBeastHttpServerFactory(IoEnvironment* environment,
--- a/src/posthatch/net/datagram_socket.cc
+++ b/src/posthatch/net/datagram_socket.cc
@@ -74,7 +74,7 @@
     boost::system::error_code error;
     const size_t size = socket_.receive_from(boost::asio::buffer(buffer_), from, 0, error);
     if (error == boost::asio::error::would_block) return;
-    if (error) continue;  // an ICMP error of an earlier send
+    if (error) continue;  // an ICMP error caused by an earlier send
     listener_->OnDatagram({buffer_.data(), size},
                           FormatEndpoint(TcpEndpoint(from.address(), from.port())));
   }
--- a/src/posthatch/net/datagram_socket.h
+++ b/src/posthatch/net/datagram_socket.h
@@ -24,7 +24,7 @@
     ~Listener() = default;
   };
 
-  // All outlive the socket.
+  // The arguments must outlive the socket.
   DatagramSocket(IoEnvironment* environment, TransportMetrics* metrics, Listener* listener);
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
@@ -33,7 +33,7 @@
   absl::Status Bind(const TcpEndpoint& endpoint);
   // Starts receiving, until the socket is destroyed.
   void StartReceiving() { WaitReadable(); }
-  // Sends `bytes` to `address`, which `to_endpoint` names in fault rules.
+  // Sends `bytes` to `address`; fault rules refer to the address as `to_endpoint`.
   void Send(const std::string& to_endpoint, const TcpEndpoint& address, const std::string& bytes);
 
  private:
@@ -47,7 +47,8 @@
   TransportMetrics* const metrics_;
   Listener* const listener_;
   UdpSocket socket_;
-  // Reused: allocating and zeroing 64 KiB in each turn would be measurable.
+  // Reused for every datagram: allocating and zeroing 64 KiB in each event loop turn would be
+  // measurable.
   std::vector<char> buffer_;
   util::Lifetime lifetime_;
 };
--- a/src/posthatch/net/endpoint.h
+++ b/src/posthatch/net/endpoint.h
@@ -9,10 +9,10 @@
 
 namespace posthatch::net {
 
-// Reads "ip:port" or "[ipv6]:port"; names are not looked up. Errors: InvalidArgument.
+// Reads "ip:port" or "[ipv6]:port"; host names are not resolved. Errors: InvalidArgument.
 absl::StatusOr<TcpEndpoint> ParseEndpoint(std::string_view text);
 
-// The reverse of ParseEndpoint.
+// Formats `endpoint` as ParseEndpoint reads it.
 std::string FormatEndpoint(const TcpEndpoint& endpoint);
 
 // Maps an error of a socket operation: Unavailable, DeadlineExceeded, Cancelled, ResourceExhausted
--- a/src/posthatch/net/envelope_codec-fuzz.cc
+++ b/src/posthatch/net/envelope_codec-fuzz.cc
@@ -1,5 +1,5 @@
-// Any bytes on the internal port: the same envelopes however the stream is split, and no buffer
-// beyond the limit.
+// Feeds arbitrary bytes to FrameDecoder: it must decode the same envelopes however the stream is
+// split, and buffer no more than one frame of the maximum size.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
--- a/src/posthatch/net/envelope_codec.h
+++ b/src/posthatch/net/envelope_codec.h
@@ -14,7 +14,7 @@
 // bytes, big endian, then the envelope.
 inline constexpr size_t kFrameHeaderBytes = 4;
 
-// One frame. The envelope must not exceed 4 GiB.
+// Returns the frame of `envelope`, whose serialized size must be below 4 GiB.
 std::string EncodeFrame(const runtime::Envelope& envelope);
 
 // Reads an envelope and checks the fields that every envelope has: a service, the sender's node id
@@ -24,11 +24,12 @@
 // Splits a stream of bytes into envelopes. Owned by one connection.
 class FrameDecoder {
  public:
-  // Longer frames are an error, detected as soon as their length is read.
+  // Frames over `max_frame_bytes` are an error, detected as soon as their length is read.
   explicit FrameDecoder(size_t max_frame_bytes) : max_frame_bytes_(max_frame_bytes) {}
 
-  // Runs `received` for each envelope completed by `bytes`; it returns false to stop and to drop
-  // the rest. Errors: InvalidArgument, after which the stream can't be read on.
+  // Runs `received` for each envelope completed by `bytes`; `received` returns false to stop and to
+  // drop the rest of the stream. Errors: InvalidArgument, after which the stream can't be decoded
+  // further.
   absl::Status Feed(std::string_view bytes,
                     const std::function<bool(const runtime::Envelope&)>& received);
 
--- a/src/posthatch/net/fault_injection-test.cc
+++ b/src/posthatch/net/fault_injection-test.cc
@@ -24,7 +24,7 @@
   EXPECT_EQ(faults.DelayFrom("10.0.0.4:4"), milliseconds(30));
   EXPECT_EQ(faults.disk_sync_delay(), milliseconds(40));
   EXPECT_TRUE(faults.disk_full());
-  faults.SetRules(ParseFaultRules("{}").value());  // replaces all
+  faults.SetRules(ParseFaultRules("{}").value());  // replaces all rules
   EXPECT_FALSE(faults.DropsTo("10.0.0.1:1"));
   EXPECT_FALSE(faults.disk_full());
 }
@@ -38,7 +38,7 @@
   }
 }
 
-// HTTP calls through a partition, as seen by the caller.
+// HTTP calls under injected partitions and delays.
 class HttpFaultTest : public ::testing::Test {
  protected:
   HttpFaultTest() {
@@ -58,7 +58,7 @@
     options_.head_timeout = milliseconds(200);
   }
 
-  // Returns the error, or OK.
+  // Runs a call; returns its error, with an OK status if there was none.
   http::CallError Call() {
     http::CallError result;
     bool finished = false;
--- a/src/posthatch/net/fault_injection.cc
+++ b/src/posthatch/net/fault_injection.cc
@@ -82,7 +82,7 @@
   return endpoint.substr(0, endpoint.rfind(':'));
 }
 
-// The entry for `endpoint`, or else the one for its bare address.
+// The entry for `endpoint`, or else the entry for its address without the port.
 template <typename Container>
 auto FindRule(const Container& container, const std::string& endpoint) {
   const auto exact = container.find(endpoint);
--- a/src/posthatch/net/fault_injection.h
+++ b/src/posthatch/net/fault_injection.h
@@ -16,7 +16,7 @@
 namespace posthatch::net {
 
 // Faults to inject, as parsed from `PUT /debug/faults`. Endpoints are the peers' listening
-// endpoints, "ip:port", or a bare "ip" for every port of it.
+// endpoints, "ip:port", or a bare "ip" for every port of that address.
 struct FaultRules {
   absl::flat_hash_set<std::string> drop_to;
   absl::flat_hash_set<std::string> drop_from;
@@ -45,7 +45,7 @@
   bool DropsFrom(const std::string& endpoint) const;
   runtime::Duration DelayTo(const std::string& endpoint) const;
   runtime::Duration DelayFrom(const std::string& endpoint) const;
-  // Any thread.
+  // The disk accessors may be called on any thread.
   runtime::Duration disk_sync_delay() const;
   bool disk_full() const { return disk_full_.load(std::memory_order_relaxed); }
 
--- a/src/posthatch/net/file_operations.h
+++ b/src/posthatch/net/file_operations.h
@@ -9,13 +9,14 @@
 
 namespace posthatch::net {
 
-// ResourceExhausted (no space, quota), NotFound or Internal, with `path` in the message.
+// Maps `error_number` of a failed `operation` to ResourceExhausted (no space, quota), NotFound or
+// Internal, with `path` in the message.
 absl::Status FileError(const std::string& operation, const std::string& path, int error_number);
 
 // InvalidArgument unless `path` is relative and stays below the data folder.
 absl::Status CheckRelativePath(const std::string& path);
 
-// Runs single operations below one folder. Files that are appended to repeatedly stay open. Disk
+// Runs single operations below one folder. A file stays open after an append, for later ones. Disk
 // thread only.
 class FileOperations {
  public:
--- a/src/posthatch/net/http_client_connection.cc
+++ b/src/posthatch/net/http_client_connection.cc
@@ -15,17 +15,18 @@
 namespace {
 
 constexpr uint32_t kMaxHeaderBytes = 64 * 1024;
-// A server that has not acknowledged a single byte of a request by then is unreachable. The
-// connection is reset, so that the kernel does not deliver the request after the call has failed.
+// A server that has not acknowledged a single byte of a request within this time is considered
+// unreachable. The connection is reset, so that the kernel does not deliver the request after the
+// call has failed.
 constexpr runtime::Duration kDeliveryTimeout = std::chrono::milliseconds(700);
-// Limit for an incomplete chunk or trailer line.
+// Limit for the bytes of an incomplete chunk line or trailer line.
 constexpr size_t kMaxUnparsedBytes = kMaxHeaderBytes + 4096;
-// Bodies up to this size are copied behind the head, so that both are sent in one buffer.
+// Bodies up to this size are appended to the head, so that both are sent in one buffer.
 constexpr size_t kMaxInlineBodyBytes = 8UL * 1024;
 
 bool IsInformational(int status) { return status >= 100 && status < 200; }
 
-// The seconds of a Keep-Alive field such as "timeout=5, max=100"; zero if there are none.
+// The timeout of a Keep-Alive field such as "timeout=5, max=100"; zero if there is none.
 runtime::Duration ParseKeepAliveTimeout(std::string_view keep_alive) {
   for (const absl::string_view part : absl::StrSplit(util::ToAbsl(keep_alive), ',')) {
     const std::pair<absl::string_view, absl::string_view> field =
@@ -159,7 +160,7 @@
 
 void HttpClientConnection::OnBytes(std::string_view bytes) {
   const auto self = shared_from_this();
-  if (phase_ == Phase::kIdle) {  // bytes without a request
+  if (phase_ == Phase::kIdle) {  // bytes received without a request
     pool_->OnConnectionClosed(this);
     stream_->Close();
     return;
@@ -226,7 +227,7 @@
   const auto observer = std::exchange(observer_, nullptr);
   const bool reusable =
       parser_->keep_alive() && !options_.fresh_connection && stream_->queued_bytes() == 0;
-  stream_->ResumeReading();  // to see an idle connection end
+  stream_->ResumeReading();  // detects that the server closes an idle connection
   if (!reusable || !pool_->ReturnToPool(shared_from_this())) {
     phase_ = Phase::kEnded;
     stream_->Close();
@@ -262,7 +263,7 @@
 }
 
 // RFC 9112, 6.3: without a length or chunks, the response ends where the server closes its side. A
-// reset is no such end (OnBroken).
+// reset does not complete a response (see OnBroken).
 bool HttpClientConnection::FinishCloseDelimited() {
   if (!options_.accept_close_delimited || !parser_->need_eof() || !unparsed_.empty()) return false;
   boost::beast::error_code error;
--- a/src/posthatch/net/http_client_connection.h
+++ b/src/posthatch/net/http_client_connection.h
@@ -13,35 +13,36 @@
 
 class HttpClientConnection;
 
-// Takes a connection back after a complete response, if it can serve another call.
+// Receives a connection after a complete response, if it can be used for another call.
 class HttpConnectionPool {
  public:
   // Returns false if the pool is full; the connection is then closed.
   virtual bool ReturnToPool(const std::shared_ptr<HttpClientConnection>& connection) = 0;
-  // An idle connection was closed.
+  // Called when a connection of the pool was closed: removes it from the pool.
   virtual void OnConnectionClosed(HttpClientConnection* connection) = 0;
 
  protected:
   ~HttpConnectionPool() = default;
 };
 
-// One connection to a server, and the call that runs on it. Shared by the pool while idle, and by
-// the call's handle while it runs. Event loop thread only.
+// One connection to a server, and the call in progress on it. Shared: the
+// pool refers to it while it is idle, and the call's handle during a call. Event loop thread only.
 class HttpClientConnection final : public TcpStream::Owner,
                                    public std::enable_shared_from_this<HttpClientConnection> {
  public:
   HttpClientConnection(IoEnvironment* environment, std::string endpoint, HttpConnectionPool* pool);
   ~HttpClientConnection();
 
-  // Starts a call on a connection that is new (it then connects to `address`) or idle. `request`
-  // has been validated. `call` identifies this call among all calls of the connection; never 0.
+  // Starts a call on a connection that is idle or new; a new one first connects to `address`.
+  // `request` must have been validated. `call` identifies this call among all calls of the
+  // connection; never 0.
   void Begin(uint64_t call, const TcpEndpoint& address, const http::Request& request,
              const http::CallOptions& options, http::CallObserver observer);
   // The call in progress; 0 if none.
   uint64_t running_call() const { return running_call_; }
   // Ends the call without a callback.
   void Cancel();
-  // Fails the call soon, before it has touched the network.
+  // Fails the call from the event loop with `status`, without sending anything.
   void FailUnsent(uint64_t call, absl::Status status, http::CallObserver observer);
   void StopReading();
   void ResumeReading();
@@ -49,15 +50,16 @@
   // Ends an idle connection.
   void CloseIdle() { stream_->Close(); }
   void SetIdleDeadline(runtime::Duration timeout) { stream_->SetDeadlineAfter(timeout); }
-  // How long the server keeps this connection while idle, by its last response (Keep-Alive:
-  // timeout=SECONDS); zero if it did not say.
+  // How long the server keeps this connection open while idle, from the Keep-Alive field of its
+  // last response (timeout=SECONDS); zero if the response had none.
   runtime::Duration keep_alive_timeout() const { return keep_alive_timeout_; }
-  // Set by the pool: when the connection became idle, and for how long its server keeps it.
+  // Called by the pool: the connection became idle at `since`, and its server keeps an idle
+  // connection open for `idle_lifetime`.
   void MarkIdle(runtime::MonotonicTime since, runtime::Duration idle_lifetime) {
     idle_since_ = since;
     idle_lifetime_ = idle_lifetime;
   }
-  // Whether the connection has been idle for less than the fraction `share` of that time.
+  // Whether the connection has been idle for less than `fraction` of its idle lifetime.
   bool IdleWithin(double fraction, runtime::MonotonicTime now) const {
     return now - idle_since_ < idle_lifetime_ * fraction;
   }
@@ -74,15 +76,17 @@
 
   void Send(const http::Request& request);
   void AwaitHead();
-  // Fails the call if no byte was delivered; waits for the head otherwise.
+  // Fails the call if the peer has acknowledged no byte of the request; continues to wait for the
+  // head otherwise.
   void CheckDelivery();
-  // Whether the peer has acknowledged no byte of the request, although it had the time to.
+  // Whether the peer has acknowledged no byte of the request, checked once kDeliveryTimeout has
+  // passed.
   bool NoByteAcknowledged();
   void StartParser();
   void Parse(std::string_view bytes);
   bool DeliverHead();
-  // The server has closed its side: completes a response that is delimited by that. Returns false
-  // if it is not.
+  // Completes a response whose end is marked by the server closing its side. Returns false if the
+  // response is not delimited that way.
   bool FinishCloseDelimited();
   void Finish();
   void Fail(absl::Status status);
@@ -94,11 +98,11 @@
   std::shared_ptr<TcpStream> stream_;
   Phase phase_ = Phase::kIdle;
   uint64_t running_call_ = 0;
-  bool first_call_ = true;
+  bool first_call_ = true;  // no call has begun yet: Begin connects
   bool paused_ = false;
   bool head_request_ = false;
-  uint64_t written_at_start_ = 0;         // stream bytes written when this call began
-  runtime::MonotonicTime head_deadline_;  // while the head is awaited; the greatest time: none
+  uint64_t written_at_start_ = 0;         // bytes written to the stream before this call
+  runtime::MonotonicTime head_deadline_;  // used in kAwaitingHead; max(): no deadline
   http::CallOptions options_;
   // Shared, since a callback may end the call and with it this reference.
   std::shared_ptr<const http::CallObserver> observer_;
--- a/src/posthatch/net/http_message.h
+++ b/src/posthatch/net/http_message.h
@@ -18,10 +18,10 @@
 class MessageParser : public boost::beast::http::basic_parser<kIsRequest> {
  public:
   http::Headers headers;
-  std::string method;  // of a request
-  std::string target;  // of a request
+  std::string method;  // requests only
+  std::string target;  // requests only
   int version = 11;    // 10 or 11
-  int status = 0;      // of a response
+  int status = 0;      // responses only
   std::string body;
 
  private:
@@ -68,8 +68,8 @@
 extern template size_t FeedParser<false>(MessageParser<false>*, std::string_view,
                                          boost::beast::error_code*);
 
-// InvalidArgument if a name is no token or a value has control characters (RFC 9110, 5.1 and 5.5):
-// such a field could split a message.
+// InvalidArgument if a name is not a token or a value contains control characters (RFC 9110, 5.1
+// and 5.5): such a field could split a message.
 absl::Status CheckHeaders(const http::Headers& headers);
 
 // Appends request line and fields. Adds Host, and Content-Length where a body is or may be present;
@@ -88,7 +88,8 @@
 void AppendResponseHead(const http::Response& response, const ResponseFraming& framing,
                         std::string* out);
 
-// Chunked coding (RFC 9112, 7.1): what goes before and after the bytes of one chunk, and the end.
+// Chunked transfer coding (RFC 9112, 7.1): the line before the bytes of a chunk, the line end after
+// them, and the last chunk.
 void AppendChunkStart(size_t size, std::string* out);
 inline constexpr std::string_view kChunkEnd = "\r\n";
 void AppendLastChunk(std::string* out);
--- a/src/posthatch/net/http_rejection.h
+++ b/src/posthatch/net/http_rejection.h
@@ -10,9 +10,9 @@
 // Why the server rejects a request without passing it to the handler.
 struct HttpRejection {
   int status = 400;
-  std::string_view code;  // of docs/API.md
+  std::string_view code;  // an error code of docs/API.md
   std::string message;
-  // Whether the request has provably not been executed and will not be.
+  // Whether it is certain that the request has not been and will not be executed.
   bool proven_not_executed = false;
 };
 
--- a/src/posthatch/net/http_request_reader.cc
+++ b/src/posthatch/net/http_request_reader.cc
@@ -10,9 +10,9 @@
 
 namespace beast_http = boost::beast::http;
 
-// What a chunk's line or a trailer may add to the header limit.
+// Bytes that a chunk line or a trailer may occupy beyond the header limit.
 constexpr size_t kMaxUnparsedExtraBytes = 4096;
-// An emptied buffer above this is given back instead of waiting for the next request.
+// An empty buffer with more capacity than this is freed instead of kept for the next request.
 constexpr size_t kMaxRetainedBytes = 64UL * 1024;
 
 }  // namespace
@@ -76,11 +76,11 @@
 HttpRequestReader::Progress HttpRequestReader::RejectMalformed(
     const boost::beast::error_code& error) {
   if (error == beast_http::error::header_limit) {
-    // A field that was not read may be an idempotency key.
+    // A field that was not parsed may be an idempotency key.
     return Reject(431, "too_large", "header fields over the limit", false);
   }
   if (error == beast_http::error::body_limit) {
-    // The parser reports it with the last field, and calls the head unfinished.
+    // The parser reports this error with the last field, before it marks the head as complete.
     return Reject(413, "too_large", "body over the limit",
                   !parser_->headers.Has("Idempotency-Key"));
   }
--- a/src/posthatch/net/http_request_reader.h
+++ b/src/posthatch/net/http_request_reader.h
@@ -10,15 +10,15 @@
 
 namespace posthatch::net {
 
-// Reads the requests of one connection out of the bytes received, one after another. Owned by the
-// connection, which decides about deadlines and responses. Event loop thread only.
+// Parses the requests of one connection from the bytes received, one after another. Owned by the
+// connection, which handles deadlines and responses. Event loop thread only.
 class HttpRequestReader {
  public:
   enum class Progress {
     kIncomplete,    // more bytes are needed
-    kHeadComplete,  // as kIncomplete, reported once when the head is complete
+    kHeadComplete,  // more bytes are needed; reported once, when the head is complete
     kComplete,      // TakeRequest returns it
-    kRejected,      // rejection() says why; nothing more can be read
+    kRejected,      // rejection() has the reason; no further request can be read
   };
 
   struct ParsedRequest {
@@ -31,7 +31,7 @@
   explicit HttpRequestReader(const http::ServerLimits* limits);
 
   void Append(std::string_view bytes) { received_.append(bytes); }
-  // Bytes appended and not parsed yet, such as pipelined requests.
+  // Number of bytes appended and not parsed yet, for example of pipelined requests.
   size_t unparsed_bytes() const { return received_.size(); }
   void DropUnparsed() { received_.clear(); }
 
@@ -44,7 +44,7 @@
   // Whether the caller waits for "100 Continue" before it sends the body (RFC 9110, 10.1.1).
   bool ExpectsContinue() const;
   // Whether the request being read is known not to have been executed: its head is complete and has
-  // no idempotency key, under which an earlier send may have run.
+  // no idempotency key under which an earlier attempt may have been executed.
   bool ProvenNotExecuted() const;
 
  private:
--- a/src/posthatch/net/http_response_encoder.cc
+++ b/src/posthatch/net/http_response_encoder.cc
@@ -5,9 +5,9 @@
 namespace posthatch::net {
 namespace {
 
-// Bodies up to this size are copied behind the head, so that both leave in one buffer.
+// Bodies up to this size are appended to the head, so that both are sent in one buffer.
 constexpr size_t kMaxInlineBodyBytes = 8UL * 1024;
-// Room for status line and fields without growing, as they usually are.
+// Reserved for status line and fields; sufficient for most responses.
 constexpr size_t kReservedHeadBytes = 512;
 
 bool HasNoBody(int status) { return status == 204 || status == 304; }
--- a/src/posthatch/net/http_response_encoder.h
+++ b/src/posthatch/net/http_response_encoder.h
@@ -17,11 +17,11 @@
   // `stream` outlives the encoder.
   HttpResponseEncoder(TcpStream* stream, const HttpRequestReader::ParsedRequest& request);
 
-  // Whether status and fields can be sent; fields could split the message otherwise.
+  // Whether the status and fields may be sent: an invalid field could split the message.
   static bool IsValid(const http::Response& head);
 
-  // Sends the complete response, or status 500 if it is not valid. `may_keep_alive` false: the
-  // connection ends after it, and the response says so.
+  // Sends the complete response, or status 500 if it is not valid. If `may_keep_alive` is false,
+  // the response announces that the connection closes after it.
   void SendComplete(http::Response response, bool may_keep_alive);
   // Sends the head, which must be valid; the body follows.
   void StartStream(const http::Response& head, bool may_keep_alive);
@@ -30,9 +30,9 @@
   void FinishStream();
 
   bool streaming() const { return streaming_; }
-  // Whether a stream that ends early shows it by its missing last chunk.
+  // Whether the body is chunked, so that a missing last chunk shows a truncated stream.
   bool chunked() const { return chunked_; }
-  // Of the response that was sent or begun.
+  // Status and persistence of the response that was sent or started.
   int status() const { return status_; }
   bool keep_alive() const { return keep_alive_; }
 
--- a/src/posthatch/net/http_server_connection.cc
+++ b/src/posthatch/net/http_server_connection.cc
@@ -174,7 +174,7 @@
 void HttpServerConnection::OnWritable(uint64_t exchange, std::function<void()> callback) {
   if (!Running(exchange)) return;
   on_writable_ = std::move(callback);
-  // Reported by the event loop, never within this call.
+  // The callback runs from the event loop, never within this call.
   boost::asio::post(*context_->environment->io_context,
                     [self = shared_from_this()] { self->OnProgress(); });
 }
@@ -188,7 +188,8 @@
   });
 }
 
-// A caller that reads nothing of its response for the body timeout is disconnected.
+// The write deadline: a caller that reads nothing of its response for the body timeout is
+// disconnected.
 void HttpServerConnection::UpdateWriteDeadline() {
   if (stream_->queued_bytes() > 0) {
     stream_->SetDeadlineAfter(context_->limits.body_timeout);
@@ -204,7 +205,7 @@
   if (phase_ == Phase::kClosed) return;
   if (phase_ == Phase::kAborting) {
     if (stream_->queued_bytes() > 0) return UpdateWriteDeadline();
-    // Without chunks only a reset shows that the body is incomplete.
+    // Without chunked coding only a reset shows the caller that the body is incomplete.
     if (encoder_->streaming() && !encoder_->chunked()) stream_->Reset();
     return Close();
   }
--- a/src/posthatch/net/http_server_connection.h
+++ b/src/posthatch/net/http_server_connection.h
@@ -18,9 +18,9 @@
 // The server that a connection belongs to.
 class HttpConnectionOwner {
  public:
-  // The connection has ended; the server lets go of it.
+  // The connection has ended; the server drops its reference.
   virtual void OnConnectionClosed(HttpServerConnection* connection) = 0;
-  // A response has ended, with this status; 0 if it was aborted.
+  // A response with `status` has ended; 0 if it was aborted.
   virtual void OnResponseEnded(int status) = 0;
 
  protected:
@@ -53,7 +53,8 @@
   // Closes immediately.
   void Close();
 
-  // For the writer of one exchange; ignored once that exchange has ended.
+  // The methods with `exchange` are called by its response writer; they do nothing once the
+  // exchange has ended.
   bool Running(uint64_t exchange) const {
     return phase_ == Phase::kResponding && exchange == exchange_;
   }
@@ -83,13 +84,13 @@
   };
 
   void ParseRequests();
-  // Returns false if more bytes are needed or the connection is of no more use.
+  // Returns false if more bytes are needed or the connection accepts no further request.
   bool ParseRequest();
   void SendContinue();
   void Dispatch();
   void EndExchange();
   void CountResponse(int status);
-  // Answers a request that was never handed to the handler, and ends the connection.
+  // Responds to a request that was not passed to the handler, and closes the connection.
   void Reject(const HttpRejection& rejection);
   // Sends what is queued, closes the sending side, and discards received bytes for a limited time.
   void Linger();
@@ -107,7 +108,7 @@
   bool read_ended_ = false;
   uint64_t lingered_bytes_ = 0;
 
-  // The running exchange.
+  // Number and state of the exchange in progress.
   uint64_t exchange_ = 0;
   std::optional<HttpResponseEncoder> encoder_;  // set while kResponding and kAborting
   std::function<void()> on_writable_;
--- a/src/posthatch/net/idle_connection_pool.h
+++ b/src/posthatch/net/idle_connection_pool.h
@@ -11,12 +11,12 @@
 
 namespace posthatch::net {
 
-// The idle connections of an HTTP client, by endpoint. A connection is pooled for as long as its
-// server keeps it open, at most `idle_timeout`. Owned by the client; the destructor closes the
+// The idle connections of an HTTP client, keyed by endpoint. A connection is pooled for as long as
+// its server keeps it open, at most `idle_timeout`. Owned by the client; the destructor closes the
 // connections. Event loop thread only.
 class IdleConnectionPool final : public HttpConnectionPool {
  public:
-  // `idle_connections` counts the connections and outlives the pool.
+  // `idle_connections` is the gauge of pooled connections and outlives the pool.
   IdleConnectionPool(const HttpClientOptions& options, prometheus::Gauge* idle_connections)
       : options_(options), idle_connections_(idle_connections) {}
   ~IdleConnectionPool();
@@ -24,8 +24,8 @@
   IdleConnectionPool& operator=(const IdleConnectionPool&) = delete;
 
   // Removes and returns the most recently used connection to `endpoint`, so that surplus ones reach
-  // their idle timeout. Null unless it has been idle for less than `max_idle_fraction` of the time
-  // that its server keeps it; the other connections have been idle for longer.
+  // their idle timeout. Null if that connection, and so every other one, has been idle for
+  // `max_idle_fraction` of its idle lifetime or longer.
   std::shared_ptr<HttpClientConnection> Take(const std::string& endpoint, double max_idle_fraction);
   // Whether Take would return a connection.
   bool Has(const std::string& endpoint, double max_idle_fraction) const;
--- a/src/posthatch/net/inbound_connection.h
+++ b/src/posthatch/net/inbound_connection.h
@@ -19,7 +19,7 @@
    public:
     virtual void OnInboundBytes(size_t bytes) = 0;
     virtual void OnInboundMessage(const runtime::Envelope& envelope) = 0;
-    // The stream can't be read on; OnInboundClosed follows.
+    // The stream can't be decoded further; OnInboundClosed follows.
     virtual void OnInboundMalformed(const std::string& remote_endpoint,
                                     const absl::Status& status) = 0;
     virtual void OnInboundClosed(InboundConnection* connection) = 0;
@@ -46,7 +46,7 @@
   void OnDeadline() override {}
 
  private:
-  // False to stop reading the stream.
+  // Returns false to stop reading the stream.
   bool Receive(const runtime::Envelope& envelope);
 
   Listener* const listener_;
--- a/src/posthatch/net/lazy_deadline.cc
+++ b/src/posthatch/net/lazy_deadline.cc
@@ -16,7 +16,7 @@
 void LazyDeadline::Arm() {
   armed_ = true;
   armed_at_ = time_;
-  // Setting the expiry cancels the former wait.
+  // Setting the expiry cancels the pending wait.
   timer_.expires_at(BootClock::time_point(time_.time_since_epoch()));
   timer_.async_wait([this, observer = lifetime_.Observe()](const boost::system::error_code& error) {
     if (!error && !observer.Ended()) OnTimer();
--- a/src/posthatch/net/lazy_deadline.h
+++ b/src/posthatch/net/lazy_deadline.h
@@ -8,8 +8,8 @@
 namespace posthatch::net {
 
 // A deadline that is postponed often, as by each request on a persistent connection. Postponing
-// costs no timer operation: the timer fires at the old time, sees the new one and waits again.
-// Owned by a connection; the callback must not own the connection. Event loop thread only.
+// costs no timer operation: the timer fires at the old time, finds the later one and is armed
+// again. Owned by a connection; the callback must not own the connection. Event loop thread only.
 class LazyDeadline {
  public:
   LazyDeadline(boost::asio::io_context* io_context, std::function<void()> on_expired);
@@ -30,7 +30,7 @@
   runtime::MonotonicTime armed_at_;
   bool set_ = false;
   bool armed_ = false;
-  util::Lifetime lifetime_;  // a cancelled wait may still complete
+  util::Lifetime lifetime_;  // the completion of a cancelled wait may still run
 };
 
 }  // namespace posthatch::net
--- a/src/posthatch/net/net-bench.cc
+++ b/src/posthatch/net/net-bench.cc
@@ -1,5 +1,5 @@
-// Requests per second and added latency of the HTTP server and client of one event loop, on
-// loopback. Server and client share the thread, so a request counts the work of both.
+// Measures requests per second and latency of the HTTP server and client on loopback. Server and
+// client share one event loop thread, so a request includes the work of both.
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
@@ -17,7 +17,7 @@
   return AsioRuntime::Create(options).value();
 }
 
-// Keeps `concurrency` calls in flight until `total` have ended.
+// Keeps `concurrency` calls in flight until `total` calls have ended.
 class Load {
  public:
   Load(runtime::Runtime* runtime, std::string endpoint, int64_t total)
--- a/src/posthatch/net/raw_socket-test.cc
+++ b/src/posthatch/net/raw_socket-test.cc
@@ -24,7 +24,7 @@
   return address;
 }
 
-// Runs the loop until `done`, which is checked at least each millisecond.
+// Runs the event loop until `done`, which is checked at least every millisecond.
 bool RunPolling(AsioRuntime* runtime, const std::function<bool()>& done, runtime::Duration limit) {
   const auto deadline = runtime->runtime()->clock->Now() + limit;
   while (!done()) {
--- a/src/posthatch/net/raw_socket-test.h
+++ b/src/posthatch/net/raw_socket-test.h
@@ -8,11 +8,11 @@
 
 namespace posthatch::net {
 
-// A plain TCP socket on loopback that can violate protocols as no library allows. Reading runs the
-// event loop under test, in the same thread.
+// A plain TCP socket on loopback that can violate protocols, which client libraries don't allow.
+// Reading runs the event loop under test, in the same thread.
 class RawSocket {
  public:
-  // Connects to "127.0.0.1:port"; the kernel accepts immediately.
+  // Connects to "127.0.0.1:port"; the kernel accepts without the event loop running.
   static RawSocket Connect(const std::string& endpoint);
   explicit RawSocket(int descriptor) : descriptor_(descriptor) {}
   ~RawSocket() { Close(); }
@@ -29,11 +29,12 @@
   // everything received so far.
   const std::string& ReadUntil(AsioRuntime* runtime, std::string_view text,
                                runtime::Duration limit = std::chrono::seconds(5));
-  // The same, until the end of the connection.
+  // Runs `runtime` until the connection ends or `limit` has passed; returns everything received so
+  // far.
   const std::string& ReadToEnd(AsioRuntime* runtime,
                                runtime::Duration limit = std::chrono::seconds(5));
   bool ended() const { return ended_; }
-  // Whether the peer reset the connection; undelivered bytes are lost.
+  // Whether the peer reset the connection; bytes not yet delivered are lost.
   bool was_reset() const { return reset_; }
   void ClearReceived() { received_.clear(); }
 
@@ -57,7 +58,7 @@
   const std::string& endpoint() const { return endpoint_; }
   // Runs `runtime` until a connection is accepted.
   RawSocket Accept(AsioRuntime* runtime);
-  // Whether a connection is pending after running `runtime` for `time`.
+  // Runs `runtime` until a connection is pending or `time` has passed; returns whether one is.
   bool WaitForConnection(AsioRuntime* runtime, runtime::Duration time);
 
  private:
@@ -66,7 +67,7 @@
   std::string endpoint_;
 };
 
-// A runtime for tests: log of errors only.
+// Creates a runtime for tests, which logs errors only.
 std::unique_ptr<AsioRuntime> MakeTestRuntime(AsioRuntimeOptions options = {});
 
 // Runs the event loop for `time`.
--- a/src/posthatch/net/socket_options.cc
+++ b/src/posthatch/net/socket_options.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // A connection fails when sent bytes stay unacknowledged for kTcpUserTimeoutMs, or when
-// kKeepAliveProbes probes of an idle connection stay unanswered.
+// kKeepAliveProbes probes of an idle connection are not acknowledged.
 constexpr int kTcpUserTimeoutMs = 2000;
 constexpr int kKeepAliveIdleSeconds = 1;
 constexpr int kKeepAliveIntervalSeconds = 1;
--- a/src/posthatch/net/socket_options.h
+++ b/src/posthatch/net/socket_options.h
@@ -4,9 +4,9 @@
 
 namespace posthatch::net {
 
-// Sets the options of every stream between processes: non-blocking, no delay of small writes, and
-// detection of a peer that is without power or behind a partition and so never closes. Errors are
-// ignored: such a connection still works, but is noticed as dead later.
+// Sets the options of every TCP connection: non-blocking, no delay of small writes, and detection
+// of a peer that lost power or is partitioned and so never closes the connection. Errors are
+// ignored: a connection without these options still works, but its failure is detected later.
 void SetStreamOptions(TcpSocket* socket);
 
 }  // namespace posthatch::net
--- a/src/posthatch/net/stream_faults.h
+++ b/src/posthatch/net/stream_faults.h
@@ -13,7 +13,7 @@
 namespace posthatch::net {
 
 // Injected faults of one TcpStream: partitions, and delayed sending and receiving. Exists only in
-// processes with fault injection. Owned by its stream.
+// processes with fault injection enabled. Owned by its stream.
 class StreamFaults {
  public:
   // `resume` runs when the fault rules have changed or delayed bytes are due.
@@ -30,12 +30,12 @@
 
   // Records that the write queue now ends at `end_position` (bytes since the connection began).
   void RecordQueued(const std::string& remote, uint64_t end_position);
-  // Position up to which bytes may be sent at this time.
+  // Position up to which bytes may be sent now, at most `end_position`.
   uint64_t SendLimit(uint64_t end_position);
 
   // Stores received bytes (empty: the end of the peer's stream) if they have to be delayed.
   bool DelayReceived(const std::string& remote, std::string_view bytes);
-  // The next delayed bytes that are due.
+  // Removes and returns the next delayed bytes that are due; empty bytes: the end of the stream.
   std::optional<std::string> TakeDueReceived();
 
  private:
@@ -53,7 +53,7 @@
   LazyDeadline timer_;
   std::optional<runtime::MonotonicTime> connect_due_;
   std::deque<SendWatermark> send_watermarks_;
-  uint64_t released_ = 0;  // position up to which watermarks were due
+  uint64_t released_ = 0;  // position up to which bytes were released for sending
   std::deque<Received> received_;
 };
 
--- a/src/posthatch/net/tcp_listener.cc
+++ b/src/posthatch/net/tcp_listener.cc
@@ -8,9 +8,10 @@
 namespace posthatch::net {
 namespace {
 
-// Delay after an error that an immediate retry would only repeat.
+// Delay before accepting again after an error, such as too many open files, that an immediate retry
+// would only repeat.
 constexpr runtime::Duration kAcceptRetryDelay = std::chrono::milliseconds(50);
-// Connections queued in the kernel.
+// Maximum number of connections that the kernel queues until they are accepted.
 constexpr int kBacklog = 4096;
 
 }  // namespace
--- a/src/posthatch/net/tcp_listener.h
+++ b/src/posthatch/net/tcp_listener.h
@@ -32,7 +32,7 @@
   static void AcceptNext(std::shared_ptr<State> state);
 
   IoEnvironment* const environment_;
-  std::shared_ptr<State> state_;  // shared with the pending operation
+  std::shared_ptr<State> state_;  // shared with the pending accept
 };
 
 }  // namespace posthatch::net
--- a/src/posthatch/net/tcp_stream.cc
+++ b/src/posthatch/net/tcp_stream.cc
@@ -13,7 +13,8 @@
 namespace posthatch::net {
 namespace {
 
-// Reads of one connection in one event loop turn, so that a fast sender can't starve the others.
+// Maximum reads of one connection per event loop turn, so that a fast sender can't starve the
+// others.
 constexpr int kMaxReadsPerTurn = 4;
 
 }  // namespace
@@ -21,7 +22,8 @@
 void CloseHealedSockets(IoEnvironment* environment) {
   std::erase_if(environment->partitioned_sockets, [environment](auto& entry) {
     if (environment->faults->DropsTo(entry.remote_endpoint)) return false;
-    // Asio's destructor would close in order a connection that has to be reset.
+    // Closed explicitly: Asio's destructor would close gracefully a connection that has to be
+    // reset.
     boost::system::error_code ignored;
     entry.socket.close(ignored);
     return true;
@@ -88,7 +90,7 @@
 
 void TcpStream::WaitReadable() {
   if (read_wait_pending_ || read_ended_ || !reading_enabled_ || !connected_ || !Usable()) return;
-  if (InboundPartitioned()) return;  // OnFaultsChanged continues
+  if (InboundPartitioned()) return;  // resumed by OnFaultsChanged
   read_wait_pending_ = true;
   socket_.async_wait(TcpSocket::wait_read,
                      [self = shared_from_this()](const boost::system::error_code& error) {
@@ -138,7 +140,7 @@
   if (connected_) RecordQueuedForFaults();
 }
 
-// The delay of bytes queued before the connection counts from the connection.
+// Called once connected: bytes queued before are delayed from the time of the connection.
 void TcpStream::RecordQueuedForFaults() {
   if (faults_ != nullptr) faults_->RecordQueued(remote_endpoint_, written_bytes_ + queue_.bytes());
 }
@@ -250,7 +252,7 @@
 
 void TcpStream::Fail(absl::Status status) {
   broken_ = true;
-  reset_on_close_ = true;  // what the peer has not acknowledged must not reach it any more
+  reset_on_close_ = true;  // unacknowledged bytes must not reach the peer any more
   deadline_.Clear();
   if (socket_.is_open()) ReleaseSocket();
   owner_->OnBroken(std::move(status));
--- a/src/posthatch/net/tcp_stream.h
+++ b/src/posthatch/net/tcp_stream.h
@@ -17,19 +17,20 @@
 
 namespace posthatch::net {
 
-// A socket that was closed while its peer was behind a partition: the peer must not see the end
-// before the partition heals.
+// A socket that was closed during an injected partition and is kept open until it heals, since the
+// peer must not see the close before.
 struct PartitionedSocket {
   std::string remote_endpoint;
   TcpSocket socket;
 };
 
-// What the streams of one event loop share. Owned by AsioRuntime.
+// State shared by the streams of one event loop. Owned by AsioRuntime.
 struct IoEnvironment {
   boost::asio::io_context* io_context = nullptr;
   FaultInjection* faults = nullptr;  // null without --enable-fault-injection
   std::vector<PartitionedSocket> partitioned_sockets;
-  // Bytes are read into this and delivered immediately, so an idle connection owns no buffer.
+  // Shared by all streams: bytes are read into it and delivered immediately, so an idle connection
+  // needs no buffer.
   std::string read_buffer = std::string(64UL * 1024, '\0');
 };
 
@@ -63,9 +64,9 @@
   TcpStream(IoEnvironment* environment, TcpSocket socket, std::string remote_endpoint,
             Owner* owner);
 
-  // Connects to `endpoint` and reports OnConnected or OnBroken. Set a deadline beside it.
+  // Connects to `endpoint` and reports OnConnected or OnBroken. The caller sets a deadline for it.
   void Connect(const TcpEndpoint& endpoint);
-  // For an accepted socket: sets options; reading starts with ResumeReading.
+  // Sets the options of an accepted socket; reading starts with ResumeReading.
   void StartAccepted();
 
   void StopReading() { reading_enabled_ = false; }
@@ -73,24 +74,24 @@
 
   // Adds bytes to the write queue; nothing is sent before Flush.
   void Queue(std::string bytes);
-  // Copies to the end of the queue's last buffer; for short byte strings.
+  // Copies `bytes` to the end of the queue's last buffer; for short byte strings.
   void QueueCopy(std::string_view bytes);
   // Writes as much as the socket accepts now; the rest is written when it becomes writable.
   void Flush();
   // Flushes at the end of this event loop turn, together with everything queued until then.
   void FlushSoon();
   size_t queued_bytes() const { return queue_.bytes(); }
-  // Sent bytes that the peer has not acknowledged; nothing if unknown.
+  // Number of sent bytes that the peer has not acknowledged; nullopt if unknown.
   std::optional<size_t> UnacknowledgedBytes();
-  // Bytes sent since the connection began.
+  // Number of bytes written to the socket since the connection began.
   uint64_t written_bytes() const { return written_bytes_; }
 
   // Closes the sending side once the queue is written.
   void ShutdownSend();
   // Closes immediately; the owner is not called any more.
   void Close();
-  // As Close, but with a reset: the peer loses what it has not read yet, and bytes not delivered
-  // yet, as behind a partition, never arrive.
+  // Closes as Close does, but with a reset: the peer loses what it has not read yet, and bytes not
+  // delivered yet, for example because of a partition, never arrive.
   void Reset();
   bool open() const { return owner_ != nullptr; }
 
--- a/src/posthatch/net/transport_limits.h
+++ b/src/posthatch/net/transport_limits.h
@@ -10,7 +10,7 @@
 struct TransportLimits {
   // A longer message is dropped by the sender, and ends the connection at the receiver.
   size_t max_message_bytes = size_t{16} * 1024 * 1024;
-  // Queue limit of one endpoint; further messages are dropped.
+  // Limit of the bytes queued for one endpoint; further messages are dropped.
   size_t max_queue_bytes = size_t{32} * 1024 * 1024;
   size_t max_inbound_connections = 4096;
   runtime::Duration connect_timeout = std::chrono::milliseconds(500);
--- a/src/posthatch/net/transport_metrics.h
+++ b/src/posthatch/net/transport_metrics.h
@@ -16,7 +16,7 @@
                      .Register(*registry)),
         bytes(prometheus::BuildCounter()
                   .Name("posthatch_transport_bytes_total")
-                  .Help("Bytes of these messages with their framing")
+                  .Help("Bytes of messages between posthatch processes, including framing")
                   .Register(*registry)),
         dropped(prometheus::BuildCounter()
                     .Name("posthatch_transport_dropped_total")
@@ -26,11 +26,11 @@
                     .Register(*registry)),
         connects(prometheus::BuildCounter()
                      .Name("posthatch_transport_connects_total")
-                     .Help("Outgoing connections, by result")
+                     .Help("Attempts to open an outgoing connection, by result")
                      .Register(*registry)),
         queued_bytes(prometheus::BuildGauge()
                          .Name("posthatch_transport_queued_bytes")
-                         .Help("Bytes that wait for a peer to take them")
+                         .Help("Bytes queued for peers and not yet sent")
                          .Register(*registry)
                          .Add({})) {}
 
--- a/src/posthatch/net/transport_peer.cc
+++ b/src/posthatch/net/transport_peer.cc
@@ -6,7 +6,7 @@
 namespace posthatch::net {
 namespace {
 
-// Frames up to this size are copied together.
+// Frames up to this size are copied into one buffer.
 constexpr size_t kMaxCoalescedFrameBytes = 4096;
 
 }  // namespace
@@ -62,11 +62,11 @@
   context_->metrics->connects_ok.Increment();
   backoff_ = context_->limits.min_backoff;
   stream_->ClearDeadline();
-  stream_->ResumeReading();  // to see the peer close
+  stream_->ResumeReading();  // detects that the peer closes the connection
   SendPendingFrames();
 }
 
-// Small frames of one event loop turn are sent in one system call.
+// Small frames queued in one event loop turn are sent in one system call.
 void TransportPeer::SendPendingFrames() {
   const bool was_empty = stream_->queued_bytes() == 0;
   for (std::string& frame : pending_frames_) {
@@ -94,7 +94,7 @@
 
 void TransportPeer::OnBytes(std::string_view) {
   OnConnectionLost();
-}  // peers respond on their own connection
+}  // unexpected: peers respond on their own connection
 
 void TransportPeer::OnReadEnd() { OnConnectionLost(); }
 
--- a/src/posthatch/net/transport_peer.h
+++ b/src/posthatch/net/transport_peer.h
@@ -11,7 +11,7 @@
 
 namespace posthatch::net {
 
-// What the peers of one transport share.
+// State shared by the peers of one transport.
 struct TransportPeerContext {
   IoEnvironment* environment = nullptr;
   TransportLimits limits;
@@ -52,11 +52,11 @@
   const TransportPeerContext* const context_;
   const std::string endpoint_;
   const TcpEndpoint address_;
-  std::shared_ptr<TcpStream> stream_;  // null while there is no connection
+  std::shared_ptr<TcpStream> stream_;  // null unless connecting or connected
   bool connected_ = false;
   std::deque<std::string> pending_frames_;  // frames not yet handed to a connected stream
   size_t pending_bytes_ = 0;
-  size_t reported_bytes_ = 0;  // our share of the gauge
+  size_t reported_bytes_ = 0;  // contribution to the gauge of queued bytes
   runtime::Duration backoff_;
   LazyDeadline retry_;
   bool in_backoff_ = false;
--- a/src/posthatch/net/write_queue.cc
+++ b/src/posthatch/net/write_queue.cc
@@ -6,7 +6,7 @@
 namespace posthatch::net {
 namespace {
 
-// A buffer grows up to this by copying; beyond it a new one is begun.
+// Bytes are copied to the last buffer up to this size; beyond it a new buffer is started.
 constexpr size_t kMaxCoalescedBytes = 16UL * 1024;
 
 }  // namespace
--- a/src/posthatch/net/write_queue.h
+++ b/src/posthatch/net/write_queue.h
@@ -9,18 +9,18 @@
 
 namespace posthatch::net {
 
-// The bytes of a stream that wait to be written to its socket. Owned by the stream; event loop
+// The bytes of a stream that are not yet written to its socket. Owned by the stream; event loop
 // thread only.
 class WriteQueue {
  public:
-  // Buffers handed to one system call.
+  // Maximum number of buffers written in one system call.
   static constexpr size_t kMaxBuffersPerWrite = 16;
   using Buffers = std::array<boost::asio::const_buffer, kMaxBuffersPerWrite>;
 
   // Appends `bytes` as a separate buffer, without copying.
   void Append(std::string bytes);
   // Copies `bytes` to the end of the last buffer while that is small, so that many short writes
-  // leave in one buffer.
+  // are sent in one buffer.
   void AppendCopy(std::string_view bytes);
 
   // Fills `buffers` with the first bytes of the queue, at most `max_bytes`, and returns how many
--- a/src/posthatch/runtime/clock.h
+++ b/src/posthatch/runtime/clock.h
@@ -17,7 +17,8 @@
 using Duration = std::chrono::nanoseconds;
 using MonotonicTime = MonotonicClockTag::time_point;
 
-// Nanoseconds since the clock's (arbitrary) origin; the form in which times cross the wire.
+// Nanoseconds since the clock's (arbitrary) origin; the form in which times are sent between
+// processes.
 inline int64_t ToNanoseconds(MonotonicTime time) { return time.time_since_epoch().count(); }
 inline MonotonicTime FromNanoseconds(int64_t nanoseconds) {
   return MonotonicTime(Duration(nanoseconds));
@@ -26,8 +27,8 @@
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-// Time as a decision module sees it. Every lease, freshness bound and timeout counts by
-// `Now()`; `WallNanoseconds()` may jump either way and is for logs and reports only.
+// Source of time. Every lease, freshness bound and timeout is measured with `Now()`;
+// `WallNanoseconds()` may jump either way and is for logs and reports only.
 class Clock {
  public:
   virtual ~Clock() = default;
--- a/src/posthatch/runtime/transport.h
+++ b/src/posthatch/runtime/transport.h
@@ -22,10 +22,10 @@
   using Receiver = std::function<void(const Envelope&)>;
 
   virtual ~Transport() = default;
-  // This process's internal endpoint, "ip:port".
+  // Internal endpoint of the local process, "ip:port".
   virtual const std::string& endpoint() const = 0;
   virtual const std::string& node_id() const = 0;
-  // Random number of this start; carried in each envelope.
+  // Random number drawn at process start; carried in each envelope.
   virtual uint64_t incarnation() const = 0;
   virtual void SetReceiver(Service service, Receiver receiver) = 0;
   // Queues `payload` for `service` at `to_endpoint`. Beyond the queue's byte limit for that
--- a/src/posthatch/test_support/fake_timers-test.h
+++ b/src/posthatch/test_support/fake_timers-test.h
@@ -10,7 +10,7 @@
 #include "posthatch/runtime/clock.h"
 #include "posthatch/runtime/timer_service.h"
 
-// Fakes that the tests of several components share. Not part of any program.
+// Fakes shared by the tests of several components. Not linked into any program.
 namespace posthatch::test_support {
 
 // A clock that advances only when the test lets it.
@@ -49,7 +49,8 @@
     }
     clock_->now = end;
   }
-  // Advances the clock without running timers, as a stopped process observes it.
+  // Advances the clock without running timers, as in a process that was stopped and
+  // continued.
   void Freeze(runtime::Duration duration) { clock_->now += duration; }
 
  private:
--- a/src/posthatch/test_support/fake_writer-test.h
+++ b/src/posthatch/test_support/fake_writer-test.h
@@ -28,17 +28,17 @@
   void OnCallerDisconnected(std::function<void()> callback) override {
     on_gone = std::move(callback);
   }
-  // Whether the unstreamed response's body contains `text`.
+  // Whether the body passed to SendResponse contains `text`.
   bool Says(const std::string& text) const { return whole.body.find(text) != std::string::npos; }
 
-  http::Response whole;  // of SendResponse
-  int responses = 0;     // calls of SendResponse
+  http::Response whole;  // the argument of the last SendResponse
+  int responses = 0;     // number of calls of SendResponse
   bool started = false;
   bool finished = false;
   bool aborted = false;
   bool slow = false;  // the caller reads nothing: chunks stay buffered
   size_t buffered = 0;
-  std::string written;  // the chunks
+  std::string written;  // the chunks, concatenated
   std::function<void()> on_writable;
   std::function<void()> on_gone;
 };
