--- a/src/posthatch/net/asio_file_system.cc
+++ b/src/posthatch/net/asio_file_system.cc
@@ -34,7 +34,7 @@
       : batch_seconds(
             prometheus::BuildHistogram()
                 .Name("posthatch_disk_batch_seconds")
-                .Help("Time from the submission of a batch to its end on the disk thread")
+                .Help("Time from the submission of a batch to its completion on the disk thread")
                 .Register(*registry)
                 .Add({},
                      prometheus::Histogram::BucketBoundaries{0.0005, 0.001, 0.002, 0.005, 0.01,
@@ -44,20 +44,20 @@
                    .Help("Batches that failed")
                    .Register(*registry)
                    .Add({})),
-        waiting(prometheus::BuildGauge()
-                    .Name("posthatch_disk_waiting_batches")
-                    .Help("Batches submitted and not ended")
-                    .Register(*registry)
-                    .Add({})) {}
+        pending_batches(prometheus::BuildGauge()
+                            .Name("posthatch_disk_waiting_batches")
+                            .Help("Batches submitted and not yet completed")
+                            .Register(*registry)
+                            .Add({})) {}
 
   prometheus::Histogram& batch_seconds;
   prometheus::Counter& errors;
-  prometheus::Gauge& waiting;
+  prometheus::Gauge& pending_batches;
 };
 
 class AsioFileSystem : public runtime::FileSystem {
  public:
-  // Takes over `lock_descriptor`.
+  // Takes ownership of `lock_descriptor`.
   AsioFileSystem(const FileSystemOptions& options, int lock_descriptor,
                  prometheus::Registry* metrics)
       : options_(options),
@@ -77,7 +77,7 @@
   }
 
   void Submit(std::vector<FileOperation> operations, Done done) override {
-    metrics_.waiting.Increment();
+    metrics_.pending_batches.Increment();
     {
       const std::lock_guard lock(mutex_);
       batches_.push_back({std::move(operations), std::move(done), BootNow()});
@@ -139,7 +139,7 @@
       status = RunOperation(operation);
       if (!status.ok()) break;
     }
-    metrics_.waiting.Decrement();
+    metrics_.pending_batches.Decrement();
     metrics_.batch_seconds.Observe(
         std::chrono::duration<double>(BootNow() - batch->submitted).count());
     if (!status.ok()) metrics_.errors.Increment();
@@ -176,7 +176,7 @@
   std::condition_variable changed_;
   std::deque<Batch> batches_;  // guarded by mutex_
   bool stopping_ = false;      // guarded by mutex_
-  std::thread thread_;         // last, so that it starts when all else is there
+  std::thread thread_;         // last, so that it starts when the other members exist
 };
 
 }  // namespace
