--- a/src/posthatch/emulator/worker_emulator-test.cc
+++ b/src/posthatch/emulator/worker_emulator-test.cc
@@ -35,7 +35,7 @@
     request.headers.Add("X-Posthatch-Gateway", holder);
     return Send(endpoint, request);
   }
-  // Numbers ("seq") and types of the events after `after`, as "1stored 2removed".
+  // Sequence numbers and types of the events after `after`, for example "1stored 2removed".
   std::string EventsAfter(const WorkerEmulator& worker, uint64_t after, uint64_t wait_ms = 0) {
     const boost::json::object answer =
         Get(worker.endpoint(), "/kv_events?epoch=" + std::to_string(worker.epoch()) + "&after=" +
@@ -74,8 +74,8 @@
   slow.slow_factor = 3;
   worker->SetBehaviour(slow);
   Run({Completion(worker->endpoint(), prompt, 4, true)});
-  // 11 blocks at 8 ms and 4 tokens at 10 ms; then only the rest is prefilled; then three times
-  // that.
+  // First run: 11 blocks at 8 ms and 4 tokens at 10 ms. Second: only the partial block is
+  // prefilled. Third: as the second, slowed by 3.
   EXPECT_THAT(RunMilliseconds(), ElementsAre(88 + 40, 8 + 40, 3 * 48));
 }
 
@@ -107,7 +107,7 @@
   worker->SetBehaviour(ignoring);
   ask("third", "s3");
   ask("fourth", "s4");
-  EXPECT_EQ(ReusedBy(Starts()[4]), 5u);  // the fence is gone, and the history shows it
+  EXPECT_EQ(ReusedBy(Starts()[4]), 5u);  // the tenants aren't isolated, and the history shows it
   EXPECT_EQ(Starts()[4].reused(0).made_by_tenant(), "third");
 }
 
@@ -117,14 +117,14 @@
   WorkerEmulator* worker = BootWorker(settings);
   Ask(worker->endpoint(), Blocks('a', 6));
   Ask(worker->endpoint(), Blocks('b', 4));
-  Ask(worker->endpoint(), Blocks('a', 6));  // used again: now b is the oldest
+  Ask(worker->endpoint(), Blocks('a', 6));  // makes b the least recently used
   Ask(worker->endpoint(), Blocks('c', 2));
   EXPECT_EQ(worker->kept_blocks(), 10u);
   EXPECT_EQ(EventsAfter(*worker, 0), "1stored 2stored 3stored 4removed");
   Ask(worker->endpoint(), Blocks('a', 6));
   Ask(worker->endpoint(), Blocks('b', 4));
   EXPECT_EQ(ReusedBy(Starts()[4]), 6u);
-  EXPECT_EQ(ReusedBy(Starts()[5]), 2u);  // the first two of b's chain are still there
+  EXPECT_EQ(ReusedBy(Starts()[5]), 2u);  // the first two of b's chain are still cached
 }
 
 TEST_F(WorkerEmulatorTest, FullQueueRejects) {
@@ -166,7 +166,7 @@
   Ask(worker->endpoint(), Blocks('a', 2));
   host->Crash();
   host->Start();
-  world.RunFor(Milliseconds(10));  // the client learns that its kept connection broke
+  world.RunFor(Milliseconds(10));  // the client detects that its pooled connection broke
   epochs.push_back(NumberField(Get(host->http_endpoint(), "/status"), "epoch"));
   EXPECT_LT(epochs[0], epochs[1]);
   EXPECT_LT(epochs[1], epochs[2]);
@@ -274,7 +274,7 @@
   worker->SetBehaviour({});
   Ask(worker->endpoint(), Blocks('c', 1));
   EXPECT_EQ(EventsAfter(*worker, 0), "1lost 2stored 1stored 3stored");
-  // Nothing new: the poll waits as long as requested.
+  // Without new events the poll waits as long as requested.
   const auto waiting = world.Now();
   EXPECT_EQ(EventsAfter(*worker, 3, 700), "");
   EXPECT_GE(world.Now() - waiting, Milliseconds(700));
@@ -354,7 +354,8 @@
       SendJson(worker->endpoint(), "PUT", "/debug/behaviour", R"({"answers_late_ms":0,"typo":1})")
           .status,
       400);
-  EXPECT_EQ(worker->behaviour().answers_late_ms, 2000u);  // all or nothing
+  EXPECT_EQ(worker->behaviour().answers_late_ms,
+            2000u);  // a request with an unknown field changes nothing
 }
 
 TEST_F(WorkerEmulatorTest, FetchesMissingBlocks) {
@@ -398,7 +399,7 @@
   fetch(store->endpoint());
   EXPECT_EQ(Starts().back().reused_size(), 0);
   fetcher->EmulateRestart();
-  fetch("10.9.9.9:1");  // nobody there: prefilled instead
+  fetch("10.9.9.9:1");  // unreachable: the blocks are prefilled instead
   EXPECT_EQ(Starts().back().reused_size(), 0);
   EXPECT_EQ(EventsOf(HistoryEvent::kRunEnded).size(), 5u);
 }
--- a/src/posthatch/emulator/worker_emulator.cc
+++ b/src/posthatch/emulator/worker_emulator.cc
@@ -52,7 +52,7 @@
   return *fields;
 }
 
-// A rejection says that nothing ran; like every response it carries the attempt's nonce.
+// Sends a rejection: states that nothing was executed and echoes the nonce of the attempt.
 void SendRejection(const RunRequest& request, int status, std::string_view code,
                    std::string_view message, http::ResponseWriter* writer) {
   http::Response response = NotExecuted(status, code, message);
@@ -117,7 +117,7 @@
   uint64_t next_number_ = 1;
   std::deque<Waiting> waiting_;
   absl::btree_map<uint64_t, std::unique_ptr<WorkerRun>> runs_;
-  // Declared last, so that it is destroyed first and calls into nothing that is gone.
+  // Declared last, so that it is destroyed first: its handlers use the other members.
   RoutedServer server_;
 };
 
@@ -165,7 +165,7 @@
 
 void WorkerEmulator::Impl::DropBlocks() {
   state.cache.Clear();
-  // Rises over process restarts too, since the monotonic clock runs on.
+  // Also increases across process restarts, since the monotonic clock continues.
   const auto now_us =
       static_cast<uint64_t>(runtime::ToNanoseconds(state.runtime->clock->Now()) / 1000);
   state.epoch = std::max(state.epoch + 1, now_us);
@@ -250,7 +250,7 @@
   if (!loading_) StartWaitingRuns();
 }
 
-// ---------------------------------------------------------------- orders
+// ---------------------------------------------------------------- load commands
 
 void WorkerEmulator::Impl::HandleLoadCommand(const RoutedRequest& routed,
                                              const WriterPointer& writer) {
@@ -282,7 +282,8 @@
   writer->SendResponse(JsonResponse(202, taken));
 }
 
-// A token belongs to one lease holder; an older one, or the same one from another holder, is stale.
+// A fencing token belongs to one lease holder: an older token, or the newest one from another
+// holder, is stale.
 bool WorkerEmulator::Impl::AcceptsToken(const LoadCommand& command) {
   const bool stale = command.token < newest_token_ ||
                      (command.token == newest_token_ && command.holder != newest_token_holder_);
@@ -335,7 +336,7 @@
   state.recorder->Record(std::move(event));
 }
 
-// ---------------------------------------------------------------- the rest
+// ---------------------------------------------------------------- fetches, status, faults
 
 void WorkerEmulator::Impl::HandleFetch(const RoutedRequest& routed, const WriterPointer& writer) {
   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
@@ -385,7 +386,7 @@
   writer->SendResponse(JsonResponse(200, json::object{{"epoch", state.epoch}}));
 }
 
-// ---------------------------------------------------------------- surface
+// ---------------------------------------------------------------- public interface
 
 WorkerEmulator::WorkerEmulator(runtime::Runtime* runtime, WorkerSettings settings,
                                fleettest::HistoryRecorder* recorder)
--- a/src/posthatch/emulator/worker_emulator.h
+++ b/src/posthatch/emulator/worker_emulator.h
@@ -12,9 +12,9 @@
 namespace posthatch::emulator {
 
 // Emulates a language-model worker (docs/BACKENDS.md, "Worker"): a prefix cache in blocks,
-// prefill and decoding by a stated timing model, KV events, weight loading under fencing tokens.
-// Records RunStarted, RunEnded, OrderSeen and RevisionServed. Owned by its process; event loop
-// thread only. Destroying it ends every run and connection at once.
+// prefill and decoding by the timing model of WorkerTiming, KV events, weight loading under fencing
+// tokens. Records RunStarted, RunEnded, OrderSeen and RevisionServed. Owned by its process; event
+// loop thread only. Destroying it ends every run and connection at once.
 class WorkerEmulator {
  public:
   // `runtime` and `recorder` outlive it.
@@ -29,10 +29,10 @@
   // "ip:port" in use; valid after Start.
   const std::string& endpoint() const;
 
-  // For tests and the simulator: the same as PUT /debug/behaviour.
+  // Replaces all faults, as PUT /debug/behaviour does; for tests and the simulator.
   void SetBehaviour(const WorkerBehaviour& behaviour);
   const WorkerBehaviour& behaviour() const;
-  // Drops the whole cache and begins a new epoch, as a restart would.
+  // Drops all cached blocks and begins a new epoch, as a restart would.
   void EmulateRestart();
   uint64_t epoch() const;
   uint64_t model_revision() const;
--- a/src/posthatch/emulator/worker_run.cc
+++ b/src/posthatch/emulator/worker_run.cc
@@ -62,7 +62,7 @@
 }
 
 void WorkerRun::OnFetched(const absl::StatusOr<http::Response>& response) {
-  if (!response.ok() || response->status != 200) return;  // prefilled instead
+  if (!response.ok() || response->status != 200) return;  // the blocks are prefilled instead
   const absl::StatusOr<json::object> body = ParseObject(response->body);
   if (!body.ok()) return;
   std::vector<BlockMaker> fetched = MakersFromJson(ArrayField(*body, "made_by"));
@@ -130,7 +130,7 @@
     }
     stored.push_back(chain_[i]);
   }
-  state_->cache.Lookup(chain_);  // counts the chain as used, its tail as the oldest part
+  state_->cache.Lookup(chain_);  // marks the chain as used, its tail least recently
   state_->events.Stored(stored, local_blocks_, request_.attempt, state_->behaviour);
   state_->events.Removed(removed, state_->behaviour);
   if (!state_->settings.store_endpoint.empty()) PushToStore();
--- a/src/posthatch/emulator/worker_run.h
+++ b/src/posthatch/emulator/worker_run.h
@@ -12,18 +12,18 @@
 
 namespace posthatch::emulator {
 
-// One run at an emulated worker, from its start to its end: looks up cached blocks, fetches what a
-// peer or the store is said to have, prefills the rest, decodes and responds. Owned by
-// WorkerEmulator; destroyed, it does nothing more. Event loop thread only.
+// One run at an emulated worker, from its start to its end: looks up cached blocks, fetches missing
+// ones from the peer or store that the request names, prefills the rest, decodes and responds.
+// Owned by WorkerEmulator; runs no callback after its destruction. Event loop thread only.
 class WorkerRun {
  public:
-  // `ended` runs once, as the last thing; the owner may destroy the run later, not within it.
+  // `on_ended` runs once, after everything else; it must not destroy the run at once.
   WorkerRun(WorkerState* state, std::string run_id, RunRequest request,
             runtime::MonotonicTime arrived, std::shared_ptr<http::ResponseWriter> writer,
             std::function<void()> ended);
 
   void Start();
-  // Ends the run before its time; `reason` as in RunEnded. With `abort` the connection is broken.
+  // Ends the run early; RunEnded records `reason`. `abort` also breaks the connection.
   void Cancel(const std::string& reason, bool abort);
 
  private:
@@ -53,7 +53,7 @@
   runtime::Timer timer_;
 
   std::vector<index::BlockHash> chain_;
-  std::vector<BlockMaker> makers_;  // of the reused blocks: own ones, then fetched ones
+  std::vector<BlockMaker> makers_;  // makers of the reused blocks: local ones, then fetched ones
   uint32_t local_blocks_ = 0;
   uint32_t fetched_blocks_ = 0;
   std::string fetched_from_;
@@ -65,7 +65,7 @@
   bool truncate_cleanly_ = false;
   uint32_t repeated_chunk_ = UINT32_MAX;
   uint32_t skipped_chunk_ = UINT32_MAX;
-  bool started_ = false;  // RunStarted was recorded
+  bool started_ = false;  // whether RunStarted was recorded
   bool over_ = false;
 };
 
--- a/src/posthatch/emulator/worker_state.h
+++ b/src/posthatch/emulator/worker_state.h
@@ -13,7 +13,7 @@
 
 namespace posthatch::emulator {
 
-// What the runs of one emulated worker share. Owned by WorkerEmulator, outlives its runs.
+// State shared by the runs of one emulated worker. Owned by WorkerEmulator, outlives its runs.
 struct WorkerState {
   WorkerState(runtime::Runtime* owner_runtime, WorkerSettings worker_settings,
               fleettest::HistoryRecorder* history_recorder)
