--- a/src/posthatch/emulator/backend_emulators-test.cc
+++ b/src/posthatch/emulator/backend_emulators-test.cc
@@ -91,7 +91,7 @@
         {"w2", "worker", "10.0.0.8:1", "z2", "race-7b", "", {}, false}};
     inventory = Boot<InventoryEmulator>("inventory", settings);
   }
-  // "id" of each back end, with "!" when draining; "429 <ms>" when capped.
+  // "id" of each back end, with "!" when draining; "429 <ms>" when rate limited.
   std::string Read() {
     const http::Response answer = SendJson(inventory->endpoint(), "GET", "/v1/inventory", "");
     if (answer.status != 200) {
--- a/src/posthatch/emulator/block_cache.h
+++ b/src/posthatch/emulator/block_cache.h
@@ -10,22 +10,22 @@
 
 namespace posthatch::emulator {
 
-// Who made a block, and under which weights: recorded so that checks detect a reuse across tenant
-// isolation or model revisions.
+// Tenant and model revision that a block was computed for: recorded so that checks detect a reuse
+// across tenant isolation or model revisions.
 struct BlockMaker {
   std::string tenant;
   uint64_t model_revision = 0;
   bool operator==(const BlockMaker&) const = default;
 };
 
-// A cache of KV blocks by their chained hash, with LRU eviction. Tenants and revisions are recorded
-// only: hashes alone decide a hit. Not thread-safe.
+// A cache of KV blocks keyed by chained hash, with LRU eviction. Only the hash decides a hit;
+// tenants and revisions are merely recorded. Not thread-safe.
 class BlockCache {
  public:
   explicit BlockCache(uint64_t capacity_blocks) : capacity_(capacity_blocks) {}
 
-  // Makers of the leading blocks of `chain` that are cached, from `first` on. Those blocks count as
-  // used, earlier ones of the chain as used later, so that a chain loses its tail first.
+  // Returns the makers of the cached blocks of `chain` from index `first` up to the first miss.
+  // Marks these blocks as used, the first one last, so that a chain's tail is evicted first.
   std::vector<BlockMaker> Lookup(const std::vector<index::BlockHash>& chain, size_t first = 0);
   // Caches a block; one already cached keeps its maker. Returns the hashes that were evicted.
   std::vector<index::BlockHash> Insert(index::BlockHash hash, const BlockMaker& maker);
--- a/src/posthatch/emulator/caller_load-test.cc
+++ b/src/posthatch/emulator/caller_load-test.cc
@@ -14,7 +14,7 @@
 
 using fleettest::HistoryEvent;
 
-// An HTTP server that responds by a function; null response: the connection is broken.
+// An HTTP server that responds by calling a handler; std::nullopt breaks the connection.
 class StubServer {
  public:
   using Answer = std::function<std::optional<http::Response>(const http::Request&)>;
--- a/src/posthatch/emulator/caller_load.cc
+++ b/src/posthatch/emulator/caller_load.cc
@@ -22,10 +22,10 @@
 constexpr runtime::Duration kMaxLeaveDelay = std::chrono::milliseconds(300);
 constexpr runtime::Duration kReadingPause = std::chrono::milliseconds(150);
 constexpr runtime::Duration kMaxRepeatDelay = std::chrono::seconds(2);
-// Upper bound on an obeyed Retry-After.
+// Upper bound on the Retry-After that callers comply with.
 constexpr uint32_t kMaxRetryAfterS = 5;
 
-// One logical request: all its sends carry the same nonce and key.
+// A request and its resends, which all carry the same nonce and idempotency key.
 struct LogicalRequest {
   CallPlan plan;
   uint32_t sends = 0;
@@ -46,7 +46,7 @@
   return json::serialize(body);
 }
 
-// Whether the caller must take the response as lost: the operation may or may not have run.
+// Whether the response counts as lost: the operation may or may not have been executed.
 bool IsResponseLost(const fleettest::CallEnded& ended) {
   if (ended.status() == 0 || !ended.complete()) return true;
   return ended.status() != 200 && ended.executed() != "no";
@@ -80,7 +80,7 @@
   runtime::Runtime* const runtime_;
   CallerLoadOptions options_;
   fleettest::HistoryRecorder* const recorder_;
-  std::vector<PromptPool> pools_;  // one for each tenant
+  std::vector<PromptPool> pools_;  // indexed like mix.tenants
   std::discrete_distribution<size_t> tenant_choice_;
   std::discrete_distribution<size_t> operation_choice_;
   runtime::Timer arrival_timer_;
@@ -89,7 +89,7 @@
   std::function<void()> stopped_;
   uint64_t next_call_ = 1;
   uint64_t next_request_ = 1;
-  uint64_t start_nonce_ = 0;  // keeps nonces of two lives of one load apart
+  uint64_t start_nonce_ = 0;  // distinguishes nonces across restarts of a load
   uint64_t pending_resends_ = 0;
   CallerLoadCounts counts_;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/posthatch/emulator/caller_load.h
+++ b/src/posthatch/emulator/caller_load.h
@@ -18,10 +18,10 @@
   std::string name = "callers";       // prefix of nonces and keys: unique among loads of one run
   runtime::Duration head_timeout = std::chrono::seconds(20);
   runtime::Duration body_idle_timeout = std::chrono::seconds(10);
-  // Before a request whose response was lost is sent again, to another gateway; Retry-After
+  // Delay before a request whose response was lost is resent to another gateway; Retry-After
   // lengthens it.
   runtime::Duration resend_delay = std::chrono::milliseconds(300);
-  uint32_t max_in_flight = 2000;  // beyond, arrivals are skipped and counted
+  uint32_t max_in_flight = 2000;  // further arrivals are skipped and counted
 };
 
 // Counts of the calls so far, for progress lines; checks use the history.
@@ -29,14 +29,14 @@
   uint64_t sent = 0;
   uint64_t completed = 0;
   uint64_t refused = 0;
-  uint64_t unknown = 0;  // no response, a truncated one, or the caller left
-  uint64_t skipped = 0;  // over max_in_flight
+  uint64_t unknown = 0;  // no response, a truncated one, or the caller disconnected
+  uint64_t skipped = 0;  // arrivals over max_in_flight
   uint64_t in_flight = 0;
 };
 
-// Callers: an open loop with Poisson arrivals. Requests that are not idempotent are sent again with
-// the same key after a lost response, to another gateway. Records CallSent and CallEnded. Owned by
-// the scenario run; event loop thread only.
+// Emulates callers as an open loop with Poisson arrivals. Requests that are not idempotent are sent
+// again with the same key after a lost response, to another gateway. Records CallSent and
+// CallEnded. Owned by the scenario run; event loop thread only.
 class CallerLoad {
  public:
   // `runtime` and `recorder` outlive the load.
@@ -47,9 +47,9 @@
   CallerLoad& operator=(const CallerLoad&) = delete;
 
   void Start();
-  // No new requests; `done` runs when those in flight have ended, with their resends.
+  // Stops new requests; `done` runs when those in flight and their resends have ended.
   void Stop(std::function<void()> done);
-  // The gateways' endpoints have changed.
+  // Replaces the gateways' endpoints.
   void SetGateways(std::vector<std::string> gateways);
   CallerLoadCounts counts() const;
 
--- a/src/posthatch/emulator/emulator-bench.cc
+++ b/src/posthatch/emulator/emulator-bench.cc
@@ -60,7 +60,7 @@
 }
 BENCHMARK(BenchmarkRecordEvent);
 
-// One simulated second of a preset's model traffic, callers and workers together.
+// Simulates a second of a preset's model traffic, including callers and workers.
 void BenchmarkSimulatedSecond(benchmark::State& state) {
   simulation::SimWorld world(1);
   std::vector<fleettest::HistoryEvent> events;
--- a/src/posthatch/emulator/emulator_world.h
+++ b/src/posthatch/emulator/emulator_world.h
@@ -14,8 +14,8 @@
 #include "posthatch/fleettest/history/recorders.h"
 #include "posthatch/simulation/sim_world.h"
 
-// Shared by the tests of this folder: a simulated network with emulators on hosts of their own and
-// one client host that calls them.
+// Fixture of this folder's tests: a simulated network with one host for each emulator and a client
+// host that calls them.
 namespace posthatch::emulator {
 
 class EmulatorWorld : public ::testing::Test {
@@ -32,7 +32,7 @@
     return world.AddHost(name, "zone-1", "10.0.0." + std::to_string(++hosts_));
   }
 
-  // Starts an `Emulator` on a host of its own; `settings.listen` is filled in. The pointer holds
+  // Starts an `Emulator` on a new host and sets `settings.listen`. The returned pointer is valid
   // until the host stops.
   template <typename Emulator, typename Settings>
   Emulator* Boot(const std::string& name, Settings settings, simulation::SimHost** host = nullptr) {
@@ -61,7 +61,7 @@
   // Sends a request from the client host and waits for its end.
   http::Response Send(const std::string& endpoint, http::Request request) {
     JsonClient json_client(client->runtime());
-    absl::StatusOr<http::Response> result = absl::UnknownError("no end");
+    absl::StatusOr<http::Response> result = absl::UnknownError("call has not ended");
     json_client.Send(endpoint, std::move(request), {},
                      [&result](const absl::StatusOr<http::Response>& answer) { result = answer; });
     world.RunUntil([&json_client] { return json_client.in_flight() == 0; },
@@ -78,7 +78,7 @@
     return *ParseObject(SendJson(endpoint, "GET", target, "").body);
   }
 
-  // A caller's plan for a completion straight at a worker.
+  // A caller's plan for a completion sent directly to a worker.
   CallPlan Completion(const std::string& endpoint, const std::string& prompt, uint32_t tokens,
                       bool stream) {
     CallPlan plan;
@@ -93,7 +93,7 @@
     return plan;
   }
 
-  // Makes the planned calls at the same time and returns how they ended, in the order of `plans`.
+  // Makes the planned calls concurrently and returns their CallEnded, in the order of `plans`.
   std::vector<fleettest::CallEnded> Run(std::vector<CallPlan> plans) {
     std::vector<fleettest::CallEnded> ended(plans.size());
     std::vector<std::unique_ptr<RecordedCall>> running;
--- a/src/posthatch/emulator/fault_route.cc
+++ b/src/posthatch/emulator/fault_route.cc
@@ -32,7 +32,7 @@
     return;
   }
   writer->SendResponse(JsonResponse(200, boost::json::object{{"acknowledged", true}}));
-  // Only after the response has gone out: the faults may partition this caller.
+  // Applied after the response is sent: the faults may partition this caller.
   asio_runtime_->Post([this, rules = *std::move(rules)]() mutable {
     asio_runtime_->faults()->SetRules(std::move(rules));
   });
--- a/src/posthatch/emulator/fault_route.h
+++ b/src/posthatch/emulator/fault_route.h
@@ -8,8 +8,9 @@
 
 namespace posthatch::emulator {
 
-// Servers that also answer PUT /debug/faults (net/fault_injection.h), before the emulator's own
-// routes, if the process was started with --enable-fault-injection. Event loop thread only.
+// Creates servers that also handle PUT /debug/faults (net/fault_injection.h), ahead of the
+// emulator's routes, if the process was started with --enable-fault-injection. Event loop thread
+// only.
 class FaultRoute : public http::HttpServerFactory {
  public:
   explicit FaultRoute(net::AsioRuntime* asio_runtime) : asio_runtime_(asio_runtime) {}
--- a/src/posthatch/emulator/field_table.h
+++ b/src/posthatch/emulator/field_table.h
@@ -13,7 +13,7 @@
 
 namespace posthatch::emulator {
 
-// Name of a settings field in JSON, and where it stands in the struct.
+// JSON name of a settings field and the struct member that it sets.
 template <typename Struct>
 struct Field {
   std::string_view name;
@@ -44,8 +44,8 @@
 
 }  // namespace internal
 
-// Puts the fields of `object` into `target`, or none of them if one is unknown or of a wrong type
-// (InvalidArgument, naming it).
+// Sets the fields of `object` in `target`, or none of them if one is unknown or of a wrong type.
+// Errors: InvalidArgument, naming that field.
 template <typename Struct>
 absl::Status ApplyFields(const boost::json::object& object, const std::vector<Field<Struct>>& table,
                          Struct* target) {
--- a/src/posthatch/emulator/inventory_emulator.cc
+++ b/src/posthatch/emulator/inventory_emulator.cc
@@ -120,7 +120,7 @@
   return server_.Listen(settings_.listen);
 }
 
-// Rate limited by a token bucket of one second's tokens.
+// Rate limited by a token bucket that holds the tokens of one second.
 void InventoryEmulator::Impl::Read(const WriterPointer& writer) {
   PublishDue();
   const runtime::MonotonicTime now = runtime_->clock->Now();
--- a/src/posthatch/emulator/inventory_emulator.h
+++ b/src/posthatch/emulator/inventory_emulator.h
@@ -12,7 +12,7 @@
 
 namespace posthatch::emulator {
 
-// One entry of the platform's inventory.
+// An entry of the platform's inventory.
 struct InventoryBackend {
   std::string id;
   std::string kind;  // "worker", "store" or "service"
@@ -27,16 +27,17 @@
 struct InventorySettings {
   std::string listen = "127.0.0.1:0";  // "ip:port"; port 0: chosen by the system
   std::vector<InventoryBackend> backends;
-  // A change becomes visible after between half of this and all of it. Changed by
-  // PUT /debug/behaviour {"lateness_ms", "reads_per_second"}.
+  // A change becomes visible after a random delay between half of this and all of it.
+  // PUT /debug/behaviour {"lateness_ms", "reads_per_second"} changes these two settings.
   runtime::Duration lateness = std::chrono::seconds(1);
-  // Rate limit of reads by all callers together; beyond it: 429 with Retry-After-Ms.
+  // Rate limit on the reads of all callers together; more get 429 with Retry-After-Ms.
   double reads_per_second = 10;
 };
 
 // Emulates the platform's inventory (docs/BACKENDS.md). PUT /debug/backends
-// {"backends": [...]} replaces the list, PUT /debug/draining {"id", "draining"} sets a mark.
-// Records DrainingShown when a mark can first be read. Event loop thread only.
+// {"backends": [...]} replaces the list, PUT /debug/draining {"id", "draining"} sets a
+// back end's draining mark. Records DrainingShown when a changed mark becomes visible. Event loop
+// thread only.
 class InventoryEmulator {
  public:
   InventoryEmulator(runtime::Runtime* runtime, InventorySettings settings,
@@ -48,9 +49,9 @@
   // Listens and serves. Errors: those of HttpServerFactory::Listen.
   absl::Status Start();
   const std::string& endpoint() const;
-  // As PUT /debug/backends.
+  // Replaces the list, as PUT /debug/backends does.
   void SetBackends(std::vector<InventoryBackend> backends);
-  // As PUT /debug/draining. NotFound if there is no such back end.
+  // Sets a draining mark, as PUT /debug/draining does. Errors: NotFound for an unknown id.
   absl::Status SetDraining(const std::string& id, bool draining);
   void SetLateness(runtime::Duration lateness);
 
--- a/src/posthatch/emulator/json_body.h
+++ b/src/posthatch/emulator/json_body.h
@@ -22,16 +22,16 @@
 uint64_t NumberField(const boost::json::object& object, std::string_view key,
                      uint64_t fallback = 0);
 bool FlagField(const boost::json::object& object, std::string_view key, bool fallback = false);
-// Array or object below `key`, or null.
+// Array or object under `key`, or null.
 const boost::json::array* ArrayField(const boost::json::object& object, std::string_view key);
 const boost::json::object* ObjectField(const boost::json::object& object, std::string_view key);
 
 // A complete response with a JSON body.
 http::Response JsonResponse(int status, const boost::json::value& body);
-// {"error": {"code", "message", "executed": "no"}}: proves that nothing ran.
+// {"error": {"code", "message", "executed": "no"}}: states that nothing was executed.
 http::Response NotExecuted(int status, std::string_view code, std::string_view message);
 
-// Block hashes and checksums travel as 16 lower-case hexadecimal digits.
+// Block hashes and checksums are encoded as 16 lower-case hexadecimal digits.
 std::string ToHex(uint64_t number);
 // False if `text` isn't a hexadecimal number.
 bool FromHex(std::string_view text, uint64_t* number);
--- a/src/posthatch/emulator/json_client.cc
+++ b/src/posthatch/emulator/json_client.cc
@@ -16,7 +16,7 @@
   auto running = std::make_shared<Running>();
   running->done = std::move(done);
   http::CallObserver observer;
-  // The observer lives in the call, which `running` owns: it must not own `running` in turn.
+  // The call owns the observer and `running` owns the call: a weak pointer avoids a cycle.
   std::weak_ptr<Running> weak = running;
   observer.on_head = [weak](const http::Response& head) {
     if (auto self = weak.lock()) self->response = head;
--- a/src/posthatch/emulator/json_client.h
+++ b/src/posthatch/emulator/json_client.h
@@ -13,8 +13,8 @@
 
 namespace posthatch::emulator {
 
-// Sends requests with small responses, which it collects. Owns its running calls: destroyed, it
-// cancels them and runs no more callbacks. Event loop thread only.
+// Sends requests and buffers their responses, which must be small. Owns its calls in flight: its
+// destruction cancels them without running their callbacks. Event loop thread only.
 class JsonClient {
  public:
   // The complete response, or the error of the call (http::CallError::status).
--- a/src/posthatch/emulator/key_probe.h
+++ b/src/posthatch/emulator/key_probe.h
@@ -15,15 +15,16 @@
   std::vector<std::string> gateways;  // HTTP endpoints; each is probed in every interval
   std::string name = "probe";
   std::string tenant = "key-probe";
-  std::string model = "race-7b";  // one token is requested
+  std::string model = "race-7b";  // each probe requests one token of it
   runtime::Duration interval = std::chrono::milliseconds(500);
   runtime::Duration head_timeout = std::chrono::seconds(5);
-  // Newest generation that an operator has sent (OperatorEmulator::newest_generation).
+  // Returns the newest key generation that an operator has sent
+  // (OperatorEmulator::newest_generation).
   std::function<uint64_t()> newest_generation;
 };
 
-// Callers that probe every gateway with the newest key of the probe tenant and with the one before
-// it: status 401 shows which configuration a gateway has applied. Records CallSent (with `probe`
+// Probes every gateway with the newest key of the probe tenant and with the previous one: status
+// 401 shows which configuration a gateway has applied. Records CallSent (with `probe`
 // and the key's id) and CallEnded. Event loop thread only.
 class KeyProbe {
  public:
@@ -34,7 +35,7 @@
   KeyProbe& operator=(const KeyProbe&) = delete;
 
   void Start();
-  // No new probes; calls in flight are recorded as left by the caller.
+  // Stops probing; calls in flight are recorded as disconnected by the caller.
   void Stop();
   void SetGateways(std::vector<std::string> gateways);
 
--- a/src/posthatch/emulator/kv_event_log.h
+++ b/src/posthatch/emulator/kv_event_log.h
@@ -30,7 +30,7 @@
   void Poll(const RoutedRequest& request, const std::shared_ptr<http::ResponseWriter>& writer);
 
  private:
-  // What becomes visible at one `seq`: usually one event, none if it was lost.
+  // Events that become visible with a `seq`: usually one, none if it was lost.
   struct Slot {
     uint64_t seq = 0;
     runtime::MonotonicTime visible_at;
@@ -56,7 +56,7 @@
   uint64_t epoch_ = 0;
   uint64_t last_seq_ = 0;
   std::deque<Slot> slots_;
-  std::vector<boost::json::object> reordered_events_;  // shown with the next event (reordered)
+  std::vector<boost::json::object> reordered_events_;  // delivered after the next event
   std::list<Waiting> waiting_;
   runtime::Timer visible_timer_;
 };
--- a/src/posthatch/emulator/kv_transfer.h
+++ b/src/posthatch/emulator/kv_transfer.h
@@ -10,7 +10,7 @@
 #include "posthatch/emulator/worker_settings.h"
 #include "posthatch/index/block_hash.h"
 
-// Bodies of /kv/fetch and /kv/put, and how long a transfer takes. `made_by` is a list of runs of
+// Bodies of /kv/fetch and /kv/put, and the duration of transfers. `made_by` is a list of runs of
 // blocks: {"tenant", "revision", "blocks"}.
 namespace posthatch::emulator {
 
@@ -22,11 +22,11 @@
 boost::json::array MakersToJson(const std::vector<BlockMaker>& makers);
 std::vector<BlockMaker> MakersFromJson(const boost::json::array* runs);
 
-// Answer to a fetch: {"holder", "epoch", "blocks", "made_by"}.
+// Body of the response to a fetch: {"holder", "epoch", "blocks", "made_by"}.
 boost::json::object FetchResponse(const std::string& holder, uint64_t epoch,
                                   const std::vector<BlockMaker>& makers);
 
-// How long `blocks` blocks take over a link.
+// Duration of the transfer of `blocks` blocks over a link.
 runtime::Duration TransferTime(uint64_t blocks, uint64_t bytes_per_block,
                                uint64_t link_bytes_per_second);
 
--- a/src/posthatch/emulator/main.cc
+++ b/src/posthatch/emulator/main.cc
@@ -19,7 +19,7 @@
   return kExitStartFailed;
 }
 
-// Serves until SIGTERM or SIGINT. Running requests are aborted then, as by any stopped worker.
+// Serves until SIGTERM or SIGINT. Requests in flight are then aborted, as when any back end stops.
 template <typename Emulator, typename Settings>
 int Serve(net::AsioRuntime* asio_runtime, const std::string& id, const Settings& settings,
           const std::string& history) {
--- a/src/posthatch/emulator/operator_emulator-test.cc
+++ b/src/posthatch/emulator/operator_emulator-test.cc
@@ -16,10 +16,10 @@
 namespace json = boost::json;
 using fleettest::HistoryEvent;
 
-// A minimal fleet as operators see it: one configuration state behind all nodes.
+// A minimal fleet: all its nodes share one configuration state.
 struct FakeFleet {
   uint64_t version = 1;
-  std::map<std::string, uint64_t> answered;  // request id to version
+  std::map<std::string, uint64_t> answered;  // version by request id
   std::string accepted_key_sha256;
   std::function<bool()> loses_answer = [] { return false; };
 
@@ -147,7 +147,7 @@
   probe.Stop();
   EXPECT_TRUE(world.RunUntil([&stopped] { return stopped; }, std::chrono::seconds(10)));
 
-  std::map<std::string, std::set<uint64_t>> versions;  // of each acknowledged change
+  std::map<std::string, std::set<uint64_t>> versions;  // acknowledged ones, by request id
   uint64_t refused = 0;
   for (const auto& event : EventsOf(HistoryEvent::kChangeAnswered)) {
     const fleettest::ChangeAnswered& answered = event.change_answered();
--- a/src/posthatch/emulator/operator_emulator.cc
+++ b/src/posthatch/emulator/operator_emulator.cc
@@ -25,12 +25,12 @@
   google::protobuf::util::JsonPrintOptions options;
   options.preserve_proto_field_names = true;
   std::string text;
-  // Configurations hold no Any and no invalid enums: printing them can't fail.
+  // Configurations contain no Any and no invalid enums: printing them can't fail.
   if (!google::protobuf::util::MessageToJsonString(message, &text, options).ok()) text = "{}";
   return text;
 }
 
-// One change; all its sends carry one request id.
+// A change; all its sends carry the same request id.
 struct Change {
   std::string request_id;
   std::string kind;
@@ -39,7 +39,7 @@
   std::string detail;
   uint64_t expected_version = 0;
   uint32_t sends = 0;
-  bool repeating = false;  // it was answered; this send asks once more
+  bool repeating = false;  // sent again after a final response
   OperatorEmulator::ChangeDone done;
 };
 using ChangePointer = std::shared_ptr<Change>;
@@ -76,7 +76,7 @@
 
   void Start();
   void Stop(std::function<void()> done);
-  // `fields` is the rest of the body's object, as JSON text without its braces.
+  // `fields` holds the other members of the body's JSON object, without braces.
   void Submit(std::string kind, std::string path, const std::string& fields, std::string detail,
               uint64_t expected_version, const std::string& node, ChangeDone done);
   std::string RandomNode(const std::string& except);
@@ -283,7 +283,7 @@
          RandomNode(node), nullptr);
 }
 
-// ---------------------------------------------------------------- surface
+// ---------------------------------------------------------------- public interface
 
 OperatorEmulator::OperatorEmulator(runtime::Runtime* runtime, OperatorOptions options,
                                    fleettest::HistoryRecorder* recorder)
--- a/src/posthatch/emulator/operator_emulator.h
+++ b/src/posthatch/emulator/operator_emulator.h
@@ -18,8 +18,8 @@
   std::string admin_token;         // bearer token; empty: none is sent
   runtime::Duration response_timeout = std::chrono::seconds(12);
   runtime::Duration resend_delay = std::chrono::milliseconds(500);
-  uint32_t max_sends = 30;  // of one change
-  // Every so often the probe tenant's key is changed by a configuration patch; zero: never.
+  uint32_t max_sends = 30;  // sends of one change, including the first
+  // Interval at which a configuration patch replaces the probe tenant's key; zero: never.
   runtime::Duration rotation_interval = std::chrono::seconds(3);
   std::string probe_tenant = "key-probe";
   // Fraction of rotations that a second operator races for the same version, at another node.
@@ -27,21 +27,21 @@
   // Fraction of acknowledged changes sent once more with their request id, as if the response had
   // been lost.
   double repeated_share = 0.25;
-  runtime::Duration read_interval = std::chrono::seconds(5);  // of StateRead; zero: never
+  runtime::Duration read_interval = std::chrono::seconds(5);  // interval of StateRead; zero: never
 };
 
-// How a change ended for the operator.
+// Result of a change, as the operator sees it.
 struct ChangeOutcome {
   bool acknowledged = false;
-  bool refused = false;  // neither: no response after all sends
-  std::string code;      // of the rejection
+  bool refused = false;  // neither is set: no final response after all sends
+  std::string code;      // error code of the rejection
   uint64_t version = 0;  // configuration version or model revision
 };
 
-// Operators: send changes to any node, again with the same request id to another one after a lost
-// response, race for versions, read the state back, and rotate a probe tenant's key so that the
-// applied configuration can be observed from outside. Records ChangeSent (each send),
-// ChangeAnswered (each answer) and StateRead. Event loop thread only.
+// Emulates operators: sends changes to any node, resends them with the same request id to another
+// one after a lost response, races for versions, reads the state back, and rotates a probe tenant's
+// key so that the applied configuration can be observed from outside. Records ChangeSent (each
+// send), ChangeAnswered (each response) and StateRead. Event loop thread only.
 class OperatorEmulator {
  public:
   using ChangeDone = std::function<void(const ChangeOutcome&)>;
@@ -53,21 +53,21 @@
   OperatorEmulator(const OperatorEmulator&) = delete;
   OperatorEmulator& operator=(const OperatorEmulator&) = delete;
 
-  // Begins key rotations and reads.
+  // Starts key rotations and state reads.
   void Start();
-  // No new changes; `done` runs when those in flight have ended.
+  // Stops new changes; `done` runs when those in flight have ended.
   void Stop(std::function<void()> done);
 
-  // Replaces the complete configuration; `expected_version` 0: whatever is newest.
+  // Replaces the complete configuration; `expected_version` 0 matches any version.
   void SetConfiguration(const control::Configuration& configuration, uint64_t expected_version,
                         ChangeDone done);
   void PatchConfiguration(const control::ConfigurationPatch& patch, uint64_t expected_version,
                           std::string detail, ChangeDone done);
-  // Keeps new work away from `zone`, or lets it return.
+  // Evacuates `zone`; `lifted` ends its evacuation.
   void Evacuate(const std::string& name, const std::string& zone, bool lifted, ChangeDone done);
   void SetModelRevision(const std::string& model, const std::string& weights, ChangeDone done);
-  // Reads configuration history, evacuations and revisions of one node; `done` says whether all
-  // were read.
+  // Reads configuration history, evacuations and revisions of one node; `done` receives whether
+  // all were read.
   void ReadState(const std::string& node, std::function<void(bool)> done);
 
   void SetNodes(std::vector<std::string> nodes);
--- a/src/posthatch/emulator/program_options-test.cc
+++ b/src/posthatch/emulator/program_options-test.cc
@@ -21,7 +21,7 @@
     std::ofstream(path_) << text;
     return path_.c_str();
   }
-  const std::string path_ = ::testing::TempDir() + "standin-" +
+  const std::string path_ = ::testing::TempDir() + "emulator-options-" +
                             ::testing::UnitTest::GetInstance()->current_test_info()->name() +
                             ".toml";
 };
--- a/src/posthatch/emulator/program_options.cc
+++ b/src/posthatch/emulator/program_options.cc
@@ -15,7 +15,7 @@
 
 constexpr int kExitBadOptions = 2;
 
-// A duration given as a whole number of one unit.
+// Adds a flag for a duration, which takes a whole number of `Unit`.
 template <typename Unit>
 void AddDuration(CLI::App* command, const std::string& flag, runtime::Duration* target,
                  const std::string& help) {
@@ -35,7 +35,7 @@
   Add(command, "--history", &options->history, "File that history events are appended to");
   Add(command, "--log-file", &options->log_file, "File for the log; stderr if not given");
   command->add_flag("--enable-fault-injection", options->enable_fault_injection,
-                    "Answer PUT /debug/faults");
+                    "Serve PUT /debug/faults");
 }
 
 void AddWorker(CLI::App* command, ProgramOptions* options) {
@@ -49,23 +49,25 @@
   Add(command, "--model", &worker->model, "Model that it serves");
   Add(command, "--initial-revision", &worker->initial_revision, "Model revision at start");
   Add(command, "--block-tokens", &worker->block_tokens, "Tokens in a cache block");
-  Add(command, "--cache-blocks", &worker->cache_blocks, "Blocks that the cache holds");
+  Add(command, "--cache-blocks", &worker->cache_blocks, "Capacity of the cache, in blocks");
   Add(command, "--max-running", &worker->max_running, "Runs in progress at most");
   Add(command, "--max-waiting", &worker->max_waiting, "Requests that may wait; more get 429");
-  Add(command, "--max-tokens", &worker->max_tokens, "Longest answer");
-  Add(command, "--kept-events", &worker->kept_events, "KV events that can still be read");
-  Add(command, "--store-endpoint", &worker->store_endpoint, "Store ip:port that gets new blocks");
+  Add(command, "--max-tokens", &worker->max_tokens, "Longest response, in tokens");
+  Add(command, "--kept-events", &worker->kept_events, "Number of KV events that are retained");
+  Add(command, "--store-endpoint", &worker->store_endpoint,
+      "Store ip:port that new blocks are pushed to");
   AddDuration<microseconds>(command, "--prefill-per-block-us", &timing->prefill_per_block,
-                            "Prefill of a block that is not kept, in microseconds");
+                            "Prefill of a block that is not cached, in microseconds");
   AddDuration<microseconds>(command, "--decode-per-token-us", &timing->decode_per_token,
                             "Decoding of a token, in microseconds");
   Add(command, "--batching-slowdown", &timing->batching_slowdown,
-      "Share by which each other run in progress slows decoding");
+      "Fraction by which each other run in progress slows decoding");
   AddDuration<milliseconds>(command, "--weight-loading-ms", &timing->weight_loading,
                             "Loading of weights, in milliseconds");
-  Add(command, "--kv-bytes-per-block", &timing->kv_bytes_per_block, "Size of a kept block");
+  Add(command, "--kv-bytes-per-block", &timing->kv_bytes_per_block,
+      "Size of a cached block, in bytes");
   Add(command, "--link-bytes-per-second", &timing->link_bytes_per_second,
-      "Speed at which a peer fetches from here");
+      "Transfer rate to a peer that fetches blocks");
 }
 
 void AddStore(CLI::App* command, ProgramOptions* options) {
@@ -73,10 +75,11 @@
   AddCommon(command, options, &store->listen);
   Add(command, "--id", &store->id, "Back end id, as in the inventory");
   Add(command, "--zone", &store->zone, "Failure domain");
-  Add(command, "--capacity-blocks", &store->capacity_blocks, "Blocks that it holds");
-  Add(command, "--kv-bytes-per-block", &store->kv_bytes_per_block, "Size of a kept block");
+  Add(command, "--capacity-blocks", &store->capacity_blocks, "Capacity in blocks");
+  Add(command, "--kv-bytes-per-block", &store->kv_bytes_per_block,
+      "Size of a cached block, in bytes");
   Add(command, "--link-bytes-per-second", &store->link_bytes_per_second,
-      "Speed at which a worker fetches from here");
+      "Transfer rate to a worker that fetches blocks");
 }
 
 void AddService(CLI::App* command, ProgramOptions* options) {
@@ -93,10 +96,11 @@
 void AddInventory(CLI::App* command, ProgramOptions* options) {
   InventorySettings* inventory = &options->inventory;
   AddCommon(command, options, &inventory->listen);
-  AddDuration<std::chrono::milliseconds>(command, "--lateness-ms", &inventory->lateness,
-                                         "Until a change can be read, in milliseconds");
+  AddDuration<std::chrono::milliseconds>(
+      command, "--lateness-ms", &inventory->lateness,
+      "Maximum delay until a change is visible, in milliseconds");
   Add(command, "--reads-per-second", &inventory->reads_per_second,
-      "Reads of all callers together; more get 429");
+      "Rate limit on the reads of all callers together; more get 429");
 }
 
 std::string FlagOf(std::string_view key) {
@@ -152,7 +156,7 @@
   return absl::OkStatus();
 }
 
-// Turns the file's keys into flags, and [[backends]] into the inventory's list.
+// Converts the file's keys to flags, and [[backends]] to the inventory's list.
 absl::StatusOr<std::vector<std::string>> ReadConfig(const std::string& path,
                                                     InventorySettings* inventory) {
   const absl::StatusOr<toml::table> parsed = ParseFile(path);
@@ -189,7 +193,7 @@
   app.require_subcommand(1);
   const std::vector<std::pair<EmulatorRole, CLI::App*>> roles = {
       {EmulatorRole::kWorker, app.add_subcommand("worker", "Language-model worker")},
-      {EmulatorRole::kStore, app.add_subcommand("store", "Store of kept KV blocks")},
+      {EmulatorRole::kStore, app.add_subcommand("store", "Store of cached KV blocks")},
       {EmulatorRole::kService, app.add_subcommand("service", "Application service")},
       {EmulatorRole::kInventory, app.add_subcommand("inventory", "Platform inventory")}};
   AddWorker(roles[0].second, options);
@@ -211,7 +215,7 @@
     }
     arguments.insert(arguments.begin() + 1, from_file->begin(), from_file->end());
   }
-  std::reverse(arguments.begin(), arguments.end());  // as CLI11 wants them
+  std::reverse(arguments.begin(), arguments.end());  // CLI11 takes the arguments in reverse order
   try {
     app.parse(arguments);
   } catch (const CLI::ParseError& error) {
--- a/src/posthatch/emulator/program_options.h
+++ b/src/posthatch/emulator/program_options.h
@@ -19,14 +19,14 @@
   std::string history;   // file that events are appended to
   std::string log_file;  // empty: stderr
   bool enable_fault_injection = false;
-  // Only the one of `role` is filled in.
+  // Settings of all roles; those of `role` are used.
   WorkerSettings worker;
   StoreSettings store;
   ServiceSettings service;
   InventorySettings inventory;
 };
 
-// How reading the command line ended: with options, or with a text to print and an exit code.
+// Result of reading the command line: options, or a text to print and an exit code.
 struct ProgramOptionsResult {
   bool run = false;
   ProgramOptions options;
@@ -35,7 +35,8 @@
 };
 
 // Reads `posthatch-emulator ROLE [--config FILE] [flags]`. The file is TOML with the flags' names
-// in snake_case (and [[backends]] for the inventory); flags override it. Wrong ones: exit code 2.
+// in snake_case (and [[backends]] for the inventory); flags override it. Invalid options: exit
+// code 2.
 ProgramOptionsResult ReadProgramOptions(int argc, const char* const* argv);
 
 }  // namespace posthatch::emulator
--- a/src/posthatch/emulator/prompt_pool.h
+++ b/src/posthatch/emulator/prompt_pool.h
@@ -17,10 +17,10 @@
   explicit PromptPool(const TenantTraffic& tenant);
 
   struct Choice {
-    std::string history;  // equal for requests whose prompts prolong each other
+    std::string history;  // equal for requests whose prompts extend each other
     std::string prompt;
   };
-  // Picks a history (Zipf) and lets it grow by a turn for the next request.
+  // Picks a history (Zipf distribution) and extends it by a turn for the next request.
   Choice Next(runtime::Random* random);
 
  private:
--- a/src/posthatch/emulator/real_sockets-test.cc
+++ b/src/posthatch/emulator/real_sockets-test.cc
@@ -32,7 +32,7 @@
     options.gateways = {worker->endpoint()};
   }
 
-  // Runs a load for a second and until its calls have ended; returns these ends.
+  // Runs a load for a second, waits until its calls have ended and returns their CallEnded.
   std::vector<fleettest::CallEnded> RunLoad() {
     CallerLoad load(asio_runtime->runtime(), options, recorder.get());
     load.Start();
--- a/src/posthatch/emulator/recorded_call.h
+++ b/src/posthatch/emulator/recorded_call.h
@@ -13,16 +13,16 @@
 
 namespace posthatch::emulator {
 
-// One call as a caller plans it.
+// A call to make: what is sent and how the caller behaves.
 struct CallPlan {
-  fleettest::CallSent sent;  // what is recorded; names gateway, tenant, operation, nonce, key ...
-  std::string key;           // bearer key: goes into the request only
+  fleettest::CallSent sent;  // recorded; also gives the gateway, nonce and idempotency key
+  std::string key;           // bearer key: sent, but never recorded
   std::string target;
   std::string body;
   http::CallOptions options;
   // The caller disconnects this long after sending; zero: never.
   runtime::Duration leave_after = runtime::Duration::zero();
-  // Pause after each chunk, as a slow reader makes; zero: none.
+  // Pause in reading after each chunk, as of a slow reader; zero: none.
   runtime::Duration reading_pause = runtime::Duration::zero();
 };
 
@@ -37,7 +37,7 @@
                Done done);
 
   void Start();
-  // The caller disconnects: closes the connection; CallEnded says `caller_left`.
+  // Closes the connection, as a caller that disconnects; sets `caller_left` in CallEnded.
   void Leave();
 
  private:
--- a/src/posthatch/emulator/response_mixer.h
+++ b/src/posthatch/emulator/response_mixer.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::emulator {
 
-// What a response is made from: two responses differ by it alone.
+// The content of a response is derived from these fields alone.
 struct ResponseIdentity {
   std::string run;
   std::string request_id;  // the caller's nonce, echoed in the body
@@ -25,9 +25,9 @@
   double crossed_body = 0;
 };
 
-// Chooses which response a request gets: its own, or by chance another request's (crossed), or an
-// earlier one once more (twice: what a duplicate response on a pooled connection does to the next
-// request on it). Not thread-safe.
+// Chooses which response a request gets: its own, or at random another request's (crossed) or a
+// duplicate of an earlier one (twice: the effect of a duplicate response on a pooled connection on
+// the next request there). Not thread-safe.
 class ResponseMixer {
  public:
   explicit ResponseMixer(runtime::Random* random) : random_(random) {}
@@ -42,7 +42,7 @@
   std::deque<ResponseIdentity> repeats_;
 };
 
-// Text of one chunk of a response: it names run and number, so that a caller can check each byte.
+// Text of a chunk of a response: contains run and number, so that a caller can verify each byte.
 std::string ChunkText(const std::string& run, uint32_t piece);
 // Text of a complete response of `pieces` chunks.
 std::string ResponseText(const std::string& run, uint32_t pieces);
--- a/src/posthatch/emulator/response_reader.h
+++ b/src/posthatch/emulator/response_reader.h
@@ -8,16 +8,16 @@
 
 namespace posthatch::emulator {
 
-// What a caller finds in a response's body, byte by byte. Strict: anything that docs/API.md and
-// docs/BACKENDS.md don't allow is named in `fault` (the first one).
+// Result of checking every byte of a response body. Strict: `fault` names the first deviation from
+// docs/API.md and docs/BACKENDS.md.
 struct ResponseFindings {
-  std::vector<uint32_t> pieces;         // numbers in order of arrival
+  std::vector<uint32_t> pieces;         // chunk numbers in order of arrival
   std::vector<std::string> piece_runs;  // distinct runs
   std::string run;
   std::string echoed_nonce;  // the first that differs from the request's, else the request's
-  bool done = false;         // streams: [DONE] came
-  bool intact = false;       // every byte is what the run must have said
-  std::string code;          // of an error
+  bool done = false;         // streams: [DONE] was received
+  bool intact = false;       // every byte is what the run must have sent
+  std::string code;          // code of an error response or event
   std::string executed;
   std::string fault;
 };
@@ -27,9 +27,9 @@
  public:
   StreamReader(std::string nonce, uint32_t expected_pieces);
 
-  // Takes the next bytes; returns how many chunks became complete.
+  // Parses the next bytes; returns how many chunks they completed.
   uint32_t Feed(std::string_view bytes);
-  // The body has ended (properly or not): it must be complete, and nothing may be left over.
+  // Ends the check, once the body has ended cleanly or not: truncation and extra bytes are faults.
   void End();
   const ResponseFindings& findings() const { return findings_; }
 
--- a/src/posthatch/emulator/routed_server.h
+++ b/src/posthatch/emulator/routed_server.h
@@ -12,7 +12,7 @@
 
 namespace posthatch::emulator {
 
-// A request with its target taken apart.
+// A request with its target parsed into path and query.
 struct RoutedRequest {
   http::Request request;
   std::string path;
@@ -24,18 +24,18 @@
 
 using RouteHandler = std::function<void(RoutedRequest, std::shared_ptr<http::ResponseWriter>)>;
 
-// The HTTP server of an emulator: routes by method and path, answers /healthz and /readyz with 200,
-// 404 for other paths. Event loop thread only.
+// The HTTP server of an emulator: routes by method and path, responds 200 to /healthz and /readyz,
+// 404 to other paths. Event loop thread only.
 class RoutedServer {
  public:
   explicit RoutedServer(runtime::Runtime* runtime) : runtime_(runtime) {}
 
-  // A `path` that ends in '/' stands for everything below it.
+  // A `path` that ends in '/' matches every path below it.
   void Route(std::string method, std::string path, RouteHandler handler);
   absl::Status Listen(const std::string& endpoint);
   // Valid after Listen.
   const std::string& endpoint() const { return server_->endpoint(); }
-  // Closes everything at once.
+  // Closes the server and its connections at once.
   void Close() { server_.reset(); }
 
  private:
--- a/src/posthatch/emulator/run_request.h
+++ b/src/posthatch/emulator/run_request.h
@@ -11,7 +11,7 @@
 
 namespace posthatch::emulator {
 
-// What a gateway asks a worker to run, as the header fields and the body say it.
+// Header fields and body of a request from a gateway to a worker.
 struct RunRequest {
   std::string operation;  // "completions" or "chat"
   std::string model;
--- a/src/posthatch/emulator/service_emulator.cc
+++ b/src/posthatch/emulator/service_emulator.cc
@@ -40,7 +40,7 @@
   return *fields;
 }
 
-// One operation in progress.
+// An operation in progress.
 struct Operation {
   ResponseIdentity identity;
   std::string tenant;
--- a/src/posthatch/emulator/service_emulator.h
+++ b/src/posthatch/emulator/service_emulator.h
@@ -22,18 +22,18 @@
 // Faults of the service, changed by PUT /debug/behaviour (fields of the same names). Shares are
 // probabilities for each operation.
 struct ServiceBehaviour {
-  uint32_t answers_late_ms = 0;  // after the execution
+  uint32_t answers_late_ms = 0;  // delay of delayed responses after the execution
   double answers_late_share = 0;
-  // The operation starts this late, even if the caller has disconnected by then.
+  // Delay of a delayed start; the operation runs even if the caller has disconnected by then.
   uint32_t start_late_ms = 0;
   double start_late_share = 0;
   double answers_lost_share = 0;     // connection broken after the execution
   double requests_lost_share = 0;    // connection broken before any execution
-  double answers_twice_share = 0;    // the response comes again, in place of the next request's
+  double answers_twice_share = 0;    // the response is sent again in place of the next request's
   double answers_crossed_share = 0;  // head and body of another request's response
-  double answers_crossed_body_share = 0;  // only the body; the head echoes this attempt
-  double answers_cut_share = 0;           // broken after half of the body
-  double slow_factor = 1;                 // of `execution`
+  double answers_crossed_body_share = 0;  // the body alone; the head echoes this attempt
+  double answers_cut_share = 0;           // connection broken after half of the body
+  double slow_factor = 1;                 // multiplies `execution`
 };
 
 // Emulates an application service (docs/BACKENDS.md): records each start (RunStarted) and
--- a/src/posthatch/emulator/state_reader.cc
+++ b/src/posthatch/emulator/state_reader.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kOk = 200;
-// Read in this order, the history last: a change acknowledged before the first read is in all.
+// Paths in reading order, the history last: a change acknowledged before the first read is in all.
 constexpr std::array<std::string_view, 3> kPaths = {
     "/admin/v1/evacuations", "/admin/v1/model-revisions", "/admin/v1/configuration/history"};
 
--- a/src/posthatch/emulator/state_reader.h
+++ b/src/posthatch/emulator/state_reader.h
@@ -11,13 +11,13 @@
 namespace posthatch::emulator {
 
 // Reads the operators' state back from one node (configuration history, evacuations, model
-// revisions) and records it as StateRead, if all three reads were answered. Event loop thread only.
+// revisions) and records it as StateRead, if all three reads succeed. Event loop thread only.
 class StateReader {
  public:
   StateReader(runtime::Runtime* runtime, fleettest::HistoryRecorder* recorder,
               std::string admin_token, runtime::Duration response_timeout);
 
-  // `done` says whether a StateRead was recorded.
+  // `done` receives whether a StateRead was recorded.
   void Read(const std::string& node, std::function<void(bool)> done);
 
  private:
--- a/src/posthatch/emulator/store_emulator.cc
+++ b/src/posthatch/emulator/store_emulator.cc
@@ -79,7 +79,7 @@
   for (size_t i = 0; i < blocks.size(); ++i) {
     cache_.Insert(blocks[i], i < makers.size() ? makers[i] : BlockMaker{});
   }
-  cache_.Lookup(blocks);  // counts the chain as used, its tail as the oldest part
+  cache_.Lookup(blocks);  // marks the chain as used, its tail least recently
   writer->SendResponse(
       JsonResponse(200, json::object{{"epoch", epoch_}, {"blocks", blocks.size()}}));
 }
--- a/src/posthatch/emulator/traffic_mix.h
+++ b/src/posthatch/emulator/traffic_mix.h
@@ -9,22 +9,22 @@
 #include "posthatch/control/configuration.pb.h"
 #include "posthatch/runtime/clock.h"
 
-// What callers send. A mix is plain data: the scenario file changes its fields, the presets are the
-// two deployments of the brief.
+// Traffic that callers send. A mix is plain data: a scenario file changes its fields, the presets
+// model the two deployments that the system is built for.
 namespace posthatch::emulator {
 
 // A tenant, its key and its pool of long shared prefixes.
 struct TenantTraffic {
   std::string name;
   std::string key;
-  std::string key_id;  // names the key in histories, where keys never stand
-  double share = 1;    // of the requests, relative to other tenants
+  std::string key_id;  // names the key in histories, which contain no keys
+  double share = 1;    // weight in the choice of a request's tenant
   bool isolated = false;
   uint32_t histories = 8;      // long prefixes that its requests begin with
-  double zipf_exponent = 1.1;  // of the choice among them
+  double zipf_exponent = 1.1;  // exponent of the distribution from which a history is chosen
   uint32_t first_prompt_bytes = 4096;
   uint32_t turn_bytes = 256;              // added to a history by each request
-  uint32_t longest_prompt_bytes = 16384;  // then the history starts anew
+  uint32_t longest_prompt_bytes = 16384;  // a history that would exceed it starts again
 };
 
 enum class OperationKind { kCompletions, kChat, kService };
@@ -46,20 +46,20 @@
   std::vector<TenantTraffic> tenants;
   std::vector<OperationTraffic> operations;
   double kept_connection_share = 0.7;  // others use a new connection
-  double leaving_share = 0.01;         // callers that disconnect within the response
+  double leaving_share = 0.01;         // callers that disconnect during the response
   double slow_reader_share = 0.02;     // streams read with pauses
   // Keyed operations that are also sent to a second gateway at once.
   double racing_share = 0.02;
   // Keyed operations that are sent once more after their response, as if it had been lost.
   double repeated_share = 0.02;
-  uint32_t max_sends = 4;  // of one logical request, with resends after lost responses
+  uint32_t max_sends = 4;  // sends of one request, including resends after lost responses
 };
 
 // Nilestone: verdicts over long race histories, rival suggestions, chat moderation, and lobby
-// placements that may not be repeated (a fifth); 50 requests/s, 8 tenants.
+// placements that are not idempotent (a fifth); 50 requests/s, 8 tenants.
 TrafficMix NilestoneMix();
 // Kovinar: licence diagnoses, renewal quotes, seat questions (nearly half), and checkout
-// heartbeats that may not be repeated; 55 requests/s, 8 tenants.
+// heartbeats that are not idempotent; 55 requests/s, 8 tenants.
 TrafficMix KovinarMix();
 // "nilestone" or "kovinar". Errors: NotFound.
 absl::StatusOr<TrafficMix> FindMix(std::string_view name);
@@ -67,7 +67,7 @@
 // Lower-case hexadecimal SHA-256, the form in which a configuration names keys.
 std::string KeySha256(std::string_view key);
 // The configuration under which every request of the mix is allowed: tenants with their keys,
-// isolation of the isolated ones, service routes, models (blocks of `block_tokens`).
+// isolation of the isolated tenants, service routes, models (blocks of `block_tokens`).
 control::Configuration ConfigurationFor(const TrafficMix& mix, uint32_t block_tokens);
 
 }  // namespace posthatch::emulator
