--- a/src/posthatch/emulator/backend_emulators-test.cc
+++ b/src/posthatch/emulator/backend_emulators-test.cc
@@ -18,7 +18,7 @@
     settings.id = "service";
     service = Boot<ServiceEmulator>("service", settings);
   }
-  CallPlan Place(const std::string& key) {
+  CallPlan PlacementPlan(const std::string& key) {
     CallPlan plan = Completion(service->endpoint(), "", 0, false);
     plan.target = "/operations/place";
     plan.body = "{}";
@@ -30,7 +30,7 @@
 };
 
 TEST_F(ServiceEmulatorTest, RecordsEachStart) {
-  for (int i = 0; i < 2; ++i) EXPECT_TRUE(Run({Place("k")})[0].body_intact());
+  for (int i = 0; i < 2; ++i) EXPECT_TRUE(Run({PlacementPlan("k")})[0].body_intact());
   ASSERT_EQ(Starts().size(), 2u);
   EXPECT_EQ(Starts()[0].operation(), "lobby/place");
   EXPECT_EQ(Starts()[1].idempotency_key(), "k");
@@ -41,12 +41,12 @@
   ServiceBehaviour behaviour;
   behaviour.answers_lost_share = 1;
   service->SetBehaviour(behaviour);
-  EXPECT_EQ(Run({Place("k1")})[0].status(), 0u);
+  EXPECT_EQ(Run({PlacementPlan("k1")})[0].status(), 0u);
   EXPECT_EQ(Starts().size(), 1u);
   behaviour = {};
   behaviour.requests_lost_share = 1;
   service->SetBehaviour(behaviour);
-  EXPECT_EQ(Run({Place("k2")})[0].status(), 0u);
+  EXPECT_EQ(Run({PlacementPlan("k2")})[0].status(), 0u);
   EXPECT_EQ(Starts().size(), 1u);
 }
 
@@ -55,8 +55,8 @@
   behaviour.start_late_ms = 500;
   behaviour.start_late_share = 1;
   service->SetBehaviour(behaviour);
-  CallPlan plan = Place("k");
-  plan.leave_after = Milliseconds(100);
+  CallPlan plan = PlacementPlan("k");
+  plan.disconnect_after = Milliseconds(100);
   Run({plan});
   EXPECT_TRUE(Starts().empty());
   world.RunFor(Milliseconds(600));
@@ -69,17 +69,17 @@
        {&ServiceBehaviour::answers_crossed_share, &ServiceBehaviour::answers_crossed_body_share,
         &ServiceBehaviour::answers_twice_share}) {
     service->SetBehaviour({});
-    Run({Place("first")});
+    Run({PlacementPlan("first")});
     ServiceBehaviour behaviour;
     behaviour.*share = 1;
     service->SetBehaviour(behaviour);
-    Run({Place("second")});
-    EXPECT_EQ(Run({Place("third")})[0].fault(), "another request's id");
+    Run({PlacementPlan("second")});
+    EXPECT_EQ(Run({PlacementPlan("third")})[0].fault(), "another request's id");
   }
-  ServiceBehaviour cutting;
-  cutting.answers_cut_share = 1;
-  service->SetBehaviour(cutting);
-  EXPECT_FALSE(Run({Place("cut")})[0].complete());
+  ServiceBehaviour truncating;
+  truncating.answers_cut_share = 1;
+  service->SetBehaviour(truncating);
+  EXPECT_FALSE(Run({PlacementPlan("cut")})[0].complete());
 }
 
 class InventoryEmulatorTest : public EmulatorWorld {
@@ -93,12 +93,12 @@
   }
   // "id" of each back end, with "!" when draining; "429 <ms>" when rate limited.
   std::string Read() {
-    const http::Response answer = SendJson(inventory->endpoint(), "GET", "/v1/inventory", "");
-    if (answer.status != 200) {
-      return std::to_string(answer.status) + " " +
-             std::string(answer.headers.Get("Retry-After-Ms"));
+    const http::Response response = SendJson(inventory->endpoint(), "GET", "/v1/inventory", "");
+    if (response.status != 200) {
+      return std::to_string(response.status) + " " +
+             std::string(response.headers.Get("Retry-After-Ms"));
     }
-    const boost::json::object body = *ParseObject(answer.body);
+    const boost::json::object body = *ParseObject(response.body);
     std::string text;
     for (const auto& entry : body.at("backends").as_array()) {
       text += TextField(entry.as_object(), "id");
@@ -121,9 +121,9 @@
   const auto shown = EventsOf(HistoryEvent::kDrainingShown);
   ASSERT_EQ(shown.size(), 1u);
   EXPECT_EQ(shown[0].draining_shown().backend(), "w2");
-  const auto late = runtime::FromNanoseconds(shown[0].time_ns()) - changed;
-  EXPECT_GE(late, Milliseconds(500));
-  EXPECT_LE(late, Milliseconds(1010));
+  const auto delay = runtime::FromNanoseconds(shown[0].time_ns()) - changed;
+  EXPECT_GE(delay, Milliseconds(500));
+  EXPECT_LE(delay, Milliseconds(1010));
 
   SendJson(inventory->endpoint(), "PUT", "/debug/behaviour", R"({"lateness_ms":0})");
   SendJson(inventory->endpoint(), "PUT", "/debug/backends",
@@ -136,19 +136,19 @@
 TEST_F(InventoryEmulatorTest, ReadsAreRateLimited) {
   SendJson(inventory->endpoint(), "PUT", "/debug/behaviour", R"({"reads_per_second":2})");
   world.RunFor(std::chrono::seconds(5));
-  int answered = 0;
-  std::string refusal;
+  int accepted_reads = 0;
+  std::string rejection;
   const auto until = world.Now() + std::chrono::seconds(10);
   while (world.Now() < until) {
     const std::string read = Read();
     if (read == "w1w2")
-      ++answered;
+      ++accepted_reads;
     else
-      refusal = read;
+      rejection = read;
     world.RunFor(Milliseconds(50));
   }
-  EXPECT_NEAR(answered, 2 + 20, 1);
-  EXPECT_THAT(refusal, ::testing::StartsWith("429 "));
+  EXPECT_NEAR(accepted_reads, 2 + 20, 1);
+  EXPECT_THAT(rejection, ::testing::StartsWith("429 "));
 }
 
 }  // namespace
--- a/src/posthatch/emulator/caller_load-test.cc
+++ b/src/posthatch/emulator/caller_load-test.cc
@@ -17,14 +17,14 @@
 // An HTTP server that responds by calling a handler; std::nullopt breaks the connection.
 class StubServer {
  public:
-  using Answer = std::function<std::optional<http::Response>(const http::Request&)>;
+  using Handler = std::function<std::optional<http::Response>(const http::Request&)>;
 
-  StubServer(runtime::Runtime* runtime, const std::string& endpoint, Answer answer) {
+  StubServer(runtime::Runtime* runtime, const std::string& endpoint, Handler handler) {
     server_ = *runtime->http_servers->Listen(
         endpoint, {},
-        [answer = std::move(answer)](const http::Request& request,
-                                     const std::shared_ptr<http::ResponseWriter>& writer) {
-          std::optional<http::Response> response = answer(request);
+        [handler = std::move(handler)](const http::Request& request,
+                                       const std::shared_ptr<http::ResponseWriter>& writer) {
+          std::optional<http::Response> response = handler(request);
           if (response.has_value()) {
             writer->SendResponse(*response);
           } else {
@@ -39,10 +39,10 @@
 
 class CallerLoadTest : public EmulatorWorld {
  protected:
-  std::string Stub(const std::string& name, const StubServer::Answer& answer) {
+  std::string Stub(const std::string& name, const StubServer::Handler& handler) {
     simulation::SimHost* const host = AddHost(name);
-    host->SetBoot([host, answer](runtime::Runtime* runtime) {
-      return std::make_shared<StubServer>(runtime, host->http_endpoint(), answer);
+    host->SetBoot([host, handler](runtime::Runtime* runtime) {
+      return std::make_shared<StubServer>(runtime, host->http_endpoint(), handler);
     });
     host->Start();
     return host->http_endpoint();
@@ -65,12 +65,12 @@
     TrafficMix mix = NilestoneMix();
     std::erase_if(mix.operations,
                   [](const OperationTraffic& operation) { return !operation.non_repeatable; });
-    mix.leaving_share = mix.racing_share = mix.repeated_share = 0;
+    mix.disconnecting_share = mix.racing_share = mix.repeated_share = 0;
     return mix;
   }
 };
 
-http::Response Placed(const http::Request& request) {
+http::Response PlacementResponse(const http::Request& request) {
   const std::string result = "placed";
   return JsonResponse(200, boost::json::object{{"run", "r"},
                                                {"request_id", request.headers.Get("X-Request-Id")},
@@ -92,18 +92,18 @@
   const CallerLoadCounts counts = RunLoad(options, std::chrono::seconds(60));
   EXPECT_NEAR(counts.sent, 60 * 50, 4 * std::sqrt(60 * 50));  // Poisson
   EXPECT_EQ(counts.skipped, 0u);
-  uint64_t left = 0;
+  uint64_t disconnected = 0;
   uint64_t first_tokens = 0;
   for (const HistoryEvent& event : EventsOf(HistoryEvent::kCallEnded)) {
     const fleettest::CallEnded& ended = event.call_ended();
-    left += ended.caller_left() ? 1 : 0;
+    disconnected += ended.caller_left() ? 1 : 0;
     first_tokens += ended.first_token_ns() > 0 ? 1 : 0;
     if (ended.caller_left()) continue;
     EXPECT_TRUE(ended.complete() && ended.body_intact()) << ended.fault();
     EXPECT_EQ(ended.fault(), "");
     EXPECT_EQ(ended.token_gaps_ns_size(), std::max(0, ended.pieces_size() - 1));
   }
-  EXPECT_GT(left, 0u);
+  EXPECT_GT(disconnected, 0u);
   EXPECT_GT(first_tokens, counts.sent / 2);
   uint64_t blocks = 0;
   uint64_t reused = 0;
@@ -115,11 +115,11 @@
 }
 
 TEST_F(CallerLoadTest, LostResponsesAreResentWithSameKey) {
-  const std::string deaf = Stub("deaf", [](const http::Request&) { return std::nullopt; });
-  const std::string good = Stub("good", Placed);
+  const std::string failing = Stub("failing", [](const http::Request&) { return std::nullopt; });
+  const std::string healthy = Stub("healthy", PlacementResponse);
   CallerLoadOptions options;
   options.mix = OnlyKeyed();
-  options.gateways = {deaf, good};
+  options.gateways = {failing, healthy};
   RunLoad(options, std::chrono::seconds(10));
   std::map<std::string, std::vector<fleettest::CallSent>> sends;
   for (const auto& event : EventsOf(HistoryEvent::kCallSent)) {
@@ -128,13 +128,13 @@
   uint64_t resent = 0;
   for (const auto& [key, calls] : sends) {
     EXPECT_NE(key, "");
-    if (calls[0].gateway() == good) {
+    if (calls[0].gateway() == healthy) {
       EXPECT_EQ(calls.size(), 1u);
       continue;
     }
     ++resent;
     ASSERT_EQ(calls.size(), 2u);
-    EXPECT_EQ(calls[1].gateway(), good);
+    EXPECT_EQ(calls[1].gateway(), healthy);
     EXPECT_EQ(calls[0].nonce(), calls[1].nonce());
     EXPECT_EQ(calls[1].send(), 2u);
   }
@@ -143,16 +143,16 @@
 
 TEST_F(CallerLoadTest, RejectedIsFinalUnknownIsResent) {
   std::string executed = "no";
-  const std::string refusing = Stub("refusing", [&executed](const http::Request&) {
-    http::Response refusal = JsonResponse(
+  const std::string rejecting = Stub("rejecting", [&executed](const http::Request&) {
+    http::Response rejection = JsonResponse(
         503, boost::json::object{
                  {"error", boost::json::object{{"code", "no_lease"}, {"executed", executed}}}});
-    refusal.headers.Add("Retry-After", "1");
-    return std::optional(refusal);
+    rejection.headers.Add("Retry-After", "1");
+    return std::optional(rejection);
   });
   CallerLoadOptions options;
   options.mix = OnlyKeyed();
-  options.gateways = {refusing};
+  options.gateways = {rejecting};
   CallerLoadCounts counts = RunLoad(options, std::chrono::seconds(5));
   EXPECT_EQ(counts.refused, counts.sent);
   for (const auto& event : EventsOf(HistoryEvent::kCallSent)) {
@@ -173,7 +173,7 @@
   options.mix = OnlyKeyed();
   options.mix.racing_share = 0.5;
   options.mix.repeated_share = 0.5;
-  options.gateways = {Stub("g1", Placed), Stub("g2", Placed)};
+  options.gateways = {Stub("g1", PlacementResponse), Stub("g2", PlacementResponse)};
   const CallerLoadCounts counts = RunLoad(options, std::chrono::seconds(10));
   std::set<std::string> keys;
   for (const auto& event : EventsOf(HistoryEvent::kCallSent)) {
@@ -185,20 +185,20 @@
 
 TEST_F(CallerLoadTest, EqualSeedsGiveEqualTraffic) {
   const auto trace = [](uint64_t seed) {
-    simulation::SimWorld own_world(seed);
-    simulation::SimHost* const host = own_world.AddHost("h", "z", "10.0.0.1");
+    simulation::SimWorld traced_world(seed);
+    simulation::SimHost* const host = traced_world.AddHost("h", "z", "10.0.0.1");
     host->SetBoot([](runtime::Runtime*) { return std::make_shared<int>(0); });
     host->Start();
-    std::vector<HistoryEvent> own_events;
-    fleettest::MemoryHistoryRecorder recorder(host->runtime()->clock, "c", &own_events);
+    std::vector<HistoryEvent> traced_events;
+    fleettest::MemoryHistoryRecorder recorder(host->runtime()->clock, "c", &traced_events);
     CallerLoadOptions options;
     options.mix = KovinarMix();
     options.gateways = {"10.0.0.9:1"};
     CallerLoad load(host->runtime(), options, &recorder);
     load.Start();
-    own_world.RunFor(std::chrono::seconds(2));
+    traced_world.RunFor(std::chrono::seconds(2));
     std::string text;
-    for (const HistoryEvent& event : own_events) text += event.SerializeAsString();
+    for (const HistoryEvent& event : traced_events) text += event.SerializeAsString();
     return text;
   };
   EXPECT_EQ(trace(7), trace(7));
--- a/src/posthatch/emulator/caller_load.cc
+++ b/src/posthatch/emulator/caller_load.cc
@@ -18,8 +18,8 @@
 
 namespace {
 
-constexpr runtime::Duration kMinLeaveDelay = std::chrono::milliseconds(2);
-constexpr runtime::Duration kMaxLeaveDelay = std::chrono::milliseconds(300);
+constexpr runtime::Duration kMinDisconnectDelay = std::chrono::milliseconds(2);
+constexpr runtime::Duration kMaxDisconnectDelay = std::chrono::milliseconds(300);
 constexpr runtime::Duration kReadingPause = std::chrono::milliseconds(150);
 constexpr runtime::Duration kMaxRepeatDelay = std::chrono::seconds(2);
 // Upper bound on the Retry-After that callers comply with.
@@ -216,9 +216,9 @@
 // Pooled or new connection, slow reading, early disconnect.
 void CallerLoad::Impl::PlanCallerBehaviour(CallPlan* plan) {
   runtime::Random* random = runtime_->random;
-  plan->options.fresh_connection = !random->Chance(options_.mix.kept_connection_share);
-  if (random->Chance(options_.mix.leaving_share)) {
-    plan->leave_after = random->Between(kMinLeaveDelay, kMaxLeaveDelay);
+  plan->options.fresh_connection = !random->Chance(options_.mix.pooled_connection_share);
+  if (random->Chance(options_.mix.disconnecting_share)) {
+    plan->disconnect_after = random->Between(kMinDisconnectDelay, kMaxDisconnectDelay);
   }
   if (plan->sent.stream() && random->Chance(options_.mix.slow_reader_share)) {
     plan->reading_pause = kReadingPause;
@@ -240,7 +240,7 @@
   plan.sent.set_call(call);
   plan.sent.set_gateway(gateway);
   plan.sent.set_send(++request->sends);
-  if (request->sends > 1) plan.leave_after = runtime::Duration::zero();
+  if (request->sends > 1) plan.disconnect_after = runtime::Duration::zero();
   ++counts_.sent;
   auto recorded =
       std::make_unique<RecordedCall>(runtime_, recorder_, std::move(plan),
@@ -272,9 +272,9 @@
   const bool keyed = !ended.idempotency_key().empty();
   if (keyed && request->sends < options_.mix.max_sends) {
     if (IsResponseLost(ended)) {
-      const runtime::Duration asked =
+      const runtime::Duration retry_after =
           std::chrono::seconds(std::min(ended.retry_after_s(), kMaxRetryAfterS));
-      SendLater(request, std::max(asked, options_.resend_delay), ended.gateway());
+      SendLater(request, std::max(retry_after, options_.resend_delay), ended.gateway());
     } else if (!request->repeated && runtime_->random->Chance(options_.mix.repeated_share)) {
       request->repeated = true;
       SendLater(request, runtime_->random->Between(options_.resend_delay, kMaxRepeatDelay),
--- a/src/posthatch/emulator/emulator-bench.cc
+++ b/src/posthatch/emulator/emulator-bench.cc
@@ -32,14 +32,14 @@
 
 // Strict reading of a stream, by number of chunks.
 void BenchmarkStreamReader(benchmark::State& state) {
-  const auto pieces = static_cast<uint32_t>(state.range(0));
+  const auto chunks = static_cast<uint32_t>(state.range(0));
   std::string stream;
-  for (uint32_t piece = 0; piece < pieces; ++piece) {
-    stream += R"(data: {"id":"r","request_id":"n","piece":)" + std::to_string(piece) +
-              R"(,"choices":[{"index":0,"text":")" + ChunkText("r", piece) + "\"}]}\n\n";
+  for (uint32_t chunk = 0; chunk < chunks; ++chunk) {
+    stream += R"(data: {"id":"r","request_id":"n","piece":)" + std::to_string(chunk) +
+              R"(,"choices":[{"index":0,"text":")" + ChunkText("r", chunk) + "\"}]}\n\n";
   }
   for (auto _ : state) {
-    StreamReader reader("n", pieces);
+    StreamReader reader("n", chunks);
     benchmark::DoNotOptimize(reader.Feed(stream));
   }
   state.SetItemsProcessed(state.iterations() * state.range(0));
--- a/src/posthatch/emulator/emulator_world.h
+++ b/src/posthatch/emulator/emulator_world.h
@@ -36,10 +36,10 @@
   // until the host stops.
   template <typename Emulator, typename Settings>
   Emulator* Boot(const std::string& name, Settings settings, simulation::SimHost** host = nullptr) {
-    simulation::SimHost* const own_host = AddHost(name);
-    settings.listen = own_host->http_endpoint();
+    simulation::SimHost* const emulator_host = AddHost(name);
+    settings.listen = emulator_host->http_endpoint();
     auto booted = std::make_shared<Emulator*>(nullptr);
-    own_host->SetBoot([this, settings, name, booted](runtime::Runtime* runtime) {
+    emulator_host->SetBoot([this, settings, name, booted](runtime::Runtime* runtime) {
       recorders_.push_back(
           std::make_unique<fleettest::MemoryHistoryRecorder>(runtime->clock, name, &events));
       auto instance = std::make_shared<Emulator>(runtime, settings, recorders_.back().get());
@@ -47,9 +47,9 @@
       *booted = instance.get();
       return instance;
     });
-    own_host->Start();
+    emulator_host->Start();
     world.RunFor(Milliseconds(1));
-    if (host != nullptr) *host = own_host;
+    if (host != nullptr) *host = emulator_host;
     return *booted;
   }
 
@@ -62,8 +62,9 @@
   http::Response Send(const std::string& endpoint, http::Request request) {
     JsonClient json_client(client->runtime());
     absl::StatusOr<http::Response> result = absl::UnknownError("call has not ended");
-    json_client.Send(endpoint, std::move(request), {},
-                     [&result](const absl::StatusOr<http::Response>& answer) { result = answer; });
+    json_client.Send(
+        endpoint, std::move(request), {},
+        [&result](const absl::StatusOr<http::Response>& response) { result = response; });
     world.RunUntil([&json_client] { return json_client.in_flight() == 0; },
                    std::chrono::minutes(2));
     http::Response broken;
--- a/src/posthatch/emulator/json_client.cc
+++ b/src/posthatch/emulator/json_client.cc
@@ -21,8 +21,8 @@
   observer.on_head = [weak](const http::Response& head) {
     if (auto self = weak.lock()) self->response = head;
   };
-  observer.on_chunk = [weak](const std::string& piece) {
-    if (auto self = weak.lock()) self->response.body += piece;
+  observer.on_chunk = [weak](const std::string& chunk) {
+    if (auto self = weak.lock()) self->response.body += chunk;
   };
   observer.on_end = [this, weak, id] {
     if (auto self = weak.lock()) Finish(id, std::move(self->response));
--- a/src/posthatch/emulator/json_client.h
+++ b/src/posthatch/emulator/json_client.h
@@ -43,7 +43,7 @@
 void ReleaseLater(runtime::Runtime* runtime, std::unique_ptr<Object> object) {
   if (object == nullptr) return;
   runtime->timers->Schedule(runtime::Duration::zero(),
-                            [held = std::shared_ptr<Object>(std::move(object))] {});
+                            [retained = std::shared_ptr<Object>(std::move(object))] {});
 }
 
 }  // namespace posthatch::emulator
--- a/src/posthatch/emulator/key_probe.cc
+++ b/src/posthatch/emulator/key_probe.cc
@@ -47,7 +47,7 @@
   probe_timer_.Cancel();
   std::vector<RecordedCall*> open;
   for (const auto& [number, call] : calls_) open.push_back(call.get());
-  for (RecordedCall* call : open) call->Leave();
+  for (RecordedCall* call : open) call->Disconnect();
 }
 
 void KeyProbe::Impl::ProbeAll() {
--- a/src/posthatch/emulator/kv_event_log.cc
+++ b/src/posthatch/emulator/kv_event_log.cc
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-KvEventLog::KvEventLog(runtime::Runtime* runtime, uint64_t kept_events)
-    : runtime_(runtime), kept_events_(kept_events), visible_timer_(runtime->timers) {}
+KvEventLog::KvEventLog(runtime::Runtime* runtime, uint64_t max_events)
+    : runtime_(runtime), max_events_(max_events), visible_timer_(runtime->timers) {}
 
 void KvEventLog::Stored(const std::vector<index::BlockHash>& blocks, uint32_t first,
                         const std::string& attempt, const WorkerBehaviour& behaviour) {
@@ -61,7 +61,7 @@
     reordered_events_.clear();
   }
   slots_.push_back(std::move(slot));
-  while (slots_.size() > kept_events_) slots_.pop_front();
+  while (slots_.size() > max_events_) slots_.pop_front();
   RespondToWaiting(/*all=*/false);
   ScheduleVisible();
 }
--- a/src/posthatch/emulator/kv_event_log.h
+++ b/src/posthatch/emulator/kv_event_log.h
@@ -20,7 +20,7 @@
 // as `after` of the next poll. Event loop thread only.
 class KvEventLog {
  public:
-  KvEventLog(runtime::Runtime* runtime, uint64_t kept_events);
+  KvEventLog(runtime::Runtime* runtime, uint64_t max_events);
 
   void Stored(const std::vector<index::BlockHash>& blocks, uint32_t first,
               const std::string& attempt, const WorkerBehaviour& behaviour);
@@ -52,7 +52,7 @@
   void ScheduleVisible();
 
   runtime::Runtime* const runtime_;
-  const uint64_t kept_events_;
+  const uint64_t max_events_;
   uint64_t epoch_ = 0;
   uint64_t last_seq_ = 0;
   std::deque<Slot> slots_;
--- a/src/posthatch/emulator/kv_transfer.cc
+++ b/src/posthatch/emulator/kv_transfer.cc
@@ -55,9 +55,9 @@
   return makers;
 }
 
-json::object FetchResponse(const std::string& holder, uint64_t epoch,
+json::object FetchResponse(const std::string& cache_holder, uint64_t epoch,
                            const std::vector<BlockMaker>& makers) {
-  return {{"holder", holder},
+  return {{"holder", cache_holder},
           {"epoch", epoch},
           {"blocks", makers.size()},
           {"made_by", MakersToJson(makers)}};
--- a/src/posthatch/emulator/kv_transfer.h
+++ b/src/posthatch/emulator/kv_transfer.h
@@ -23,7 +23,7 @@
 std::vector<BlockMaker> MakersFromJson(const boost::json::array* runs);
 
 // Body of the response to a fetch: {"holder", "epoch", "blocks", "made_by"}.
-boost::json::object FetchResponse(const std::string& holder, uint64_t epoch,
+boost::json::object FetchResponse(const std::string& cache_holder, uint64_t epoch,
                                   const std::vector<BlockMaker>& makers);
 
 // Duration of the transfer of `blocks` blocks over a link.
--- a/src/posthatch/emulator/operator_emulator-test.cc
+++ b/src/posthatch/emulator/operator_emulator-test.cc
@@ -19,34 +19,35 @@
 // A minimal fleet: all its nodes share one configuration state.
 struct FakeFleet {
   uint64_t version = 1;
-  std::map<std::string, uint64_t> answered;  // version by request id
+  std::map<std::string, uint64_t> acknowledged_versions;  // version by request id
   std::string accepted_key_sha256;
-  std::function<bool()> loses_answer = [] { return false; };
+  std::function<bool()> loses_response = [] { return false; };
 
-  std::optional<http::Response> Answer(const http::Request& request) {
+  std::optional<http::Response> Handle(const http::Request& request) {
     if (request.target == "/v1/completions") return Complete(request);
     if (request.method == "GET") return JsonResponse(200, Read(request.target));
     const json::object body = *ParseObject(request.body);
-    const bool lost = loses_answer();
-    const http::Response answer = Change(body);
-    return lost ? std::nullopt : std::optional(answer);
+    const bool lost = loses_response();
+    const http::Response response = Change(body);
+    return lost ? std::nullopt : std::optional(response);
   }
 
   http::Response Change(const json::object& body) {
     const std::string id = TextField(body, "request_id");
     const uint64_t expected = NumberField(body, "expected_version");
-    if (!answered.contains(id)) {
+    if (!acknowledged_versions.contains(id)) {
       if (expected != 0 && expected != version) {
         return JsonResponse(409, json::object{{"error", json::object{{"code", "version_conflict"}}},
                                               {"version", version}});
       }
-      answered[id] = ++version;
-      if (const json::object* patch = ObjectField(body, "patch")) TakeKey(*patch);
+      acknowledged_versions[id] = ++version;
+      if (const json::object* patch = ObjectField(body, "patch")) ApplyKey(*patch);
     }
-    return JsonResponse(200, json::object{{"acknowledged", true}, {"version", answered[id]}});
+    return JsonResponse(
+        200, json::object{{"acknowledged", true}, {"version", acknowledged_versions[id]}});
   }
 
-  void TakeKey(const json::object& patch) {
+  void ApplyKey(const json::object& patch) {
     const json::object& tenant = patch.at("upsert").at("tenants").at(0).as_object();
     const json::array* keys = ArrayField(tenant, "key_sha256");
     if (keys != nullptr) accepted_key_sha256 = std::string(keys->at(0).as_string());
@@ -61,7 +62,7 @@
       return {{"revisions", json::array{json::object{{"model", "m"}, {"revision", "3"}}}}};
     }
     json::array versions;
-    for (const auto& [id, number] : answered) {
+    for (const auto& [id, number] : acknowledged_versions) {
       versions.push_back(json::object{{"version", number}, {"request_id", id}});
     }
     return {{"versions", versions}};
@@ -92,8 +93,8 @@
             host->http_endpoint(), {},
             [this](const http::Request& request,
                    const std::shared_ptr<http::ResponseWriter>& writer) {
-              const std::optional<http::Response> answer = fleet.Answer(request);
-              answer.has_value() ? writer->SendResponse(*answer) : writer->Abort();
+              const std::optional<http::Response> response = fleet.Handle(request);
+              response.has_value() ? writer->SendResponse(*response) : writer->Abort();
             });
         return booted;
       });
@@ -111,7 +112,7 @@
 
 TEST_F(OperatorEmulatorTest, LostResponseIsRetriedUnderSameId) {
   int losses = 3;
-  fleet.loses_answer = [&losses] { return losses-- > 0; };
+  fleet.loses_response = [&losses] { return losses-- > 0; };
   options.repeated_share = 0;
   OperatorEmulator op(client->runtime(), options, recorder.get());
   ChangeOutcome outcome;
@@ -150,27 +151,27 @@
   std::map<std::string, std::set<uint64_t>> versions;  // acknowledged ones, by request id
   uint64_t refused = 0;
   for (const auto& event : EventsOf(HistoryEvent::kChangeAnswered)) {
-    const fleettest::ChangeAnswered& answered = event.change_answered();
-    if (answered.acknowledged()) versions[answered.request_id()].insert(answered.version());
-    if (!answered.refused()) continue;
-    EXPECT_EQ(answered.code(), "version_conflict");
+    const fleettest::ChangeAnswered& response = event.change_answered();
+    if (response.acknowledged()) versions[response.request_id()].insert(response.version());
+    if (!response.refused()) continue;
+    EXPECT_EQ(response.code(), "version_conflict");
     ++refused;
   }
   EXPECT_GT(versions.size(), 20u);
   EXPECT_GT(refused, 0u);
-  for (const auto& [id, answers] : versions) EXPECT_EQ(answers.size(), 1u);
+  for (const auto& [id, distinct_versions] : versions) EXPECT_EQ(distinct_versions.size(), 1u);
 
   std::map<uint32_t, int> statuses;
-  std::map<std::string, int> asked;
+  std::map<std::string, int> probes;
   for (const auto& event : EventsOf(HistoryEvent::kCallEnded))
     ++statuses[event.call_ended().status()];
   for (const auto& event : EventsOf(HistoryEvent::kCallSent)) {
     EXPECT_TRUE(event.call_sent().probe());
-    ++asked[event.call_sent().gateway()];
+    ++probes[event.call_sent().gateway()];
   }
   EXPECT_GT(statuses[200], 100);
   EXPECT_GT(statuses[401], 100);
-  EXPECT_EQ(asked.size(), 3u);
+  EXPECT_EQ(probes.size(), 3u);
 }
 
 TEST_F(OperatorEmulatorTest, RotatesOnlyAfterAcknowledgement) {
@@ -182,7 +183,7 @@
   world.RunFor(std::chrono::seconds(5));
   const uint64_t reached = op.newest_generation();
   EXPECT_GT(reached, 1u);
-  fleet.loses_answer = [] { return true; };
+  fleet.loses_response = [] { return true; };
   world.RunFor(std::chrono::seconds(20));
   EXPECT_LE(op.newest_generation(), reached + 1);
 }
@@ -201,10 +202,10 @@
   EXPECT_EQ(state.request_ids_size(), 1);
   EXPECT_EQ(state.evacuations(0), "e");
   EXPECT_EQ(state.model_revisions().at("m"), 3u);
-  bool unanswered = true;
-  op.ReadState("10.9.9.9:1", [&unanswered](bool done) { unanswered = done; });
+  bool read_complete = true;
+  op.ReadState("10.9.9.9:1", [&read_complete](bool done) { read_complete = done; });
   world.RunFor(std::chrono::seconds(20));
-  EXPECT_FALSE(unanswered);
+  EXPECT_FALSE(read_complete);
 }
 
 }  // namespace
--- a/src/posthatch/emulator/operator_emulator.cc
+++ b/src/posthatch/emulator/operator_emulator.cc
@@ -210,12 +210,12 @@
 
 void OperatorEmulator::Impl::RecordResponse(const Change& change, const ChangeOutcome& outcome) {
   fleettest::HistoryEvent event;
-  fleettest::ChangeAnswered* answered = event.mutable_change_answered();
-  answered->set_request_id(change.request_id);
-  answered->set_acknowledged(outcome.acknowledged);
-  answered->set_refused(outcome.refused);
-  answered->set_code(outcome.code);
-  answered->set_version(outcome.version);
+  fleettest::ChangeAnswered* change_response = event.mutable_change_answered();
+  change_response->set_request_id(change.request_id);
+  change_response->set_acknowledged(outcome.acknowledged);
+  change_response->set_refused(outcome.refused);
+  change_response->set_code(outcome.code);
+  change_response->set_version(outcome.version);
   recorder_->Record(std::move(event));
 }
 
@@ -276,10 +276,10 @@
            ScheduleRotation();
          });
   if (version == 0 || !runtime_->random->Chance(options.racing_share)) return;
-  control::ConfigurationPatch rival;
-  rival.mutable_upsert()->add_tenants()->set_name(options.probe_tenant + "-rival");
+  control::ConfigurationPatch racing_patch;
+  racing_patch.mutable_upsert()->add_tenants()->set_name(options.probe_tenant + "-rival");
   Submit("configuration", "/admin/v1/configuration",
-         absl::StrCat(version_field, ",\"patch\":", ProtoJson(rival)), "rival", version,
+         absl::StrCat(version_field, ",\"patch\":", ProtoJson(racing_patch)), "rival", version,
          RandomNode(node), nullptr);
 }
 
--- a/src/posthatch/emulator/prompt_pool.cc
+++ b/src/posthatch/emulator/prompt_pool.cc
@@ -43,8 +43,8 @@
 std::string FillerText(const std::string& seed, size_t bytes) {
   std::string text;
   text.reserve(bytes + 32);
-  for (uint64_t word = 0; text.size() < bytes; ++word) {
-    text += ToHex(XXH3_64bits_withSeed(seed.data(), seed.size(), word));
+  for (uint64_t counter = 0; text.size() < bytes; ++counter) {
+    text += ToHex(XXH3_64bits_withSeed(seed.data(), seed.size(), counter));
     text += ' ';
   }
   text.resize(bytes);
--- a/src/posthatch/emulator/real_sockets-test.cc
+++ b/src/posthatch/emulator/real_sockets-test.cc
@@ -55,7 +55,7 @@
 };
 
 TEST_F(RealSocketsTest, SlowReadersGetCompleteResponses) {
-  options.mix.leaving_share = 0;
+  options.mix.disconnecting_share = 0;
   options.mix.slow_reader_share = 0.2;
   const auto ends = RunLoad();
   EXPECT_GT(ends.size(), 10u);
@@ -65,7 +65,7 @@
 }
 
 TEST_F(RealSocketsTest, DisconnectCancelsRun) {
-  options.mix.leaving_share = 1;
+  options.mix.disconnecting_share = 1;
   WorkerBehaviour slow;
   slow.slow_factor = 20;
   worker->SetBehaviour(slow);
@@ -83,11 +83,11 @@
 }
 
 TEST_F(RealSocketsTest, TruncatedResponsesAreDetected) {
-  options.mix.leaving_share = 0;
-  WorkerBehaviour cutting;
-  cutting.cut_share = 1;
-  cutting.cut_at_piece = 2;
-  worker->SetBehaviour(cutting);
+  options.mix.disconnecting_share = 0;
+  WorkerBehaviour truncating;
+  truncating.cut_share = 1;
+  truncating.cut_at_piece = 2;
+  worker->SetBehaviour(truncating);
   const auto ends = RunLoad();
   EXPECT_GT(ends.size(), 10u);
   for (const fleettest::CallEnded& ended : ends) {
--- a/src/posthatch/emulator/recorded_call.cc
+++ b/src/posthatch/emulator/recorded_call.cc
@@ -16,7 +16,7 @@
       plan_(std::move(plan)),
       done_(std::move(done)),
       stream_reader_(plan_.sent.nonce(), plan_.sent.expected_pieces()),
-      leave_timer_(runtime->timers),
+      disconnect_timer_(runtime->timers),
       reading_timer_(runtime->timers) {
   ended_.set_call(plan_.sent.call());
   ended_.set_nonce(plan_.sent.nonce());
@@ -37,8 +37,8 @@
   observer.on_error = [this](const http::CallError& error) { OnError(error); };
   call_ = runtime_->http_client->Start(plan_.sent.gateway(), BuildRequest(), plan_.options,
                                        std::move(observer));
-  if (plan_.leave_after > runtime::Duration::zero()) {
-    leave_timer_.Start(plan_.leave_after, [this] { Leave(); });
+  if (plan_.disconnect_after > runtime::Duration::zero()) {
+    disconnect_timer_.Start(plan_.disconnect_after, [this] { Disconnect(); });
   }
 }
 
@@ -71,10 +71,10 @@
   if (plan_.reading_pause > runtime::Duration::zero()) StopReading();
 }
 
-void RecordedCall::RecordTokens(uint32_t pieces) {
-  if (pieces == 0) return;
+void RecordedCall::RecordTokens(uint32_t chunks) {
+  if (chunks == 0) return;
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  for (uint32_t i = 0; i < pieces; ++i) {
+  for (uint32_t i = 0; i < chunks; ++i) {
     if (ended_.first_token_ns() == 0) {
       ended_.set_first_token_ns((now - sent_at_).count());
     } else {
@@ -108,7 +108,7 @@
   Finish();
 }
 
-void RecordedCall::Leave() {
+void RecordedCall::Disconnect() {
   if (finished_) return;
   ended_.set_caller_left(true);
   call_.reset();
@@ -122,14 +122,14 @@
   ended_.set_code(findings.code);
   ended_.set_executed(findings.executed);
   if (!findings.fault.empty()) ended_.set_fault(findings.fault);
-  for (const uint32_t piece : findings.pieces) ended_.add_pieces(piece);
-  for (const std::string& run : findings.piece_runs) ended_.add_piece_runs(run);
+  for (const uint32_t chunk : findings.chunks) ended_.add_pieces(chunk);
+  for (const std::string& run : findings.chunk_runs) ended_.add_piece_runs(run);
 }
 
 void RecordedCall::Finish() {
   if (finished_) return;
   finished_ = true;
-  leave_timer_.Cancel();
+  disconnect_timer_.Cancel();
   reading_timer_.Cancel();
   if (streamed_) {
     CopyFindings(stream_reader_.findings());
--- a/src/posthatch/emulator/recorded_call.h
+++ b/src/posthatch/emulator/recorded_call.h
@@ -21,7 +21,7 @@
   std::string body;
   http::CallOptions options;
   // The caller disconnects this long after sending; zero: never.
-  runtime::Duration leave_after = runtime::Duration::zero();
+  runtime::Duration disconnect_after = runtime::Duration::zero();
   // Pause in reading after each chunk, as of a slow reader; zero: none.
   runtime::Duration reading_pause = runtime::Duration::zero();
 };
@@ -38,13 +38,13 @@
 
   void Start();
   // Closes the connection, as a caller that disconnects; sets `caller_left` in CallEnded.
-  void Leave();
+  void Disconnect();
 
  private:
   http::Request BuildRequest() const;
   void OnHead(const http::Response& head);
   void OnBodyBytes(const std::string& bytes);
-  void RecordTokens(uint32_t pieces);
+  void RecordTokens(uint32_t chunks);
   void StopReading();
   void OnEnd();
   void OnError(const http::CallError& error);
@@ -61,7 +61,7 @@
   fleettest::CallEnded ended_;
   runtime::MonotonicTime sent_at_;
   runtime::MonotonicTime last_token_at_;
-  runtime::Timer leave_timer_;
+  runtime::Timer disconnect_timer_;
   runtime::Timer reading_timer_;
   bool finished_ = false;
   std::unique_ptr<http::Call> call_;
--- a/src/posthatch/emulator/response_mixer.cc
+++ b/src/posthatch/emulator/response_mixer.cc
@@ -10,32 +10,32 @@
 namespace posthatch::emulator {
 
 ResponseIdentity ResponseMixer::Choose(const ResponseIdentity& original,
-                                       const MixUpProbabilities& shares) {
+                                       const MixUpProbabilities& probabilities) {
   ResponseIdentity chosen = original;
   if (!repeats_.empty()) {
     chosen = repeats_.front();
     repeats_.pop_front();
   } else {
-    const bool whole = random_->Chance(shares.crossed);
-    const bool body = random_->Chance(shares.crossed_body);
-    if ((whole || body) && !recent_.empty()) {
+    const bool crossed = random_->Chance(probabilities.crossed);
+    const bool crossed_body = random_->Chance(probabilities.crossed_body);
+    if ((crossed || crossed_body) && !recent_.empty()) {
       chosen = recent_[random_->Uniform(recent_.size())];
-      if (!whole) chosen.attempt = original.attempt;
+      if (!crossed) chosen.attempt = original.attempt;
     }
   }
-  if (random_->Chance(shares.twice)) repeats_.push_back(original);
+  if (random_->Chance(probabilities.twice)) repeats_.push_back(original);
   recent_.push_back(original);
   if (recent_.size() > kMaxRecent) recent_.pop_front();
   return chosen;
 }
 
-std::string ChunkText(const std::string& run, uint32_t piece) {
-  return absl::StrCat(run, ".", piece, " ");
+std::string ChunkText(const std::string& run, uint32_t chunk) {
+  return absl::StrCat(run, ".", chunk, " ");
 }
 
-std::string ResponseText(const std::string& run, uint32_t pieces) {
+std::string ResponseText(const std::string& run, uint32_t chunks) {
   std::string text;
-  for (uint32_t piece = 0; piece < pieces; ++piece) text += ChunkText(run, piece);
+  for (uint32_t chunk = 0; chunk < chunks; ++chunk) text += ChunkText(run, chunk);
   return text;
 }
 
--- a/src/posthatch/emulator/response_mixer.h
+++ b/src/posthatch/emulator/response_mixer.h
@@ -32,7 +32,8 @@
  public:
   explicit ResponseMixer(runtime::Random* random) : random_(random) {}
 
-  ResponseIdentity Choose(const ResponseIdentity& original, const MixUpProbabilities& shares);
+  ResponseIdentity Choose(const ResponseIdentity& original,
+                          const MixUpProbabilities& probabilities);
 
  private:
   static constexpr size_t kMaxRecent = 16;
@@ -43,9 +44,9 @@
 };
 
 // Text of a chunk of a response: contains run and number, so that a caller can verify each byte.
-std::string ChunkText(const std::string& run, uint32_t piece);
-// Text of a complete response of `pieces` chunks.
-std::string ResponseText(const std::string& run, uint32_t pieces);
+std::string ChunkText(const std::string& run, uint32_t chunk);
+// Text of a complete response of `chunks` chunks.
+std::string ResponseText(const std::string& run, uint32_t chunks);
 // XXH3-64 of `text`, hexadecimal (docs/BACKENDS.md).
 std::string Checksum(const std::string& text);
 
--- a/src/posthatch/emulator/response_reader-test.cc
+++ b/src/posthatch/emulator/response_reader-test.cc
@@ -11,7 +11,8 @@
 namespace posthatch::emulator {
 namespace {
 
-std::string Piece(uint32_t number, const std::string& run = "r", const std::string& nonce = "n") {
+std::string ChunkEvent(uint32_t number, const std::string& run = "r",
+                       const std::string& nonce = "n") {
   return R"(data: {"id":")" + run + R"(","request_id":")" + nonce + R"(","piece":)" +
          std::to_string(number) + R"(,"choices":[{"index":0,"text":")" + ChunkText(run, number) +
          "\"}]}\n\n";
@@ -19,23 +20,23 @@
 
 constexpr char kEnd[] = "data: [DONE]\n\n";
 
-ResponseFindings Read(const std::string& stream, size_t chunk, uint32_t expected = 3) {
+ResponseFindings Read(const std::string& stream, size_t feed_size, uint32_t expected = 3) {
   StreamReader reader("n", expected);
-  for (size_t start = 0; start < stream.size(); start += chunk) {
-    reader.Feed(std::string_view{stream}.substr(start, chunk));
+  for (size_t start = 0; start < stream.size(); start += feed_size) {
+    reader.Feed(std::string_view{stream}.substr(start, feed_size));
   }
   reader.End();
   return reader.findings();
 }
 
 TEST(StreamReaderTest, IntactForAnyChunking) {
-  const std::string stream = Piece(0) + ": comment\n\n" + Piece(1) + Piece(2) + kEnd;
-  for (size_t chunk = 1; chunk <= stream.size(); ++chunk) {
-    const ResponseFindings findings = Read(stream, chunk);
+  const std::string stream = ChunkEvent(0) + ": comment\n\n" + ChunkEvent(1) + ChunkEvent(2) + kEnd;
+  for (size_t feed_size = 1; feed_size <= stream.size(); ++feed_size) {
+    const ResponseFindings findings = Read(stream, feed_size);
     EXPECT_TRUE(findings.intact) << findings.fault;
     EXPECT_TRUE(findings.done);
-    EXPECT_EQ(findings.pieces, (std::vector<uint32_t>{0, 1, 2}));
-    EXPECT_EQ(findings.piece_runs, std::vector<std::string>{"r"});
+    EXPECT_EQ(findings.chunks, (std::vector<uint32_t>{0, 1, 2}));
+    EXPECT_EQ(findings.chunk_runs, std::vector<std::string>{"r"});
     EXPECT_EQ(findings.echoed_nonce, "n");
   }
 }
@@ -49,8 +50,8 @@
 class BrokenStreamTest : public ::testing::TestWithParam<BrokenStream> {};
 
 TEST_P(BrokenStreamTest, NamesFault) {
-  for (const size_t chunk : {1u, 7u, 10000u}) {
-    const ResponseFindings findings = Read(GetParam().stream, chunk);
+  for (const size_t feed_size : {1u, 7u, 10000u}) {
+    const ResponseFindings findings = Read(GetParam().stream, feed_size);
     EXPECT_FALSE(findings.intact);
     EXPECT_EQ(findings.fault, GetParam().fault);
   }
@@ -63,16 +64,17 @@
 INSTANTIATE_TEST_SUITE_P(
     All, BrokenStreamTest,
     ::testing::Values(
-        BrokenStream{"Skipped", Piece(0) + Piece(2) + kEnd, "piece 2 in place 1"},
-        BrokenStream{"Repeated", Piece(0) + Piece(0) + kEnd, "piece 0 in place 1"},
-        BrokenStream{"Joined", Piece(0) + Piece(1, "s") + Piece(2, "s") + kEnd,
+        BrokenStream{"Skipped", ChunkEvent(0) + ChunkEvent(2) + kEnd, "piece 2 in place 1"},
+        BrokenStream{"Repeated", ChunkEvent(0) + ChunkEvent(0) + kEnd, "piece 0 in place 1"},
+        BrokenStream{"Joined", ChunkEvent(0) + ChunkEvent(1, "s") + ChunkEvent(2, "s") + kEnd,
                      "pieces of two runs"},
-        BrokenStream{"Crossed", Piece(0, "s", "m") + kEnd, "another request's id"},
-        BrokenStream{"CutAfterPiece", Piece(0) + Piece(1), "end without [DONE]"},
-        BrokenStream{"CutInPiece", Piece(0) + Piece(1).substr(0, 20), "event cut in the middle"},
-        BrokenStream{"LastPieceMissing", Piece(0) + Piece(1) + kEnd, "2 pieces of 3"},
-        BrokenStream{"PieceAfterEnd", Piece(0) + kEnd + Piece(1), "event after [DONE]"},
-        BrokenStream{"TextChanged", Replaced(Piece(0), "r.0", "r.9") + kEnd,
+        BrokenStream{"Crossed", ChunkEvent(0, "s", "m") + kEnd, "another request's id"},
+        BrokenStream{"TruncatedAfterChunk", ChunkEvent(0) + ChunkEvent(1), "end without [DONE]"},
+        BrokenStream{"TruncatedInChunk", ChunkEvent(0) + ChunkEvent(1).substr(0, 20),
+                     "event cut in the middle"},
+        BrokenStream{"LastChunkMissing", ChunkEvent(0) + ChunkEvent(1) + kEnd, "2 pieces of 3"},
+        BrokenStream{"ChunkAfterEnd", ChunkEvent(0) + kEnd + ChunkEvent(1), "event after [DONE]"},
+        BrokenStream{"TextChanged", Replaced(ChunkEvent(0), "r.0", "r.9") + kEnd,
                      "text is not what the run said"},
         BrokenStream{"NotJson", std::string("data: {\n\n") + kEnd,
                      "event that is not a JSON object"},
@@ -82,7 +84,7 @@
 
 TEST(StreamReaderTest, ErrorEventEndsStream) {
   const ResponseFindings findings =
-      Read(Piece(0) +
+      Read(ChunkEvent(0) +
                "event: error\ndata: {\"error\":{\"code\":\"backend_failed\",\"executed\":"
                "\"unknown\"}}\n\n",
            5);
@@ -92,7 +94,7 @@
   EXPECT_FALSE(findings.done);
 }
 
-TEST(WholeAnswerTest, ChecksChecksumNonceAndLength) {
+TEST(CompleteResponseTest, ChecksChecksumNonceAndLength) {
   const auto body = [](const std::string& text, const std::string& checked) {
     return R"({"id":"r","request_id":"n","choices":[{"index":0,"text":")" + text +
            R"("}],"checksum":")" + Checksum(checked) + "\"}";
@@ -105,9 +107,9 @@
   EXPECT_NE(ReadCompleteResponse(200, body(text, text).substr(0, 30), "n", 3).fault, "");
 }
 
-TEST(WholeAnswerTest, RejectionsCarryCodeAndExecuted) {
-  const http::Response refusal = NotExecuted(503, "no_lease", "text");
-  const ResponseFindings findings = ReadCompleteResponse(503, refusal.body, "n", 3);
+TEST(CompleteResponseTest, RejectionsCarryCodeAndExecuted) {
+  const http::Response rejection = NotExecuted(503, "no_lease", "text");
+  const ResponseFindings findings = ReadCompleteResponse(503, rejection.body, "n", 3);
   EXPECT_EQ(findings.code, "no_lease");
   EXPECT_EQ(findings.executed, "no");
   EXPECT_EQ(ReadCompleteResponse(503, "{}", "n", 3).fault, "refusal without a code");
--- a/src/posthatch/emulator/response_reader.cc
+++ b/src/posthatch/emulator/response_reader.cc
@@ -36,8 +36,8 @@
 
 }  // namespace
 
-StreamReader::StreamReader(std::string nonce, uint32_t expected_pieces)
-    : nonce_(std::move(nonce)), expected_pieces_(expected_pieces) {}
+StreamReader::StreamReader(std::string nonce, uint32_t expected_chunks)
+    : nonce_(std::move(nonce)), expected_chunks_(expected_chunks) {}
 
 uint32_t StreamReader::Feed(std::string_view bytes) {
   const uint32_t before = complete_chunks_;
@@ -83,25 +83,25 @@
   }
 }
 
-void StreamReader::ParseChunk(const json::object& piece) {
-  const uint64_t number = NumberField(piece, "piece", UINT64_MAX);
-  const std::string run = TextField(piece, "id");
+void StreamReader::ParseChunk(const json::object& chunk) {
+  const uint64_t number = NumberField(chunk, "piece", UINT64_MAX);
+  const std::string run = TextField(chunk, "id");
   if (number > UINT32_MAX || run.empty()) {
     Fault("piece without number or run");
     return;
   }
-  if (number != findings_.pieces.size()) {
-    Fault(absl::StrCat("piece ", number, " in place ", findings_.pieces.size()));
+  if (number != findings_.chunks.size()) {
+    Fault(absl::StrCat("piece ", number, " in place ", findings_.chunks.size()));
   }
-  findings_.pieces.push_back(static_cast<uint32_t>(number));
-  auto& runs = findings_.piece_runs;
+  findings_.chunks.push_back(static_cast<uint32_t>(number));
+  auto& runs = findings_.chunk_runs;
   if (std::find(runs.begin(), runs.end(), run) == runs.end()) runs.push_back(run);
   if (runs.size() > 1) Fault("pieces of two runs");
   if (findings_.run.empty()) findings_.run = run;
-  const std::string echoed = TextField(piece, "request_id");
+  const std::string echoed = TextField(chunk, "request_id");
   if (findings_.echoed_nonce.empty() || echoed != nonce_) findings_.echoed_nonce = echoed;
   if (echoed != nonce_) Fault("another request's id");
-  if (FirstChoiceText(piece) != ChunkText(run, static_cast<uint32_t>(number))) {
+  if (FirstChoiceText(chunk) != ChunkText(run, static_cast<uint32_t>(number))) {
     text_intact_ = false;
     Fault("text is not what the run said");
   }
@@ -111,8 +111,8 @@
 void StreamReader::End() {
   if (!pending_.empty()) Fault("event cut in the middle");
   if (!findings_.done && findings_.code.empty()) Fault("end without [DONE]");
-  if (findings_.done && findings_.pieces.size() != expected_pieces_) {
-    Fault(absl::StrCat(findings_.pieces.size(), " pieces of ", expected_pieces_));
+  if (findings_.done && findings_.chunks.size() != expected_chunks_) {
+    Fault(absl::StrCat(findings_.chunks.size(), " pieces of ", expected_chunks_));
   }
   findings_.intact = text_intact_ && findings_.done && findings_.fault.empty();
 }
@@ -122,7 +122,7 @@
 }
 
 ResponseFindings ReadCompleteResponse(int status, std::string_view body, const std::string& nonce,
-                                      uint32_t expected_pieces) {
+                                      uint32_t expected_chunks) {
   ResponseFindings findings;
   const absl::StatusOr<json::object> parsed = ParseObject(body);
   if (!parsed.ok()) {
@@ -134,13 +134,13 @@
     if (findings.code.empty()) findings.fault = "refusal without a code";
     return findings;
   }
-  const bool worker = expected_pieces > 0;
+  const bool worker = expected_chunks > 0;
   findings.run = TextField(*parsed, worker ? "id" : "run");
   findings.echoed_nonce = TextField(*parsed, "request_id");
   const std::string text = worker ? FirstChoiceText(*parsed) : TextField(*parsed, "result");
   if (findings.echoed_nonce != nonce) findings.fault = "another request's id";
   findings.intact = TextField(*parsed, "checksum") == Checksum(text);
-  if (worker && text != ResponseText(findings.run, expected_pieces)) findings.intact = false;
+  if (worker && text != ResponseText(findings.run, expected_chunks)) findings.intact = false;
   if (!findings.intact && findings.fault.empty()) findings.fault = "text is not what the run said";
   return findings;
 }
--- a/src/posthatch/emulator/routed_server.cc
+++ b/src/posthatch/emulator/routed_server.cc
@@ -10,7 +10,7 @@
 namespace posthatch::emulator {
 namespace {
 
-RoutedRequest TakeApart(http::Request request) {
+RoutedRequest ParseTarget(http::Request request) {
   RoutedRequest routed;
   const std::pair<std::string, std::string> parts =
       absl::StrSplit(request.target, absl::MaxSplits('?', 1));
@@ -61,7 +61,7 @@
 
 void RoutedServer::Handle(http::Request request,
                           std::shared_ptr<http::ResponseWriter> writer) const {
-  RoutedRequest routed = TakeApart(std::move(request));
+  RoutedRequest routed = ParseTarget(std::move(request));
   for (const Entry& entry : routes_) {
     if (entry.method != routed.request.method || !Matches(entry.path, routed.path)) continue;
     entry.handler(std::move(routed), std::move(writer));
--- a/src/posthatch/emulator/service_emulator.cc
+++ b/src/posthatch/emulator/service_emulator.cc
@@ -69,13 +69,13 @@
  private:
   using OperationPointer = std::shared_ptr<Operation>;
 
-  void Take(const RoutedRequest& routed, const WriterPointer& writer);
+  void HandleOperation(const RoutedRequest& routed, const WriterPointer& writer);
   // Runs `step` after `delay`, unless this object is destroyed by then.
-  void After(runtime::Duration delay, std::function<void()> step);
+  void RunAfter(runtime::Duration delay, std::function<void()> step);
   void Execute(const OperationPointer& operation);
   void RecordStart(const Operation& operation);
-  void Answer(const Operation& operation);
-  void SendAnswer(const Operation& operation);
+  void FinishOperation(const Operation& operation);
+  void SendOperationResponse(const Operation& operation);
 
   runtime::Runtime* const runtime_;
   const ServiceSettings settings_;
@@ -92,9 +92,10 @@
 absl::Status ServiceEmulator::Impl::Start() {
   up_since_ = runtime_->clock->Now();
   start_epoch_ = static_cast<uint64_t>(runtime::ToNanoseconds(up_since_) / 1000);
-  server_.Route(
-      "POST", std::string(kOperationsPath),
-      [this](const RoutedRequest& routed, const WriterPointer& writer) { Take(routed, writer); });
+  server_.Route("POST", std::string(kOperationsPath),
+                [this](const RoutedRequest& routed, const WriterPointer& writer) {
+                  HandleOperation(routed, writer);
+                });
   server_.Route("GET", "/status", [this](const RoutedRequest&, const WriterPointer& writer) {
     writer->SendResponse(JsonResponse(
         200, json::object{{"id", settings_.id}, {"epoch", start_epoch_}, {"running", running_}}));
@@ -113,11 +114,12 @@
   return server_.Listen(settings_.listen);
 }
 
-void ServiceEmulator::Impl::Take(const RoutedRequest& routed, const WriterPointer& writer) {
+void ServiceEmulator::Impl::HandleOperation(const RoutedRequest& routed,
+                                            const WriterPointer& writer) {
   if (running_ >= settings_.max_running) {
-    http::Response refusal = NotExecuted(429, "overloaded", "too many operations in progress");
-    refusal.headers.Add("X-Posthatch-Attempt", routed.request.headers.Get("X-Posthatch-Attempt"));
-    writer->SendResponse(std::move(refusal));
+    http::Response rejection = NotExecuted(429, "overloaded", "too many operations in progress");
+    rejection.headers.Add("X-Posthatch-Attempt", routed.request.headers.Get("X-Posthatch-Attempt"));
+    writer->SendResponse(std::move(rejection));
     return;
   }
   if (runtime_->random->Chance(behaviour.requests_lost_share)) {
@@ -139,16 +141,16 @@
   operation->arrived = runtime_->clock->Now();
   operation->writer = writer;
   ++running_;
-  const bool late = runtime_->random->Chance(behaviour.start_late_share);
-  if (late) {
-    After(std::chrono::milliseconds(behaviour.start_late_ms),
-          [this, operation] { Execute(operation); });
+  const bool delayed = runtime_->random->Chance(behaviour.start_late_share);
+  if (delayed) {
+    RunAfter(std::chrono::milliseconds(behaviour.start_late_ms),
+             [this, operation] { Execute(operation); });
   } else {
     Execute(operation);
   }
 }
 
-void ServiceEmulator::Impl::After(runtime::Duration delay, std::function<void()> step) {
+void ServiceEmulator::Impl::RunAfter(runtime::Duration delay, std::function<void()> step) {
   std::weak_ptr<bool> alive = alive_;
   runtime_->timers->Schedule(delay, [alive, step = std::move(step)] {
     if (!alive.expired()) step();
@@ -159,11 +161,11 @@
   operation->identity.run = absl::StrCat(settings_.id, "-", start_epoch_, "-", next_run_++);
   RecordStart(*operation);
   const auto time = static_cast<double>(settings_.execution.count()) * behaviour.slow_factor;
-  const bool late = runtime_->random->Chance(behaviour.answers_late_share);
-  const runtime::Duration until_answer =
+  const bool delayed = runtime_->random->Chance(behaviour.answers_late_share);
+  const runtime::Duration response_delay =
       runtime::Duration(static_cast<int64_t>(time)) +
-      std::chrono::milliseconds(late ? behaviour.answers_late_ms : 0);
-  After(until_answer, [this, operation] { Answer(*operation); });
+      std::chrono::milliseconds(delayed ? behaviour.answers_late_ms : 0);
+  RunAfter(response_delay, [this, operation] { FinishOperation(*operation); });
 }
 
 void ServiceEmulator::Impl::RecordStart(const Operation& operation) {
@@ -186,7 +188,7 @@
   recorder_->Record(std::move(event));
 }
 
-void ServiceEmulator::Impl::Answer(const Operation& operation) {
+void ServiceEmulator::Impl::FinishOperation(const Operation& operation) {
   --running_;
   fleettest::HistoryEvent event;
   event.mutable_run_ended()->set_run(operation.identity.run);
@@ -196,21 +198,21 @@
   if (runtime_->random->Chance(behaviour.answers_lost_share)) {
     operation.writer->Abort();
   } else {
-    SendAnswer(operation);
+    SendOperationResponse(operation);
   }
 }
 
-void ServiceEmulator::Impl::SendAnswer(const Operation& operation) {
-  const ResponseIdentity answer = mixer_.Choose(
+void ServiceEmulator::Impl::SendOperationResponse(const Operation& operation) {
+  const ResponseIdentity chosen = mixer_.Choose(
       operation.identity, {behaviour.answers_twice_share, behaviour.answers_crossed_share,
                            behaviour.answers_crossed_body_share});
-  const std::string result = absl::StrCat(answer.operation, " done by ", answer.run);
-  http::Response response = JsonResponse(200, json::object{{"run", answer.run},
-                                                           {"request_id", answer.request_id},
-                                                           {"operation", answer.operation},
+  const std::string result = absl::StrCat(chosen.operation, " done by ", chosen.run);
+  http::Response response = JsonResponse(200, json::object{{"run", chosen.run},
+                                                           {"request_id", chosen.request_id},
+                                                           {"operation", chosen.operation},
                                                            {"result", result},
                                                            {"checksum", Checksum(result)}});
-  response.headers.Add("X-Posthatch-Attempt", answer.attempt);
+  response.headers.Add("X-Posthatch-Attempt", chosen.attempt);
   if (runtime_->random->Chance(behaviour.answers_cut_share)) {
     const std::string half = response.body.substr(0, response.body.size() / 2);
     response.body.clear();
--- a/src/posthatch/emulator/state_reader.cc
+++ b/src/posthatch/emulator/state_reader.cc
@@ -18,7 +18,7 @@
 constexpr std::array<std::string_view, 3> kPaths = {
     "/admin/v1/evacuations", "/admin/v1/model-revisions", "/admin/v1/configuration/history"};
 
-void TakeEvacuations(const json::object& body, fleettest::StateRead* state) {
+void ParseEvacuations(const json::object& body, fleettest::StateRead* state) {
   const json::array* evacuations = ArrayField(body, "evacuations");
   if (evacuations == nullptr) return;
   for (const json::value& entry : *evacuations) {
@@ -28,7 +28,7 @@
   }
 }
 
-void TakeRevisions(const json::object& body, fleettest::StateRead* state) {
+void ParseRevisions(const json::object& body, fleettest::StateRead* state) {
   const json::array* revisions = ArrayField(body, "revisions");
   if (revisions == nullptr) return;
   for (const json::value& entry : *revisions) {
@@ -39,7 +39,7 @@
   }
 }
 
-void TakeHistory(const json::object& body, fleettest::StateRead* state) {
+void ParseHistory(const json::object& body, fleettest::StateRead* state) {
   const json::array* versions = ArrayField(body, "versions");
   if (versions == nullptr) return;
   for (const json::value& entry : *versions) {
@@ -77,20 +77,20 @@
   reading->state.set_target(node);
   reading->state.set_started_ns(runtime::ToNanoseconds(clock_->Now()));
   reading->done = std::move(done);
-  Step(reading);
+  SendNextRead(reading);
 }
 
-void StateReader::Step(const ReadingPointer& reading) {
+void StateReader::SendNextRead(const ReadingPointer& reading) {
   http::Request request = JsonRequest("GET", kPaths[reading->next_path], "");
   if (!admin_token_.empty()) request.headers.Add("Authorization", "Bearer " + admin_token_);
   http::CallOptions options;
   options.head_timeout = response_timeout_;
   client_.Send(reading->node, std::move(request), options,
                [this, reading](const absl::StatusOr<http::Response>& response) {
-                 if (!response.ok() || !Take(reading.get(), *response)) {
+                 if (!response.ok() || !ParseResponse(reading.get(), *response)) {
                    reading->done(false);
                  } else if (++reading->next_path < kPaths.size()) {
-                   Step(reading);
+                   SendNextRead(reading);
                  } else {
                    fleettest::HistoryEvent event;
                    *event.mutable_state_read() = std::move(reading->state);
@@ -100,12 +100,12 @@
                });
 }
 
-bool StateReader::Take(Reading* reading, const http::Response& response) {
+bool StateReader::ParseResponse(Reading* reading, const http::Response& response) {
   const absl::StatusOr<json::object> body = ParseObject(response.body);
   if (response.status != kOk || !body.ok()) return false;
-  TakeEvacuations(*body, &reading->state);
-  TakeRevisions(*body, &reading->state);
-  TakeHistory(*body, &reading->state);
+  ParseEvacuations(*body, &reading->state);
+  ParseRevisions(*body, &reading->state);
+  ParseHistory(*body, &reading->state);
   return true;
 }
 
--- a/src/posthatch/emulator/state_reader.h
+++ b/src/posthatch/emulator/state_reader.h
@@ -24,8 +24,8 @@
   struct Reading;
   using ReadingPointer = std::shared_ptr<Reading>;
 
-  void Step(const ReadingPointer& reading);
-  static bool Take(Reading* reading, const http::Response& response);
+  void SendNextRead(const ReadingPointer& reading);
+  static bool ParseResponse(Reading* reading, const http::Response& response);
 
   const runtime::Clock* const clock_;
   fleettest::HistoryRecorder* const recorder_;
--- a/src/posthatch/emulator/store_emulator.cc
+++ b/src/posthatch/emulator/store_emulator.cc
@@ -28,7 +28,7 @@
   void EmulateRestart();
   const std::string& endpoint() const { return server_.endpoint(); }
   uint64_t epoch() const { return epoch_; }
-  uint64_t kept_blocks() const { return cache_.size(); }
+  uint64_t cached_blocks() const { return cache_.size(); }
 
  private:
   void Put(const RoutedRequest& routed, const WriterPointer& writer);
@@ -94,8 +94,8 @@
   const runtime::Duration transfer =
       TransferTime(makers.size(), settings_.kv_bytes_per_block, settings_.link_bytes_per_second);
   runtime_->timers->Schedule(transfer,
-                             [writer, answer = FetchResponse(settings_.id, epoch_, makers)] {
-                               writer->SendResponse(JsonResponse(200, answer));
+                             [writer, response = FetchResponse(settings_.id, epoch_, makers)] {
+                               writer->SendResponse(JsonResponse(200, response));
                              });
 }
 
@@ -109,6 +109,6 @@
 const std::string& StoreEmulator::endpoint() const { return impl_->endpoint(); }
 void StoreEmulator::EmulateRestart() { impl_->EmulateRestart(); }
 uint64_t StoreEmulator::epoch() const { return impl_->epoch(); }
-uint64_t StoreEmulator::kept_blocks() const { return impl_->kept_blocks(); }
+uint64_t StoreEmulator::cached_blocks() const { return impl_->cached_blocks(); }
 
 }  // namespace posthatch::emulator
--- a/src/posthatch/emulator/store_emulator.h
+++ b/src/posthatch/emulator/store_emulator.h
@@ -35,7 +35,7 @@
   // Drops all blocks and begins a new epoch, as a restart would.
   void EmulateRestart();
   uint64_t epoch() const;
-  uint64_t kept_blocks() const;
+  uint64_t cached_blocks() const;
 
  private:
   class Impl;
--- a/src/posthatch/emulator/traffic_mix.h
+++ b/src/posthatch/emulator/traffic_mix.h
@@ -45,9 +45,9 @@
   double requests_per_second = 50;
   std::vector<TenantTraffic> tenants;
   std::vector<OperationTraffic> operations;
-  double kept_connection_share = 0.7;  // others use a new connection
-  double leaving_share = 0.01;         // callers that disconnect during the response
-  double slow_reader_share = 0.02;     // streams read with pauses
+  double pooled_connection_share = 0.7;  // others use a new connection
+  double disconnecting_share = 0.01;     // callers that disconnect during the response
+  double slow_reader_share = 0.02;       // streams read with pauses
   // Keyed operations that are also sent to a second gateway at once.
   double racing_share = 0.02;
   // Keyed operations that are sent once more after their response, as if it had been lost.
--- a/src/posthatch/emulator/worker_emulator-test.cc
+++ b/src/posthatch/emulator/worker_emulator-test.cc
@@ -19,29 +19,29 @@
 class WorkerEmulatorTest : public EmulatorWorld {
  protected:
   // A completion with header fields as a gateway sends them.
-  http::Response Ask(const std::string& endpoint, const std::string& prompt,
-                     const std::map<std::string, std::string>& fields = {}) {
+  http::Response SendCompletion(const std::string& endpoint, const std::string& prompt,
+                                const std::map<std::string, std::string>& fields = {}) {
     http::Request request =
         JsonRequest("POST", "/v1/completions", R"({"max_tokens":1,"prompt":")" + prompt + "\"}");
     for (const auto& [name, value] : fields) request.headers.Add(name, value);
     return Send(endpoint, request);
   }
-  http::Response Order(const std::string& endpoint, uint64_t revision, uint64_t token,
-                       const std::string& holder) {
+  http::Response SendLoadCommand(const std::string& endpoint, uint64_t revision, uint64_t token,
+                                 const std::string& lease_holder) {
     http::Request request = JsonRequest(
         "POST", "/admin/load_weights",
         R"({"model":"race-7b","weights":"w","revision":)" + std::to_string(revision) + "}");
     request.headers.Add("X-Posthatch-Fencing-Token", std::to_string(token));
-    request.headers.Add("X-Posthatch-Gateway", holder);
+    request.headers.Add("X-Posthatch-Gateway", lease_holder);
     return Send(endpoint, request);
   }
   // Sequence numbers and types of the events after `after`, for example "1stored 2removed".
   std::string EventsAfter(const WorkerEmulator& worker, uint64_t after, uint64_t wait_ms = 0) {
-    const boost::json::object answer =
+    const boost::json::object response =
         Get(worker.endpoint(), "/kv_events?epoch=" + std::to_string(worker.epoch()) + "&after=" +
                                    std::to_string(after) + "&wait_ms=" + std::to_string(wait_ms));
     std::string text;
-    for (const auto& event : answer.at("events").as_array()) {
+    for (const auto& event : response.at("events").as_array()) {
       text += (text.empty() ? "" : " ") + std::to_string(NumberField(event.as_object(), "seq")) +
               TextField(event.as_object(), "type");
     }
@@ -89,13 +89,13 @@
 TEST_F(WorkerEmulatorTest, ReuseNamesMakerAndSaltsSeparateBlocks) {
   WorkerEmulator* worker = BootWorker();
   const std::string prompt = Blocks('a', 5);
-  const auto ask = [&](const std::string& tenant, const std::string& salt) {
-    Ask(worker->endpoint(), prompt,
-        {{"X-Posthatch-Tenant", tenant}, {"X-Posthatch-Cache-Salt", salt}});
+  const auto complete = [&](const std::string& tenant, const std::string& salt) {
+    SendCompletion(worker->endpoint(), prompt,
+                   {{"X-Posthatch-Tenant", tenant}, {"X-Posthatch-Cache-Salt", salt}});
   };
-  ask("maker", "s1");
-  ask("other", "s1");
-  ask("other", "s2");
+  complete("maker", "s1");
+  complete("other", "s1");
+  complete("other", "s2");
   EXPECT_EQ(ReusedBy(Starts()[0]), 0u);
   ASSERT_EQ(Starts()[1].reused_size(), 1);
   EXPECT_EQ(Starts()[1].reused(0).made_by_tenant(), "maker");
@@ -105,8 +105,8 @@
   WorkerBehaviour ignoring;
   ignoring.ignore_salt = true;
   worker->SetBehaviour(ignoring);
-  ask("third", "s3");
-  ask("fourth", "s4");
+  complete("third", "s3");
+  complete("fourth", "s4");
   EXPECT_EQ(ReusedBy(Starts()[4]), 5u);  // the tenants aren't isolated, and the history shows it
   EXPECT_EQ(Starts()[4].reused(0).made_by_tenant(), "third");
 }
@@ -115,14 +115,14 @@
   WorkerSettings settings;
   settings.cache_blocks = 10;
   WorkerEmulator* worker = BootWorker(settings);
-  Ask(worker->endpoint(), Blocks('a', 6));
-  Ask(worker->endpoint(), Blocks('b', 4));
-  Ask(worker->endpoint(), Blocks('a', 6));  // makes b the least recently used
-  Ask(worker->endpoint(), Blocks('c', 2));
-  EXPECT_EQ(worker->kept_blocks(), 10u);
+  SendCompletion(worker->endpoint(), Blocks('a', 6));
+  SendCompletion(worker->endpoint(), Blocks('b', 4));
+  SendCompletion(worker->endpoint(), Blocks('a', 6));  // makes b the least recently used
+  SendCompletion(worker->endpoint(), Blocks('c', 2));
+  EXPECT_EQ(worker->cached_blocks(), 10u);
   EXPECT_EQ(EventsAfter(*worker, 0), "1stored 2stored 3stored 4removed");
-  Ask(worker->endpoint(), Blocks('a', 6));
-  Ask(worker->endpoint(), Blocks('b', 4));
+  SendCompletion(worker->endpoint(), Blocks('a', 6));
+  SendCompletion(worker->endpoint(), Blocks('b', 4));
   EXPECT_EQ(ReusedBy(Starts()[4]), 6u);
   EXPECT_EQ(ReusedBy(Starts()[5]), 2u);  // the first two of b's chain are still cached
 }
@@ -148,7 +148,7 @@
 TEST_F(WorkerEmulatorTest, DisconnectEndsRun) {
   WorkerEmulator* worker = BootWorker();
   CallPlan plan = Completion(worker->endpoint(), "p", 100, true);
-  plan.leave_after = Milliseconds(200);
+  plan.disconnect_after = Milliseconds(200);
   EXPECT_TRUE(Run({plan})[0].caller_left());
   world.RunFor(Milliseconds(50));
   const auto ends = EventsOf(HistoryEvent::kRunEnded);
@@ -163,7 +163,7 @@
   std::vector<uint64_t> epochs = {worker->epoch()};
   SendJson(worker->endpoint(), "PUT", "/debug/behaviour", R"({"cold":true})");
   epochs.push_back(worker->epoch());
-  Ask(worker->endpoint(), Blocks('a', 2));
+  SendCompletion(worker->endpoint(), Blocks('a', 2));
   host->Crash();
   host->Start();
   world.RunFor(Milliseconds(10));  // the client detects that its pooled connection broke
@@ -171,29 +171,29 @@
   EXPECT_LT(epochs[0], epochs[1]);
   EXPECT_LT(epochs[1], epochs[2]);
   // A reader of the previous epoch gets the new one at once.
-  const auto answer = Get(host->http_endpoint(), "/kv_events?epoch=" + std::to_string(epochs[1]) +
-                                                     "&after=1&wait_ms=1000");
-  EXPECT_EQ(NumberField(answer, "epoch"), epochs[2]);
-  EXPECT_TRUE(answer.at("events").as_array().empty());
-  Ask(host->http_endpoint(), Blocks('a', 2));
+  const auto response = Get(host->http_endpoint(), "/kv_events?epoch=" + std::to_string(epochs[1]) +
+                                                       "&after=1&wait_ms=1000");
+  EXPECT_EQ(NumberField(response, "epoch"), epochs[2]);
+  EXPECT_TRUE(response.at("events").as_array().empty());
+  SendCompletion(host->http_endpoint(), Blocks('a', 2));
   EXPECT_EQ(ReusedBy(Starts().back()), 0u);
 }
 
 TEST_F(WorkerEmulatorTest, StaleFencingTokensAreRejected) {
   WorkerEmulator* worker = BootWorker();
-  EXPECT_EQ(Order(worker->endpoint(), 1, 7, "g1").status, 202);
-  EXPECT_EQ(Order(worker->endpoint(), 2, 6, "g2").status, 409);
-  EXPECT_EQ(Order(worker->endpoint(), 2, 7, "g2").status, 409);
+  EXPECT_EQ(SendLoadCommand(worker->endpoint(), 1, 7, "g1").status, 202);
+  EXPECT_EQ(SendLoadCommand(worker->endpoint(), 2, 6, "g2").status, 409);
+  EXPECT_EQ(SendLoadCommand(worker->endpoint(), 2, 7, "g2").status, 409);
   EXPECT_EQ(SendJson(worker->endpoint(), "POST", "/admin/load_weights", R"({"revision":9})").status,
             400);
   world.RunFor(std::chrono::seconds(4));
   EXPECT_EQ(worker->model_revision(), 1u);
-  EXPECT_EQ(Order(worker->endpoint(), 1, 7, "g1").status, 200);
+  EXPECT_EQ(SendLoadCommand(worker->endpoint(), 1, 7, "g1").status, 200);
 
   WorkerBehaviour careless;
   careless.check_fencing_tokens = false;
   worker->SetBehaviour(careless);
-  EXPECT_EQ(Order(worker->endpoint(), 2, 6, "g2").status, 202);
+  EXPECT_EQ(SendLoadCommand(worker->endpoint(), 2, 6, "g2").status, 202);
   std::string obeyed;
   for (const auto& event : EventsOf(HistoryEvent::kOrderSeen)) {
     obeyed += event.order_seen().obeyed() ? '+' : '-';
@@ -203,30 +203,33 @@
 
 TEST_F(WorkerEmulatorTest, LoadingCancelsRunsAndRejects) {
   WorkerEmulator* worker = BootWorker();
-  Ask(worker->endpoint(), Blocks('a', 3));
+  SendCompletion(worker->endpoint(), Blocks('a', 3));
   const uint64_t epoch = worker->epoch();
-  JsonClient orderer(client->runtime());
+  JsonClient command_client(client->runtime());
   world.At(Milliseconds(100), [&] {
     http::Request request =
         JsonRequest("POST", "/admin/load_weights", R"({"model":"race-7b","revision":5})");
     request.headers.Add("X-Posthatch-Fencing-Token", "1");
-    orderer.Send(worker->endpoint(), request, {}, [](const absl::StatusOr<http::Response>&) {});
+    command_client.Send(worker->endpoint(), request, {},
+                        [](const absl::StatusOr<http::Response>&) {});
   });
-  const auto cut = Run({Completion(worker->endpoint(), "p", 100, true)})[0];
-  EXPECT_FALSE(cut.complete());
-  EXPECT_GT(cut.pieces_size(), 0);
-  EXPECT_EQ(worker->kept_blocks(), 0u);
+  const auto truncated = Run({Completion(worker->endpoint(), "p", 100, true)})[0];
+  EXPECT_FALSE(truncated.complete());
+  EXPECT_GT(truncated.pieces_size(), 0);
+  EXPECT_EQ(worker->cached_blocks(), 0u);
   EXPECT_GT(worker->epoch(), epoch);
 
-  const http::Response loading = Ask(worker->endpoint(), "p");
+  const http::Response loading = SendCompletion(worker->endpoint(), "p");
   EXPECT_EQ(loading.status, 503);
   EXPECT_EQ(ReadCompleteResponse(503, loading.body, "", 1).code, "loading");
   world.RunFor(std::chrono::seconds(3));
   EXPECT_EQ(worker->model_revision(), 5u);
-  const http::Response wrong = Ask(worker->endpoint(), "p", {{"X-Posthatch-Model-Revision", "4"}});
+  const http::Response wrong =
+      SendCompletion(worker->endpoint(), "p", {{"X-Posthatch-Model-Revision", "4"}});
   EXPECT_EQ(wrong.status, 409);
   EXPECT_EQ(ReadCompleteResponse(409, wrong.body, "", 1).executed, "no");
-  EXPECT_EQ(Ask(worker->endpoint(), "p", {{"X-Posthatch-Model-Revision", "5"}}).status, 200);
+  EXPECT_EQ(SendCompletion(worker->endpoint(), "p", {{"X-Posthatch-Model-Revision", "5"}}).status,
+            200);
   EXPECT_EQ(Starts().size(), 3u);
   EXPECT_EQ(EventsOf(HistoryEvent::kRevisionServed).back().revision_served().revision(), 5u);
 }
@@ -245,10 +248,10 @@
     WorkerBehaviour behaviour;
     behaviour.*wrong.share = 1;
     worker->SetBehaviour(behaviour);
-    for (const char letter : {'a', 'b', 'c'}) Ask(worker->endpoint(), Blocks(letter, 1));
+    for (const char letter : {'a', 'b', 'c'}) SendCompletion(worker->endpoint(), Blocks(letter, 1));
     EXPECT_EQ(EventsAfter(*worker, 0), wrong.seen);
     worker->SetBehaviour({});
-    Ask(worker->endpoint(), Blocks('d', 1));
+    SendCompletion(worker->endpoint(), Blocks('d', 1));
     const bool silent = wrong.share == &WorkerBehaviour::events_silent_share;
     EXPECT_EQ(EventsAfter(*worker, silent ? 0 : 3), silent ? "1stored" : "4stored");
   }
@@ -261,18 +264,18 @@
   WorkerBehaviour behaviour;
   behaviour.events_reordered_share = 1;
   worker->SetBehaviour(behaviour);
-  Ask(worker->endpoint(), Blocks('a', 1));
+  SendCompletion(worker->endpoint(), Blocks('a', 1));
   EXPECT_EQ(EventsAfter(*worker, 0), "");
   behaviour = {};
   behaviour.events_late_ms = 500;
   worker->SetBehaviour(behaviour);
-  Ask(worker->endpoint(), Blocks('b', 1));
+  SendCompletion(worker->endpoint(), Blocks('b', 1));
   EXPECT_EQ(EventsAfter(*worker, 1), "");
   const auto before = world.Now();
   EXPECT_EQ(EventsAfter(*worker, 1, 5000), "2stored 1stored");
   EXPECT_GT(world.Now() - before, Milliseconds(400));
   worker->SetBehaviour({});
-  Ask(worker->endpoint(), Blocks('c', 1));
+  SendCompletion(worker->endpoint(), Blocks('c', 1));
   EXPECT_EQ(EventsAfter(*worker, 0), "1lost 2stored 1stored 3stored");
   // Without new events the poll waits as long as requested.
   const auto waiting = world.Now();
@@ -280,17 +283,17 @@
   EXPECT_GE(world.Now() - waiting, Milliseconds(700));
 }
 
-struct WrongAnswer {
+struct WrongResponse {
   const char* name;
   double WorkerBehaviour::*share;
   std::string stream_fault;
-  std::string whole_fault;
+  std::string complete_response_fault;
 };
 
-class WrongAnswerTest : public WorkerEmulatorTest,
-                        public ::testing::WithParamInterface<WrongAnswer> {};
+class WrongResponseTest : public WorkerEmulatorTest,
+                          public ::testing::WithParamInterface<WrongResponse> {};
 
-TEST_P(WrongAnswerTest, CallerDetectsFault) {
+TEST_P(WrongResponseTest, CallerDetectsFault) {
   for (const bool stream : {true, false}) {
     WorkerEmulator* worker = BootWorker();
     Run({Completion(worker->endpoint(), "first", 6, stream)});
@@ -300,10 +303,11 @@
     worker->SetBehaviour(behaviour);
     Run({Completion(worker->endpoint(), "second", 6, stream)});
     const auto ended = Run({Completion(worker->endpoint(), "third", 6, stream)})[0];
-    const std::string& expected = stream ? GetParam().stream_fault : GetParam().whole_fault;
+    const std::string& expected =
+        stream ? GetParam().stream_fault : GetParam().complete_response_fault;
     if (expected.empty()) {
       EXPECT_TRUE(ended.body_intact());
-    } else if (expected == "cut") {
+    } else if (expected == "truncated") {
       EXPECT_FALSE(ended.complete());
       EXPECT_EQ(ended.status(), 200u);
     } else {
@@ -314,32 +318,34 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, WrongAnswerTest,
+    All, WrongResponseTest,
     ::testing::Values(
-        WrongAnswer{"Twice", &WorkerBehaviour::answers_twice_share, "another request's id",
-                    "another request's id"},
-        WrongAnswer{"Crossed", &WorkerBehaviour::answers_crossed_share, "another request's id",
-                    "another request's id"},
-        WrongAnswer{"CrossedBody", &WorkerBehaviour::answers_crossed_body_share,
-                    "another request's id", "another request's id"},
-        WrongAnswer{"Cut", &WorkerBehaviour::cut_share, "cut", "cut"},
-        WrongAnswer{"CutClean", &WorkerBehaviour::cut_clean_share, "end without [DONE]", ""},
-        WrongAnswer{"Repeated", &WorkerBehaviour::repeated_piece_share, "in place", ""},
-        WrongAnswer{"Skipped", &WorkerBehaviour::skipped_piece_share, "piece", ""}),
+        WrongResponse{"Duplicated", &WorkerBehaviour::answers_twice_share, "another request's id",
+                      "another request's id"},
+        WrongResponse{"Crossed", &WorkerBehaviour::answers_crossed_share, "another request's id",
+                      "another request's id"},
+        WrongResponse{"CrossedBody", &WorkerBehaviour::answers_crossed_body_share,
+                      "another request's id", "another request's id"},
+        WrongResponse{"Truncated", &WorkerBehaviour::cut_share, "truncated", "truncated"},
+        WrongResponse{"TruncatedCleanly", &WorkerBehaviour::cut_clean_share, "end without [DONE]",
+                      ""},
+        WrongResponse{"Repeated", &WorkerBehaviour::repeated_piece_share, "in place", ""},
+        WrongResponse{"Skipped", &WorkerBehaviour::skipped_piece_share, "piece", ""}),
     [](const auto& info) { return info.param.name; });
 
 TEST_F(WorkerEmulatorTest, CrossedResponsesEchoOtherAttempt) {
   WorkerEmulator* worker = BootWorker();
-  for (const bool whole : {true, false}) {
+  for (const bool crossed_head : {true, false}) {
     worker->SetBehaviour({});
-    Ask(worker->endpoint(), "first", {{"X-Posthatch-Attempt", "a1"}, {"X-Request-Id", "q1"}});
+    SendCompletion(worker->endpoint(), "first",
+                   {{"X-Posthatch-Attempt", "a1"}, {"X-Request-Id", "q1"}});
     WorkerBehaviour behaviour;
-    behaviour.answers_crossed_share = whole ? 1 : 0;
-    behaviour.answers_crossed_body_share = whole ? 0 : 1;
+    behaviour.answers_crossed_share = crossed_head ? 1 : 0;
+    behaviour.answers_crossed_body_share = crossed_head ? 0 : 1;
     worker->SetBehaviour(behaviour);
-    const http::Response answer =
-        Ask(worker->endpoint(), "second", {{"X-Posthatch-Attempt", "a2"}, {"X-Request-Id", "q2"}});
-    EXPECT_EQ(answer.headers.Get("X-Posthatch-Attempt") == "a2", !whole);
+    const http::Response response = SendCompletion(
+        worker->endpoint(), "second", {{"X-Posthatch-Attempt", "a2"}, {"X-Request-Id", "q2"}});
+    EXPECT_EQ(response.headers.Get("X-Posthatch-Attempt") == "a2", !crossed_head);
   }
 }
 
@@ -372,17 +378,18 @@
   settings.store_endpoint.clear();
   WorkerEmulator* fetcher = BootWorker(settings);
   const std::string prompt = Blocks('a', 4);
-  Ask(maker->endpoint(), prompt, {{"X-Posthatch-Tenant", "t1"}, {"X-Posthatch-Cache-Salt", "s"}});
+  SendCompletion(maker->endpoint(), prompt,
+                 {{"X-Posthatch-Tenant", "t1"}, {"X-Posthatch-Cache-Salt", "s"}});
   world.RunFor(Milliseconds(10));
-  EXPECT_EQ(store->kept_blocks(), 4u);
+  EXPECT_EQ(store->cached_blocks(), 4u);
 
   const auto fetch = [&](const std::string& source) {
     const auto before = world.Now();
-    Ask(fetcher->endpoint(), prompt,
-        {{"X-Posthatch-Tenant", "t2"},
-         {"X-Posthatch-Cache-Salt", "s"},
-         {"X-Posthatch-Kv-Source", source},
-         {"X-Posthatch-Kv-Blocks", "3"}});
+    SendCompletion(fetcher->endpoint(), prompt,
+                   {{"X-Posthatch-Tenant", "t2"},
+                    {"X-Posthatch-Cache-Salt", "s"},
+                    {"X-Posthatch-Kv-Source", source},
+                    {"X-Posthatch-Kv-Blocks", "3"}});
     return world.Now() - before;
   };
   EXPECT_GT(fetch(maker->endpoint()), Milliseconds(300));
--- a/src/posthatch/emulator/worker_emulator.cc
+++ b/src/posthatch/emulator/worker_emulator.cc
@@ -83,7 +83,7 @@
     WriterPointer writer;
   };
   struct LoadCommand {
-    std::string holder;
+    std::string lease_holder;
     uint64_t token = 0;
     std::string model;
     uint64_t revision = 0;
@@ -112,7 +112,7 @@
   uint64_t loading_revision_ = 0;
   runtime::Timer loading_timer_;
   uint64_t newest_token_ = 0;
-  std::string newest_token_holder_;
+  std::string newest_token_lease_holder_;
   uint64_t start_epoch_ = 0;
   uint64_t next_number_ = 1;
   std::deque<Waiting> waiting_;
@@ -256,7 +256,7 @@
                                              const WriterPointer& writer) {
   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
   LoadCommand command;
-  command.holder = std::string(routed.request.headers.Get("X-Posthatch-Gateway"));
+  command.lease_holder = std::string(routed.request.headers.Get("X-Posthatch-Gateway"));
   const bool has_token = absl::SimpleAtoi(
       util::ToAbsl(routed.request.headers.Get("X-Posthatch-Fencing-Token")), &command.token);
   if (!body.ok() || !has_token || TextField(*body, "model") != state.settings.model) {
@@ -273,24 +273,25 @@
         NotExecuted(409, "stale_token", absl::StrCat("newest token seen is ", newest_token_)));
     return;
   }
-  const json::object taken = {{"revision", command.revision}};
+  const json::object response_body = {{"revision", command.revision}};
   if (!loading_ && command.revision == state.model_revision) {
-    writer->SendResponse(JsonResponse(200, taken));
+    writer->SendResponse(JsonResponse(200, response_body));
     return;
   }
   if (!loading_ || command.revision != loading_revision_) BeginLoading(command.revision);
-  writer->SendResponse(JsonResponse(202, taken));
+  writer->SendResponse(JsonResponse(202, response_body));
 }
 
 // A fencing token belongs to one lease holder: an older token, or the newest one from another
 // holder, is stale.
 bool WorkerEmulator::Impl::AcceptsToken(const LoadCommand& command) {
-  const bool stale = command.token < newest_token_ ||
-                     (command.token == newest_token_ && command.holder != newest_token_holder_);
+  const bool stale =
+      command.token < newest_token_ ||
+      (command.token == newest_token_ && command.lease_holder != newest_token_lease_holder_);
   if (stale && state.behaviour.check_fencing_tokens) return false;
   if (!stale) {
     newest_token_ = command.token;
-    newest_token_holder_ = command.holder;
+    newest_token_lease_holder_ = command.lease_holder;
   }
   return true;
 }
@@ -299,7 +300,7 @@
   fleettest::HistoryEvent event;
   fleettest::OrderSeen* seen = event.mutable_order_seen();
   seen->set_worker(state.settings.id);
-  seen->set_holder(command.holder);
+  seen->set_holder(command.lease_holder);
   seen->set_fencing_token(command.token);
   seen->set_model(command.model);
   seen->set_revision(command.revision);
@@ -350,8 +351,8 @@
                    state.settings.timing.link_bytes_per_second);
   state.runtime->timers->Schedule(
       state.Slowed(transfer),
-      [writer, answer = FetchResponse(state.settings.id, state.epoch, makers)] {
-        writer->SendResponse(JsonResponse(200, answer));
+      [writer, response = FetchResponse(state.settings.id, state.epoch, makers)] {
+        writer->SendResponse(JsonResponse(200, response));
       });
 }
 
@@ -372,9 +373,9 @@
                                               const WriterPointer& writer) {
   absl::StatusOr<json::object> body = ParseObject(routed.request.body);
   absl::Status applied = body.status();
-  bool cold = false;
+  bool restart = false;
   if (body.ok()) {
-    cold = FlagField(*body, "cold");
+    restart = FlagField(*body, "cold");
     body->erase("cold");
     applied = ApplyFields(*body, BehaviourFields(), &state.behaviour);
   }
@@ -382,7 +383,7 @@
     writer->SendResponse(NotExecuted(400, "bad_request", util::ToStd(applied.message())));
     return;
   }
-  if (cold) EmulateRestart();
+  if (restart) EmulateRestart();
   writer->SendResponse(JsonResponse(200, json::object{{"epoch", state.epoch}}));
 }
 
@@ -403,6 +404,6 @@
 void WorkerEmulator::EmulateRestart() { impl_->EmulateRestart(); }
 uint64_t WorkerEmulator::epoch() const { return impl_->state.epoch; }
 uint64_t WorkerEmulator::model_revision() const { return impl_->state.model_revision; }
-uint64_t WorkerEmulator::kept_blocks() const { return impl_->state.cache.size(); }
+uint64_t WorkerEmulator::cached_blocks() const { return impl_->state.cache.size(); }
 
 }  // namespace posthatch::emulator
--- a/src/posthatch/emulator/worker_emulator.h
+++ b/src/posthatch/emulator/worker_emulator.h
@@ -36,7 +36,7 @@
   void EmulateRestart();
   uint64_t epoch() const;
   uint64_t model_revision() const;
-  uint64_t kept_blocks() const;
+  uint64_t cached_blocks() const;
 
  private:
   class Impl;
--- a/src/posthatch/emulator/worker_run.cc
+++ b/src/posthatch/emulator/worker_run.cc
@@ -21,13 +21,13 @@
 
 WorkerRun::WorkerRun(WorkerState* state, std::string run_id, RunRequest request,
                      runtime::MonotonicTime arrived, std::shared_ptr<http::ResponseWriter> writer,
-                     std::function<void()> ended)
+                     std::function<void()> on_ended)
     : state_(state),
       run_id_(std::move(run_id)),
       request_(std::move(request)),
       arrived_(arrived),
       writer_(std::move(writer)),
-      ended_(std::move(ended)),
+      on_ended_(std::move(on_ended)),
       timer_(state->runtime->timers),
       fetch_client_(state->runtime) {}
 
@@ -47,15 +47,15 @@
 }
 
 void WorkerRun::Fetch() {
-  const size_t wanted = std::min<size_t>(request_.kv_blocks, chain_.size());
-  const std::vector<index::BlockHash> missing(chain_.begin() + local_blocks_,
-                                              chain_.begin() + static_cast<int64_t>(wanted));
+  const size_t requested_blocks = std::min<size_t>(request_.kv_blocks, chain_.size());
+  const std::vector<index::BlockHash> missing(
+      chain_.begin() + local_blocks_, chain_.begin() + static_cast<int64_t>(requested_blocks));
   http::CallOptions options;
   options.head_timeout = kFetchTimeout;
   fetch_client_.Send(request_.kv_source,
                      JsonRequest("POST", "/kv/fetch", FetchBody(request_.cache_salt, missing)),
                      options, [this](const absl::StatusOr<http::Response>& response) {
-                       if (over_) return;
+                       if (finished_) return;
                        OnFetched(response);
                        Prefill();
                      });
@@ -154,18 +154,19 @@
 }
 
 void WorkerRun::BeginResponse() {
-  const ResponseIdentity own{run_id_,
-                             request_.nonce,
-                             request_.attempt,
-                             request_.operation,
-                             request_.tokens,
-                             static_cast<uint32_t>(request_.prompt.size() / index::kBytesPerToken),
-                             reused_blocks() * state_->settings.block_tokens};
+  const ResponseIdentity original{
+      run_id_,
+      request_.nonce,
+      request_.attempt,
+      request_.operation,
+      request_.tokens,
+      static_cast<uint32_t>(request_.prompt.size() / index::kBytesPerToken),
+      reused_blocks() * state_->settings.block_tokens};
   const WorkerBehaviour& behaviour = state_->behaviour;
   runtime::Random* random = state_->runtime->random;
-  response_ =
-      state_->mixer.Choose(own, {behaviour.answers_twice_share, behaviour.answers_crossed_share,
-                                 behaviour.answers_crossed_body_share});
+  response_ = state_->mixer.Choose(original,
+                                   {behaviour.answers_twice_share, behaviour.answers_crossed_share,
+                                    behaviour.answers_crossed_body_share});
   if (random->Chance(behaviour.cut_share)) truncate_at_ = behaviour.cut_at_piece;
   if (random->Chance(behaviour.cut_clean_share)) {
     truncate_at_ = behaviour.cut_at_piece;
@@ -177,8 +178,8 @@
   if (random->Chance(behaviour.skipped_piece_share)) {
     skipped_chunk_ = static_cast<uint32_t>(random->Uniform(response_.tokens));
   }
-  const bool late = random->Chance(behaviour.answers_late_share);
-  timer_.Start(std::chrono::milliseconds(late ? behaviour.answers_late_ms : 0), [this] {
+  const bool delayed = random->Chance(behaviour.answers_late_share);
+  timer_.Start(std::chrono::milliseconds(delayed ? behaviour.answers_late_ms : 0), [this] {
     if (request_.stream) writer_->StartStream(Head());
     ScheduleToken();
   });
@@ -214,16 +215,16 @@
   }
 }
 
-void WorkerRun::WriteChunk(uint32_t piece) {
-  if (piece == skipped_chunk_) return;
-  const json::object choice = {{"index", 0}, {"text", ChunkText(response_.run, piece)}};
+void WorkerRun::WriteChunk(uint32_t chunk) {
+  if (chunk == skipped_chunk_) return;
+  const json::object choice = {{"index", 0}, {"text", ChunkText(response_.run, chunk)}};
   const json::object event = {{"id", response_.run},
                               {"request_id", response_.request_id},
-                              {"piece", piece},
+                              {"piece", chunk},
                               {"choices", json::array{choice}}};
   const std::string text = absl::StrCat("data: ", json::serialize(event), "\n\n");
   writer_->WriteChunk(text);
-  if (piece == repeated_chunk_) writer_->WriteChunk(text);
+  if (chunk == repeated_chunk_) writer_->WriteChunk(text);
 }
 
 void WorkerRun::FinishResponse() {
@@ -276,15 +277,15 @@
 }
 
 void WorkerRun::Cancel(const std::string& reason, bool abort) {
-  if (over_) return;
+  if (finished_) return;
   timer_.Cancel();
   if (abort) writer_->Abort();
   End(false, reason);
 }
 
 void WorkerRun::End(bool completed, const std::string& reason) {
-  if (over_) return;
-  over_ = true;
+  if (finished_) return;
+  finished_ = true;
   --state_->running;
   if (started_) {
     fleettest::HistoryEvent event;
@@ -294,7 +295,7 @@
     event.mutable_run_ended()->set_reason(reason);
     state_->recorder->Record(std::move(event));
   }
-  ended_();
+  on_ended_();
 }
 
 }  // namespace posthatch::emulator
--- a/src/posthatch/emulator/worker_run.h
+++ b/src/posthatch/emulator/worker_run.h
@@ -20,7 +20,7 @@
   // `on_ended` runs once, after everything else; it must not destroy the run at once.
   WorkerRun(WorkerState* state, std::string run_id, RunRequest request,
             runtime::MonotonicTime arrived, std::shared_ptr<http::ResponseWriter> writer,
-            std::function<void()> ended);
+            std::function<void()> on_ended);
 
   void Start();
   // Ends the run early; RunEnded records `reason`. `abort` also breaks the connection.
@@ -36,7 +36,7 @@
   void BeginResponse();
   void ScheduleToken();
   void MakeToken();
-  void WriteChunk(uint32_t piece);
+  void WriteChunk(uint32_t chunk);
   void FinishResponse();
   void SendCompleteResponse();
   http::Response Head() const;
@@ -49,7 +49,7 @@
   const RunRequest request_;
   const runtime::MonotonicTime arrived_;
   const std::shared_ptr<http::ResponseWriter> writer_;
-  const std::function<void()> ended_;
+  const std::function<void()> on_ended_;
   runtime::Timer timer_;
 
   std::vector<index::BlockHash> chain_;
@@ -66,7 +66,7 @@
   uint32_t repeated_chunk_ = UINT32_MAX;
   uint32_t skipped_chunk_ = UINT32_MAX;
   bool started_ = false;  // whether RunStarted was recorded
-  bool over_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace posthatch::emulator
