--- a/src/posthatch/emulator/caller_load.cc
+++ b/src/posthatch/emulator/caller_load.cc
@@ -86,7 +86,7 @@
   runtime::Timer arrival_timer_;
   runtime::MonotonicTime next_arrival_;
   bool stopping_ = false;
-  std::function<void()> stopped_;
+  std::function<void()> on_stopped_;
   uint64_t next_call_ = 1;
   uint64_t next_request_ = 1;
   uint64_t start_nonce_ = 0;  // distinguishes nonces across restarts of a load
@@ -123,14 +123,14 @@
 
 void CallerLoad::Impl::Stop(std::function<void()> done) {
   stopping_ = true;
-  stopped_ = std::move(done);
+  on_stopped_ = std::move(done);
   arrival_timer_.Cancel();
   FinishStop();
 }
 
 void CallerLoad::Impl::FinishStop() {
-  if (!stopping_ || !calls_.empty() || pending_resends_ > 0 || stopped_ == nullptr) return;
-  runtime_->timers->Schedule(runtime::Duration::zero(), std::exchange(stopped_, nullptr));
+  if (!stopping_ || !calls_.empty() || pending_resends_ > 0 || on_stopped_ == nullptr) return;
+  runtime_->timers->Schedule(runtime::Duration::zero(), std::exchange(on_stopped_, nullptr));
 }
 
 CallerLoadCounts CallerLoad::Impl::counts() const {
--- a/src/posthatch/emulator/inventory_emulator.cc
+++ b/src/posthatch/emulator/inventory_emulator.cc
@@ -75,7 +75,7 @@
     std::vector<InventoryBackend> backends;
   };
 
-  void Read(const WriterPointer& writer);
+  void HandleRead(const WriterPointer& writer);
   void HandleSetBackends(const RoutedRequest& routed, const WriterPointer& writer);
   void HandleSetDraining(const RoutedRequest& routed, const WriterPointer& writer);
   void HandleSetBehaviour(const RoutedRequest& routed, const WriterPointer& writer);
@@ -90,7 +90,7 @@
   runtime::Duration lateness_;
   double reads_per_second_;
   double read_tokens_ = 0;
-  runtime::MonotonicTime tokens_as_of_;
+  runtime::MonotonicTime last_refill_at_;
   std::vector<InventoryBackend> newest_;
   std::deque<Pending> pending_;
   runtime::Timer publish_timer_;
@@ -100,10 +100,10 @@
 };
 
 absl::Status InventoryEmulator::Impl::Start() {
-  tokens_as_of_ = runtime_->clock->Now();
+  last_refill_at_ = runtime_->clock->Now();
   read_tokens_ = std::max(1.0, reads_per_second_);
   server_.Route("GET", "/v1/inventory",
-                [this](const RoutedRequest&, const WriterPointer& writer) { Read(writer); });
+                [this](const RoutedRequest&, const WriterPointer& writer) { HandleRead(writer); });
   server_.Route("PUT", "/debug/backends",
                 [this](const RoutedRequest& routed, const WriterPointer& writer) {
                   HandleSetBackends(routed, writer);
@@ -121,13 +121,13 @@
 }
 
 // Rate limited by a token bucket that holds the tokens of one second.
-void InventoryEmulator::Impl::Read(const WriterPointer& writer) {
+void InventoryEmulator::Impl::HandleRead(const WriterPointer& writer) {
   PublishDue();
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  const double seconds = std::chrono::duration<double>(now - tokens_as_of_).count();
+  const double seconds = std::chrono::duration<double>(now - last_refill_at_).count();
   read_tokens_ =
       std::min(std::max(1.0, reads_per_second_), read_tokens_ + seconds * reads_per_second_);
-  tokens_as_of_ = now;
+  last_refill_at_ = now;
   if (read_tokens_ < 1) {
     const double wait_ms = (1 - read_tokens_) / std::max(reads_per_second_, 0.001) * 1000;
     http::Response response = NotExecuted(429, "rate_limited", "the list is read too often");
--- a/src/posthatch/emulator/kv_event_log.cc
+++ b/src/posthatch/emulator/kv_event_log.cc
@@ -62,7 +62,7 @@
   }
   slots_.push_back(std::move(slot));
   while (slots_.size() > max_events_) slots_.pop_front();
-  RespondToWaiting(/*all=*/false);
+  RespondToPendingPolls(/*all=*/false);
   ScheduleVisible();
 }
 
@@ -71,7 +71,7 @@
   last_seq_ = 0;
   slots_.clear();
   reordered_events_.clear();
-  RespondToWaiting(/*all=*/true);
+  RespondToPendingPolls(/*all=*/true);
 }
 
 void KvEventLog::Poll(const RoutedRequest& request,
@@ -83,11 +83,11 @@
     Respond(after, writer.get());
     return;
   }
-  waiting_.emplace_front(runtime_->timers, after, writer);
-  const auto entry = waiting_.begin();
+  pending_polls_.emplace_front(runtime_->timers, after, writer);
+  const auto entry = pending_polls_.begin();
   entry->timeout.Start(std::chrono::milliseconds(wait_ms), [this, entry] {
     Respond(entry->after, entry->writer.get());
-    waiting_.erase(entry);
+    pending_polls_.erase(entry);
   });
   ScheduleVisible();
 }
@@ -115,12 +115,12 @@
   writer->SendResponse(JsonResponse(200, body));
 }
 
-void KvEventLog::RespondToWaiting(bool all) {
+void KvEventLog::RespondToPendingPolls(bool all) {
   const uint64_t up_to = LastVisibleSeq();
-  for (auto entry = waiting_.begin(); entry != waiting_.end();) {
+  for (auto entry = pending_polls_.begin(); entry != pending_polls_.end();) {
     if (all || up_to > entry->after) {
       Respond(all ? 0 : entry->after, entry->writer.get());
-      entry = waiting_.erase(entry);
+      entry = pending_polls_.erase(entry);
     } else {
       ++entry;
     }
@@ -128,13 +128,13 @@
 }
 
 void KvEventLog::ScheduleVisible() {
-  if (waiting_.empty()) return;
+  if (pending_polls_.empty()) return;
   const uint64_t up_to = LastVisibleSeq();
   const auto next = std::find_if(slots_.begin(), slots_.end(),
                                  [up_to](const Slot& slot) { return slot.seq > up_to; });
   if (next == slots_.end()) return;
   visible_timer_.Start(next->visible_at - runtime_->clock->Now(), [this] {
-    RespondToWaiting(/*all=*/false);
+    RespondToPendingPolls(/*all=*/false);
     ScheduleVisible();
   });
 }
--- a/src/posthatch/emulator/kv_event_log.h
+++ b/src/posthatch/emulator/kv_event_log.h
@@ -36,9 +36,9 @@
     runtime::MonotonicTime visible_at;
     std::vector<boost::json::object> events;
   };
-  struct Waiting {
-    Waiting(runtime::TimerService* timers, uint64_t after_seq,
-            std::shared_ptr<http::ResponseWriter> response_writer)
+  struct PendingPoll {
+    PendingPoll(runtime::TimerService* timers, uint64_t after_seq,
+                std::shared_ptr<http::ResponseWriter> response_writer)
         : after(after_seq), writer(std::move(response_writer)), timeout(timers) {}
     uint64_t after;
     std::shared_ptr<http::ResponseWriter> writer;
@@ -48,7 +48,7 @@
   void Append(boost::json::object event, const WorkerBehaviour& behaviour);
   uint64_t LastVisibleSeq() const;
   void Respond(uint64_t after, http::ResponseWriter* writer) const;
-  void RespondToWaiting(bool all);
+  void RespondToPendingPolls(bool all);
   void ScheduleVisible();
 
   runtime::Runtime* const runtime_;
@@ -57,7 +57,7 @@
   uint64_t last_seq_ = 0;
   std::deque<Slot> slots_;
   std::vector<boost::json::object> reordered_events_;  // delivered after the next event
-  std::list<Waiting> waiting_;
+  std::list<PendingPoll> pending_polls_;
   runtime::Timer visible_timer_;
 };
 
--- a/src/posthatch/emulator/operator_emulator.cc
+++ b/src/posthatch/emulator/operator_emulator.cc
@@ -93,7 +93,7 @@
   void OnResponse(const ChangePointer& change, const std::string& node,
                   const absl::StatusOr<http::Response>& response);
   void RecordResponse(const Change& change, const ChangeOutcome& outcome);
-  void Conclude(const ChangePointer& change, const ChangeOutcome& outcome);
+  void FinishChange(const ChangePointer& change, const ChangeOutcome& outcome);
   void ScheduleRotation();
   void ScheduleRead();
   void Rotate();
@@ -106,7 +106,7 @@
   uint64_t next_change_ = 1;
   bool generation_acknowledged_ = true;
   uint64_t open_changes_ = 0;
-  std::function<void()> stopped_;
+  std::function<void()> on_stopped_;
   bool stopping_ = false;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   runtime::Timer rotation_timer_;
@@ -122,15 +122,15 @@
 
 void OperatorEmulator::Impl::Stop(std::function<void()> done) {
   stopping_ = true;
-  stopped_ = std::move(done);
+  on_stopped_ = std::move(done);
   rotation_timer_.Cancel();
   read_timer_.Cancel();
   FinishStop();
 }
 
 void OperatorEmulator::Impl::FinishStop() {
-  if (!stopping_ || open_changes_ > 0 || stopped_ == nullptr) return;
-  runtime_->timers->Schedule(runtime::Duration::zero(), std::exchange(stopped_, nullptr));
+  if (!stopping_ || open_changes_ > 0 || on_stopped_ == nullptr) return;
+  runtime_->timers->Schedule(runtime::Duration::zero(), std::exchange(on_stopped_, nullptr));
 }
 
 std::string OperatorEmulator::Impl::RandomNode(const std::string& except) {
@@ -204,7 +204,7 @@
     change->repeating = true;
     SendLater(change, node);
   } else {
-    Conclude(change, outcome);
+    FinishChange(change, outcome);
   }
 }
 
@@ -219,7 +219,8 @@
   recorder_->Record(std::move(event));
 }
 
-void OperatorEmulator::Impl::Conclude(const ChangePointer& change, const ChangeOutcome& outcome) {
+void OperatorEmulator::Impl::FinishChange(const ChangePointer& change,
+                                          const ChangeOutcome& outcome) {
   --open_changes_;
   if (change->done != nullptr) change->done(outcome);
   FinishStop();
--- a/src/posthatch/emulator/prompt_pool.cc
+++ b/src/posthatch/emulator/prompt_pool.cc
@@ -15,13 +15,13 @@
     const bool common = rank % 2 == 0;
     histories_.push_back(
         {common ? absl::StrCat("common/", rank) : absl::StrCat(tenant.name, "/", rank), "", 0, 0});
-    Begin(&histories_.back());
+    StartGeneration(&histories_.back());
     weights.push_back(std::pow(rank + 1.0, -tenant.zipf_exponent));
   }
   choice_ = std::discrete_distribution<size_t>(weights.begin(), weights.end());
 }
 
-void PromptPool::Begin(History* history) const {
+void PromptPool::StartGeneration(History* history) const {
   history->turns = 0;
   history->text =
       FillerText(absl::StrCat(history->name, "#", history->generation), tenant_.first_prompt_bytes);
@@ -32,7 +32,7 @@
   History& history = histories_[choice_(*random)];
   if (history.text.size() + tenant_.turn_bytes > tenant_.longest_prompt_bytes) {
     ++history.generation;
-    Begin(&history);
+    StartGeneration(&history);
   }
   Choice choice{absl::StrCat(history.name, "#", history.generation), history.text};
   ++history.turns;
--- a/src/posthatch/emulator/prompt_pool.h
+++ b/src/posthatch/emulator/prompt_pool.h
@@ -30,7 +30,7 @@
     uint32_t generation = 0;
     uint32_t turns = 0;
   };
-  void Begin(History* history) const;
+  void StartGeneration(History* history) const;
 
   const TenantTraffic tenant_;
   std::vector<History> histories_;
--- a/src/posthatch/emulator/store_emulator.h
+++ b/src/posthatch/emulator/store_emulator.h
@@ -20,7 +20,7 @@
 };
 
 // Emulates the store of KV blocks (docs/BACKENDS.md). Its blocks are in memory only, and each
-// start begins a new epoch. Checks neither tenant nor version. Event loop thread only.
+// start begins a new epoch. Checks neither tenants nor model revisions. Event loop thread only.
 class StoreEmulator {
  public:
   StoreEmulator(runtime::Runtime* runtime, StoreSettings settings,
--- a/src/posthatch/emulator/worker_emulator.cc
+++ b/src/posthatch/emulator/worker_emulator.cc
@@ -76,7 +76,7 @@
   WorkerState state;
 
  private:
-  struct Waiting {
+  struct QueuedRequest {
     uint64_t number;
     RunRequest request;
     runtime::MonotonicTime arrived;
@@ -93,8 +93,8 @@
                      const WriterPointer& writer);
   bool RejectIfUnable(const RunRequest& request, http::ResponseWriter* writer) const;
   void OnCallerDisconnected(uint64_t number);
-  void StartWaitingRuns();
-  void StartRun(Waiting waiting);
+  void StartQueuedRuns();
+  void StartRun(QueuedRequest queued);
   void OnRunEnded(uint64_t number);
 
   void HandleLoadCommand(const RoutedRequest& routed, const WriterPointer& writer);
@@ -115,7 +115,7 @@
   std::string newest_token_lease_holder_;
   uint64_t start_epoch_ = 0;
   uint64_t next_number_ = 1;
-  std::deque<Waiting> waiting_;
+  std::deque<QueuedRequest> queue_;
   absl::btree_map<uint64_t, std::unique_ptr<WorkerRun>> runs_;
   // Declared last, so that it is destroyed first: its handlers use the other members.
   RoutedServer server_;
@@ -182,15 +182,14 @@
     return;
   }
   if (RejectIfUnable(*request, writer.get())) return;
-  if (waiting_.size() >= state.settings.max_waiting &&
-      state.running >= state.settings.max_running) {
+  if (queue_.size() >= state.settings.max_waiting && state.running >= state.settings.max_running) {
     SendRejection(*request, 429, "overloaded", "queue is full", writer.get());
     return;
   }
   const uint64_t number = next_number_++;
   writer->OnCallerDisconnected([this, number] { OnCallerDisconnected(number); });
-  waiting_.push_back({number, *std::move(request), state.runtime->clock->Now(), writer});
-  StartWaitingRuns();
+  queue_.push_back({number, *std::move(request), state.runtime->clock->Now(), writer});
+  StartQueuedRuns();
 }
 
 bool WorkerEmulator::Impl::RejectIfUnable(const RunRequest& request,
@@ -217,26 +216,26 @@
     run->second->Cancel("caller_gone", /*abort=*/false);
     return;
   }
-  const auto waiting =
-      std::find_if(waiting_.begin(), waiting_.end(),
-                   [number](const Waiting& entry) { return entry.number == number; });
-  if (waiting != waiting_.end()) waiting_.erase(waiting);
+  const auto queued =
+      std::find_if(queue_.begin(), queue_.end(),
+                   [number](const QueuedRequest& entry) { return entry.number == number; });
+  if (queued != queue_.end()) queue_.erase(queued);
 }
 
-void WorkerEmulator::Impl::StartWaitingRuns() {
-  while (!waiting_.empty() && state.running < state.settings.max_running) {
-    Waiting next = std::move(waiting_.front());
-    waiting_.pop_front();
+void WorkerEmulator::Impl::StartQueuedRuns() {
+  while (!queue_.empty() && state.running < state.settings.max_running) {
+    QueuedRequest next = std::move(queue_.front());
+    queue_.pop_front();
     if (!RejectIfUnable(next.request, next.writer.get())) StartRun(std::move(next));
   }
 }
 
-void WorkerEmulator::Impl::StartRun(Waiting waiting) {
-  const uint64_t number = waiting.number;
+void WorkerEmulator::Impl::StartRun(QueuedRequest queued) {
+  const uint64_t number = queued.number;
   const std::string run_id = absl::StrCat(state.settings.id, "-", start_epoch_, "-", number);
-  auto run = std::make_unique<WorkerRun>(&state, run_id, std::move(waiting.request),
-                                         waiting.arrived, std::move(waiting.writer),
-                                         [this, number] { OnRunEnded(number); });
+  auto run =
+      std::make_unique<WorkerRun>(&state, run_id, std::move(queued.request), queued.arrived,
+                                  std::move(queued.writer), [this, number] { OnRunEnded(number); });
   WorkerRun* started = run.get();
   runs_[number] = std::move(run);
   started->Start();
@@ -247,7 +246,7 @@
   if (entry == runs_.end()) return;
   ReleaseLater(state.runtime, std::move(entry->second));
   runs_.erase(entry);
-  if (!loading_) StartWaitingRuns();
+  if (!loading_) StartQueuedRuns();
 }
 
 // ---------------------------------------------------------------- load commands
@@ -311,8 +310,8 @@
 void WorkerEmulator::Impl::BeginLoading(uint64_t revision) {
   loading_ = true;
   loading_revision_ = revision;
-  for (Waiting& waiting : std::exchange(waiting_, {}))
-    RejectIfUnable(waiting.request, waiting.writer.get());
+  for (QueuedRequest& queued : std::exchange(queue_, {}))
+    RejectIfUnable(queued.request, queued.writer.get());
   std::vector<WorkerRun*> running;
   for (const auto& [number, run] : runs_) running.push_back(run.get());
   for (WorkerRun* run : running) run->Cancel("loading", /*abort=*/true);
@@ -365,7 +364,7 @@
                         {"revision", state.model_revision},
                         {"loading", loading_},
                         {"running", state.running},
-                        {"waiting", waiting_.size()},
+                        {"waiting", queue_.size()},
                         {"up_ms", static_cast<int64_t>(runtime::ToMilliseconds(up))}}));
 }
 
