--- a/src/posthatch/emulator/worker_run.h
+++ b/src/posthatch/emulator/worker_run.h
@@ -17,7 +17,7 @@
 // Owned by WorkerEmulator; runs no callback after its destruction. Event loop thread only.
 class WorkerRun {
  public:
-  // `on_ended` runs once, after everything else; it must not destroy the run at once.
+  // `on_ended` runs once, as the last step; the run may be destroyed after it returns, not within.
   WorkerRun(WorkerState* state, std::string run_id, RunRequest request,
             runtime::MonotonicTime arrived, std::shared_ptr<http::ResponseWriter> writer,
             std::function<void()> on_ended);
