--- a/src/posthatch/emulator/caller_load.cc
+++ b/src/posthatch/emulator/caller_load.cc
@@ -18,14 +18,14 @@
 
 namespace {
 
-constexpr runtime::Duration kMinLeaveDelay = std::chrono::milliseconds(2);
-constexpr runtime::Duration kMaxLeaveDelay = std::chrono::milliseconds(300);
+constexpr runtime::Duration kMinDisconnectDelay = std::chrono::milliseconds(2);
+constexpr runtime::Duration kMaxDisconnectDelay = std::chrono::milliseconds(300);
 constexpr runtime::Duration kReadingPause = std::chrono::milliseconds(150);
 constexpr runtime::Duration kMaxRepeatDelay = std::chrono::seconds(2);
-// Upper bound on an obeyed Retry-After.
+// Upper bound on the Retry-After that callers comply with.
 constexpr uint32_t kMaxRetryAfterS = 5;
 
-// One logical request: all its sends carry the same nonce and key.
+// A request and its resends, which all carry the same nonce and idempotency key.
 struct LogicalRequest {
   CallPlan plan;
   uint32_t sends = 0;
@@ -46,7 +46,7 @@
   return json::serialize(body);
 }
 
-// Whether the caller must take the response as lost: the operation may or may not have run.
+// Whether the response counts as lost: the operation may or may not have been executed.
 bool IsResponseLost(const fleettest::CallEnded& ended) {
   if (ended.status() == 0 || !ended.complete()) return true;
   return ended.status() != 200 && ended.executed() != "no";
@@ -80,16 +80,16 @@
   runtime::Runtime* const runtime_;
   CallerLoadOptions options_;
   fleettest::HistoryRecorder* const recorder_;
-  std::vector<PromptPool> pools_;  // one for each tenant
+  std::vector<PromptPool> pools_;  // indexed like mix.tenants
   std::discrete_distribution<size_t> tenant_choice_;
   std::discrete_distribution<size_t> operation_choice_;
   runtime::Timer arrival_timer_;
   runtime::MonotonicTime next_arrival_;
   bool stopping_ = false;
-  std::function<void()> stopped_;
+  std::function<void()> on_stopped_;
   uint64_t next_call_ = 1;
   uint64_t next_request_ = 1;
-  uint64_t start_nonce_ = 0;  // keeps nonces of two lives of one load apart
+  uint64_t start_nonce_ = 0;  // distinguishes nonces across restarts of a load
   uint64_t pending_resends_ = 0;
   CallerLoadCounts counts_;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
@@ -123,14 +123,14 @@
 
 void CallerLoad::Impl::Stop(std::function<void()> done) {
   stopping_ = true;
-  stopped_ = std::move(done);
+  on_stopped_ = std::move(done);
   arrival_timer_.Cancel();
   FinishStop();
 }
 
 void CallerLoad::Impl::FinishStop() {
-  if (!stopping_ || !calls_.empty() || pending_resends_ > 0 || stopped_ == nullptr) return;
-  runtime_->timers->Schedule(runtime::Duration::zero(), std::exchange(stopped_, nullptr));
+  if (!stopping_ || !calls_.empty() || pending_resends_ > 0 || on_stopped_ == nullptr) return;
+  runtime_->timers->Schedule(runtime::Duration::zero(), std::exchange(on_stopped_, nullptr));
 }
 
 CallerLoadCounts CallerLoad::Impl::counts() const {
@@ -216,9 +216,9 @@
 // Pooled or new connection, slow reading, early disconnect.
 void CallerLoad::Impl::PlanCallerBehaviour(CallPlan* plan) {
   runtime::Random* random = runtime_->random;
-  plan->options.fresh_connection = !random->Chance(options_.mix.kept_connection_share);
-  if (random->Chance(options_.mix.leaving_share)) {
-    plan->leave_after = random->Between(kMinLeaveDelay, kMaxLeaveDelay);
+  plan->options.fresh_connection = !random->Chance(options_.mix.pooled_connection_share);
+  if (random->Chance(options_.mix.disconnecting_share)) {
+    plan->disconnect_after = random->Between(kMinDisconnectDelay, kMaxDisconnectDelay);
   }
   if (plan->sent.stream() && random->Chance(options_.mix.slow_reader_share)) {
     plan->reading_pause = kReadingPause;
@@ -240,7 +240,7 @@
   plan.sent.set_call(call);
   plan.sent.set_gateway(gateway);
   plan.sent.set_send(++request->sends);
-  if (request->sends > 1) plan.leave_after = runtime::Duration::zero();
+  if (request->sends > 1) plan.disconnect_after = runtime::Duration::zero();
   ++counts_.sent;
   auto recorded =
       std::make_unique<RecordedCall>(runtime_, recorder_, std::move(plan),
@@ -272,9 +272,9 @@
   const bool keyed = !ended.idempotency_key().empty();
   if (keyed && request->sends < options_.mix.max_sends) {
     if (IsResponseLost(ended)) {
-      const runtime::Duration asked =
+      const runtime::Duration retry_after =
           std::chrono::seconds(std::min(ended.retry_after_s(), kMaxRetryAfterS));
-      SendLater(request, std::max(asked, options_.resend_delay), ended.gateway());
+      SendLater(request, std::max(retry_after, options_.resend_delay), ended.gateway());
     } else if (!request->repeated && runtime_->random->Chance(options_.mix.repeated_share)) {
       request->repeated = true;
       SendLater(request, runtime_->random->Between(options_.resend_delay, kMaxRepeatDelay),
--- a/src/posthatch/emulator/json_client.cc
+++ b/src/posthatch/emulator/json_client.cc
@@ -16,13 +16,13 @@
   auto running = std::make_shared<Running>();
   running->done = std::move(done);
   http::CallObserver observer;
-  // The observer lives in the call, which `running` owns: it must not own `running` in turn.
+  // The call owns the observer and `running` owns the call: a weak pointer avoids a cycle.
   std::weak_ptr<Running> weak = running;
   observer.on_head = [weak](const http::Response& head) {
     if (auto self = weak.lock()) self->response = head;
   };
-  observer.on_chunk = [weak](const std::string& piece) {
-    if (auto self = weak.lock()) self->response.body += piece;
+  observer.on_chunk = [weak](const std::string& chunk) {
+    if (auto self = weak.lock()) self->response.body += chunk;
   };
   observer.on_end = [this, weak, id] {
     if (auto self = weak.lock()) Finish(id, std::move(self->response));
--- a/src/posthatch/emulator/json_client.h
+++ b/src/posthatch/emulator/json_client.h
@@ -13,8 +13,8 @@
 
 namespace posthatch::emulator {
 
-// Sends requests with small responses, which it collects. Owns its running calls: destroyed, it
-// cancels them and runs no more callbacks. Event loop thread only.
+// Sends requests and buffers their responses, which must be small. Owns its calls in flight: its
+// destruction cancels them without running their callbacks. Event loop thread only.
 class JsonClient {
  public:
   // The complete response, or the error of the call (http::CallError::status).
@@ -43,7 +43,7 @@
 void ReleaseLater(runtime::Runtime* runtime, std::unique_ptr<Object> object) {
   if (object == nullptr) return;
   runtime->timers->Schedule(runtime::Duration::zero(),
-                            [held = std::shared_ptr<Object>(std::move(object))] {});
+                            [retained = std::shared_ptr<Object>(std::move(object))] {});
 }
 
 }  // namespace posthatch::emulator
--- a/src/posthatch/emulator/kv_event_log.h
+++ b/src/posthatch/emulator/kv_event_log.h
@@ -20,7 +20,7 @@
 // as `after` of the next poll. Event loop thread only.
 class KvEventLog {
  public:
-  KvEventLog(runtime::Runtime* runtime, uint64_t kept_events);
+  KvEventLog(runtime::Runtime* runtime, uint64_t max_events);
 
   void Stored(const std::vector<index::BlockHash>& blocks, uint32_t first,
               const std::string& attempt, const WorkerBehaviour& behaviour);
@@ -30,15 +30,15 @@
   void Poll(const RoutedRequest& request, const std::shared_ptr<http::ResponseWriter>& writer);
 
  private:
-  // What becomes visible at one `seq`: usually one event, none if it was lost.
+  // Events that become visible with a `seq`: usually one, none if it was lost.
   struct Slot {
     uint64_t seq = 0;
     runtime::MonotonicTime visible_at;
     std::vector<boost::json::object> events;
   };
-  struct Waiting {
-    Waiting(runtime::TimerService* timers, uint64_t after_seq,
-            std::shared_ptr<http::ResponseWriter> response_writer)
+  struct PendingPoll {
+    PendingPoll(runtime::TimerService* timers, uint64_t after_seq,
+                std::shared_ptr<http::ResponseWriter> response_writer)
         : after(after_seq), writer(std::move(response_writer)), timeout(timers) {}
     uint64_t after;
     std::shared_ptr<http::ResponseWriter> writer;
@@ -48,16 +48,16 @@
   void Append(boost::json::object event, const WorkerBehaviour& behaviour);
   uint64_t LastVisibleSeq() const;
   void Respond(uint64_t after, http::ResponseWriter* writer) const;
-  void RespondToWaiting(bool all);
+  void RespondToPendingPolls(bool all);
   void ScheduleVisible();
 
   runtime::Runtime* const runtime_;
-  const uint64_t kept_events_;
+  const uint64_t max_events_;
   uint64_t epoch_ = 0;
   uint64_t last_seq_ = 0;
   std::deque<Slot> slots_;
-  std::vector<boost::json::object> reordered_events_;  // shown with the next event (reordered)
-  std::list<Waiting> waiting_;
+  std::vector<boost::json::object> reordered_events_;  // delivered after the next event
+  std::list<PendingPoll> pending_polls_;
   runtime::Timer visible_timer_;
 };
 
--- a/src/posthatch/emulator/operator_emulator.cc
+++ b/src/posthatch/emulator/operator_emulator.cc
@@ -25,12 +25,12 @@
   google::protobuf::util::JsonPrintOptions options;
   options.preserve_proto_field_names = true;
   std::string text;
-  // Configurations hold no Any and no invalid enums: printing them can't fail.
+  // Configurations contain no Any and no invalid enums: printing them can't fail.
   if (!google::protobuf::util::MessageToJsonString(message, &text, options).ok()) text = "{}";
   return text;
 }
 
-// One change; all its sends carry one request id.
+// A change; all its sends carry the same request id.
 struct Change {
   std::string request_id;
   std::string kind;
@@ -39,7 +39,7 @@
   std::string detail;
   uint64_t expected_version = 0;
   uint32_t sends = 0;
-  bool repeating = false;  // it was answered; this send asks once more
+  bool repeating = false;  // sent again after a final response
   OperatorEmulator::ChangeDone done;
 };
 using ChangePointer = std::shared_ptr<Change>;
@@ -76,7 +76,7 @@
 
   void Start();
   void Stop(std::function<void()> done);
-  // `fields` is the rest of the body's object, as JSON text without its braces.
+  // `fields` holds the other members of the body's JSON object, without braces.
   void Submit(std::string kind, std::string path, const std::string& fields, std::string detail,
               uint64_t expected_version, const std::string& node, ChangeDone done);
   std::string RandomNode(const std::string& except);
@@ -93,7 +93,7 @@
   void OnResponse(const ChangePointer& change, const std::string& node,
                   const absl::StatusOr<http::Response>& response);
   void RecordResponse(const Change& change, const ChangeOutcome& outcome);
-  void Conclude(const ChangePointer& change, const ChangeOutcome& outcome);
+  void FinishChange(const ChangePointer& change, const ChangeOutcome& outcome);
   void ScheduleRotation();
   void ScheduleRead();
   void Rotate();
@@ -106,7 +106,7 @@
   uint64_t next_change_ = 1;
   bool generation_acknowledged_ = true;
   uint64_t open_changes_ = 0;
-  std::function<void()> stopped_;
+  std::function<void()> on_stopped_;
   bool stopping_ = false;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   runtime::Timer rotation_timer_;
@@ -122,15 +122,15 @@
 
 void OperatorEmulator::Impl::Stop(std::function<void()> done) {
   stopping_ = true;
-  stopped_ = std::move(done);
+  on_stopped_ = std::move(done);
   rotation_timer_.Cancel();
   read_timer_.Cancel();
   FinishStop();
 }
 
 void OperatorEmulator::Impl::FinishStop() {
-  if (!stopping_ || open_changes_ > 0 || stopped_ == nullptr) return;
-  runtime_->timers->Schedule(runtime::Duration::zero(), std::exchange(stopped_, nullptr));
+  if (!stopping_ || open_changes_ > 0 || on_stopped_ == nullptr) return;
+  runtime_->timers->Schedule(runtime::Duration::zero(), std::exchange(on_stopped_, nullptr));
 }
 
 std::string OperatorEmulator::Impl::RandomNode(const std::string& except) {
@@ -204,22 +204,23 @@
     change->repeating = true;
     SendLater(change, node);
   } else {
-    Conclude(change, outcome);
+    FinishChange(change, outcome);
   }
 }
 
 void OperatorEmulator::Impl::RecordResponse(const Change& change, const ChangeOutcome& outcome) {
   fleettest::HistoryEvent event;
-  fleettest::ChangeAnswered* answered = event.mutable_change_answered();
-  answered->set_request_id(change.request_id);
-  answered->set_acknowledged(outcome.acknowledged);
-  answered->set_refused(outcome.refused);
-  answered->set_code(outcome.code);
-  answered->set_version(outcome.version);
+  fleettest::ChangeAnswered* change_response = event.mutable_change_answered();
+  change_response->set_request_id(change.request_id);
+  change_response->set_acknowledged(outcome.acknowledged);
+  change_response->set_refused(outcome.refused);
+  change_response->set_code(outcome.code);
+  change_response->set_version(outcome.version);
   recorder_->Record(std::move(event));
 }
 
-void OperatorEmulator::Impl::Conclude(const ChangePointer& change, const ChangeOutcome& outcome) {
+void OperatorEmulator::Impl::FinishChange(const ChangePointer& change,
+                                          const ChangeOutcome& outcome) {
   --open_changes_;
   if (change->done != nullptr) change->done(outcome);
   FinishStop();
@@ -276,14 +277,14 @@
            ScheduleRotation();
          });
   if (version == 0 || !runtime_->random->Chance(options.racing_share)) return;
-  control::ConfigurationPatch rival;
-  rival.mutable_upsert()->add_tenants()->set_name(options.probe_tenant + "-rival");
+  control::ConfigurationPatch racing_patch;
+  racing_patch.mutable_upsert()->add_tenants()->set_name(options.probe_tenant + "-rival");
   Submit("configuration", "/admin/v1/configuration",
-         absl::StrCat(version_field, ",\"patch\":", ProtoJson(rival)), "rival", version,
+         absl::StrCat(version_field, ",\"patch\":", ProtoJson(racing_patch)), "rival", version,
          RandomNode(node), nullptr);
 }
 
-// ---------------------------------------------------------------- surface
+// ---------------------------------------------------------------- public interface
 
 OperatorEmulator::OperatorEmulator(runtime::Runtime* runtime, OperatorOptions options,
                                    fleettest::HistoryRecorder* recorder)
--- a/src/posthatch/emulator/worker_emulator.cc
+++ b/src/posthatch/emulator/worker_emulator.cc
@@ -52,7 +52,7 @@
   return *fields;
 }
 
-// A rejection says that nothing ran; like every response it carries the attempt's nonce.
+// Sends a rejection: states that nothing was executed and echoes the nonce of the attempt.
 void SendRejection(const RunRequest& request, int status, std::string_view code,
                    std::string_view message, http::ResponseWriter* writer) {
   http::Response response = NotExecuted(status, code, message);
@@ -76,14 +76,14 @@
   WorkerState state;
 
  private:
-  struct Waiting {
+  struct QueuedRequest {
     uint64_t number;
     RunRequest request;
     runtime::MonotonicTime arrived;
     WriterPointer writer;
   };
   struct LoadCommand {
-    std::string holder;
+    std::string lease_holder;
     uint64_t token = 0;
     std::string model;
     uint64_t revision = 0;
@@ -93,8 +93,8 @@
                      const WriterPointer& writer);
   bool RejectIfUnable(const RunRequest& request, http::ResponseWriter* writer) const;
   void OnCallerDisconnected(uint64_t number);
-  void StartWaitingRuns();
-  void StartRun(Waiting waiting);
+  void StartQueuedRuns();
+  void StartRun(QueuedRequest queued);
   void OnRunEnded(uint64_t number);
 
   void HandleLoadCommand(const RoutedRequest& routed, const WriterPointer& writer);
@@ -112,12 +112,12 @@
   uint64_t loading_revision_ = 0;
   runtime::Timer loading_timer_;
   uint64_t newest_token_ = 0;
-  std::string newest_token_holder_;
+  std::string newest_token_lease_holder_;
   uint64_t start_epoch_ = 0;
   uint64_t next_number_ = 1;
-  std::deque<Waiting> waiting_;
+  std::deque<QueuedRequest> queue_;
   absl::btree_map<uint64_t, std::unique_ptr<WorkerRun>> runs_;
-  // Declared last, so that it is destroyed first and calls into nothing that is gone.
+  // Declared last, so that it is destroyed first: its handlers use the other members.
   RoutedServer server_;
 };
 
@@ -165,7 +165,7 @@
 
 void WorkerEmulator::Impl::DropBlocks() {
   state.cache.Clear();
-  // Rises over process restarts too, since the monotonic clock runs on.
+  // Also increases across process restarts, since the monotonic clock continues.
   const auto now_us =
       static_cast<uint64_t>(runtime::ToNanoseconds(state.runtime->clock->Now()) / 1000);
   state.epoch = std::max(state.epoch + 1, now_us);
@@ -182,15 +182,14 @@
     return;
   }
   if (RejectIfUnable(*request, writer.get())) return;
-  if (waiting_.size() >= state.settings.max_waiting &&
-      state.running >= state.settings.max_running) {
+  if (queue_.size() >= state.settings.max_waiting && state.running >= state.settings.max_running) {
     SendRejection(*request, 429, "overloaded", "queue is full", writer.get());
     return;
   }
   const uint64_t number = next_number_++;
   writer->OnCallerDisconnected([this, number] { OnCallerDisconnected(number); });
-  waiting_.push_back({number, *std::move(request), state.runtime->clock->Now(), writer});
-  StartWaitingRuns();
+  queue_.push_back({number, *std::move(request), state.runtime->clock->Now(), writer});
+  StartQueuedRuns();
 }
 
 bool WorkerEmulator::Impl::RejectIfUnable(const RunRequest& request,
@@ -217,26 +216,26 @@
     run->second->Cancel("caller_gone", /*abort=*/false);
     return;
   }
-  const auto waiting =
-      std::find_if(waiting_.begin(), waiting_.end(),
-                   [number](const Waiting& entry) { return entry.number == number; });
-  if (waiting != waiting_.end()) waiting_.erase(waiting);
+  const auto queued =
+      std::find_if(queue_.begin(), queue_.end(),
+                   [number](const QueuedRequest& entry) { return entry.number == number; });
+  if (queued != queue_.end()) queue_.erase(queued);
 }
 
-void WorkerEmulator::Impl::StartWaitingRuns() {
-  while (!waiting_.empty() && state.running < state.settings.max_running) {
-    Waiting next = std::move(waiting_.front());
-    waiting_.pop_front();
+void WorkerEmulator::Impl::StartQueuedRuns() {
+  while (!queue_.empty() && state.running < state.settings.max_running) {
+    QueuedRequest next = std::move(queue_.front());
+    queue_.pop_front();
     if (!RejectIfUnable(next.request, next.writer.get())) StartRun(std::move(next));
   }
 }
 
-void WorkerEmulator::Impl::StartRun(Waiting waiting) {
-  const uint64_t number = waiting.number;
+void WorkerEmulator::Impl::StartRun(QueuedRequest queued) {
+  const uint64_t number = queued.number;
   const std::string run_id = absl::StrCat(state.settings.id, "-", start_epoch_, "-", number);
-  auto run = std::make_unique<WorkerRun>(&state, run_id, std::move(waiting.request),
-                                         waiting.arrived, std::move(waiting.writer),
-                                         [this, number] { OnRunEnded(number); });
+  auto run =
+      std::make_unique<WorkerRun>(&state, run_id, std::move(queued.request), queued.arrived,
+                                  std::move(queued.writer), [this, number] { OnRunEnded(number); });
   WorkerRun* started = run.get();
   runs_[number] = std::move(run);
   started->Start();
@@ -247,16 +246,16 @@
   if (entry == runs_.end()) return;
   ReleaseLater(state.runtime, std::move(entry->second));
   runs_.erase(entry);
-  if (!loading_) StartWaitingRuns();
+  if (!loading_) StartQueuedRuns();
 }
 
-// ---------------------------------------------------------------- orders
+// ---------------------------------------------------------------- load commands
 
 void WorkerEmulator::Impl::HandleLoadCommand(const RoutedRequest& routed,
                                              const WriterPointer& writer) {
   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
   LoadCommand command;
-  command.holder = std::string(routed.request.headers.Get("X-Posthatch-Gateway"));
+  command.lease_holder = std::string(routed.request.headers.Get("X-Posthatch-Gateway"));
   const bool has_token = absl::SimpleAtoi(
       util::ToAbsl(routed.request.headers.Get("X-Posthatch-Fencing-Token")), &command.token);
   if (!body.ok() || !has_token || TextField(*body, "model") != state.settings.model) {
@@ -273,23 +272,25 @@
         NotExecuted(409, "stale_token", absl::StrCat("newest token seen is ", newest_token_)));
     return;
   }
-  const json::object taken = {{"revision", command.revision}};
+  const json::object response_body = {{"revision", command.revision}};
   if (!loading_ && command.revision == state.model_revision) {
-    writer->SendResponse(JsonResponse(200, taken));
+    writer->SendResponse(JsonResponse(200, response_body));
     return;
   }
   if (!loading_ || command.revision != loading_revision_) BeginLoading(command.revision);
-  writer->SendResponse(JsonResponse(202, taken));
+  writer->SendResponse(JsonResponse(202, response_body));
 }
 
-// A token belongs to one lease holder; an older one, or the same one from another holder, is stale.
+// A fencing token belongs to one lease holder: an older token, or the newest one from another
+// holder, is stale.
 bool WorkerEmulator::Impl::AcceptsToken(const LoadCommand& command) {
-  const bool stale = command.token < newest_token_ ||
-                     (command.token == newest_token_ && command.holder != newest_token_holder_);
+  const bool stale =
+      command.token < newest_token_ ||
+      (command.token == newest_token_ && command.lease_holder != newest_token_lease_holder_);
   if (stale && state.behaviour.check_fencing_tokens) return false;
   if (!stale) {
     newest_token_ = command.token;
-    newest_token_holder_ = command.holder;
+    newest_token_lease_holder_ = command.lease_holder;
   }
   return true;
 }
@@ -298,7 +299,7 @@
   fleettest::HistoryEvent event;
   fleettest::OrderSeen* seen = event.mutable_order_seen();
   seen->set_worker(state.settings.id);
-  seen->set_holder(command.holder);
+  seen->set_holder(command.lease_holder);
   seen->set_fencing_token(command.token);
   seen->set_model(command.model);
   seen->set_revision(command.revision);
@@ -309,8 +310,8 @@
 void WorkerEmulator::Impl::BeginLoading(uint64_t revision) {
   loading_ = true;
   loading_revision_ = revision;
-  for (Waiting& waiting : std::exchange(waiting_, {}))
-    RejectIfUnable(waiting.request, waiting.writer.get());
+  for (QueuedRequest& queued : std::exchange(queue_, {}))
+    RejectIfUnable(queued.request, queued.writer.get());
   std::vector<WorkerRun*> running;
   for (const auto& [number, run] : runs_) running.push_back(run.get());
   for (WorkerRun* run : running) run->Cancel("loading", /*abort=*/true);
@@ -335,7 +336,7 @@
   state.recorder->Record(std::move(event));
 }
 
-// ---------------------------------------------------------------- the rest
+// ---------------------------------------------------------------- fetches, status, faults
 
 void WorkerEmulator::Impl::HandleFetch(const RoutedRequest& routed, const WriterPointer& writer) {
   const absl::StatusOr<json::object> body = ParseObject(routed.request.body);
@@ -349,8 +350,8 @@
                    state.settings.timing.link_bytes_per_second);
   state.runtime->timers->Schedule(
       state.Slowed(transfer),
-      [writer, answer = FetchResponse(state.settings.id, state.epoch, makers)] {
-        writer->SendResponse(JsonResponse(200, answer));
+      [writer, response = FetchResponse(state.settings.id, state.epoch, makers)] {
+        writer->SendResponse(JsonResponse(200, response));
       });
 }
 
@@ -363,7 +364,7 @@
                         {"revision", state.model_revision},
                         {"loading", loading_},
                         {"running", state.running},
-                        {"waiting", waiting_.size()},
+                        {"waiting", queue_.size()},
                         {"up_ms", static_cast<int64_t>(runtime::ToMilliseconds(up))}}));
 }
 
@@ -371,9 +372,9 @@
                                               const WriterPointer& writer) {
   absl::StatusOr<json::object> body = ParseObject(routed.request.body);
   absl::Status applied = body.status();
-  bool cold = false;
+  bool restart = false;
   if (body.ok()) {
-    cold = FlagField(*body, "cold");
+    restart = FlagField(*body, "cold");
     body->erase("cold");
     applied = ApplyFields(*body, BehaviourFields(), &state.behaviour);
   }
@@ -381,11 +382,11 @@
     writer->SendResponse(NotExecuted(400, "bad_request", util::ToStd(applied.message())));
     return;
   }
-  if (cold) EmulateRestart();
+  if (restart) EmulateRestart();
   writer->SendResponse(JsonResponse(200, json::object{{"epoch", state.epoch}}));
 }
 
-// ---------------------------------------------------------------- surface
+// ---------------------------------------------------------------- public interface
 
 WorkerEmulator::WorkerEmulator(runtime::Runtime* runtime, WorkerSettings settings,
                                fleettest::HistoryRecorder* recorder)
@@ -402,6 +403,6 @@
 void WorkerEmulator::EmulateRestart() { impl_->EmulateRestart(); }
 uint64_t WorkerEmulator::epoch() const { return impl_->state.epoch; }
 uint64_t WorkerEmulator::model_revision() const { return impl_->state.model_revision; }
-uint64_t WorkerEmulator::kept_blocks() const { return impl_->state.cache.size(); }
+uint64_t WorkerEmulator::cached_blocks() const { return impl_->state.cache.size(); }
 
 }  // namespace posthatch::emulator
