--- a/src/posthatch/simulation/event_queue.cc
+++ b/src/posthatch/simulation/event_queue.cc
@@ -60,8 +60,8 @@
 
 void EventQueue::Clear() {
   heap_.clear();
-  // Destroying a callback may schedule or cancel others, so the slots stay valid meanwhile.
-  // Not a range: the slots may grow in the loop.
+  // Destroying a callback may schedule or cancel events, so all slots must stay valid meanwhile.
+  // Indices instead of a range-based loop: slots_ may grow during the loop.
   // NOLINTNEXTLINE(modernize-loop-convert)
   for (size_t slot = 0; slot < slots_.size(); ++slot) {
     const Callback callback = std::move(slots_[slot].callback);
--- a/src/posthatch/simulation/event_queue.h
+++ b/src/posthatch/simulation/event_queue.h
@@ -14,9 +14,9 @@
 // Identifies one scheduled event; 0 is never a valid id.
 using EventId = uint64_t;
 
-// Events in virtual time. Events of equal time run in the order of scheduling. Cancellation is by
-// generation: the heap entry stays and is skipped when it is reached. Owned by WorldCore; single
-// thread.
+// Priority queue of events in virtual time. Events with equal times run in scheduling order. A
+// cancelled event's heap entry stays and is skipped when it is reached, as its generation is
+// outdated. Owned by WorldCore; single-threaded.
 class EventQueue {
  public:
   runtime::MonotonicTime now() const { return now_; }
@@ -37,7 +37,7 @@
 
  private:
   struct HeapEntry {
-    int64_t time;
+    int64_t time;  // nanoseconds of virtual time
     uint64_t sequence;
     uint32_t slot;
     uint32_t generation;
--- a/src/posthatch/simulation/fifo.h
+++ b/src/posthatch/simulation/fifo.h
@@ -25,7 +25,7 @@
     return element;
   }
   void clear() {
-    // Destroying elements may access this queue again.
+    // Destructors of the elements may access this queue again.
     std::vector<Element> released;
     if (elements_.size() > kCompactAt || !empty()) {
       released.swap(elements_);
--- a/src/posthatch/simulation/host_executor.h
+++ b/src/posthatch/simulation/host_executor.h
@@ -14,20 +14,21 @@
   kPowerLoss,  // the whole machine is off
 };
 
-// Runs the callbacks of one simulated process, unless it has ended or is frozen. Each start of the
-// process has a new process id; work scheduled for an earlier process is dropped. Owned by the
-// host; lives as long as the world.
+// Runs the callbacks of one host's process; defers them while the host is frozen. Each start of the
+// process has a new process id; callbacks scheduled for an earlier process are dropped. Owned by
+// the host; lives as long as the world.
 class HostExecutor {
  public:
   enum class Work {
-    kTimer,     // runs late after a freeze
-    kNetwork,   // buffered by the kernel
-    kDatagram,  // as kNetwork, but lost beyond kMaxWaitingDatagrams
+    kTimer,     // timer: runs late if due during a freeze
+    kNetwork,   // stream, HTTP or disk event: buffered by the kernel during a freeze
+    kDatagram,  // datagram: buffered during a freeze, dropped beyond kMaxWaitingDatagrams
   };
 
   HostExecutor(EventQueue* queue, uint32_t number, std::string name)
       : queue_(queue), number_(number), name_(std::move(name)) {}
 
+  // Index of the host in its world.
   uint32_t number() const { return number_; }
   const std::string& name() const { return name_; }
   // Id of the running process, unique in the world; 0 if none is running.
--- a/src/posthatch/simulation/host_runtime.h
+++ b/src/posthatch/simulation/host_runtime.h
@@ -16,14 +16,14 @@
 
 namespace posthatch::simulation {
 
-// The runtime of one process of a host. Owned by the host, also after the process has ended.
+// The runtime of one process of a host. Owned by the host, which keeps it after the process ended.
 class HostRuntime {
  public:
   HostRuntime(WorldCore* core, HostExecutor* host, SimClock* clock, SimDisk* disk,
               const DiskSpeed* disk_speed, const std::string& internal_endpoint);
 
   runtime::Runtime* runtime() { return &runtime_; }
-  // Stops the services; called after the process object is destroyed.
+  // Stops the services; called when the process ends, before its object is destroyed.
   void Shutdown();
 
  private:
--- a/src/posthatch/simulation/host_trace.h
+++ b/src/posthatch/simulation/host_trace.h
@@ -9,7 +9,8 @@
 
 namespace posthatch::simulation {
 
-// Writes the trace events of one host to the world's log: "seconds host Type key=value ...".
+// Writes the trace events of one host to the world's trace log, as lines
+// "seconds severity host type key=value ...".
 class HostTrace : public runtime::TraceSink {
  public:
   HostTrace(WorldCore* core, std::string host_name)
--- a/src/posthatch/simulation/http_connection.h
+++ b/src/posthatch/simulation/http_connection.h
@@ -13,7 +13,7 @@
 // (the client's pool or call, and the server); messages in flight refer to it weakly.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
  public:
-  // Events at the client's side, in the client's context.
+  // Receives the client's events; called in the client host's context.
   class ClientEnd {
    public:
     virtual ~ClientEnd() = default;
@@ -23,7 +23,7 @@
     virtual void OnEnd() = 0;
     virtual void OnClosed() = 0;
   };
-  // Events at the server's side, in the server's context.
+  // Receives the server's events; called in the server host's context.
   class ServerEnd {
    public:
     virtual ~ServerEnd() = default;
@@ -35,7 +35,7 @@
 
   uint64_t id() const { return id_; }
 
-  // Client's side. Connect reports by OnConnected or OnClosed.
+  // Client's side. Connect ends with a call of OnConnected or OnClosed.
   void Connect(std::shared_ptr<ClientEnd> end);
   void set_client_end(std::shared_ptr<ClientEnd> end) { client_end_ = std::move(end); }
   void SendRequest(http::Request request);
--- a/src/posthatch/simulation/network.h
+++ b/src/posthatch/simulation/network.h
@@ -38,15 +38,15 @@
   // A random delay for one message.
   runtime::Duration SampleDelay(uint32_t from, uint32_t to);
 
-  // The first host added with an ip responds for its unused ports.
+  // The first host added with an IP address responds for the ports that nobody listens on.
   void AddAddress(const std::string& ip, HostExecutor* host);
   // The host that responds at "ip:port": the listener, else the owner of the ip, else null.
   HostExecutor* FindTarget(const std::string& endpoint) const;
 
+  // AddTransport and AddServer return false if the endpoint is in use.
   bool AddTransport(const std::string& endpoint, HostExecutor* host, SimTransport* transport);
   void RemoveTransport(const std::string& endpoint, SimTransport* transport);
   SimTransport* FindTransport(const std::string& endpoint) const;
-  // False if the endpoint is in use.
   bool AddServer(const std::string& endpoint, HostExecutor* host, SimHttpServer* server);
   void RemoveServer(const std::string& endpoint, SimHttpServer* server);
   SimHttpServer* FindServer(const std::string& endpoint) const;
@@ -62,6 +62,7 @@
     SimHttpServer* server;
   };
 
+  // Key of the link from one host to another, in this direction.
   static uint64_t Key(uint32_t from, uint32_t to) {
     return (static_cast<uint64_t>(from) << 32) | to;
   }
--- a/src/posthatch/simulation/pipe.cc
+++ b/src/posthatch/simulation/pipe.cc
@@ -187,7 +187,7 @@
   buffered_bytes_ = 0;
   on_error_ = nullptr;
   on_writable_ = nullptr;
-  // The kernel of a killed process may still send its buffer, or reset at once.
+  // The kernel of a killed process either delivers what is in flight or resets at once.
   if (core_->random.Chance(0.5)) {
     for (const Message& message : network_) window_bytes_ -= message.bytes;
     network_.clear();
--- a/src/posthatch/simulation/pipe.h
+++ b/src/posthatch/simulation/pipe.h
@@ -11,8 +11,8 @@
 
 // One direction of a simulated TCP connection: messages arrive complete, in order and exactly once,
 // until the pipe breaks. Models the sender's buffer, the data in flight (bounded by a window), the
-// receiver's unread data, retransmission over partitioned links, and failure after kMinStall to
-// kMaxStall. Shared by its ends and its pending event.
+// receiver's unread data, retransmission over partitioned links, and a timeout after a stall of
+// kMinStall to kMaxStall. Shared by its ends and its pending event.
 class Pipe : public std::enable_shared_from_this<Pipe> {
  public:
   // Called when the first message arrives: returns the id of the receiving process, or 0 to refuse.
@@ -31,8 +31,9 @@
   // Runs `deliver` at the receiver when the message of `bytes` bytes arrives; `digest` is mixed
   // into the trace hash then.
   void Push(size_t bytes, uint64_t digest, Callback deliver);
-  // Closes the pipe at the sender while messages may be in flight: the sender's buffer is lost.
-  // `deliver`, if given, runs at the receiver after them (the reset), with a random delay.
+  // Closes the pipe at the sender: its buffer is lost, messages in flight may still arrive.
+  // `deliver`, if given, represents the reset: it runs at the receiver after those messages, with a
+  // random delay.
   void CloseSender(Callback deliver);
   // Breaks as if the receiver had sent a reset.
   void Reset();
@@ -41,7 +42,7 @@
 
   bool broken() const { return broken_; }
   bool established() const { return to_process_id_ != 0; }
-  // Bytes not sent yet.
+  // Bytes in the sender's buffer, not transmitted yet.
   size_t buffered_bytes() const { return buffered_bytes_; }
   // Runs `callback` once at the sender when fewer than `threshold` bytes are buffered.
   void NotifyWritable(size_t threshold, Callback callback);
--- a/src/posthatch/simulation/sim_call.h
+++ b/src/posthatch/simulation/sim_call.h
@@ -45,7 +45,7 @@
   const http::CallOptions options_;
   http::CallObserver observer_;
   std::shared_ptr<HttpConnection> connection_;
-  // For the connection, then the status line, then the body's chunks.
+  // Limits the wait for the connection, then for the status line, then for each chunk of the body.
   runtime::Timer timer_;
   runtime::MonotonicTime last_chunk_at_{};
   http::CallProgress progress_ = http::CallProgress::kNotSent;
--- a/src/posthatch/simulation/sim_clock.h
+++ b/src/posthatch/simulation/sim_clock.h
@@ -18,7 +18,7 @@
   void JumpWall(runtime::Duration delta) { wall_offset_ += delta; }
 
  private:
-  static constexpr int64_t kWallStart = 1'800'000'000'000'000'000;  // January 2027
+  static constexpr int64_t kWallStart = 1'800'000'000'000'000'000;  // Unix time, January 2027
 
   const EventQueue* const queue_;
   runtime::Duration wall_offset_{0};
--- a/src/posthatch/simulation/sim_disk.cc
+++ b/src/posthatch/simulation/sim_disk.cc
@@ -195,7 +195,7 @@
   }
   durable_entries_ = surviving;
   entries_ = std::move(surviving);
-  // A file under two names is reverted once: the second time nothing is unsynced.
+  // A file with two names is reverted only once: after the first call, nothing in it is unsynced.
   for (const auto& [name, file] : entries_) {
     if (file != nullptr) RevertFile(file.get());
   }
--- a/src/posthatch/simulation/sim_disk.h
+++ b/src/posthatch/simulation/sim_disk.h
@@ -57,7 +57,8 @@
 
   runtime::Random* const random_;
   bool full_ = false;
-  Entries entries_;  // by normalized path, without the data folder itself
+  // Keyed by normalized path; the data folder itself has no entry.
+  Entries entries_;
   Entries durable_entries_;
 };
 
--- a/src/posthatch/simulation/sim_file_system.h
+++ b/src/posthatch/simulation/sim_file_system.h
@@ -48,7 +48,7 @@
   SimDisk* const disk_;
   const DiskSpeed* const speed_;
   std::deque<Batch> batches_;  // the first one is running
-  EventId completion_ = 0;
+  EventId completion_ = 0;     // event that completes the running batch; 0: none
 };
 
 }  // namespace posthatch::simulation
--- a/src/posthatch/simulation/sim_host_impl.cc
+++ b/src/posthatch/simulation/sim_host_impl.cc
@@ -56,9 +56,9 @@
   executor_.EndProcess(end);
   std::shared_ptr<void> process = std::move(process_);
   process_ = nullptr;
-  // The runtime closes the connections, in the order of their numbers, before the process is
-  // destroyed: containers hashed by address would destroy its calls in another order in every
-  // process of the operating system, and each close draws a delay from the world's seed.
+  // The runtime closes the connections, in the order of their ids, before the process is destroyed:
+  // its containers hashed by address would destroy its calls in a different order in each run of
+  // the simulator, and each close draws a random delay from the world's seed.
   runtime_->Shutdown();
   process.reset();
   ended_runtimes_.push_back(std::move(runtime_));
--- a/src/posthatch/simulation/sim_host_impl.h
+++ b/src/posthatch/simulation/sim_host_impl.h
@@ -57,8 +57,8 @@
   SimDisk disk_;
   DiskSpeed disk_speed_;
   Boot boot_;
-  std::unique_ptr<HostRuntime> runtime_;  // of the running process
-  // Of ended processes: remaining pointers refer to objects that ignore calls.
+  std::unique_ptr<HostRuntime> runtime_;  // null unless a process is running
+  // Runtimes of ended processes are kept, since pointers to them may remain; they ignore calls.
   std::vector<std::unique_ptr<HostRuntime>> ended_runtimes_;
   std::shared_ptr<void> process_;
 };
--- a/src/posthatch/simulation/sim_http-test.cc
+++ b/src/posthatch/simulation/sim_http-test.cc
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Events of one call, in order: "head 200", chunks, "end" or "error".
+// Events of one call, in order: "h200" (head and its status), chunks, "end" or "error".
 struct Observed {
   std::string events;
   std::optional<http::CallError> error;
@@ -190,7 +190,7 @@
   world_.RunFor(seconds(2));
   EXPECT_EQ(cut_in_stream.events, "h200 1 error");
   EXPECT_TRUE(absl::IsDeadlineExceeded(cut_in_stream.error->status));
-  EXPECT_TRUE(gone) << "the close travels the other way";
+  EXPECT_TRUE(gone) << "the partition doesn't block the client's close";
 }
 
 TEST_P(SimHttpTest, CancelNotifiesServerAndStopsCallbacks) {
@@ -286,8 +286,8 @@
           [](const http::CallError&) {}};
 }
 
-// A server that never responds and drops its requests in either order, as a container hashed by
-// address does.
+// A server that never responds. At its end it drops its requests first to last or last to first,
+// since a container hashed by address may drop them in any order.
 struct RequestHolder {
   RequestHolder(runtime::Runtime* runtime, const std::string& endpoint, bool reverse)
       : end_in_reverse(reverse) {
@@ -307,7 +307,8 @@
   std::vector<std::shared_ptr<http::ResponseWriter>> writers;
 };
 
-// Several clients, so that the assignment of random delays is visible.
+// Behaviour hash of a world whose server crashes. With several clients, another order of the closes
+// assigns the random delays to other connections and so changes the hash.
 uint64_t BehaviourOfCrash(uint64_t seed, bool end_in_reverse) {
   constexpr int kClients = 12;
   SimWorld world(seed);
--- a/src/posthatch/simulation/sim_http_client.h
+++ b/src/posthatch/simulation/sim_http_client.h
@@ -27,8 +27,8 @@
   bool HasPooledConnection(const std::string& endpoint, double share) const override;
   void Shutdown();
 
-  // For SimCall.
-  // An idle pooled connection, or null.
+  // TakeIdle and the methods below are called by SimCall. TakeIdle returns an idle pooled
+  // connection, or null.
   std::shared_ptr<HttpConnection> TakeIdle(const std::string& endpoint);
   std::shared_ptr<HttpConnection> NewConnection(const std::string& endpoint);
   void ReturnToPool(const std::string& endpoint, std::shared_ptr<HttpConnection> connection);
@@ -45,8 +45,8 @@
   const runtime::Clock* const clock_;
   runtime::TimerService* const timers_;
   absl::btree_map<std::string, std::vector<std::shared_ptr<HttpConnection>>> idle_;
-  std::map<uint64_t, std::weak_ptr<HttpConnection>> connections_;
-  size_t sweep_at_ = kMinSweep;  // size of connections_ at which closed ones are removed
+  std::map<uint64_t, std::weak_ptr<HttpConnection>> connections_;  // keyed by connection id
+  size_t sweep_at_ = kMinSweep;  // size of connections_ at which expired ones are removed
 };
 
 }  // namespace posthatch::simulation
--- a/src/posthatch/simulation/sim_http_server.cc
+++ b/src/posthatch/simulation/sim_http_server.cc
@@ -7,7 +7,7 @@
 namespace posthatch::simulation {
 namespace {
 
-// Ports chosen for port 0: the range Linux uses.
+// Ports chosen for port 0: the default ephemeral range of Linux.
 constexpr int kFirstEphemeralPort = 32768;
 constexpr int kLastEphemeralPort = 60999;
 
@@ -48,7 +48,7 @@
 }
 
 void SimHttpServer::Handle(http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
-  // A copy: the handler may destroy the server that owns it.
+  // Copied: the handler may destroy the server that owns it.
   const http::Handler handler = handler_;
   if (handler) handler(std::move(request), std::move(writer));
 }
--- a/src/posthatch/simulation/sim_http_server.h
+++ b/src/posthatch/simulation/sim_http_server.h
@@ -11,14 +11,15 @@
 
 namespace posthatch::simulation {
 
-// One listening endpoint of one process of a host. Owned by its factory and by the handle that
-// Listen returned; either closes it.
+// One listening endpoint of one process of a host. Owned by the handle that Listen returned; the
+// factory refers to it weakly. Either closes it.
 class SimHttpServer : public std::enable_shared_from_this<SimHttpServer> {
  public:
   SimHttpServer(WorldCore* core, HostExecutor* host, runtime::TimerService* timers,
                 std::string endpoint, http::ServerLimits limits, http::Handler handler);
 
-  // Accepts in the kernel: returns the id of the accepting process.
+  // Accepts like the kernel, also while the process is frozen. Returns the id of the accepting
+  // process, or 0 to refuse.
   uint64_t Accept(const std::shared_ptr<HttpConnection>& connection);
   void Drain();
   // Closes all connections and stops listening; idempotent.
@@ -26,7 +27,7 @@
   const std::string& endpoint() const { return endpoint_; }
   size_t open_connections() const { return connections_.size(); }
 
-  // For SimServerConnection.
+  // Handle and the methods below are called by SimServerConnection.
   void Handle(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
   void Remove(uint64_t connection_id) { connections_.erase(connection_id); }
   const http::ServerLimits& limits() const { return limits_; }
@@ -46,7 +47,8 @@
   std::map<uint64_t, std::shared_ptr<SimServerConnection>> connections_;
 };
 
-// Owned by the host's runtime; remains after the end of its process and then refuses.
+// Creates the HTTP servers of one process of a host. Owned by the host's runtime; remains after the
+// end of its process, and Listen then fails.
 class SimHttpServerFactory : public http::HttpServerFactory {
  public:
   SimHttpServerFactory(WorldCore* core, HostExecutor* host, runtime::TimerService* timers)
--- a/src/posthatch/simulation/sim_server_connection.h
+++ b/src/posthatch/simulation/sim_server_connection.h
@@ -23,7 +23,7 @@
   void OnRequest(http::Request request) override;
   void OnClosed() override;
 
-  // Calls of the writer with number `exchange`; those of an earlier or ended one are ignored.
+  // Calls of the response writer of `exchange`; ignored unless that exchange is in progress.
   void SendResponse(uint64_t exchange, http::Response response);
   void StartStream(uint64_t exchange, http::Response head);
   void WriteChunk(uint64_t exchange, std::string chunk);
@@ -46,7 +46,7 @@
   const std::shared_ptr<HttpConnection> connection_;
   runtime::Timer idle_timer_;
   uint64_t last_exchange_ = 0;
-  uint64_t running_exchange_ = 0;  // 0: none
+  uint64_t running_exchange_ = 0;  // the exchange in progress; 0: none
   bool stream_started_ = false;
   bool closed_ = false;
   bool close_requested_ = false;
--- a/src/posthatch/simulation/sim_timer_service.cc
+++ b/src/posthatch/simulation/sim_timer_service.cc
@@ -6,7 +6,7 @@
 namespace posthatch::simulation {
 
 void SimTimerService::Shutdown() {
-  // Destroyed last: captures may call Cancel.
+  // Callbacks are destroyed last: destructors of their captures may call Cancel.
   absl::flat_hash_map<runtime::TimerId, Pending> pending_timers;
   pending_timers.swap(pending_);
   for (const auto& [timer_id, pending] : pending_timers) queue_->Cancel(pending.event_id);
--- a/src/posthatch/simulation/sim_timer_service.h
+++ b/src/posthatch/simulation/sim_timer_service.h
@@ -32,7 +32,7 @@
   HostExecutor* const host_;
   const uint64_t process_id_;
   runtime::TimerId last_id_ = 0;
-  // Looked up only, except in Shutdown, where order doesn't matter.
+  // Iterated only in Shutdown, where the order doesn't matter.
   absl::flat_hash_map<runtime::TimerId, Pending> pending_;
 };
 
--- a/src/posthatch/simulation/sim_transport.cc
+++ b/src/posthatch/simulation/sim_transport.cc
@@ -7,8 +7,9 @@
 namespace posthatch::simulation {
 namespace {
 
-// Maximum extra delay of a reordered datagram, in maximum delays.
+// Maximum extra delay of a reordered datagram, as a multiple of NetworkBehaviour::max_delay.
 constexpr int kReorderingSpread = 5;
+// Assumed size of a stream message's envelope without its payload.
 constexpr size_t kEnvelopeBytes = 64;
 
 }  // namespace
@@ -27,7 +28,7 @@
   core_->network.RemoveTransport(endpoint_, this);
   for (auto& [endpoint, stream] : streams_) stream->CloseSender(nullptr);
   streams_.clear();
-  // Destroyed last: captures may call back into this object.
+  // Receivers are destroyed last: destructors of their captures may call back into this object.
   std::array<Receiver, runtime::Service_ARRAYSIZE> receivers;
   receivers.swap(receivers_);
 }
@@ -57,7 +58,7 @@
 }
 
 void SimTransport::Deliver(const runtime::Envelope& envelope) {
-  // A copy: the receiver may be replaced by what it calls.
+  // Copied: the receiver may be replaced by what it calls.
   const Receiver receiver = receivers_[envelope.service()];
   if (receiver) receiver(envelope);
 }
--- a/src/posthatch/simulation/sim_transport.h
+++ b/src/posthatch/simulation/sim_transport.h
@@ -11,9 +11,9 @@
 
 namespace posthatch::simulation {
 
-// Internal messages of one process of a host. Streams: one connection per target endpoint, opened
-// at the first message and reopened at the next message after it broke; messages on a broken
-// connection are lost. Owned by the host's runtime.
+// Sends and receives the internal messages of one process of a host. Stream messages use one
+// connection per target endpoint, opened at the first message and reopened at the next message
+// after it broke; messages on a broken connection are lost. Owned by the host's runtime.
 class SimTransport : public runtime::Transport {
  public:
   SimTransport(WorldCore* core, HostExecutor* host, std::string endpoint, uint64_t incarnation);
@@ -34,7 +34,7 @@
   uint64_t dropped() const { return dropped_; }
 
  private:
-  static constexpr size_t kMaxQueuedBytes = size_t{16} * 1024 * 1024;
+  static constexpr size_t kMaxQueuedBytes = size_t{16} * 1024 * 1024;  // per stream
 
   runtime::Envelope MakeEnvelope(runtime::Service service, std::string payload) const;
   void SendStream(const std::string& to_endpoint, runtime::Service service, std::string payload);
@@ -49,7 +49,7 @@
   const std::string endpoint_;
   const uint64_t incarnation_;
   std::array<Receiver, runtime::Service_ARRAYSIZE> receivers_;
-  absl::btree_map<std::string, std::shared_ptr<Pipe>> streams_;
+  absl::btree_map<std::string, std::shared_ptr<Pipe>> streams_;  // keyed by target endpoint
   uint64_t dropped_ = 0;
 };
 
--- a/src/posthatch/simulation/sim_world-bench.cc
+++ b/src/posthatch/simulation/sim_world-bench.cc
@@ -16,7 +16,7 @@
 constexpr runtime::Service kService = runtime::SERVICE_CONTROL;
 constexpr int kPiecesPerAnswer = 20;
 
-// Per second: 20 stream messages, 20 datagrams and 5 streamed HTTP calls to random peers.
+// Sends 20 stream messages, 20 datagrams and 5 streamed HTTP calls per second to random peers.
 class BusyProcess {
  public:
   BusyProcess(SimWorld* world, SimHost* host, runtime::Runtime* runtime)
@@ -65,7 +65,7 @@
   runtime::Timer call_timer_;
 };
 
-// One iteration is one virtual second of `hosts` busy processes: 40 messages and 5 calls each.
+// One iteration simulates one second of state.range(0) busy processes: 40 messages, 5 calls each.
 void BusyFleet(benchmark::State& state) {
   SimWorld world(1);
   for (int64_t i = 0; i < state.range(0); ++i) {
--- a/src/posthatch/simulation/sim_world-test.cc
+++ b/src/posthatch/simulation/sim_world-test.cc
@@ -154,7 +154,7 @@
   world_.RunFor(milliseconds(50));
   EXPECT_EQ(RecorderOf("b")->ticks.size(), ticks + 1);
   EXPECT_GE(RecorderOf("b")->ticks.back(), waking);
-  // The stream's message and what fits into the datagram buffer.
+  // The stream message and the datagrams that fit into the kernel's buffer were received.
   EXPECT_EQ(
       std::count(RecorderOf("b")->received.begin(), RecorderOf("b")->received.end(), "stream"), 1);
   EXPECT_LT(RecorderOf("b")->received.size(), 100u);
@@ -243,7 +243,8 @@
   return world.trace_hash();
 }
 
-// Hashes of a world in which one host writes a trace event of `type` at `time`.
+// Trace hash and behaviour hash of a world in which a host writes a trace event of `type` at
+// `time`.
 std::pair<uint64_t, uint64_t> HashesWithEvent(std::string_view type, runtime::Duration time) {
   SimWorld world(1);
   SimHost* host = world.AddHost("h1", "z1", "10.0.0.1");
--- a/src/posthatch/simulation/sim_world.h
+++ b/src/posthatch/simulation/sim_world.h
@@ -21,11 +21,11 @@
 struct NetworkBehaviour {
   runtime::Duration min_delay = std::chrono::microseconds(200);
   runtime::Duration max_delay = std::chrono::milliseconds(2);
-  // Of datagrams. A lost stream message waits 200 ms for its retransmission; one in ten breaks the
-  // connection instead.
+  // Probability that a message is lost. A lost datagram is dropped; a lost stream message waits
+  // 200 ms for its retransmission, and one in ten breaks the connection instead.
   double loss = 0.0;
-  double duplication = 0.0;  // of datagrams
-  double reordering = 0.0;   // of datagrams
+  double duplication = 0.0;  // probability per datagram
+  double reordering = 0.0;   // probability per datagram
 };
 
 class SimWorld {
@@ -38,9 +38,9 @@
   SimWorld(const SimWorld&) = delete;
   SimWorld& operator=(const SimWorld&) = delete;
 
-  // One process with its own disk, on the machine with address `ip`; `name` is its node id. Hosts
-  // may share an ip if their ports differ or they don't run together (the later one takes over the
-  // address). Any port of the ip may be listened on.
+  // Adds one process with its own disk, on the machine with address `ip`; `name` is its node id.
+  // Hosts may share an IP address if their ports differ or they don't run at once (the later one
+  // takes over the address). A process may listen on any port of its IP address.
   SimHost* AddHost(const std::string& name, const std::string& zone, const std::string& ip,
                    uint16_t internal_port = kDefaultInternalPort,
                    uint16_t http_port = kDefaultHttpPort);
@@ -59,7 +59,7 @@
   runtime::Random* random();
   // Hash of all trace events, message deliveries and disk completions so far.
   uint64_t trace_hash() const;
-  // The same without the text of trace events: unchanged by a renamed event.
+  // Like trace_hash, but without the text of trace events: unchanged when an event is renamed.
   uint64_t behaviour_hash() const;
   // Trace events as text lines, newest last, at most the last 10,000.
   std::vector<std::string> RecentTrace() const;
@@ -71,7 +71,7 @@
   void Partition(const std::string& from, const std::string& to);
   void Heal(const std::string& from, const std::string& to);
   void HealAll();
-  // Extra delay of everything from one host to another; zero removes it.
+  // Delays every message from one host to another by `extra_delay` more; zero removes the delay.
   void SlowLink(const std::string& from, const std::string& to, runtime::Duration extra_delay);
 
  private:
@@ -108,11 +108,12 @@
   // operating system keeps written files and refuses new connections. May be called by the process
   // itself; it then ends when the running callback returns.
   virtual void Crash() = 0;
-  // As Crash, but the machine is off: peers get no response until the next Start, and every write
+  // Like Crash, but the machine is off: peers get no response until the next Start, and every write
   // not synced is lost, file contents and folder entries alike; a random prefix of a file's
   // unsynced tail may remain.
   virtual void PowerLoss() = 0;
-  virtual void LoseDisk() = 0;  // only while not running: the data folder is empty at next start
+  // Empties the data folder; ignored while the process is running.
+  virtual void LoseDisk() = 0;
   // No callback of this host runs until Thaw. Its clock continues; stream messages wait as in a
   // real kernel, and datagrams beyond a small buffer are lost.
   virtual void Freeze() = 0;
--- a/src/posthatch/simulation/trace_log.cc
+++ b/src/posthatch/simulation/trace_log.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The kind under which a trace event enters the behaviour hash; apart from every TraceKind.
+// Hash seed of trace events in the behaviour hash, in place of a TraceKind; equal to none of them.
 constexpr uint64_t kTraceEventKind = 0;
 
 uint64_t MixInto(uint64_t hash, runtime::MonotonicTime time, uint32_t actor, uint32_t peer,
--- a/src/posthatch/simulation/trace_log.h
+++ b/src/posthatch/simulation/trace_log.h
@@ -15,17 +15,17 @@
 // WorldCore.
 class TraceLog {
  public:
-  // Mixes one event (a delivery, a disk completion) into the hash. `kind` is the event's type;
-  // `actor` and `peer` are host numbers.
+  // Mixes one event (a delivery, a disk completion) into both hashes. `kind` is a TraceKind;
+  // `actor` and `peer` are host numbers (`peer` of a disk completion is the kind of operation).
   void Mix(runtime::MonotonicTime time, uint32_t kind, uint32_t actor, uint32_t peer,
            std::string_view data);
-  // Mixes a trace event into the hash and keeps its line. The behaviour hash gets its time and
+  // Mixes a trace event into both hashes and keeps its line. The behaviour hash gets its time and
   // its host only.
   void AddLine(runtime::MonotonicTime time, std::string_view host_name, std::string line);
 
-  // Over deliveries, disk completions and the text of trace events.
+  // Hash of deliveries, disk completions, process starts and ends, and the text of trace events.
   uint64_t hash() const { return hash_; }
-  // The same without the text of trace events, so that renaming an event leaves it alone.
+  // Like hash(), but without the text of trace events: unchanged when an event is renamed.
   uint64_t behaviour_hash() const { return behaviour_hash_; }
   std::vector<std::string> Recent() const { return {lines_.begin(), lines_.end()}; }
 
--- a/src/posthatch/simulation/world_core.h
+++ b/src/posthatch/simulation/world_core.h
@@ -17,7 +17,7 @@
   explicit WorldCore(uint64_t world_seed)
       : seed(world_seed), random(world_seed), network(&random) {}
 
-  // Unique in this world: process ids, connection ids.
+  // Returns a new id of a process or connection, unique in this world.
   uint64_t NextId() { return ++last_id; }
   void Mix(TraceKind kind, uint32_t actor, uint32_t peer, std::string_view data) {
     trace.Mix(queue.now(), static_cast<uint32_t>(kind), actor, peer, data);
