--- a/src/posthatch/simulation/fifo.h
+++ b/src/posthatch/simulation/fifo.h
@@ -18,7 +18,7 @@
     Element element = std::move(elements_[head_++]);
     if (empty()) {
       clear();
-    } else if (head_ >= kCompactAt && head_ * 2 >= elements_.size()) {
+    } else if (head_ >= kCompactionThreshold && head_ * 2 >= elements_.size()) {
       elements_.erase(elements_.begin(), elements_.begin() + static_cast<ptrdiff_t>(head_));
       head_ = 0;
     }
@@ -27,7 +27,7 @@
   void clear() {
     // Destructors of the elements may access this queue again.
     std::vector<Element> released;
-    if (elements_.size() > kCompactAt || !empty()) {
+    if (elements_.size() > kCompactionThreshold || !empty()) {
       released.swap(elements_);
     } else {
       elements_.clear();
@@ -38,7 +38,7 @@
   auto end() const { return elements_.end(); }
 
  private:
-  static constexpr size_t kCompactAt = 32;
+  static constexpr size_t kCompactionThreshold = 32;
 
   std::vector<Element> elements_;
   size_t head_ = 0;
--- a/src/posthatch/simulation/host_executor.cc
+++ b/src/posthatch/simulation/host_executor.cc
@@ -10,18 +10,18 @@
   --executing_;
 }
 
-void HostExecutor::Run(uint64_t process_id, Work work, Callback callback) {
+void HostExecutor::Run(uint64_t process_id, CallbackType type, Callback callback) {
   if (process_id != process_id_ || process_id == 0) return;
-  const bool waking = !deferred_timers_.empty() || !deferred_network_.empty();
-  if (!frozen_ && !(waking && work != Work::kTimer)) {
+  const bool has_deferred = !deferred_timers_.empty() || !deferred_network_.empty();
+  if (!frozen_ && !(has_deferred && type != CallbackType::kTimer)) {
     Execute(&callback);
     return;
   }
-  if (work == Work::kTimer) {
+  if (type == CallbackType::kTimer) {
     deferred_timers_.push_back(Deferred{process_id, std::move(callback)});
     return;
   }
-  if (work == Work::kDatagram && ++waiting_datagrams_ > kMaxWaitingDatagrams) return;
+  if (type == CallbackType::kDatagram && ++deferred_datagrams_ > kMaxDeferredDatagrams) return;
   deferred_network_.push_back(Deferred{process_id, std::move(callback)});
 }
 
@@ -35,7 +35,7 @@
   process_id_ = 0;
   powered_ = end != ProcessEnd::kPowerLoss;
   frozen_ = false;
-  waiting_datagrams_ = 0;
+  deferred_datagrams_ = 0;
   deferred_timers_.clear();
   deferred_network_.clear();
 }
@@ -56,7 +56,7 @@
       if (next.process_id == process_id_) Execute(&next.callback);
     }
   }
-  if (!frozen_) waiting_datagrams_ = 0;
+  if (!frozen_) deferred_datagrams_ = 0;
 }
 
 }  // namespace posthatch::simulation
--- a/src/posthatch/simulation/host_executor.h
+++ b/src/posthatch/simulation/host_executor.h
@@ -19,10 +19,10 @@
 // the host; lives as long as the world.
 class HostExecutor {
  public:
-  enum class Work {
+  enum class CallbackType {
     kTimer,     // timer: runs late if due during a freeze
     kNetwork,   // stream, HTTP or disk event: buffered by the kernel during a freeze
-    kDatagram,  // datagram: buffered during a freeze, dropped beyond kMaxWaitingDatagrams
+    kDatagram,  // datagram: buffered during a freeze, dropped beyond kMaxDeferredDatagrams
   };
 
   HostExecutor(EventQueue* queue, uint32_t number, std::string name)
@@ -41,7 +41,7 @@
   bool executing() const { return executing_ > 0; }
 
   // Runs `callback` if `process_id` is the running process: immediately, or after Thaw when frozen.
-  void Run(uint64_t process_id, Work work, Callback callback);
+  void Run(uint64_t process_id, CallbackType type, Callback callback);
 
   void StartProcess(uint64_t process_id);
   void EndProcess(ProcessEnd end);
@@ -50,7 +50,7 @@
   void Thaw(bool timers_first);
 
  private:
-  static constexpr size_t kMaxWaitingDatagrams = 64;
+  static constexpr size_t kMaxDeferredDatagrams = 64;
   struct Deferred {
     uint64_t process_id;
     Callback callback;
@@ -65,7 +65,7 @@
   bool frozen_ = false;
   bool powered_ = true;
   int executing_ = 0;
-  size_t waiting_datagrams_ = 0;
+  size_t deferred_datagrams_ = 0;
   std::deque<Deferred> deferred_timers_;
   std::deque<Deferred> deferred_network_;
 };
--- a/src/posthatch/simulation/pipe.cc
+++ b/src/posthatch/simulation/pipe.cc
@@ -56,7 +56,7 @@
   last_arrival_ = std::max(last_arrival_, earliest);
   message.arrival = last_arrival_;
   window_bytes_ += message.bytes;
-  network_.push_back(std::move(message));
+  in_flight_.push_back(std::move(message));
   ScheduleArrival(last_arrival_);
 }
 
@@ -70,15 +70,15 @@
 }
 
 void Pipe::Arrive() {
-  if (broken_ || network_.empty() || Stalled() || !BindReceiver()) return;
-  while (!network_.empty() && network_.front().arrival <= core_->queue.now()) {
-    unread_.push_back(network_.pop_front());
+  if (broken_ || in_flight_.empty() || HandleStall() || !BindReceiver()) return;
+  while (!in_flight_.empty() && in_flight_.front().arrival <= core_->queue.now()) {
+    unread_.push_back(in_flight_.pop_front());
   }
-  if (!network_.empty()) ScheduleArrival(network_.front().arrival);
-  RequestDrain();
+  if (!in_flight_.empty()) ScheduleArrival(in_flight_.front().arrival);
+  RequestDelivery();
 }
 
-bool Pipe::Stalled() {
+bool Pipe::HandleStall() {
   const bool blocked = to_ == nullptr || !to_->powered() ||
                        core_->network.IsPartitioned(from_->number(), to_->number());
   if (!blocked) {
@@ -123,19 +123,19 @@
   if (!on_error) return;
   core_->queue.ScheduleAfter(delay, [from = from_, process_id = from_process_id_,
                                      on_error = std::move(on_error)]() mutable {
-    from->Run(process_id, HostExecutor::Work::kNetwork, std::move(on_error));
+    from->Run(process_id, HostExecutor::CallbackType::kNetwork, std::move(on_error));
   });
 }
 
-void Pipe::RequestDrain() {
-  if (drain_requested_ || paused_ || unread_.empty()) return;
-  drain_requested_ = true;
-  to_->Run(to_process_id_, HostExecutor::Work::kNetwork,
-           [self = shared_from_this()] { self->Drain(); });
+void Pipe::RequestDelivery() {
+  if (delivery_requested_ || paused_ || unread_.empty()) return;
+  delivery_requested_ = true;
+  to_->Run(to_process_id_, HostExecutor::CallbackType::kNetwork,
+           [self = shared_from_this()] { self->DeliverUnread(); });
 }
 
-void Pipe::Drain() {
-  drain_requested_ = false;
+void Pipe::DeliverUnread() {
+  delivery_requested_ = false;
   while (!broken_ && !paused_ && !unread_.empty() && to_->process_id() == to_process_id_) {
     Message message = unread_.pop_front();
     window_bytes_ -= message.bytes;
@@ -144,7 +144,7 @@
     message.deliver();
   }
   if (!broken_ && !buffered_.empty() && window_bytes_ < kWindowBytes) {
-    from_->Run(from_process_id_, HostExecutor::Work::kNetwork,
+    from_->Run(from_process_id_, HostExecutor::CallbackType::kNetwork,
                [self = shared_from_this()] { self->Refill(); });
   }
 }
@@ -170,14 +170,14 @@
   on_writable_ = nullptr;
   core_->queue.ScheduleAfter(runtime::Duration(0), [from = from_, process_id = from_process_id_,
                                                     callback = std::move(callback)]() mutable {
-    from->Run(process_id, HostExecutor::Work::kNetwork, std::move(callback));
+    from->Run(process_id, HostExecutor::CallbackType::kNetwork, std::move(callback));
   });
 }
 
 void Pipe::ResumeReading() {
   paused_ = false;
   core_->queue.ScheduleAfter(runtime::Duration(0),
-                             [self = shared_from_this()] { self->RequestDrain(); });
+                             [self = shared_from_this()] { self->RequestDelivery(); });
 }
 
 void Pipe::CloseSender(Callback deliver) {
@@ -189,8 +189,8 @@
   on_writable_ = nullptr;
   // The kernel of a killed process either delivers what is in flight or resets at once.
   if (core_->random.Chance(0.5)) {
-    for (const Message& message : network_) window_bytes_ -= message.bytes;
-    network_.clear();
+    for (const Message& message : in_flight_) window_bytes_ -= message.bytes;
+    in_flight_.clear();
   }
   if (!deliver) return;
   if (core_->random.Chance(kDelayedResetProbability)) {
@@ -206,7 +206,7 @@
   on_error_ = nullptr;
   on_writable_ = nullptr;
   buffered_.clear();
-  network_.clear();
+  in_flight_.clear();
   unread_.clear();
   buffered_bytes_ = 0;
 }
--- a/src/posthatch/simulation/pipe.h
+++ b/src/posthatch/simulation/pipe.h
@@ -65,11 +65,11 @@
   void Transmit(Message message);
   void ScheduleArrival(runtime::MonotonicTime time);
   void Arrive();
-  // Whether the link is blocked; schedules a retransmission or fails the pipe.
-  bool Stalled();
+  // Returns whether the link is blocked; if so, schedules a retransmission or fails the pipe.
+  bool HandleStall();
   bool BindReceiver();
-  void RequestDrain();
-  void Drain();
+  void RequestDelivery();
+  void DeliverUnread();
   void Refill();
   void CheckWritable();
   void Fail(runtime::Duration delay);
@@ -84,10 +84,10 @@
   Callback on_error_;
 
   Fifo<Message> buffered_;
-  Fifo<Message> network_;
+  Fifo<Message> in_flight_;
   Fifo<Message> unread_;
   size_t buffered_bytes_ = 0;
-  size_t window_bytes_ = 0;  // bytes in network_ and unread_
+  size_t window_bytes_ = 0;  // bytes in in_flight_ and unread_
   size_t writable_threshold_ = 0;
   Callback on_writable_;
   runtime::MonotonicTime last_arrival_;
@@ -95,7 +95,7 @@
   runtime::Duration stall_limit_;
   bool stalled_ = false;
   bool arrival_scheduled_ = false;
-  bool drain_requested_ = false;
+  bool delivery_requested_ = false;
   bool paused_ = false;
   bool broken_ = false;
   bool sender_closed_ = false;
--- a/src/posthatch/simulation/sim_call.cc
+++ b/src/posthatch/simulation/sim_call.cc
@@ -111,7 +111,7 @@
   if (on_error) on_error(http::CallError{std::move(status), progress});
 }
 
-void SimCall::Finish(bool keep) {
+void SimCall::Finish(bool reuse_connection) {
   done_ = true;
   timer_.Cancel();
   ReleaseObserver();
@@ -119,7 +119,7 @@
   connection_ = nullptr;
   if (connection == nullptr) return;
   connection->set_client_end(nullptr);
-  if (keep && connection->client_open()) {
+  if (reuse_connection && connection->client_open()) {
     if (paused_) connection->ResumeReading();
     client_->ReturnToPool(endpoint_, connection);
   } else {
--- a/src/posthatch/simulation/sim_call.h
+++ b/src/posthatch/simulation/sim_call.h
@@ -36,8 +36,8 @@
   void Fail(absl::Status status);
   // Called after each callback: frees the observer if the callback ended the call.
   void ReleaseObserver();
-  // Ends the call; `keep` returns the connection to the pool.
-  void Finish(bool keep);
+  // Ends the call; `reuse_connection` returns the connection to the pool.
+  void Finish(bool reuse_connection);
 
   SimHttpClient* const client_;
   const std::string endpoint_;
--- a/src/posthatch/simulation/sim_disk.cc
+++ b/src/posthatch/simulation/sim_disk.cc
@@ -9,11 +9,11 @@
 namespace posthatch::simulation {
 namespace {
 
-absl::Status MissingError(const std::string& path) {
+absl::Status PathNotFoundError(const std::string& path) {
   return absl::NotFoundError(absl::StrCat("no such file or folder: ", path));
 }
 
-absl::Status FullError() { return absl::ResourceExhaustedError("disk full"); }
+absl::Status DiskFullError() { return absl::ResourceExhaustedError("disk full"); }
 
 }  // namespace
 
@@ -40,7 +40,7 @@
 
 absl::StatusOr<std::shared_ptr<SimDisk::File>> SimDisk::FindFile(const std::string& path) const {
   const auto found = entries_.find(path);
-  if (found == entries_.end()) return MissingError(path);
+  if (found == entries_.end()) return PathNotFoundError(path);
   if (found->second == nullptr) {
     return absl::FailedPreconditionError(absl::StrCat("is a folder: ", path));
   }
@@ -48,9 +48,9 @@
 }
 
 absl::StatusOr<std::shared_ptr<SimDisk::File>> SimDisk::FindOrCreateFile(const std::string& path) {
-  if (!IsDirectory(ParentOf(path))) return MissingError(ParentOf(path));
+  if (!IsDirectory(ParentOf(path))) return PathNotFoundError(ParentOf(path));
   if (entries_.contains(path)) return FindFile(path);
-  if (full_) return FullError();
+  if (full_) return DiskFullError();
   return entries_[path] = std::make_shared<File>();
 }
 
@@ -60,7 +60,7 @@
   if (full_ && !data.empty()) {
     // A real write may write a part of the data before the disk is full.
     (*file)->content.append(data, 0, random_->Uniform(data.size()));
-    return FullError();
+    return DiskFullError();
   }
   (*file)->content.append(data);
   return absl::OkStatus();
@@ -70,11 +70,11 @@
   absl::StatusOr<std::shared_ptr<File>> file = FindOrCreateFile(path);
   if (!file.ok()) return file.status();
   (*file)->content = full_ ? std::string() : data;
-  return full_ && !data.empty() ? FullError() : absl::OkStatus();
+  return full_ && !data.empty() ? DiskFullError() : absl::OkStatus();
 }
 
 absl::Status SimDisk::Rename(const std::string& path, const std::string& target) {
-  if (!IsDirectory(ParentOf(target))) return MissingError(ParentOf(target));
+  if (!IsDirectory(ParentOf(target))) return PathNotFoundError(ParentOf(target));
   absl::StatusOr<std::shared_ptr<File>> file = FindFile(path);
   if (!file.ok()) return file.status();
   if (IsDirectory(target)) {
@@ -105,7 +105,7 @@
   if (entries_.contains(path)) {
     return absl::FailedPreconditionError(absl::StrCat("is a file: ", path));
   }
-  if (full_) return FullError();
+  if (full_) return DiskFullError();
   absl::Status parent = CreateDirectory(ParentOf(path));
   if (!parent.ok()) return parent;
   entries_[path] = nullptr;
@@ -113,7 +113,7 @@
 }
 
 absl::Status SimDisk::SyncDirectory(const std::string& path) {
-  if (!IsDirectory(path)) return MissingError(path);
+  if (!IsDirectory(path)) return PathNotFoundError(path);
   std::erase_if(durable_entries_, [&](const auto& entry) {
     return ParentOf(entry.first) == path && !entries_.contains(entry.first);
   });
@@ -158,7 +158,7 @@
 
 absl::StatusOr<std::vector<std::string>> SimDisk::ListDirectory(const std::string& path) const {
   const std::string folder = Normalize(path);
-  if (!IsDirectory(folder)) return MissingError(folder);
+  if (!IsDirectory(folder)) return PathNotFoundError(folder);
   std::vector<std::string> names;
   for (const auto& [name, file] : entries_) {
     if (ParentOf(name) == folder) names.push_back(name.substr(name.rfind('/') + 1));
--- a/src/posthatch/simulation/sim_file_system.cc
+++ b/src/posthatch/simulation/sim_file_system.cc
@@ -23,7 +23,7 @@
   }
   completion_ = core_->queue.ScheduleAfter(cost, [this] {
     completion_ = 0;
-    host_->Run(process_id_, HostExecutor::Work::kNetwork, [this] { Complete(); });
+    host_->Run(process_id_, HostExecutor::CallbackType::kNetwork, [this] { Complete(); });
   });
 }
 
@@ -48,8 +48,8 @@
   std::deque<Batch> batches;
   batches.swap(batches_);
   const std::vector<runtime::FileOperation>& operations = batches.front().operations;
-  const uint64_t done_operations = core_->random.Uniform(operations.size() + 1);
-  for (uint64_t i = 0; i < done_operations; ++i) {
+  const uint64_t applied_operations = core_->random.Uniform(operations.size() + 1);
+  for (uint64_t i = 0; i < applied_operations; ++i) {
     if (!disk_->Apply(operations[i]).ok()) return;
   }
 }
--- a/src/posthatch/simulation/sim_host_impl.cc
+++ b/src/posthatch/simulation/sim_host_impl.cc
@@ -24,8 +24,8 @@
   return runtime_ == nullptr ? nullptr : runtime_->runtime();
 }
 
-void SimHostImpl::MixProcessEvent(const char* what) {
-  core_->Mix(TraceKind::kProcess, executor_.number(), 0, what);
+void SimHostImpl::MixProcessEvent(const char* event) {
+  core_->Mix(TraceKind::kProcess, executor_.number(), 0, event);
 }
 
 void SimHostImpl::Start() {
@@ -34,7 +34,7 @@
   executor_.StartProcess(core_->NextId());
   runtime_ = std::make_unique<HostRuntime>(core_, &executor_, &clock_, &disk_, &disk_speed_,
                                            internal_endpoint_);
-  executor_.Run(executor_.process_id(), HostExecutor::Work::kNetwork,
+  executor_.Run(executor_.process_id(), HostExecutor::CallbackType::kNetwork,
                 [this] { process_ = boot_(runtime_->runtime()); });
 }
 
--- a/src/posthatch/simulation/sim_host_impl.h
+++ b/src/posthatch/simulation/sim_host_impl.h
@@ -45,7 +45,7 @@
 
  private:
   void End(ProcessEnd end);
-  void MixProcessEvent(const char* what);
+  void MixProcessEvent(const char* event);
 
   WorldCore* const core_;
   const std::string zone_;
--- a/src/posthatch/simulation/sim_http-test.cc
+++ b/src/posthatch/simulation/sim_http-test.cc
@@ -129,21 +129,21 @@
 
   server_->Start();
   server_->PowerLoss();
-  Observed dead;
-  const auto second = Call(&dead, "/echo");
+  Observed unreachable;
+  const auto second = Call(&unreachable, "/echo");
   world_.RunFor(seconds(1));
-  ASSERT_TRUE(dead.error.has_value());
-  EXPECT_TRUE(absl::IsDeadlineExceeded(dead.error->status));
-  EXPECT_EQ(dead.error->progress, CallProgress::kNotSent);
+  ASSERT_TRUE(unreachable.error.has_value());
+  EXPECT_TRUE(absl::IsDeadlineExceeded(unreachable.error->status));
+  EXPECT_EQ(unreachable.error->progress, CallProgress::kNotSent);
 
   server_->Start();
   world_.Partition("server", "client");
-  Observed cut;
-  const auto third = Call(&cut, "/echo");
+  Observed partitioned;
+  const auto third = Call(&partitioned, "/echo");
   world_.RunFor(seconds(1));
-  ASSERT_TRUE(cut.error.has_value());
-  EXPECT_TRUE(absl::IsDeadlineExceeded(cut.error->status));
-  EXPECT_EQ(cut.error->progress, CallProgress::kNotSent);
+  ASSERT_TRUE(partitioned.error.has_value());
+  EXPECT_TRUE(absl::IsDeadlineExceeded(partitioned.error->status));
+  EXPECT_EQ(partitioned.error->progress, CallProgress::kNotSent);
   EXPECT_TRUE(requests_.empty());
 }
 
@@ -152,7 +152,7 @@
   Observed in_stream;
   const auto first = Call(&before_head, "/wait");
   world_.RunFor(milliseconds(100));
-  const std::shared_ptr<http::ResponseWriter> unanswered = writer_;
+  const std::shared_ptr<http::ResponseWriter> pending_writer = writer_;
   const auto second = Call(&in_stream, "/stream");
   world_.RunFor(milliseconds(100));
   writer_->StartStream({});
@@ -177,31 +177,31 @@
   EXPECT_TRUE(absl::IsDeadlineExceeded(no_head.error->status));
   EXPECT_EQ(no_head.error->progress, CallProgress::kSent);
 
-  Observed cut_in_stream;
-  const auto second = Call(&cut_in_stream, "/stream", options);
+  Observed partitioned_in_stream;
+  const auto second = Call(&partitioned_in_stream, "/stream", options);
   world_.RunFor(milliseconds(100));
-  bool gone = false;
-  writer_->OnCallerDisconnected([&gone] { gone = true; });
+  bool disconnected = false;
+  writer_->OnCallerDisconnected([&disconnected] { disconnected = true; });
   writer_->StartStream({});
   writer_->WriteChunk("1");
   world_.RunFor(milliseconds(500));
   world_.Partition("server", "client");
   writer_->WriteChunk("2");
   world_.RunFor(seconds(2));
-  EXPECT_EQ(cut_in_stream.events, "h200 1 error");
-  EXPECT_TRUE(absl::IsDeadlineExceeded(cut_in_stream.error->status));
-  EXPECT_TRUE(gone) << "the partition doesn't block the client's close";
+  EXPECT_EQ(partitioned_in_stream.events, "h200 1 error");
+  EXPECT_TRUE(absl::IsDeadlineExceeded(partitioned_in_stream.error->status));
+  EXPECT_TRUE(disconnected) << "the partition doesn't block the client's close";
 }
 
 TEST_P(SimHttpTest, CancelNotifiesServerAndStopsCallbacks) {
   Observed observed;
   auto call = Call(&observed, "/wait");
   world_.RunFor(milliseconds(100));
-  int gone = 0;
-  writer_->OnCallerDisconnected([&gone] { ++gone; });
+  int disconnected = 0;
+  writer_->OnCallerDisconnected([&disconnected] { ++disconnected; });
   call = nullptr;
   world_.RunFor(seconds(1));
-  EXPECT_EQ(gone, 1);
+  EXPECT_EQ(disconnected, 1);
   writer_->SendResponse({});
   world_.RunFor(seconds(1));
   EXPECT_EQ(observed.events, "");
@@ -281,16 +281,16 @@
   EXPECT_EQ(refused.error->progress, CallProgress::kNotSent);
 }
 
-http::CallObserver IgnoreCall() {
+http::CallObserver IgnoringObserver() {
   return {[](const http::Response&) {}, [](const std::string&) {}, [] {},
           [](const http::CallError&) {}};
 }
 
 // A server that never responds. At its end it drops its requests first to last or last to first,
 // since a container hashed by address may drop them in any order.
-struct RequestHolder {
-  RequestHolder(runtime::Runtime* runtime, const std::string& endpoint, bool reverse)
-      : end_in_reverse(reverse) {
+struct UnresponsiveServer {
+  UnresponsiveServer(runtime::Runtime* runtime, const std::string& endpoint, bool reverse)
+      : drop_reversed(reverse) {
     auto listening = runtime->http_servers->Listen(
         endpoint, {},
         [this](const http::Request& /*request*/, std::shared_ptr<http::ResponseWriter> writer) {
@@ -299,22 +299,22 @@
     EXPECT_TRUE(listening.ok());
     server = std::move(*listening);
   }
-  ~RequestHolder() {
-    while (!writers.empty()) writers.erase(end_in_reverse ? writers.end() - 1 : writers.begin());
+  ~UnresponsiveServer() {
+    while (!writers.empty()) writers.erase(drop_reversed ? writers.end() - 1 : writers.begin());
   }
-  bool end_in_reverse;
+  bool drop_reversed;
   std::unique_ptr<http::HttpServer> server;
   std::vector<std::shared_ptr<http::ResponseWriter>> writers;
 };
 
 // Behaviour hash of a world whose server crashes. With several clients, another order of the closes
 // assigns the random delays to other connections and so changes the hash.
-uint64_t BehaviourOfCrash(uint64_t seed, bool end_in_reverse) {
+uint64_t CrashBehaviourHash(uint64_t seed, bool drop_reversed) {
   constexpr int kClients = 12;
   SimWorld world(seed);
   SimHost* server = world.AddHost("server", "z", "10.0.0.100");
-  server->SetBoot([server, end_in_reverse](runtime::Runtime* runtime) {
-    return std::make_shared<RequestHolder>(runtime, server->http_endpoint(), end_in_reverse);
+  server->SetBoot([server, drop_reversed](runtime::Runtime* runtime) {
+    return std::make_shared<UnresponsiveServer>(runtime, server->http_endpoint(), drop_reversed);
   });
   server->Start();
   std::vector<std::unique_ptr<http::Call>> calls;
@@ -324,7 +324,7 @@
     client->SetBoot([](runtime::Runtime*) { return std::make_shared<int>(0); });
     client->Start();
     calls.push_back(client->runtime()->http_client->Start(server->http_endpoint(), http::Request(),
-                                                          {}, IgnoreCall()));
+                                                          {}, IgnoringObserver()));
   }
   world.RunFor(seconds(1));
   server->Crash();
@@ -333,8 +333,8 @@
 }
 
 TEST_P(SimHttpTest, CrashClosesConnectionsInOneOrder) {
-  EXPECT_EQ(BehaviourOfCrash(GetParam(), /*end_in_reverse=*/false),
-            BehaviourOfCrash(GetParam(), /*end_in_reverse=*/true));
+  EXPECT_EQ(CrashBehaviourHash(GetParam(), /*drop_reversed=*/false),
+            CrashBehaviourHash(GetParam(), /*drop_reversed=*/true));
 }
 
 }  // namespace
--- a/src/posthatch/simulation/sim_http_client.cc
+++ b/src/posthatch/simulation/sim_http_client.cc
@@ -57,9 +57,9 @@
 
 std::shared_ptr<HttpConnection> SimHttpClient::NewConnection(const std::string& endpoint) {
   auto connection = std::make_shared<HttpConnection>(core_, host_, endpoint);
-  if (connections_.size() >= sweep_at_) {
+  if (connections_.size() >= sweep_threshold_) {
     std::erase_if(connections_, [](const auto& entry) { return entry.second.expired(); });
-    sweep_at_ = std::max(kMinSweep, connections_.size() * 2);
+    sweep_threshold_ = std::max(kMinSweepThreshold, connections_.size() * 2);
   }
   connections_[connection->id()] = connection;
   return connection;
--- a/src/posthatch/simulation/sim_http_client.h
+++ b/src/posthatch/simulation/sim_http_client.h
@@ -37,7 +37,7 @@
 
  private:
   static constexpr size_t kMaxIdlePerEndpoint = 32;
-  static constexpr size_t kMinSweep = 64;
+  static constexpr size_t kMinSweepThreshold = 64;
 
   WorldCore* const core_;
   HostExecutor* const host_;
@@ -46,7 +46,8 @@
   runtime::TimerService* const timers_;
   absl::btree_map<std::string, std::vector<std::shared_ptr<HttpConnection>>> idle_;
   std::map<uint64_t, std::weak_ptr<HttpConnection>> connections_;  // keyed by connection id
-  size_t sweep_at_ = kMinSweep;  // size of connections_ at which expired ones are removed
+  // Size of connections_ at which expired ones are removed.
+  size_t sweep_threshold_ = kMinSweepThreshold;
 };
 
 }  // namespace posthatch::simulation
--- a/src/posthatch/simulation/sim_server_connection.cc
+++ b/src/posthatch/simulation/sim_server_connection.cc
@@ -77,16 +77,16 @@
   running_exchange_ = ++last_exchange_;
   stream_started_ = false;
   if (HeaderBytes(request) > server_->limits().max_header_bytes) {
-    Refuse(kHeaderFieldsTooLarge);
+    RejectRequest(kHeaderFieldsTooLarge);
   } else if (request.body.size() > server_->limits().max_body_bytes) {
-    Refuse(kContentTooLarge);
+    RejectRequest(kContentTooLarge);
   } else {
     server_->Handle(std::move(request),
                     std::make_shared<SimResponseWriter>(weak_from_this(), running_exchange_));
   }
 }
 
-void SimServerConnection::Refuse(int status) {
+void SimServerConnection::RejectRequest(int status) {
   close_requested_ = true;
   http::Response response;
   response.status = status;
--- a/src/posthatch/simulation/sim_server_connection.h
+++ b/src/posthatch/simulation/sim_server_connection.h
@@ -40,7 +40,7 @@
  private:
   bool Running(uint64_t exchange) const { return exchange == running_exchange_ && !closed_; }
   void EndExchange();
-  void Refuse(int status);
+  void RejectRequest(int status);
 
   SimHttpServer* const server_;  // outlives this object's use: Shutdown closes all connections
   const std::shared_ptr<HttpConnection> connection_;
--- a/src/posthatch/simulation/sim_timer_service.cc
+++ b/src/posthatch/simulation/sim_timer_service.cc
@@ -16,11 +16,12 @@
                                            std::function<void()> callback) {
   const runtime::TimerId timer_id = ++last_id_;
   if (process_id_ != host_->process_id()) return timer_id;
-  const EventId event_id = queue_->ScheduleAfter(
-      std::max(delay, runtime::Duration(0)),
-      [this, host = host_, process_id = process_id_, timer_id] {
-        host->Run(process_id, HostExecutor::Work::kTimer, [this, timer_id] { Fire(timer_id); });
-      });
+  const EventId event_id =
+      queue_->ScheduleAfter(std::max(delay, runtime::Duration(0)),
+                            [this, host = host_, process_id = process_id_, timer_id] {
+                              host->Run(process_id, HostExecutor::CallbackType::kTimer,
+                                        [this, timer_id] { Fire(timer_id); });
+                            });
   pending_.emplace(timer_id, Pending{event_id, std::move(callback)});
   return timer_id;
 }
--- a/src/posthatch/simulation/sim_transport.cc
+++ b/src/posthatch/simulation/sim_transport.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // Maximum extra delay of a reordered datagram, as a multiple of NetworkBehaviour::max_delay.
-constexpr int kReorderingSpread = 5;
+constexpr int kMaxReorderingDelayFactor = 5;
 // Assumed size of a stream message's envelope without its payload.
 constexpr size_t kEnvelopeBytes = 64;
 
@@ -114,18 +114,19 @@
   runtime::Duration delay = core_->network.SampleDelay(host_->number(), to->number());
   const NetworkBehaviour& behaviour = core_->network.behaviour();
   if (behaviour.reordering > 0 && core_->random.Chance(behaviour.reordering)) {
-    delay += core_->random.Between(runtime::Duration(0), behaviour.max_delay * kReorderingSpread);
+    delay += core_->random.Between(runtime::Duration(0),
+                                   behaviour.max_delay * kMaxReorderingDelayFactor);
   }
-  core_->queue.ScheduleAfter(
-      delay, [core = core_, from = host_->number(), to_endpoint, envelope = std::move(envelope)] {
-        SimTransport* target = core->network.FindTransport(to_endpoint);
-        if (target == nullptr || core->network.IsPartitioned(from, target->host_->number())) return;
-        target->host_->Run(
-            target->process_id_, HostExecutor::Work::kDatagram, [core, from, target, envelope] {
-              core->Mix(TraceKind::kDatagram, target->host_->number(), from, envelope->payload());
-              target->Deliver(*envelope);
-            });
-      });
+  core_->queue.ScheduleAfter(delay, [core = core_, from = host_->number(), to_endpoint,
+                                     envelope = std::move(envelope)] {
+    SimTransport* target = core->network.FindTransport(to_endpoint);
+    if (target == nullptr || core->network.IsPartitioned(from, target->host_->number())) return;
+    target->host_->Run(
+        target->process_id_, HostExecutor::CallbackType::kDatagram, [core, from, target, envelope] {
+          core->Mix(TraceKind::kDatagram, target->host_->number(), from, envelope->payload());
+          target->Deliver(*envelope);
+        });
+  });
 }
 
 }  // namespace posthatch::simulation
--- a/src/posthatch/simulation/sim_world-bench.cc
+++ b/src/posthatch/simulation/sim_world-bench.cc
@@ -14,7 +14,7 @@
 using std::chrono::seconds;
 
 constexpr runtime::Service kService = runtime::SERVICE_CONTROL;
-constexpr int kPiecesPerAnswer = 20;
+constexpr int kChunksPerResponse = 20;
 
 // Sends 20 stream messages, 20 datagrams and 5 streamed HTTP calls per second to random peers.
 class BusyProcess {
@@ -29,7 +29,7 @@
         host->http_endpoint(), {},
         [](const http::Request&, const std::shared_ptr<http::ResponseWriter>& writer) {
           writer->StartStream({});
-          for (int i = 0; i < kPiecesPerAnswer; ++i) writer->WriteChunk("0123456789abcdef");
+          for (int i = 0; i < kChunksPerResponse; ++i) writer->WriteChunk("0123456789abcdef");
           writer->FinishStream();
         });
     SendMessages();
--- a/src/posthatch/simulation/sim_world-test.cc
+++ b/src/posthatch/simulation/sim_world-test.cc
@@ -149,11 +149,11 @@
   world_.RunFor(seconds(20));
   EXPECT_EQ(RecorderOf("b")->ticks.size(), ticks);
   EXPECT_TRUE(RecorderOf("b")->received.empty());
-  const runtime::MonotonicTime waking = world_.Now();
+  const runtime::MonotonicTime thawed_at = world_.Now();
   Host("b")->Thaw();
   world_.RunFor(milliseconds(50));
   EXPECT_EQ(RecorderOf("b")->ticks.size(), ticks + 1);
-  EXPECT_GE(RecorderOf("b")->ticks.back(), waking);
+  EXPECT_GE(RecorderOf("b")->ticks.back(), thawed_at);
   // The stream message and the datagrams that fit into the kernel's buffer were received.
   EXPECT_EQ(
       std::count(RecorderOf("b")->received.begin(), RecorderOf("b")->received.end(), "stream"), 1);
@@ -212,7 +212,7 @@
   EXPECT_EQ(RecorderOf("d")->received, std::vector<std::string>{"new"});
 }
 
-uint64_t HashOfScenario(uint64_t seed) {
+uint64_t ScenarioTraceHash(uint64_t seed) {
   SimWorld world(seed);
   NetworkBehaviour behaviour;
   behaviour.loss = 0.05;
@@ -268,8 +268,8 @@
 TEST(TraceHashTest, TraceHashDependsOnSeed) {
   std::set<uint64_t> hashes;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    const uint64_t hash = HashOfScenario(seed);
-    EXPECT_EQ(hash, HashOfScenario(seed)) << "seed " << seed;
+    const uint64_t hash = ScenarioTraceHash(seed);
+    EXPECT_EQ(hash, ScenarioTraceHash(seed)) << "seed " << seed;
     hashes.insert(hash);
   }
   EXPECT_EQ(hashes.size(), 20u);
