--- a/src/posthatch/simulation/host_executor.h
+++ b/src/posthatch/simulation/host_executor.h
@@ -14,20 +14,21 @@
   kPowerLoss,  // the whole machine is off
 };
 
-// Runs the callbacks of one simulated process, unless it has ended or is frozen. Each start of the
-// process has a new process id; work scheduled for an earlier process is dropped. Owned by the
-// host; lives as long as the world.
+// Runs the callbacks of one host's process; defers them while the host is frozen. Each start of the
+// process has a new process id; callbacks scheduled for an earlier process are dropped. Owned by
+// the host; lives as long as the world.
 class HostExecutor {
  public:
-  enum class Work {
-    kTimer,     // runs late after a freeze
-    kNetwork,   // buffered by the kernel
-    kDatagram,  // as kNetwork, but lost beyond kMaxWaitingDatagrams
+  enum class CallbackType {
+    kTimer,     // timer: runs late if due during a freeze
+    kNetwork,   // stream, HTTP or disk event: buffered by the kernel during a freeze
+    kDatagram,  // datagram: buffered during a freeze, dropped beyond kMaxDeferredDatagrams
   };
 
   HostExecutor(EventQueue* queue, uint32_t number, std::string name)
       : queue_(queue), number_(number), name_(std::move(name)) {}
 
+  // Index of the host in its world.
   uint32_t number() const { return number_; }
   const std::string& name() const { return name_; }
   // Id of the running process, unique in the world; 0 if none is running.
@@ -40,7 +41,7 @@
   bool executing() const { return executing_ > 0; }
 
   // Runs `callback` if `process_id` is the running process: immediately, or after Thaw when frozen.
-  void Run(uint64_t process_id, Work work, Callback callback);
+  void Run(uint64_t process_id, CallbackType type, Callback callback);
 
   void StartProcess(uint64_t process_id);
   void EndProcess(ProcessEnd end);
@@ -49,7 +50,7 @@
   void Thaw(bool timers_first);
 
  private:
-  static constexpr size_t kMaxWaitingDatagrams = 64;
+  static constexpr size_t kMaxDeferredDatagrams = 64;
   struct Deferred {
     uint64_t process_id;
     Callback callback;
@@ -64,7 +65,7 @@
   bool frozen_ = false;
   bool powered_ = true;
   int executing_ = 0;
-  size_t waiting_datagrams_ = 0;
+  size_t deferred_datagrams_ = 0;
   std::deque<Deferred> deferred_timers_;
   std::deque<Deferred> deferred_network_;
 };
--- a/src/posthatch/simulation/pipe.h
+++ b/src/posthatch/simulation/pipe.h
@@ -11,8 +11,8 @@
 
 // One direction of a simulated TCP connection: messages arrive complete, in order and exactly once,
 // until the pipe breaks. Models the sender's buffer, the data in flight (bounded by a window), the
-// receiver's unread data, retransmission over partitioned links, and failure after kMinStall to
-// kMaxStall. Shared by its ends and its pending event.
+// receiver's unread data, retransmission over partitioned links, and a timeout after a stall of
+// kMinStall to kMaxStall. Shared by its ends and its pending event.
 class Pipe : public std::enable_shared_from_this<Pipe> {
  public:
   // Called when the first message arrives: returns the id of the receiving process, or 0 to refuse.
@@ -31,8 +31,9 @@
   // Runs `deliver` at the receiver when the message of `bytes` bytes arrives; `digest` is mixed
   // into the trace hash then.
   void Push(size_t bytes, uint64_t digest, Callback deliver);
-  // Closes the pipe at the sender while messages may be in flight: the sender's buffer is lost.
-  // `deliver`, if given, runs at the receiver after them (the reset), with a random delay.
+  // Closes the pipe at the sender: its buffer is lost, messages in flight may still arrive.
+  // `deliver`, if given, represents the reset: it runs at the receiver after those messages, with a
+  // random delay.
   void CloseSender(Callback deliver);
   // Breaks as if the receiver had sent a reset.
   void Reset();
@@ -41,7 +42,7 @@
 
   bool broken() const { return broken_; }
   bool established() const { return to_process_id_ != 0; }
-  // Bytes not sent yet.
+  // Bytes in the sender's buffer, not transmitted yet.
   size_t buffered_bytes() const { return buffered_bytes_; }
   // Runs `callback` once at the sender when fewer than `threshold` bytes are buffered.
   void NotifyWritable(size_t threshold, Callback callback);
@@ -64,11 +65,11 @@
   void Transmit(Message message);
   void ScheduleArrival(runtime::MonotonicTime time);
   void Arrive();
-  // Whether the link is blocked; schedules a retransmission or fails the pipe.
-  bool Stalled();
+  // Returns whether the link is blocked; if so, schedules a retransmission or fails the pipe.
+  bool HandleStall();
   bool BindReceiver();
-  void RequestDrain();
-  void Drain();
+  void RequestDelivery();
+  void DeliverUnread();
   void Refill();
   void CheckWritable();
   void Fail(runtime::Duration delay);
@@ -83,10 +84,10 @@
   Callback on_error_;
 
   Fifo<Message> buffered_;
-  Fifo<Message> network_;
+  Fifo<Message> in_flight_;
   Fifo<Message> unread_;
   size_t buffered_bytes_ = 0;
-  size_t window_bytes_ = 0;  // bytes in network_ and unread_
+  size_t window_bytes_ = 0;  // bytes in in_flight_ and unread_
   size_t writable_threshold_ = 0;
   Callback on_writable_;
   runtime::MonotonicTime last_arrival_;
@@ -94,7 +95,7 @@
   runtime::Duration stall_limit_;
   bool stalled_ = false;
   bool arrival_scheduled_ = false;
-  bool drain_requested_ = false;
+  bool delivery_requested_ = false;
   bool paused_ = false;
   bool broken_ = false;
   bool sender_closed_ = false;
--- a/src/posthatch/simulation/sim_call.h
+++ b/src/posthatch/simulation/sim_call.h
@@ -36,8 +36,8 @@
   void Fail(absl::Status status);
   // Called after each callback: frees the observer if the callback ended the call.
   void ReleaseObserver();
-  // Ends the call; `keep` returns the connection to the pool.
-  void Finish(bool keep);
+  // Ends the call; `reuse_connection` returns the connection to the pool.
+  void Finish(bool reuse_connection);
 
   SimHttpClient* const client_;
   const std::string endpoint_;
@@ -45,7 +45,7 @@
   const http::CallOptions options_;
   http::CallObserver observer_;
   std::shared_ptr<HttpConnection> connection_;
-  // For the connection, then the status line, then the body's chunks.
+  // Limits the wait for the connection, then for the status line, then for each chunk of the body.
   runtime::Timer timer_;
   runtime::MonotonicTime last_chunk_at_{};
   http::CallProgress progress_ = http::CallProgress::kNotSent;
--- a/src/posthatch/simulation/sim_host_impl.cc
+++ b/src/posthatch/simulation/sim_host_impl.cc
@@ -24,8 +24,8 @@
   return runtime_ == nullptr ? nullptr : runtime_->runtime();
 }
 
-void SimHostImpl::MixProcessEvent(const char* what) {
-  core_->Mix(TraceKind::kProcess, executor_.number(), 0, what);
+void SimHostImpl::MixProcessEvent(const char* event) {
+  core_->Mix(TraceKind::kProcess, executor_.number(), 0, event);
 }
 
 void SimHostImpl::Start() {
@@ -34,7 +34,7 @@
   executor_.StartProcess(core_->NextId());
   runtime_ = std::make_unique<HostRuntime>(core_, &executor_, &clock_, &disk_, &disk_speed_,
                                            internal_endpoint_);
-  executor_.Run(executor_.process_id(), HostExecutor::Work::kNetwork,
+  executor_.Run(executor_.process_id(), HostExecutor::CallbackType::kNetwork,
                 [this] { process_ = boot_(runtime_->runtime()); });
 }
 
@@ -56,9 +56,9 @@
   executor_.EndProcess(end);
   std::shared_ptr<void> process = std::move(process_);
   process_ = nullptr;
-  // The runtime closes the connections, in the order of their numbers, before the process is
-  // destroyed: containers hashed by address would destroy its calls in another order in every
-  // process of the operating system, and each close draws a delay from the world's seed.
+  // The runtime closes the connections, in the order of their ids, before the process is destroyed:
+  // its containers hashed by address would destroy its calls in a different order in each run of
+  // the simulator, and each close draws a random delay from the world's seed.
   runtime_->Shutdown();
   process.reset();
   ended_runtimes_.push_back(std::move(runtime_));
--- a/src/posthatch/simulation/sim_http_client.h
+++ b/src/posthatch/simulation/sim_http_client.h
@@ -27,8 +27,8 @@
   bool HasPooledConnection(const std::string& endpoint, double share) const override;
   void Shutdown();
 
-  // For SimCall.
-  // An idle pooled connection, or null.
+  // TakeIdle and the methods below are called by SimCall. TakeIdle returns an idle pooled
+  // connection, or null.
   std::shared_ptr<HttpConnection> TakeIdle(const std::string& endpoint);
   std::shared_ptr<HttpConnection> NewConnection(const std::string& endpoint);
   void ReturnToPool(const std::string& endpoint, std::shared_ptr<HttpConnection> connection);
@@ -37,7 +37,7 @@
 
  private:
   static constexpr size_t kMaxIdlePerEndpoint = 32;
-  static constexpr size_t kMinSweep = 64;
+  static constexpr size_t kMinSweepThreshold = 64;
 
   WorldCore* const core_;
   HostExecutor* const host_;
@@ -45,8 +45,9 @@
   const runtime::Clock* const clock_;
   runtime::TimerService* const timers_;
   absl::btree_map<std::string, std::vector<std::shared_ptr<HttpConnection>>> idle_;
-  std::map<uint64_t, std::weak_ptr<HttpConnection>> connections_;
-  size_t sweep_at_ = kMinSweep;  // size of connections_ at which closed ones are removed
+  std::map<uint64_t, std::weak_ptr<HttpConnection>> connections_;  // keyed by connection id
+  // Size of connections_ at which expired ones are removed.
+  size_t sweep_threshold_ = kMinSweepThreshold;
 };
 
 }  // namespace posthatch::simulation
