--- a/scripts/check-determinism.sh
+++ b/scripts/check-determinism.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Simulates one scenario and seed in several processes, whose address spaces differ, and fails if
-# their traces do: a failing seed must fail again.
+# Simulates each scenario and seed in several processes, whose address spaces differ, and fails if
+# their traces differ: a seed that fails must fail again when it is rerun.
 # Usage: scripts/check-determinism.sh [PROCESSES] [SCENARIO:SEED...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -17,7 +17,7 @@
     "$program" simulate "scenarios/$scenario.toml" --seeds "$seed-$seed" 2>&1 |
     grep -oE 'trace [0-9a-f]+' | sort | uniq -c)
   echo "$scenario, seed $seed: $(echo "$traces" | tr -s ' \n' ' ')"
-  # One trace, told by every process.
+  # Every process must print a trace, and all traces must be equal.
   [ "$(echo "$traces" | wc -l)" -eq 1 ] || failed=1
   [ "$(echo "$traces" | awk '{ print $1 }')" = "$processes" ] || failed=1
   echo "$traces" | grep -q trace || failed=1
--- a/scripts/check-help.sh
+++ b/scripts/check-help.sh
@@ -1,18 +1,18 @@
 #!/usr/bin/env bash
-# The help texts of the programs that operators call are an interface: compares them with the golden
-# files in src/posthatch/compatibility/testdata/help. With --write: writes those files (only for a
-# text that is meant to be new).
+# Compares the help texts of the programs that operators call, which are an interface, with the golden
+# files in src/posthatch/compatibility/testdata/help. With --write it writes those files first (only
+# for a text that changes on purpose).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 golden=src/posthatch/compatibility/testdata/help
 build=build/release
-now=$(mktemp -d)
-trap 'rm -rf "$now"' EXIT
+current=$(mktemp -d)
+trap 'rm -rf "$current"' EXIT
 help_of() {  # help_of FILE PROGRAM [SUBCOMMAND...]
   local file=$1
   shift
-  # CLI11 prints the program by the path it was called by.
-  "$@" --help | sed "s|$build/src/posthatch/[a-z]*/||" >"$now/$file.txt"
+  # CLI11 prints the path that the program was started by.
+  "$@" --help | sed "s|$build/src/posthatch/[a-z]*/||" >"$current/$file.txt"
 }
 daemon=$build/src/posthatch/server/posthatchd
 control=$build/src/posthatch/ctl/posthatchctl
@@ -28,7 +28,7 @@
 done
 if [ "${1:-}" = --write ]; then
   mkdir -p "$golden"
-  cp "$now"/*.txt "$golden"
+  cp "$current"/*.txt "$golden"
 fi
-diff -r "$golden" "$now"
-echo "help texts: $(find "$golden" -type f | wc -l) as before"
+diff -r "$golden" "$current"
+echo "help texts: $(find "$golden" -type f | wc -l) unchanged"
--- a/scripts/check-packages.sh
+++ b/scripts/check-packages.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# The users' machines have nothing but the packages of deploy/system.toml. Compares them with what a
-# build of the deployed program uses: the files that its configure step reads (with the options of
-# `build`), the headers that its objects were compiled from (as the release build recorded them), the
-# libraries that it links, and the tools that `build` calls. Each of these files must come from a
-# listed package or from one that a listed package depends on, and each listed package must be of
-# use. Everything listed must stand in scripts/install-dependencies.sh too.
+# Checks the package list of deploy/system.toml, the only packages on the users' machines, against the
+# files that a build of the deployed program uses: those that its configure step reads (with the
+# options of `build`), the headers that its objects include (as the release build recorded them), the
+# libraries that it links, and the tools that `build` calls. Each of these files must belong to a
+# listed package or to a dependency of one, and each listed package must be needed. Every listed
+# package must be in scripts/install-dependencies.sh too.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=build/release
@@ -20,7 +20,7 @@
   exit 1
 fi
 
-# The configure step of `build`, in a folder of its own.
+# Runs the configure step of `build` in a temporary folder.
 configure=$(sed -n 's/^build = "cmake -S \. -B target \(.*\) && cmake --build.*/\1/p' deploy/system.toml)
 if [ -z "$configure" ]; then
   echo "deploy/system.toml: the configure step of build was not found" >&2
@@ -30,7 +30,7 @@
 cmake -S . -B "$work/configured" $configure >/dev/null
 ninja -C "$work/configured" -t query build.ninja | sed 's/^ *|* *//' | grep '^/usr/' >"$work/files" || true
 
-# Headers, and the libraries of the link.
+# Headers of the compiled objects, and the libraries that are linked.
 ninja -C "$build" -t inputs posthatch-platform >"$work/inputs"
 grep '\.o$' "$work/inputs" | sort >"$work/objects"
 ninja -C "$build" -t deps | awk -v objects="$work/objects" '
@@ -41,8 +41,8 @@
 for tool in cmake ninja c++ protoc pkg-config; do command -v "$tool" >>"$work/files"; done
 sort -u "$work/files" | xargs -d '\n' readlink -f | sort -u >"$work/used"
 
-# PACKAGE FILE lines. dpkg knows a file under the path that its package gave it, with or without
-# /usr in front.
+# Prints lines PACKAGE FILE for the files on its input. dpkg lists a file under the path that its
+# package contains, with or without a leading /usr.
 owners() {
   xargs -d '\n' dpkg-query -S 2>/dev/null | sed 's/^\([^:]*\):[^/]*/\1 /'
 }
@@ -67,20 +67,21 @@
 closure $(cat "$work/listed") | sort -u - "$work/essential" >"$work/available"
 unlisted=$(comm -23 "$work/needed" "$work/available")
 if [ -n "$unlisted" ]; then
-  echo "Used by the build, but no package in deploy/system.toml brings them:" >&2
+  echo "Used by the build, but not provided by the packages in deploy/system.toml:" >&2
   grep -wFf <(echo "$unlisted") "$work/owners" >&2
   exit 1
 fi
-# A package is of use if files of its own are read, or if without it others would be missing.
-useless=""
+# A listed package is needed if the build reads its files, or if without it a package whose files the
+# build reads would be missing.
+unneeded=""
 for package in $(comm -23 "$work/listed" "$work/needed"); do
   others=$(grep -vx "$package" "$work/listed")
   # shellcheck disable=SC2086
   closure $others | sort -u - "$work/essential" >"$work/without"
-  [ -n "$(comm -23 "$work/needed" "$work/without")" ] || useless="$useless $package"
+  [ -n "$(comm -23 "$work/needed" "$work/without")" ] || unneeded="$unneeded $package"
 done
-if [ -n "$useless" ]; then
-  echo "In deploy/system.toml, but the build can do without:$useless" >&2
+if [ -n "$unneeded" ]; then
+  echo "In deploy/system.toml, but not needed by the build:$unneeded" >&2
   exit 1
 fi
-echo "packages: $(wc -l <"$work/listed") listed, all needed; $(wc -l <"$work/needed") that the build reads from, all brought by them"
+echo "packages: $(wc -l <"$work/listed") listed, all needed; the build reads files of $(wc -l <"$work/needed"), all provided by them"
--- a/scripts/experiments/ablate.sh
+++ b/scripts/experiments/ablate.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Switches the mechanisms of the settings' [routing] table off one by one, plays the same days and
-# seeds with each, and prints the table of paired differences (ablation_table.py).
-# Each job works in a copy of this tree of its own, so that the checkout stays as it is.
+# Switches off the mechanisms of the settings' [routing] table one by one, runs the same days and seeds
+# without each of them, and prints the table of paired differences (ablation_table.py).
+# Each job works in its own copy of this tree, so that the checkout isn't modified.
 # Usage: scripts/experiments/ablate.sh BENCH RESULTS JOBS "SITE DAY SEED..." ["SITE DAY SEED..."]
-#   BENCH    the bench's program        RESULTS  file that lines "SWITCH SITE DAY SEED WORTH" go to
-#   JOBS     copies that work at once   SITE     path of a site file
-# SWITCHES="index rank" limits it to these; "none" (all on) is always played.
+#   BENCH    the bench's program        RESULTS  file for the lines "SWITCH SITE DAY SEED WORTH"
+#   JOBS     number of parallel copies  SITE     path of a site file
+# SWITCHES="index rank" limits the run to these; "none" (all mechanisms on) always runs.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 bench=$1
@@ -27,7 +27,7 @@
   (cd "$work/$1" && { [ -d .git ] || git init -q; } && "$bench" build >build.log 2>&1)
 }
 
-# One switch in copy $1: plays every day and seed.
+# Runs every day and seed in copy $1 with the mechanism $2 switched off.
 play() {
   local copy=$work/$1 switch=$2
   cd "$copy"
@@ -50,7 +50,7 @@
 read -ra switches <<<"$SWITCHES"
 queue=(none "${switches[@]}")
 lock=$(mktemp)
-take() { # prints the next switch, or nothing
+next_switch() { # prints the next switch of the queue, or nothing
   (
     flock 9
     local number
@@ -61,7 +61,7 @@
   ) 9>"$lock.held"
 }
 for copy in $(seq "$jobs"); do
-  (while switch=$(take) && [ -n "$switch" ]; do play "$copy" "$switch"; done) &
+  (while switch=$(next_switch) && [ -n "$switch" ]; do play "$copy" "$switch"; done) &
 done
 wait
 scripts/experiments/ablation_table.py "$results"
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# clang-tidy over the project's own sources, in parallel; warnings are errors (.clang-tidy).
-# A file that was found clean is not looked at again while nothing that it is compiled from has
-# changed: its key is the hash of the linter, its settings, the compile command and the contents of
-# the source and of every header it includes, as the build recorded them (`ninja -t deps`). Lines of
-# the project's own files that hold a // comment alone do not count, since no check that is enabled
-# reads them; NOLINT does.
-# Only clean results are kept. Usage: scripts/lint.sh [--no-cache] [FILE...]
+# Runs clang-tidy over the project's sources in parallel; warnings are errors (.clang-tidy).
+# Clean results are cached: a file is checked again only if something that it is compiled from has
+# changed. Its cache key is the hash of the linter's version and settings, the compile command and the
+# contents of the source and of every header that it includes, as the build recorded them
+# (`ninja -t deps`). Lines of the project's files that consist of a // comment are left out of the hash,
+# since no enabled check reads them, except those with NOLINT.
+# Usage: scripts/lint.sh [--no-cache] [FILE...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=build/release
@@ -23,7 +23,7 @@
   git ls-files 'src/*.cc' 'platform/*.cc' | grep -v -- '-fuzz\.cc$' >"$work/files"
 fi
 
-# One line a dependency: SOURCE DEPENDENCY, for every object of the build.
+# Writes a line "SOURCE DEPENDENCY" for each dependency of each object of the build.
 ninja -C "$build" -t deps | awk -v root="$PWD/" '
   /^[^ ].*: #deps/ { source = "" ; next }
   /^    / {
@@ -36,16 +36,16 @@
   }' >"$work/dependencies"
 cut -f2 "$work/dependencies" | sort -u >"$work/included"
 (cd "$build" && grep '^/usr/' "$work/included" | xargs -d '\n' sha256sum) >"$work/hashes"
-# HASH, two spaces, FILE, as sha256sum prints it.
+# Lines in the format of sha256sum: HASH, two spaces, FILE.
 (cd "$build" && grep -v '^/usr/' "$work/included" | while read -r file; do
   printf '%s  %s\n' "$(sed -E '/NOLINT/!{/^[[:space:]]*\/\//d}' "$file" | sha256sum | cut -d' ' -f1)" "$file"
 done) >>"$work/hashes"
 sha256sum .clang-tidy | cut -d' ' -f1 >"$work/common"
 clang-tidy --version >>"$work/common"
-# The compile commands without this checkout's path, which the result does not depend on.
+# The compile commands without the path of this checkout, since the result does not depend on it.
 sed "s|$PWD||g" "$build/compile_commands.json" | tr -d '\n' | sed 's/},/},\n/g' >"$work/commands"
 
-# For each source one file that lists all its key is made of.
+# Writes for each source a file with the hashes that its cache key is computed from.
 mkdir "$work/keys"
 awk -v keys="$work/keys" -v root="$PWD/" -F'\t' '
   FILENAME ~ /hashes$/ { hash[substr($0, 67)] = substr($0, 1, 64); next }
@@ -69,7 +69,7 @@
     if [ -e "$cache/$key" ]; then echo "$file" >>"$work/known"; else echo "$key $file" >>"$work/todo"; fi
   done
 
-# A result is kept only if none of the project's own files it rests on was changed meanwhile.
+# Caches a result only if none of the project's files that the source depends on changed meanwhile.
 touch "$work/started"
 lint_one() {
   local key=$1 file=$2
@@ -81,11 +81,11 @@
 }
 export -f lint_one
 export build cache work
-# The largest first, so that none is left over at the end.
+# Sources with the most dependencies run first, so that no long job starts last.
 while read -r key file; do
   echo "$(wc -l <"$work/keys/${file//\//%}") $key $file"
 done <"$work/todo" | sort -rn | cut -d' ' -f2- |
   xargs -r -P "${POSTHATCH_LINT_JOBS:-$(nproc)}" -L 1 bash -c 'lint_one "$@"' lint
-# Results that nothing has asked for in a month go.
+# Removes results that were cached more than a month ago.
 find "$cache" -type f -mtime +30 -delete
-echo "clang-tidy: $(wc -l <"$work/files") files clean ($(wc -l <"$work/known") of them known from before)"
+echo "clang-tidy: $(wc -l <"$work/files") files clean ($(wc -l <"$work/known") of them cached)"
--- a/scripts/play-days.sh
+++ b/scripts/play-days.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Plays the days of deploy/days on a deployment and prints a line each; fails if a rule breaks.
+# Runs the days (load and fault scripts) of deploy/days with the bench and prints a line for each; fails
+# if a rule is broken.
 # Usage: scripts/play-days.sh BENCH SITE WHY [DAY...]
 set -uo pipefail
 cd "$(dirname "$0")/.." || exit 1
@@ -21,5 +22,5 @@
     broken=$((broken + 1))
   fi
 done
-echo "days with a broken rule or not played: $broken (reports in $reports)"
+echo "days that broke a rule or did not run: $broken (reports in $reports)"
 [ "$broken" -eq 0 ]
--- a/scripts/quickstart.sh
+++ b/scripts/quickstart.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is needed, builds, and runs a whole fleet on this machine with traffic and a summary.
+# Installs the dependencies, builds, runs a complete fleet on this machine with traffic and prints a summary.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/install-dependencies.sh
--- a/scripts/run-tests.sh
+++ b/scripts/run-tests.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
 # Runs the tests of one preset. Tests named in KNOWN-RED.txt (component, then the GoogleTest name) are
-# passed over and printed.
+# skipped and printed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 preset=${1:-release}
 if [ -s KNOWN-RED.txt ]; then
-  echo "Known to fail for a real fault, passed over:"
+  echo "Skipped, known to fail because of a real fault:"
   cat KNOWN-RED.txt
   filter=$(grep -v '^#' KNOWN-RED.txt | cut -d, -f1 | tr -d ' ' | paste -sd: -)
   [ -z "$filter" ] || export GTEST_FILTER="-$filter"
--- a/scripts/simulate-all.sh
+++ b/scripts/simulate-all.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Simulates every scenario over a range of seeds and prints a line each; fails if one doesn't pass.
-# Several run at a time; a simulation depends on its seed alone.
+# Simulates every scenario over a range of seeds and prints a line for each; fails if one doesn't pass.
+# Scenarios run in parallel, which doesn't change results: a simulation depends on its seed alone.
 # Usage: [POSTHATCH_REPORTS=FOLDER] scripts/simulate-all.sh [FIRST_SEED] [LAST_SEED]
 set -uo pipefail
 cd "$(dirname "$0")/.." || exit 1
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Passes every check: format, scripts, build (-Werror), clang-tidy, pages, tests, simulated scenarios, a short
+# Runs every check: format, shellcheck, build (-Werror), clang-tidy, pages, tests, simulated scenarios, a short
 # soak of real processes, a short suite under ASan + UBSan.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/install-dependencies.sh
 jobs=$(nproc)
-# Objects are found again in ccache whatever folder the checkout stands in.
+# Lets ccache reuse objects whatever folder the checkout is in.
 export CCACHE_BASEDIR=$PWD
 export CCACHE_NOHASHDIR=1
 
@@ -41,7 +41,7 @@
 
 echo "== soak of real processes, two seeds (after ${SECONDS} s)"
 scripts/soak/rules_test.py
-# Both broke the rule on model revisions before incident 34 was mended.
+# Both seeds violated the VERSION rule (model revisions) before incident 34 was fixed.
 scripts/soak/run.py --program build/release/posthatch-platform --seeds 5,13 --parallel 2
 
 echo "== short suite under ASan + UBSan (after ${SECONDS} s)"
