--- a/cmake/Dependencies.cmake
+++ b/cmake/Dependencies.cmake
@@ -1,6 +1,6 @@
-# Every library the project uses, in one place. All come from Debian packages: those that a build of
-# the programs needs stand in deploy/system.toml, those for tests, checks and plots beside them in
-# scripts/install-dependencies.sh (scripts/check-packages.sh compares).
+# All external libraries of the project. All come from Debian packages: deploy/system.toml lists those
+# that a build of the programs needs, scripts/install-dependencies.sh lists them too and adds those for
+# tests, checks and plots (scripts/check-packages.sh compares the lists).
 find_package(Threads REQUIRED)
 find_package(Boost 1.81 REQUIRED COMPONENTS json)
 find_package(Protobuf REQUIRED)
--- a/cmake/PosthatchComponent.cmake
+++ b/cmake/PosthatchComponent.cmake
@@ -1,9 +1,9 @@
 # posthatch_component(NAME
-#   [SOURCES a.cc ...]   the component's classes; one static library posthatch_<NAME>
-#   [PROTOS a.proto ...] its messages, compiled into posthatch_<NAME>_proto without our warnings
+#   [SOURCES a.cc ...]   sources of the static library posthatch_<NAME>
+#   [PROTOS a.proto ...] messages, compiled into posthatch_<NAME>_proto without warning options
 #   [DEPS x ...]         other components (posthatch_<x>) or imported targets (with ::)
 #   [TESTS a-test.cc ...]        one GoogleTest binary <NAME>-test, registered with ctest
-#   [BENCHMARKS a-bench.cc ...]  one Google Benchmark binary <NAME>-bench; both with POSTHATCH_TESTS
+#   [BENCHMARKS a-bench.cc ...]  one Google Benchmark binary <NAME>-bench; both only with POSTHATCH_TESTS
 #   [FUZZERS a-fuzz.cc ...]      one libFuzzer binary each, only with POSTHATCH_FUZZERS)
 function(posthatch_component NAME)
   cmake_parse_arguments(ARG "" "" "SOURCES;PROTOS;DEPS;TESTS;TEST_DEPS;BENCHMARKS;FUZZERS" ${ARGN})
--- a/src/posthatch/compatibility/golden_file-test.h
+++ b/src/posthatch/compatibility/golden_file-test.h
@@ -21,8 +21,8 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-// Compares with the golden file `name`. With POSTHATCH_WRITE_GOLDEN set it writes the file first:
-// only for a form that is meant to be new, never to get a pass.
+// Compares `contents` with the golden file `name`. With POSTHATCH_WRITE_GOLDEN set it writes the
+// file first: only for a format that changes on purpose, never to make a failing test pass.
 inline void ExpectGolden(const std::string& name, const std::string& contents) {
   if (std::getenv("POSTHATCH_WRITE_GOLDEN") != nullptr) {
     std::filesystem::create_directories(std::filesystem::path(GoldenPath(name)).parent_path());
--- a/src/posthatch/compatibility/stored_data-test.cc
+++ b/src/posthatch/compatibility/stored_data-test.cc
@@ -20,8 +20,8 @@
 #include "posthatch/storage/record_format.h"
 #include "posthatch/storage/snapshot_file.h"
 
-// What a controller keeps on its disk, written by an earlier build (testdata/) and read by this
-// one.
+// Tests that this build reads the data that a controller of an earlier build wrote to its disk
+// (testdata/).
 namespace posthatch::compatibility {
 namespace {
 
@@ -32,16 +32,16 @@
 using std::chrono::seconds;
 
 constexpr char kFolder[] = "raft";
-// Fewer than there are commands, so that the folder holds a snapshot and a log behind it.
+// Lower than the number of commands, so that the folder holds a snapshot and later log entries.
 constexpr uint64_t kSnapshotEveryEntries = 8;
 
-Command InventoryDifference() {
+Command InventoryDeltaCommand() {
   Command command;
-  control::SetInventory* reading = command.mutable_set_inventory();
-  reading->set_base_version(1);
-  reading->mutable_delta()->set_version(2);
-  reading->mutable_delta()->add_removed("w2");
-  control::Backend* backend = reading->mutable_delta()->add_changed();
+  control::SetInventory* inventory = command.mutable_set_inventory();
+  inventory->set_base_version(1);
+  inventory->mutable_delta()->set_version(2);
+  inventory->mutable_delta()->add_removed("w2");
+  control::Backend* backend = inventory->mutable_delta()->add_changed();
   backend->set_id("w0");
   backend->set_kind(control::BACKEND_KIND_WORKER);
   backend->set_endpoint("127.0.0.1:2");
@@ -79,7 +79,7 @@
   return command;
 }
 
-// Every kind of replicated command, each of them accepted.
+// One command of every replicated kind; the control state accepts each of them.
 std::vector<Command> EveryCommand() {
   return {control::FullChange("c1", 0, control::SmallConfiguration()),
           control::PatchChange("c2", 1, "gamma", 4),
@@ -89,7 +89,7 @@
           control::Finish("k1", "a1", control::DeliveryOutcome::RESPONDED, 2000),
           control::Begin("k2", "a2", "hash", 3000),
           control::InventoryReading(3, /*draining_bits=*/2),
-          InventoryDifference(),
+          InventoryDeltaCommand(),
           control::Grant("w0", "g1"),
           control::Grant("w1", "g2"),
           LeaseRelease(),
@@ -103,11 +103,11 @@
   return snapshot;
 }
 
-bool Same(const google::protobuf::Message& a, const google::protobuf::Message& b) {
+bool MessagesEqual(const google::protobuf::Message& a, const google::protobuf::Message& b) {
   return google::protobuf::util::MessageDifferencer::Equals(a, b);
 }
 
-// One controller that is its own cluster.
+// A controller that is the only voter of its cluster.
 struct Controller {
   explicit Controller(runtime::Runtime* runtime) : replica(runtime, Options(), &state) {
     start_status = replica.Start();
@@ -152,8 +152,8 @@
   CommandResult result;
   bool done = false;
   controller_->replica.Propose(command.SerializeAsString(),
-                               [&](const absl::StatusOr<std::string>& answer) {
-                                 EXPECT_TRUE(answer.ok() && result.ParseFromString(*answer));
+                               [&](const absl::StatusOr<std::string>& response) {
+                                 EXPECT_TRUE(response.ok() && result.ParseFromString(*response));
                                  done = true;
                                });
   EXPECT_TRUE(world_.RunUntil([&done] { return done; }, seconds(30)));
@@ -170,9 +170,9 @@
   return *files;
 }
 
-// Writes the golden folder when asked to (POSTHATCH_WRITE_GOLDEN); in any case every command must
-// be accepted and the folder of this build must be read back.
-TEST_F(ControllerFolderTest, OfThisBuildHoldsEveryCommand) {
+// Writes the golden folder if POSTHATCH_WRITE_GOLDEN is set. In any case every command must be
+// accepted, and a restarted controller must restore the same state from the folder.
+TEST_F(ControllerFolderTest, RestoresStateWrittenByThisBuild) {
   host_->Start();
   ASSERT_TRUE(RunUntilLeader());
   for (const Command& command : EveryCommand()) {
@@ -198,12 +198,12 @@
   host_->Start();
   ASSERT_TRUE(RunUntilLeader());
   world_.RunFor(seconds(1));
-  EXPECT_TRUE(Same(SnapshotOf(controller_->state), expected));
+  EXPECT_TRUE(MessagesEqual(SnapshotOf(controller_->state), expected));
 }
 
-TEST_F(ControllerFolderTest, OfAnEarlierBuildIsReadWhole) {
+TEST_F(ControllerFolderTest, RestoresStateWrittenByEarlierBuild) {
   ASSERT_GE(FolderFiles().size(), 2u);
-  // Writes the files by a process of the same host, before the controller first starts.
+  // A writer process on the same host creates the files before the controller first starts.
   runtime::Runtime* writer = nullptr;
   host_->SetBoot([&writer](runtime::Runtime* runtime) {
     writer = runtime;
@@ -244,22 +244,23 @@
   EXPECT_GT(expected.requests_size(), 0);
   EXPECT_GT(expected.fleet().leases_size(), 0);
   EXPECT_EQ(expected.traffic().newest().version(), 7u);
-  EXPECT_TRUE(Same(SnapshotOf(controller_->state), expected));
-  // It goes on from there: an old request id still gets its first answer, a new command is taken.
+  EXPECT_TRUE(MessagesEqual(SnapshotOf(controller_->state), expected));
+  // The restored controller accepts commands: a repeated request id gets its original result, a new
+  // command is applied.
   EXPECT_EQ(Propose(control::PatchChange("c2", 1, "gamma", 4)), CommandResult::OK);
   EXPECT_EQ(Propose(control::PatchChange("c3", 2, "delta", 4)), CommandResult::OK);
 }
 
-TEST(StoredFormatTest, ControlStateRestoresAnEarlierBuildsSnapshot) {
+TEST(StoredFormatTest, ControlStateRestoresSnapshotOfEarlierBuild) {
   const std::string golden = ReadGolden("controller_state.bin");
   ControlState state;
   ASSERT_TRUE(state.RestoreSnapshot(golden).ok());
   ControlSnapshot expected;
   ASSERT_TRUE(expected.ParseFromString(golden));
-  EXPECT_TRUE(Same(SnapshotOf(state), expected));
+  EXPECT_TRUE(MessagesEqual(SnapshotOf(state), expected));
 }
 
-TEST(StoredFormatTest, EqualCommandsGiveAnEarlierBuildsResults) {
+TEST(StoredFormatTest, CommandResultsAreTheSameAsOfEarlierBuild) {
   ControlState state;
   std::string results;
   uint64_t index = 0;
@@ -272,7 +273,7 @@
   ExpectGolden("command_results.bin", results);
 }
 
-TEST(StoredFormatTest, SegmentsAndSnapshotsAreWrittenAsBefore) {
+TEST(StoredFormatTest, SegmentAndSnapshotFormatsAreUnchanged) {
   std::string segment = storage::EncodeSegmentHeader(3);
   storage::HardState hard_state;
   hard_state.set_replica_id(11);
@@ -315,7 +316,7 @@
                storage::SegmentPath("raft", 3) + "\n" + storage::SnapshotPath("raft", 9) + "\n");
 }
 
-TEST(StoredFormatTest, FramesBetweenProcessesAreAsBefore) {
+TEST(StoredFormatTest, TransportFrameFormatIsUnchanged) {
   runtime::Envelope envelope;
   envelope.set_service(runtime::SERVICE_CONSENSUS);
   envelope.set_from_node("node");
--- a/src/posthatch/compatibility/wire_schema-test.cc
+++ b/src/posthatch/compatibility/wire_schema-test.cc
@@ -36,11 +36,12 @@
 using google::protobuf::Message;
 using google::protobuf::Reflection;
 
-// Messages of one .proto file, under a label that outlives renames of the file.
+// The messages of one .proto file. Golden files name it by its label, which stays the same when
+// the file is renamed.
 struct Schema {
   std::string label;
   const FileDescriptor* file;
-  // Whether all its messages are printed or parsed as JSON, so that names are part of the form.
+  // Whether all messages are printed or parsed as JSON, so that names are part of the format.
   bool json;
 };
 
@@ -61,7 +62,8 @@
   return *schemas;
 }
 
-// JSON outside of the files that are JSON throughout: control/state_views.cc prints it.
+// Whether the message is printed or parsed as JSON. Evacuation is, although the other messages of
+// its file are not: control/state_views.cc prints it.
 bool IsJson(const Schema& schema, const Descriptor* message) {
   return schema.json || message == control::Evacuation::descriptor();
 }
@@ -73,8 +75,8 @@
   return "unknown";
 }
 
-// Where a type is declared, without its name: "control/3.0" is the first type nested in the fourth
-// message of the file.
+// Position of a type's declaration, independent of its name: "control/3.0" is the first type nested
+// in the fourth message of the file.
 template <typename Type>
 std::string PositionOf(const Type* type) {
   if (type->containing_type() != nullptr) {
@@ -132,8 +134,9 @@
   return text;
 }
 
-// Sets every field of `message`, by field number alone; of a oneof the field of `choice` modulo
-// its fields. Nested messages are filled down to `depth`.
+// Sets every field of `message` to a value that depends on the field number alone. Of a oneof it
+// sets the field with index `choice` modulo the number of fields. Nested messages are filled down
+// to `depth` levels.
 void Fill(Message* message, int choice, int depth);
 
 void FillField(Message* message, const FieldDescriptor* field, int choice, int depth) {
@@ -213,7 +216,8 @@
   return bytes;
 }
 
-// One filled message for each field of the largest oneof, so that every kind is written once.
+// Serializes one filled message for each field of the largest oneof, so that each field of a oneof
+// is written at least once.
 std::string DescribeBytes(const Descriptor* descriptor) {
   const Message* prototype =
       google::protobuf::MessageFactory::generated_factory()->GetPrototype(descriptor);
@@ -235,8 +239,8 @@
   return text;
 }
 
-// Numbers, types and labels of all fields of all messages; names only where a message is JSON.
-TEST(WireSchemaTest, FieldNumbersTypesAndJsonNamesAreAsBefore) {
+// Number, type and cardinality of every field of every message; names only of JSON messages.
+TEST(WireSchemaTest, FieldNumbersTypesAndJsonNamesAreUnchanged) {
   std::string text;
   for (const Schema& schema : Schemas()) {
     for (int i = 0; i < schema.file->enum_type_count(); ++i) {
