--- a/scripts/soak/callers.py
+++ b/scripts/soak/callers.py
@@ -1,4 +1,4 @@
-"""Clients and the operator. Clients keep using a connection until its gateway ends it."""
+"""Emulated clients and operator. A client keeps using a connection until its gateway closes it."""
 import asyncio
 import random
 
@@ -11,23 +11,23 @@
 
 
 class Callers:
-    def __init__(self, history: History, clock, rng: random.Random, fronts, ready, run_name):
-        """`fronts`: gateway node -> address; `ready()`: the nodes that get new connections."""
+    def __init__(self, history: History, clock, rng: random.Random, gateway_addresses, ready, run_name):
+        """`gateway_addresses` is keyed by node; `ready()` returns the nodes that get new connections."""
         self._history = history
         self._clock = clock
         self._rng = rng
-        self._fronts = fronts
+        self._gateway_addresses = gateway_addresses
         self._ready = ready
         self._run_name = run_name
-        self._numbers = 0
+        self._last_number = 0
         self.stopping = False
 
     def next_id(self):
-        self._numbers += 1
-        return f'{self._run_name}-{self._numbers:06x}'
+        self._last_number += 1
+        return f'{self._run_name}-{self._last_number:06x}'
 
     async def client(self, pause_s, once_share):
-        """One client: sends a request after another over one kept connection."""
+        """Runs a client that sends one request after another over a persistent connection."""
         gateway, session = None, None
         while not self.stopping:
             if session is None:
@@ -36,10 +36,10 @@
                     await asyncio.sleep(0.2)
                     continue
                 session = self._new_session()
-                kept = False
+                reused = False
             once = self._rng.random() < once_share
-            call = await (self._call_once if once else self._call_stream)(session, gateway, kept)
-            kept = True
+            call = await (self._call_once if once else self._call_stream)(session, gateway, reused)
+            reused = True
             if call.status is None or call.detail == 'closes':
                 await session.close()
                 session = None
@@ -56,41 +56,42 @@
         ready = self._ready()
         return self._rng.choice(ready) if ready else None
 
-    async def _call_once(self, session, gateway, kept):
-        call = self._begin('once', gateway, kept)
+    async def _call_once(self, session, gateway, reused):
+        call = self._begin('once', gateway, reused)
         body = call.request_id.encode() * 8
         headers = {'Host': HOST, 'Request-Id': call.request_id, 'Deadline-Ms': '2000',
                    'Authorization': f'Bearer {KEY}'}
         async with self._exchange(call, session, '/once/x', headers, body) as response:
             if response is not None:
-                answer = await response.read()
-                call.complete = response.status == 200 and answer == body
+                content = await response.read()
+                call.complete = response.status == 200 and content == body
         return call
 
-    async def _call_stream(self, session, gateway, kept):
-        call = self._begin('stream', gateway, kept)
+    async def _call_stream(self, session, gateway, reused):
+        call = self._begin('stream', gateway, reused)
         shared = self._rng.randrange(60)
         tokens = self._rng.randrange(4, 24)
         headers = {'Host': HOST, 'Request-Id': call.request_id, 'Deadline-Ms': '10000', 'Model': 'm0',
                    'Authorization': f'Bearer {KEY}', 'Token-Counts': f'{4000},{tokens}',
-                   'Prefix-Hash': f'{shared:x}a:3000,{self._numbers:x}b:{self._rng.randrange(200, 3000)}'}
+                   'Prefix-Hash': f'{shared:x}a:3000,{self._last_number:x}b:{self._rng.randrange(200, 3000)}'}
         route = '/resume/x' if self._rng.random() < 0.6 else '/stream/x'
         async with self._exchange(call, session, route, headers, b'prompt') as response:
             if response is not None:
-                answer = await response.read()
-                call.complete = response.status == 200 and answer.rstrip().endswith(b'end')
+                content = await response.read()
+                call.complete = response.status == 200 and content.rstrip().endswith(b'end')
         return call
 
-    def _begin(self, kind, gateway, kept):
-        call = Call(self.next_id(), gateway, kind, self._clock(), kept)
+    def _begin(self, kind, gateway, reused):
+        call = Call(self.next_id(), gateway, kind, self._clock(), reused)
         self._history.calls.append(call)
         return call
 
     def _exchange(self, call, session, path, headers, body):
-        return _Exchange(call, self._clock, session, f'http://{self._fronts[call.gateway]}{path}', headers, body)
+        return _Exchange(call, self._clock, session, f'http://{self._gateway_addresses[call.gateway]}{path}', headers,
+                         body)
 
     async def probe(self, newest_version):
-        """Asks random gateways, each over a connection of its own, for the newest version's route."""
+        """Sends requests on the newest configuration's route to random gateways, each over a new connection."""
         while not self.stopping:
             await asyncio.sleep(0.1)
             gateway, version = self._pick_gateway(), newest_version()
@@ -108,7 +109,7 @@
 
 
 class _Exchange:
-    """One HTTP exchange of a call; gives the response, or None if there is none."""
+    """One HTTP exchange of a call; yields the response, or None if there is none."""
 
     def __init__(self, call, clock, session, url, headers, body):
         self._call = call
@@ -122,7 +123,7 @@
         except (aiohttp.ClientError, asyncio.TimeoutError, OSError) as error:
             self._call.detail = type(error).__name__
             self._call.ended_at = self._clock()
-            # No request was sent if no connection came up.
+            # Without a connection no request was sent.
             if isinstance(error, (aiohttp.ClientConnectorError, aiohttp.ServerTimeoutError)):
                 self._call.status = 0
             elif isinstance(error, asyncio.TimeoutError):
@@ -148,18 +149,18 @@
 class Operator:
     """Sends each change until it is acknowledged, to one controller after another."""
 
-    def __init__(self, history: History, clock, rng: random.Random, controls, named):
+    def __init__(self, history: History, clock, rng: random.Random, controller_addresses, newest_revisions):
         self._history = history
         self._clock = clock
         self._rng = rng
-        self._controls = controls
-        self._named = named
+        self._controller_addresses = controller_addresses
+        self._newest_revisions = newest_revisions
         self.version = 0
         self.acknowledged_version = 0
         self._changing = asyncio.Lock()
 
     async def change_configuration(self):
-        """Adds a route. One change at a time."""
+        """Sends a configuration with one more route. Changes are sent one at a time."""
         async with self._changing:
             number = self.version + 1
             body = {'version': number, **self._configuration(number)}
@@ -168,22 +169,22 @@
             if done:
                 self.version = self.acknowledged_version = number
 
-    async def name_revision(self, model):
-        self._named[model] = self._named.get(model, 1) + 1
-        await self._send('revision', model, self._named[model], '/v1/version-put',
-                         {'model': model, 'version': self._named[model]}, {})
+    async def publish_revision(self, model):
+        self._newest_revisions[model] = self._newest_revisions.get(model, 1) + 1
+        await self._send('revision', model, self._newest_revisions[model], '/v1/version-put',
+                         {'model': model, 'version': self._newest_revisions[model]}, {})
 
     async def _send(self, kind, name, number, path, body, headers):
         change = Change(kind, name, number, self._clock())
         self._history.changes.append(change)
         backoff = 0.1
-        nodes = list(self._controls)
+        nodes = list(self._controller_addresses)
         self._rng.shuffle(nodes)
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=2)) as session:
             for attempt in range(60):
                 node = nodes[attempt % len(nodes)]
                 try:
-                    async with session.post(f'http://{self._controls[node]}{path}', json=body,
+                    async with session.post(f'http://{self._controller_addresses[node]}{path}', json=body,
                                             headers=headers) as response:
                         await response.read()
                         if response.status == 200:
@@ -191,7 +192,7 @@
                             change.acknowledged_by = node
                             return True
                         if response.status in (400, 412):
-                            change.acknowledged_by = f'{node} refused: {response.status}'
+                            change.acknowledged_by = f'{node} rejected: {response.status}'
                             return False
                 except (aiohttp.ClientError, asyncio.TimeoutError, OSError):
                     pass
@@ -202,9 +203,9 @@
     async def read_configuration(self):
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=2)) as session:
             for attempt in range(60):
-                node = list(self._controls)[attempt % len(self._controls)]
+                node = list(self._controller_addresses)[attempt % len(self._controller_addresses)]
                 try:
-                    async with session.get(f'http://{self._controls[node]}/v1/Config.Read') as response:
+                    async with session.get(f'http://{self._controller_addresses[node]}/v1/Config.Read') as response:
                         if response.status == 200:
                             return (await response.json())['version']
                 except (aiohttp.ClientError, asyncio.TimeoutError, OSError):
@@ -221,7 +222,7 @@
                     'target_gap_ms': 300}
         routes = [route('once', 'app', 'non_idempotent', 2000, 1), route('stream', 'llm', 'streaming', 10000, 1),
                   route('resume', 'llm', 'streaming', 10000, 2, True)]
-        # The last few versions' routes stay, so that a configuration doesn't grow without bound.
+        # Keeps the routes of the 20 previous versions only, so that the configuration doesn't grow without bound.
         routes += [route(f'v{n}', 'app', 'idempotent', 1000, 1) for n in range(max(1, number - 20), number + 1)]
         return {
             'routes': routes,
--- a/scripts/soak/history.py
+++ b/scripts/soak/history.py
@@ -1,4 +1,4 @@
-"""What the soak's own clients, workers and operator have seen. Times are seconds of one monotonic clock."""
+"""Records what the soak's clients, workers and operator observed. Times are seconds since the start of the run."""
 import dataclasses
 
 
@@ -9,28 +9,28 @@
     worker_id: str
     service: str
     at: float
-    first_token_at: float | None = None  # of a prompt; else when it ran
-    revision: int = 0  # of the model, at the first token
+    first_token_at: float | None = None  # for an application service: when the request ran
+    revision: int = 0  # model revision of the worker at the first token
     model: str = ''
 
 
 @dataclasses.dataclass
 class Call:
-    """A client's attempt."""
+    """A client's request to a gateway."""
     request_id: str
     gateway: str
     kind: str  # 'stream', 'once', 'probe'
     sent_at: float
-    kept_connection: bool
+    reused_connection: bool
     ended_at: float | None = None
-    status: int | None = None  # None: closed or reset without an answer
+    status: int | None = None  # None: closed or reset without a response; 0: not connected; -1: time-out
     complete: bool = False
     detail: str = ''
 
 
 @dataclasses.dataclass
-class MachineEvent:
-    """Something done to one of our processes, or that it did by itself."""
+class ProcessEvent:
+    """A signal to a gateway or controller process, or its start or end."""
     node: str
     is_controller: bool
     at: float
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass
 class Change:
-    """An operator's change."""
+    """A configuration or model revision that the operator sent."""
     kind: str  # 'configuration', 'revision'
     name: str
     number: int
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass
 class Drain:
-    """From when the list shows a worker as draining."""
+    """The time from which the instance list shows a worker as draining."""
     worker_id: str
     shown_at: float
 
@@ -68,12 +68,12 @@
     def __init__(self):
         self.dispatches: list[Dispatch] = []
         self.calls: list[Call] = []
-        self.events: list[MachineEvent] = []
+        self.events: list[ProcessEvent] = []
         self.changes: list[Change] = []
         self.probes: list[Probe] = []
         self.drains: list[Drain] = []
-        self.disturbed: list[tuple[float, float, str]] = []  # a worker in a fault of its own
-        self.worst_stall_s = 0.0  # of the soak's own event loop
+        self.worker_faults: list[tuple[float, float, str]] = []  # start, end, description
+        self.worst_stall_s = 0.0  # longest stall of the soak's event loop
         self.ended_at = 0.0
-        self.final_revisions: dict[str, tuple[str, int, float]] = {}  # worker: model, revision, started
+        self.final_revisions: dict[str, tuple[str, int, float]] = {}  # worker id -> model, revision, start time
         self.final_configuration: int | None = None
--- a/scripts/soak/processes.py
+++ b/scripts/soak/processes.py
@@ -1,15 +1,15 @@
-"""Our own processes: started, signalled and started again as the platform does."""
+"""Gateway and controller processes, which are started, signalled and restarted as the platform does."""
 import asyncio
 import os
 import signal
 
-from history import History, MachineEvent
+from history import History, ProcessEvent
 
 RESTART_DELAY_S = 0.3
 
 
 class ManagedProcess:
-    """One gateway or controller. A supervisor starts it again whenever it ends."""
+    """One gateway or controller. A supervisor task restarts it whenever it ends."""
 
     def __init__(self, history: History, clock, node, is_controller, command, settings_path, make_settings,
                  log_path, grace_s):
@@ -35,7 +35,7 @@
         return self._process is not None and self._process.returncode is None
 
     def _record(self, kind):
-        self._history.events.append(MachineEvent(self.node, self.is_controller, self._clock(), kind))
+        self._history.events.append(ProcessEvent(self.node, self.is_controller, self._clock(), kind))
 
     def write_settings(self):
         with open(self._settings_path, 'w', encoding='utf-8') as file:
@@ -63,7 +63,7 @@
             await asyncio.sleep(RESTART_DELAY_S)
 
     def terminate(self):
-        """SIGTERM, and SIGKILL after the grace time. May come again while the first one is under way."""
+        """Sends SIGTERM, and SIGKILL after the grace time. May be called again before the process has ended."""
         if not self.running:
             return
         self._expected_end = True
--- a/scripts/soak/rules.py
+++ b/scripts/soak/rules.py
@@ -1,11 +1,11 @@
-"""Judges a History by the users' rules. Each rule returns its violations and the number of cases it saw."""
+"""Checks a History against the users' rules. Each rule returns its violations and the number of cases checked."""
 import collections
 import dataclasses
 
 
 @dataclasses.dataclass
 class Bounds:
-    """Seconds, as the platform's settings name them."""
+    """Bounds of the rules in seconds, named as in the platform's settings."""
     contact: float = 3.0
     config_apply: float = 2.0
     max_stretch: float = 5.0
@@ -23,9 +23,9 @@
     violations: list[str]
 
 
-def core_unstable(history, bounds, controllers):
-    """Merged intervals in which the core does not count as stable: `contact` from each event on a
-    controller that the soak brought about, and while fewer than a majority run."""
+def unstable_core_spans(history, bounds, controllers):
+    """Returns merged intervals in which the core (the controllers) doesn't count as stable: `contact` seconds
+    from each controller event that the soak caused, and while no majority of the controllers runs."""
     spans = []
     down = {}
     down_spans = collections.defaultdict(list)
@@ -58,7 +58,7 @@
 
 
 def stable_stretches(start, end, unstable):
-    """Lengths of the stretches of [start, end] outside `unstable`."""
+    """Returns the lengths of the parts of [start, end] that are outside `unstable`."""
     stretches = []
     at = start
     for left, right in unstable:
@@ -72,8 +72,8 @@
     return stretches
 
 
-class Touch:
-    """Whether a process was in touch: nothing was done to it for `contact`."""
+class Connectivity:
+    """Tells whether a process counts as connected: the soak caused no event on it for `contact` seconds."""
 
     def __init__(self, history, bounds):
         self._contact = bounds.contact
@@ -82,35 +82,35 @@
             if event.kind != 'ended_by_itself':
                 self._events[event.node].append(event.at)
 
-    def holds(self, node, at):
+    def is_connected(self, node, at):
         return not any(at - self._contact <= event <= at for event in self._events[node])
 
 
 def judge(history, bounds, controllers):
-    unstable = core_unstable(history, bounds, controllers)
-    touch = Touch(history, bounds)
+    unstable = unstable_core_spans(history, bounds, controllers)
+    connectivity = Connectivity(history, bounds)
     calls = {call.request_id: call for call in history.calls}
     return [
-        version(history, bounds, unstable, touch, calls),
-        version_at_end(history, bounds, unstable),
-        configuration(history, bounds, unstable, touch),
-        configuration_kept(history),
-        twice(history, calls),
-        refused(history, calls),
-        drain(history, bounds, touch, calls),
-        lost(history, bounds),
-        ended(history),
+        check_version(history, bounds, unstable, connectivity, calls),
+        check_version_at_end(history, bounds, unstable),
+        check_configuration(history, bounds, unstable, connectivity),
+        check_configuration_kept(history),
+        check_single_execution(history, calls),
+        check_rejections(history, calls),
+        check_drain(history, bounds, connectivity, calls),
+        check_lost_requests(history, bounds),
+        check_unexpected_ends(history),
     ]
 
 
-def version(history, bounds, unstable, touch, calls):
-    """VERSION: no first token under a revision whose successor was acknowledged too long ago."""
-    named = [c for c in history.changes if c.kind == 'revision' and c.acknowledged_at is not None]
+def check_version(history, bounds, unstable, connectivity, calls):
+    """VERSION: no first token under a revision whose successor was acknowledged longer ago than the bounds allow."""
+    revision_changes = [c for c in history.changes if c.kind == 'revision' and c.acknowledged_at is not None]
     cases, violations = 0, []
     for dispatch in history.dispatches:
         if dispatch.first_token_at is None or not dispatch.model:
             continue
-        newer = [c.acknowledged_at for c in named
+        newer = [c.acknowledged_at for c in revision_changes
                  if c.name == dispatch.model and c.number > dispatch.revision]
         if not newer:
             continue
@@ -120,16 +120,16 @@
         longest = max(stretches, default=0)
         total = sum(s for s in stretches if s >= 2)
         late = longest > bounds.version or total > bounds.version_all
-        if late and touch.holds(gateway, dispatch.at):
+        if late and connectivity.is_connected(gateway, dispatch.at):
             violations.append(
                 f'{dispatch.request_id} from {gateway} at {dispatch.worker_id} on {dispatch.revision}: arrived '
-                f'{dispatch.at:.2f}, began {dispatch.first_token_at:.2f}, newer acknowledged {min(newer):.2f}, '
+                f'{dispatch.at:.2f}, first token {dispatch.first_token_at:.2f}, newer acknowledged {min(newer):.2f}, '
                 f'stable for {longest:.2f} (all {total:.2f})')
     return Verdict('VERSION', cases, violations)
 
 
-def version_at_end(history, bounds, unstable):
-    """VERSION at the end: at most one worker and a tenth of them are still behind."""
+def check_version_at_end(history, bounds, unstable):
+    """VERSION at end: at most a tenth of a model's workers, or one, have an outdated revision."""
     violations = []
     cases = 0
     newest = {}
@@ -150,28 +150,28 @@
     return Verdict('VERSION at end', cases, violations)
 
 
-def configuration(history, bounds, unstable, touch):
-    """CONFIG: the route of an acknowledged version is known, in time and for good."""
+def check_configuration(history, bounds, unstable, connectivity):
+    """CONFIG: connected gateways know an acknowledged version's route from the bound after its acknowledgement on."""
     acknowledged = {c.number: c.acknowledged_at for c in history.changes
                     if c.kind == 'configuration' and c.acknowledged_at is not None}
     cases, violations = 0, []
     for probe in history.probes:
         at = acknowledged.get(probe.version)
-        if at is None or probe.status is None or not touch.holds(probe.gateway, probe.sent_at):
+        if at is None or probe.status is None or not connectivity.is_connected(probe.gateway, probe.sent_at):
             continue
-        disturbed = any(left < probe.sent_at and right > at for left, right in unstable)
-        bound = bounds.config_apply + (bounds.max_stretch if disturbed else 0)
+        core_was_unstable = any(left < probe.sent_at and right > at for left, right in unstable)
+        bound = bounds.config_apply + (bounds.max_stretch if core_was_unstable else 0)
         if probe.sent_at - at <= bound:
             continue
         cases += 1
         if probe.status in (401, 403, 404):
-            violations.append(f'{probe.gateway} answers {probe.status} for version {probe.version} '
+            violations.append(f'{probe.gateway} responds {probe.status} for version {probe.version} '
                               f'{probe.sent_at - at:.2f} s after its acknowledgement ({probe.sent_at:.2f})')
     return Verdict('CONFIG', cases, violations)
 
 
-def configuration_kept(history):
-    """CONFIG at the end: what is read back is the newest that was acknowledged."""
+def check_configuration_kept(history):
+    """CONFIG kept: the version read at the end isn't older than the newest acknowledged one."""
     numbers = [c.number for c in history.changes
                if c.kind == 'configuration' and c.acknowledged_at is not None]
     if not numbers:
@@ -181,23 +181,23 @@
         f'read {history.final_configuration}, acknowledged {max(numbers)}'] if wrong else [])
 
 
-def twice(history, calls):
-    """TWICE: a request that is not idempotent runs once at most."""
+def check_single_execution(history, calls):
+    """TWICE: a request that is not idempotent runs at most once."""
     runs = collections.Counter(d.request_id for d in history.dispatches
                                if d.first_token_at is not None and calls[d.request_id].kind == 'once')
     return Verdict('TWICE', len(runs), [f'{r} ran {n} times' for r, n in runs.items() if n > 1])
 
 
-def refused(history, calls):
-    """REFUSED: 429, 503, 408 and 421 promise that the request did not run and won't."""
+def check_rejections(history, calls):
+    """REFUSED: status 429, 503, 408 or 421 guarantees that the request did not run and won't."""
     ran = {d.request_id for d in history.dispatches if d.first_token_at is not None}
     promised = [c for c in calls.values() if c.status in (429, 503, 408, 421) and c.kind == 'once']
     return Verdict('REFUSED', len(promised),
-                   [f'{c.request_id} answered {c.status} but ran' for c in promised if c.request_id in ran])
+                   [f'{c.request_id} got {c.status} but ran' for c in promised if c.request_id in ran])
 
 
-def drain(history, bounds, touch, calls):
-    """DRAIN: nothing arrives at a worker that the list has shown as draining for `drain`."""
+def check_drain(history, bounds, connectivity, calls):
+    """DRAIN: no request arrives at a worker that the list has shown as draining for over `drain` seconds."""
     shown = {d.worker_id: d.shown_at for d in history.drains}
     cases, violations = 0, []
     for dispatch in history.dispatches:
@@ -206,15 +206,15 @@
             continue
         cases += 1
         gateway = calls[dispatch.request_id].gateway
-        if dispatch.at - since > bounds.drain and touch.holds(gateway, dispatch.at):
+        if dispatch.at - since > bounds.drain and connectivity.is_connected(gateway, dispatch.at):
             violations.append(f'{dispatch.request_id} from {gateway} at {dispatch.worker_id}, '
                               f'{dispatch.at - since:.2f} s after it was shown as draining')
     return Verdict('DRAIN', cases, violations)
 
 
-def lost(history, bounds):
-    """LOST: around a SIGTERM alone, no request is read and then left without an answer."""
-    unplanned = [e for e in history.events if e.kind in ('kill', 'freeze', 'thaw', 'ended_by_itself')]
+def check_lost_requests(history, bounds):
+    """LOST: around a SIGTERM without other faults, no request that a gateway read is left without a response."""
+    other_faults = [e for e in history.events if e.kind in ('kill', 'freeze', 'thaw', 'ended_by_itself')]
     cases, violations = 0, []
     for event in history.events:
         if event.kind != 'term' or event.is_controller:
@@ -230,19 +230,19 @@
             ran = any(d.request_id == call.request_id for d in history.dispatches)
             read = ran or call.ended_at - call.sent_at > bounds.loss_slack
             late_start = call.sent_at > event.at + 3
-            disturbed = any(call.sent_at - bounds.contact <= e.at <= call.ended_at for e in unplanned
+            excused = any(call.sent_at - bounds.contact <= e.at <= call.ended_at for e in other_faults
                             if e.node == call.gateway)
-            disturbed = disturbed or any(left <= call.ended_at and right >= call.sent_at - bounds.contact
-                                         for left, right, _ in history.disturbed)
+            excused = excused or any(left <= call.ended_at and right >= call.sent_at - bounds.contact
+                                         for left, right, _ in history.worker_faults)
             cut_late = call.ended_at >= event.at + bounds.grace * 5 / 6 and not late_start
-            if call.status is None and read and not disturbed and not cut_late:
+            if call.status is None and read and not excused and not cut_late:
                 violations.append(f'{call.request_id} at {call.gateway}: sent {call.sent_at - event.at:.2f} s after '
                                   f'SIGTERM, closed {call.ended_at - event.at:.2f} s after it ({call.detail})')
     return Verdict('LOST', cases, violations)
 
 
-def ended(history):
-    """A process ended by itself."""
-    own = [e for e in history.events if e.kind == 'ended_by_itself']
+def check_unexpected_ends(history):
+    """ENDED BY ITSELF: no process ends unless the soak signalled it."""
+    unexpected = [e for e in history.events if e.kind == 'ended_by_itself']
     starts = sum(1 for e in history.events if e.kind == 'start')
-    return Verdict('ENDED BY ITSELF', starts, [f'{e.node} at {e.at:.2f}' for e in own])
+    return Verdict('ENDED BY ITSELF', starts, [f'{e.node} at {e.at:.2f}' for e in unexpected])
--- a/scripts/soak/run.py
+++ b/scripts/soak/run.py
@@ -1,11 +1,11 @@
 #!/usr/bin/python3
-"""A soak of the deployed program as real processes: gateways and controllers filled from deploy/, stand-ins of
-the platform, clients that keep using their connections, and series of signals, restarts and changes that
-overlap, drawn by seed. Judged by rules.py from what clients, workers and operator saw.
+"""Soak test of the deployed program as real processes: gateways and controllers with the settings of deploy/,
+an emulated platform, clients with persistent connections, and overlapping series of signals, restarts and
+changes, drawn from a seed. rules.py checks what clients, workers and operator observed.
 
 Usage: scripts/soak/run.py --program build/release/posthatch-platform --seeds 1-3 [--parallel 2] [--seconds 36]
        [--controllers 5] [--gateways 8] [--workers 18] [--keep FOLDER]
-Exit 0: every run kept the rules; 1: one did not; 2: a run could not be judged.
+Exit 0: no run broke a rule; 1: a run did; 2: a run could not be judged.
 """
 import argparse
 import asyncio
@@ -32,7 +32,7 @@
 ZONES = ['z1', 'z2', 'z3', 'z4']
 INTERNAL_PORT, CONTROL_PORT, FRONT_PORT, READINESS_PORT, WORKER_PORT = 7340, 8783, 8782, 8789, 8080
 SETTLE_S = 10
-# Of the soak's own event loop: beyond it the times that the stand-ins report can't be relied on.
+# Longest stall of the soak's event loop with which the times that it records are still reliable.
 TOLERATED_STALL_S = 0.5
 
 
@@ -45,15 +45,15 @@
         self.started_at = time.monotonic()
         self.history = History()
         self.bounds = Bounds()
-        # Runs side by side need networks of their own.
+        # Parallel runs need separate networks.
         self.network = 2 + seed % 200
         self.controllers = []
         self.gateways = []
         self.workers = []
         self.pool = Pool(self.history, self.clock, self.rng, Engine(), options.workers)
-        self.list_address = self._ip(9, 1) + ':8784'
-        self.list = InstanceList(self.pool, self.list_address, 44)
-        self._seeds = [0, 1, 2]
+        self.instance_list_address = self._ip(9, 1) + ':8784'
+        self.instance_list = InstanceList(self.pool, self.instance_list_address, 44)
+        self._seed_controllers = [0, 1, 2]
         self._templates = {}
         for role in ('controller', 'gateway'):
             with open(os.path.join(options.deploy, f'{role}.toml.in'), encoding='utf-8') as file:
@@ -67,7 +67,7 @@
     def _ip(self, group, number):
         return f'127.{self.network}.{group + number // 250}.{1 + number % 250}'
 
-    # The fleet.
+    # Processes and workers of the fleet.
 
     def _settings(self, role, number, first_start):
         address = self._ip(10 if role == 'controller' else 20, number)
@@ -77,9 +77,9 @@
             'listen': {'front': f'{address}:{FRONT_PORT}', 'readiness': f'{address}:{READINESS_PORT}',
                        'control': f'{address}:{CONTROL_PORT}'},
             'port_range': [INTERNAL_PORT, INTERNAL_PORT + 15],
-            'seeds': [f'{self._ip(10, seed)}:{CONTROL_PORT}' for seed in self._seeds],
+            'seeds': [f'{self._ip(10, n)}:{CONTROL_PORT}' for n in self._seed_controllers],
             'bootstrap': first_start, 'data_dir': os.path.join(self.folder, self._node(role, number)),
-            'cloud': {'address': self.list_address, 'rate_per_s': 44.0},
+            'cloud': {'address': self.instance_list_address, 'rate_per_s': 44.0},
             'bounds': {'grace_s': 8, 'drain_ms': 3000, 'version_ms': 12000, 'version_all_ms': 17000,
                        'lease_ms': 3000, 'retry_budget_ratio': 0.2, 'budget_slack': 56, 'config_apply_ms': 2000},
         }
@@ -108,19 +108,19 @@
             await self._add_worker(f'i-{number}', 'llm', self._ip(30, number), number, 'm0')
         for number in range(4):
             await self._add_worker(f'a-{number}', 'app', self._ip(40, number), number, '')
-        await self.list.start()
+        await self.instance_list.start()
 
     async def _add_worker(self, instance_id, service, ip, number, model):
-        revision = self.pool.named.get(model, 1) if model else 0
+        revision = self.pool.newest_revisions.get(model, 1) if model else 0
         worker = Worker(self.pool, instance_id, service, f'{ip}:{WORKER_PORT}', ZONES[number % len(ZONES)], model,
                         revision)
         await worker.start()
-        self.list.workers.append(worker)
+        self.instance_list.workers.append(worker)
         if model:
             self.workers.append(worker)
 
     async def replace_worker(self):
-        """A new worker starts; an old one drains and leaves."""
+        """Starts a new worker, then drains and removes an old one."""
         self._replaced += 1
         number = self.options.workers + self._replaced
         await self._add_worker(f'i-{number}', 'llm', self._ip(30, number), number, 'm0')
@@ -131,11 +131,11 @@
     async def _remove_worker(self, worker):
         await asyncio.sleep(self.bounds.drain + 4)
         self.workers.remove(worker)
-        self.list.workers.remove(worker)
+        self.instance_list.workers.remove(worker)
         await worker.stop()
 
     def leader(self):
-        """The controller that won leadership last, by the logs."""
+        """Returns the controller that, by the logs, acquired leadership in the highest term."""
         best = (0, None)
         for process in self.controllers:
             with open(os.path.join(self.folder, process.node + '.log'), encoding='utf-8') as log:
@@ -145,16 +145,16 @@
                         best = max(best, (term, process), key=lambda entry: entry[0])
         return best[1]
 
-    def change_seeds(self):
-        self._seeds = self.rng.sample(range(self.options.controllers), 3)
+    def change_seed_controllers(self):
+        self._seed_controllers = self.rng.sample(range(self.options.controllers), 3)
 
     @contextlib.contextmanager
-    def disturbance(self, what):
+    def worker_fault(self, description):
         since = self.clock()
         yield
-        self.history.disturbed.append((since, self.clock(), what))
+        self.history.worker_faults.append((since, self.clock(), description))
 
-    # The run.
+    # Course of the run.
 
     async def _watch_readiness(self, number):
         node, misses = self._node('gateway', number), 2
@@ -169,23 +169,24 @@
                 (self._ready.discard if misses >= 2 else self._ready.add)(node)
                 await asyncio.sleep(1)
 
-    async def _watch_own_loop(self):
+    async def _measure_stalls(self):
         while True:
             before = time.monotonic()
             await asyncio.sleep(0.05)
             self.history.worst_stall_s = max(self.history.worst_stall_s, time.monotonic() - before - 0.05)
 
-    async def play(self):
+    async def execute(self):
         await self._start_workers()
         self._start_fleet()
         background = [asyncio.ensure_future(self._watch_readiness(n)) for n in range(self.options.gateways)]
-        background.append(asyncio.ensure_future(self._watch_own_loop()))
-        controls = {p.node: f'{self._ip(10, n)}:{CONTROL_PORT}' for n, p in enumerate(self.controllers)}
-        self.operator = Operator(self.history, self.clock, self.rng, controls, self.pool.named)
+        background.append(asyncio.ensure_future(self._measure_stalls()))
+        controller_addresses = {p.node: f'{self._ip(10, n)}:{CONTROL_PORT}' for n, p in enumerate(self.controllers)}
+        self.operator = Operator(self.history, self.clock, self.rng, controller_addresses, self.pool.newest_revisions)
         await self.operator.change_configuration()
-        await self._until_ready()
-        fronts = {p.node: f'{self._ip(20, n)}:{FRONT_PORT}' for n, p in enumerate(self.gateways)}
-        callers = Callers(self.history, self.clock, self.rng, fronts, lambda: sorted(self._ready), f's{self.seed}')
+        await self._wait_until_ready()
+        gateway_addresses = {p.node: f'{self._ip(20, n)}:{FRONT_PORT}' for n, p in enumerate(self.gateways)}
+        callers = Callers(self.history, self.clock, self.rng, gateway_addresses, lambda: sorted(self._ready),
+                          f's{self.seed}')
         clients = [asyncio.ensure_future(callers.client(0.4, 0.25)) for _ in range(self.options.clients)]
         clients.append(asyncio.ensure_future(callers.probe(lambda: self.operator.acknowledged_version)))
         faults = Faults(self, self.rng, self.options.seconds)
@@ -197,7 +198,7 @@
         await asyncio.wait(clients, timeout=SETTLE_S + 2)
         await self._finish(background, faults, series)
 
-    async def _until_ready(self):
+    async def _wait_until_ready(self):
         deadline = time.monotonic() + 30
         while len(self._ready) < self.options.gateways and time.monotonic() < deadline:
             await asyncio.sleep(0.1)
@@ -211,7 +212,7 @@
             if not worker.draining:
                 self.history.final_revisions[worker.id] = (worker.model, worker.revision, worker.started_at)
         self.history.final_configuration = await self.operator.read_configuration()
-        self.described = faults.described
+        self.schedule = faults.schedule
         for task in background:
             task.cancel()
         for process in self.controllers + self.gateways:
@@ -223,23 +224,23 @@
         calls = [c for c in self.history.calls if c.kind != 'probe']
         complete = sum(c.complete for c in calls)
         lines = [f'seed {self.seed}: {len(calls)} calls, {complete} complete, '
-                 f'{len([e for e in self.history.events if e.kind == "start"])} starts, own stall '
-                 f'{self.history.worst_stall_s:.2f} s; ' + '; '.join(self.described)]
+                 f'{len([e for e in self.history.events if e.kind == "start"])} starts, longest stall '
+                 f'{self.history.worst_stall_s:.2f} s; ' + '; '.join(self.schedule)]
         lines.append('  cases: ' + ', '.join(f'{v.rule} {v.cases}' for v in verdicts))
         for verdict in broken:
             lines.append(f'  {verdict.rule} BROKEN: {len(verdict.violations)} cases')
             lines += ['    ' + violation for violation in verdict.violations[:4]]
         unjudged = self.history.worst_stall_s > TOLERATED_STALL_S or complete == 0
         if unjudged:
-            lines.append('  NOT JUDGED: the soak itself stood still, or nothing was served')
+            lines.append('  NOT JUDGED: the event loop of the soak stalled, or no call completed')
         return broken, unjudged, '\n'.join(lines)
 
 
-def play_one(options, seed):
+def run_one(options, seed):
     folder = os.path.join(options.keep or tempfile.mkdtemp(prefix='soak-'), f'seed-{seed}')
     os.makedirs(folder)
     run = Run(options, seed, folder)
-    asyncio.run(run.play())
+    asyncio.run(run.execute())
     broken, unjudged, text = run.report()
     print(text, flush=True)
     if not broken and not unjudged and not options.keep:
@@ -249,8 +250,8 @@
     return 1 if broken else 2 if unjudged else 0
 
 
-def play_many(options, seeds):
-    """Each seed in a process of its own, a few at a time."""
+def run_many(options, seeds):
+    """Runs each seed in a separate process, `options.parallel` of them at a time."""
     waiting, running, results = list(seeds), {}, {}
     while waiting or running:
         while waiting and len(running) < options.parallel:
@@ -285,19 +286,20 @@
     parser.add_argument('--program', required=True)
     parser.add_argument('--seeds', default='1-3', help='numbers and ranges, 5,13,20-30')
     parser.add_argument('--parallel', type=int, default=1)
-    parser.add_argument('--seconds', type=float, default=36, help='of faults; a run takes some 25 s more')
+    parser.add_argument('--seconds', type=float, default=36,
+                        help='time in which faults are injected; a run takes about 25 s longer')
     parser.add_argument('--controllers', type=int, default=5)
     parser.add_argument('--gateways', type=int, default=8)
     parser.add_argument('--workers', type=int, default=18)
     parser.add_argument('--clients', type=int, default=24)
     parser.add_argument('--deploy', default=os.path.join(ROOT, 'deploy'), help='folder of the settings templates')
-    parser.add_argument('--keep', help='folder that keeps settings, logs and disks')
-    parser.add_argument('--one', type=int, help='plays this seed alone, in this process')
+    parser.add_argument('--keep', help='folder in which settings, logs and data folders are kept')
+    parser.add_argument('--one', type=int, help='runs this seed alone, in this process')
     options = parser.parse_args()
     options.program = os.path.abspath(options.program)
     if options.one is not None:
-        sys.exit(play_one(options, options.one))
-    sys.exit(play_many(options, read_seeds(options.seeds)))
+        sys.exit(run_one(options, options.one))
+    sys.exit(run_many(options, read_seeds(options.seeds)))
 
 
 if __name__ == '__main__':
--- a/scripts/soak/settings_template.py
+++ b/scripts/soak/settings_template.py
@@ -6,7 +6,7 @@
 
 
 def fill(template, fields):
-    """Returns `template` with its gaps filled from `fields`, a nested dict."""
+    """Returns `template` with its tags replaced by values of `fields`, a nested dict."""
     text, rest = _fill(template, [fields], None)
     if rest:
         raise ValueError(f'unbalanced template near {rest[:40]!r}')
@@ -55,7 +55,7 @@
         template = template[tag.end():]
         if kind == '/':
             if name != section:
-                raise ValueError(f'{name} ends, but {section} is open')
+                raise ValueError(f'{name} is closed, but {section} is open')
             return ''.join(out), template
         if kind == '#':
             body, template = _section(template, name, scopes)
--- a/scripts/soak/workers.py
+++ b/scripts/soak/workers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's workers, application instances and instance list, after its published pages."""
+"""Emulates the platform's workers, application instances and instance list, following its published pages."""
 import asyncio
 import dataclasses
 import random
@@ -9,7 +9,7 @@
 
 LIST_LAG_S = 0.8
 REPORT_LAG_S = 0.2
-PARALLEL_LOADS_SHARE = 0.2  # of the workers; beyond it, loads slow each other (3 of 18, 28 of 140)
+PARALLEL_LOADS_SHARE = 0.2  # of the workers; if more load at once, they slow each other down (3 of 18, 28 of 140)
 
 
 @dataclasses.dataclass
@@ -22,7 +22,7 @@
 
 
 class Pool:
-    """What the workers of a run share."""
+    """State that all workers of a run share."""
 
     def __init__(self, history: History, clock, rng: random.Random, engine: Engine, workers: int):
         self.history = history
@@ -31,9 +31,9 @@
         self.engine = engine
         self.loading = 0
         self.parallel_loads = max(3, int(workers * PARALLEL_LOADS_SHARE))
-        self.named: dict[str, int] = {}  # newest revision that the operator has sent, by model
-        # Whether an order also turns away requests that read their prompt but have no token yet.
-        self.order_stops_prefills = rng.random() < 0.5
+        self.newest_revisions: dict[str, int] = {}  # newest revision that the operator sent, keyed by model
+        # Whether a load order also rejects requests that are in prefill, without a first token yet.
+        self.order_rejects_prefills = rng.random() < 0.5
 
 
 class Worker:
@@ -48,14 +48,14 @@
         self.model = model
         self.revision = revision
         self.slowness = 1.0
-        self.hang_share = 0.0
+        self.hanging_prompt_share = 0.0
         self.draining = False
         self.started_at = pool.clock()
         self._slots = asyncio.Semaphore(pool.engine.slots if model else 6)
         self._prefill = asyncio.Lock()
-        self._ordered = 0  # revision of the order under way
+        self._ordered = 0  # revision of the load order in progress; 0: none
         self._order_taken = asyncio.Event()
-        self._begun = 0  # requests that an order waits for
+        self._running = 0  # requests that must end before an ordered load starts
         self._idle = asyncio.Event()
         self._idle.set()
         self._fence = 0
@@ -78,7 +78,7 @@
 
     def report(self):
         return {'stage': 'colocated', 'models': [{'name': self.model, 'version': self.revision, 'adapters': []}],
-                'busy': self._ordered > 0, 'seq': self._seq, 'waiting': 0, 'running': self._begun, 'kv_used': 0,
+                'busy': self._ordered > 0, 'seq': self._seq, 'waiting': 0, 'running': self._running, 'kv_used': 0,
                 'kv_total': 165643, 'handles': 0}
 
     def listed(self):
@@ -93,7 +93,7 @@
         if target is not None and target != self.id:
             return web.Response(status=421, headers=self._identity(request))
         if request.path == '/v1/report':
-            return await self._lagging_report()
+            return await self._delayed_report()
         if request.path == '/v1/order':
             return self._order(await request.json())
         if request.path == '/v1/kv-events':
@@ -106,7 +106,7 @@
         body = await request.read()
         return await self._run(request, body)
 
-    async def _lagging_report(self):
+    async def _delayed_report(self):
         report = self.report()
         await asyncio.sleep(REPORT_LAG_S)
         return web.json_response(report)
@@ -119,10 +119,10 @@
             headers['Weight-Versions'] = str(self.revision)
         return headers
 
-    def _refusal(self, request, status):
+    def _rejection(self, request, status):
         return web.Response(status=status, headers={**self._identity(request), 'Not-Executed': '1'})
 
-    # Orders.
+    # Load orders.
 
     def _order(self, order):
         if order.get('op') != 'version' or 'holder' not in order or 'fence' not in order:
@@ -131,7 +131,7 @@
             return web.Response(status=412)
         self._fence = order['fence']
         revision = order['version']
-        if order['model'] != self.model or revision > self.pool.named.get(self.model, 1):
+        if order['model'] != self.model or revision > self.pool.newest_revisions.get(self.model, 1):
             return web.Response(status=400)
         if revision <= self.revision:
             return web.Response(status=200)
@@ -146,16 +146,16 @@
     async def _load(self):
         await self._idle.wait()
         self.pool.loading += 1
-        crowding = max(1.0, self.pool.loading / self.pool.parallel_loads)
-        await asyncio.sleep(self.pool.engine.load_s * crowding * self.slowness)
+        contention = max(1.0, self.pool.loading / self.pool.parallel_loads)
+        await asyncio.sleep(self.pool.engine.load_s * contention * self.slowness)
         self.pool.loading -= 1
         self.revision = self._ordered
         self._ordered = 0
         self._order_taken.clear()
 
-    def _hold_order(self, change):
-        self._begun += change
-        if self._begun == 0:
+    def _change_running(self, change):
+        self._running += change
+        if self._running == 0:
             self._idle.set()
         else:
             self._idle.clear()
@@ -172,52 +172,52 @@
             return await self._run_prompt(request, dispatch)
 
     async def _run_once(self, request, dispatch, body):
-        if _gone(request):
-            return self._refusal(request, 503)
+        if _disconnected(request):
+            return self._rejection(request, 503)
         dispatch.first_token_at = self.pool.clock()
         await asyncio.sleep(0.015 * self.slowness)
         return web.Response(body=body, headers={**self._identity(request), 'Route-Stamp': f's.{self.id}'})
 
-    def _admission_refusal(self, request):
+    def _admission_rejection(self, request):
         expected = request.headers.get('Expected-Version')
         if expected is not None and int(expected) != self.revision:
-            return self._refusal(request, 421)
-        return self._refusal(request, 503) if self._ordered else None
+            return self._rejection(request, 421)
+        return self._rejection(request, 503) if self._ordered else None
 
     async def _run_prompt(self, request, dispatch):
-        refusal = self._admission_refusal(request)
-        if refusal is not None or _gone(request):
-            return refusal or self._refusal(request, 503)
-        holds_order = not self.pool.order_stops_prefills
-        if holds_order:
-            self._hold_order(1)
+        rejection = self._admission_rejection(request)
+        if rejection is not None or _disconnected(request):
+            return rejection or self._rejection(request, 503)
+        counted = not self.pool.order_rejects_prefills
+        if counted:
+            self._change_running(1)
         try:
-            await self._read_prompt(request)
-            if _gone(request):
-                return self._refusal(request, 503)
-            if not holds_order:
-                refusal = self._admission_refusal(request)
-                if refusal is not None:
-                    return refusal
-                self._hold_order(1)
-                holds_order = True
+            await self._prefill_prompt(request)
+            if _disconnected(request):
+                return self._rejection(request, 503)
+            if not counted:
+                rejection = self._admission_rejection(request)
+                if rejection is not None:
+                    return rejection
+                self._change_running(1)
+                counted = True
             dispatch.first_token_at = self.pool.clock()
             dispatch.revision = self.revision
             return await self._stream(request)
         finally:
-            if holds_order:
-                self._hold_order(-1)
+            if counted:
+                self._change_running(-1)
 
-    async def _read_prompt(self, request):
+    async def _prefill_prompt(self, request):
         tokens = sum(int(part.split(':')[1]) for part in request.headers['Prefix-Hash'].split(','))
         engine = self.pool.engine
         async with self._prefill:
-            if _gone(request):
+            if _disconnected(request):
                 return
             await asyncio.sleep(tokens / engine.prefill_tokens_per_s * self.slowness)
         await asyncio.sleep(engine.first_token_s * self.slowness)
-        if self.pool.rng.random() < self.hang_share:
-            while not _gone(request):
+        if self.pool.rng.random() < self.hanging_prompt_share:
+            while not _disconnected(request):
                 await asyncio.sleep(0.1)
 
     async def _stream(self, request):
@@ -238,12 +238,12 @@
         return response
 
 
-def _gone(request):
+def _disconnected(request):
     return request.transport is None or request.transport.is_closing()
 
 
 class InstanceList:
-    """The platform's list of instances: lags, and takes so many calls a second."""
+    """The platform's instance list, which lags by LIST_LAG_S and is limited to `calls_per_s`."""
 
     def __init__(self, pool: Pool, address, calls_per_s):
         self._pool = pool
@@ -260,9 +260,9 @@
         await runner.setup()
         host, port = self._address.split(':')
         await web.TCPSite(runner, host, int(port), shutdown_timeout=0.1).start()
-        asyncio.ensure_future(self._follow())
+        asyncio.ensure_future(self._refresh())
 
-    async def _follow(self):
+    async def _refresh(self):
         pending = []
         while True:
             now = self._pool.clock()
