--- a/scripts/experiments/ablate.sh
+++ b/scripts/experiments/ablate.sh
@@ -12,7 +12,7 @@
 results=$2
 jobs=$3
 shift 3
-plays=("$@")
+runs=("$@")
 if [ -z "${SWITCHES:-}" ]; then
   SWITCHES=$(sed -n 's/^  bool \([a-z_]*\) = true;.*/\1/p' src/posthatch/routing/routing_switches.h | tr '\n' ' ')
 fi
@@ -28,15 +28,15 @@
 }
 
 # Runs every day and seed in copy $1 with the mechanism $2 switched off.
-play() {
+run_switch() {
   local copy=$work/$1 switch=$2
   cd "$copy"
   [ -f gateway.toml.in.kept ] || cp deploy/gateway.toml.in gateway.toml.in.kept
   cp gateway.toml.in.kept deploy/gateway.toml.in
   [ "$switch" = none ] || printf '\n[routing]\n%s = "off"\n' "$switch" >>deploy/gateway.toml.in
-  local play site day seed
-  for play in "${plays[@]}"; do
-    read -r site day seeds <<<"$play"
+  local run site day seed
+  for run in "${runs[@]}"; do
+    read -r site day seeds <<<"$run"
     for seed in $seeds; do
       "$bench" run "$site" "$day" --seed "$seed" --why "ablation: without $switch" >run.txt 2>&1 || true
       local worth
@@ -61,7 +61,7 @@
   ) 9>"$lock.held"
 }
 for copy in $(seq "$jobs"); do
-  (while switch=$(next_switch) && [ -n "$switch" ]; do play "$copy" "$switch"; done) &
+  (while switch=$(next_switch) && [ -n "$switch" ]; do run_switch "$copy" "$switch"; done) &
 done
 wait
 scripts/experiments/ablation_table.py "$results"
--- a/scripts/soak/rules.py
+++ b/scripts/soak/rules.py
@@ -231,9 +231,9 @@
             read = ran or call.ended_at - call.sent_at > bounds.loss_slack
             late_start = call.sent_at > event.at + 3
             excused = any(call.sent_at - bounds.contact <= e.at <= call.ended_at for e in other_faults
-                            if e.node == call.gateway)
+                          if e.node == call.gateway)
             excused = excused or any(left <= call.ended_at and right >= call.sent_at - bounds.contact
-                                         for left, right, _ in history.worker_faults)
+                                     for left, right, _ in history.worker_faults)
             cut_late = call.ended_at >= event.at + bounds.grace * 5 / 6 and not late_start
             if call.status is None and read and not excused and not cut_late:
                 violations.append(f'{call.request_id} at {call.gateway}: sent {call.sent_at - event.at:.2f} s after '
