--- a/src/posthatch/fleettest/checks/answer_check.h
+++ b/src/posthatch/fleettest/checks/answer_check.h
@@ -4,8 +4,8 @@
 
 namespace posthatch::fleettest {
 
-// N3: An answer carries its request's own nonce, and if it ends as complete no byte is missing or
-// changed.
+// N3: A response echoes the nonce of its own request, and a response that ends as complete has no
+// missing or altered bytes.
 class AnswerCheck : public Check {
  public:
   CheckResult Run(const RecordedHistory& history) const override;
--- a/src/posthatch/fleettest/checks/bounds.h
+++ b/src/posthatch/fleettest/checks/bounds.h
@@ -2,7 +2,7 @@
 
 #include "posthatch/fleettest/checks/recorded_history.h"
 
-// The bounds that the users gave (brief, "What must never happen").
+// Time limits that the users require (brief, "What must never happen").
 namespace posthatch::fleettest {
 
 inline constexpr int64_t kConfigurationBoundNs = 2 * kSecondNs;
@@ -14,10 +14,11 @@
   return static_cast<double>(nanoseconds) / static_cast<double>(kSecondNs);
 }
 
-// The longest time that an operator waits for an answer: how old a read without a time may be.
+// The longest time that an operator waits for a response, and so the longest duration of a state
+// read that has no recorded start.
 inline constexpr int64_t kMaxReadNs = 12 * kSecondNs;
 
-// A read shows at least what was acknowledged before this.
+// Start of a state read: the read must show every change acknowledged before this time.
 inline int64_t ReadStartedAt(const HistoryEvent& event) {
   const int64_t started_ns = event.state_read().started_ns();
   return started_ns > 0 ? started_ns : event.time_ns() - kMaxReadNs;
--- a/src/posthatch/fleettest/checks/check.h
+++ b/src/posthatch/fleettest/checks/check.h
@@ -8,11 +8,12 @@
 
 #include "posthatch/fleettest/checks/recorded_history.h"
 
-// The checks N1 to N11: pure functions over what callers, back ends and operators recorded.
+// The invariant checks N1 to N11: pure functions of the events that callers, back ends and
+// operators recorded.
 namespace posthatch::fleettest {
 
-// What one check found. `examined` counts the cases that could have violated the invariant: a
-// check that examined none proves nothing.
+// The result of one check. `examined` counts the cases that could have violated the invariant: a
+// check with no such case is inconclusive.
 class CheckResult {
  public:
   static constexpr size_t kMaxExamples = 5;
@@ -45,7 +46,7 @@
   virtual CheckResult Run(const RecordedHistory& history) const = 0;
 };
 
-// All eleven, in the order of their numbers.
+// Returns one instance of each check, ordered from N1 to N11.
 std::vector<std::unique_ptr<Check>> AllChecks();
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/checks/configuration_check.cc
+++ b/src/posthatch/fleettest/checks/configuration_check.cc
@@ -20,8 +20,8 @@
 
 enum class KeyAnswer { kNothing, kAccepted, kRefused };
 
-// What a gateway's answer shows of the configuration it decides by; refusals for other reasons
-// (no lease, overload) show nothing.
+// How the gateway treated the call's key under its configuration. Rejections for other reasons (no
+// lease, overload) are inconclusive.
 KeyAnswer AnswerOf(const RecordedHistory& history, const CallRecord& call) {
   if (call.ended != nullptr && call.ended->status() == kUnauthorized) return KeyAnswer::kRefused;
   if (call.succeeded()) return KeyAnswer::kAccepted;
@@ -45,14 +45,14 @@
   return calls;
 }
 
-// More than 2 s after the acknowledgement a gateway must answer by the change.
+// A call sent more than 2 s after the acknowledgement must be treated according to the change.
 void CheckInForce(const RecordedHistory& history, const CallsByKey& calls, std::string_view on,
                   std::string_view off, KeyAnswer expected, CheckResult* result) {
   for (const auto& [key, probes] : calls) {
     for (const Period& period : history.CertainPeriods(on, off, key, kConfigurationBoundNs)) {
       for (const KeyProbeCall& probe : probes) {
         const CallRecord& call = *probe.call;
-        // The answer may already show a change that undoes this one.
+        // A response after the period may already reflect a change that undoes this one.
         if (!period.Contains(call.sent_ns) || call.ended_ns >= period.until_ns) continue;
         result->Examine();
         if (probe.answer == expected) continue;
@@ -65,7 +65,7 @@
   }
 }
 
-// When the change acknowledged at `acknowledged_ns` was first sent.
+// The time at which the change acknowledged at `acknowledged_ns` was first sent.
 int64_t FirstSentOf(const RecordedHistory& history, std::string_view on, const std::string& key,
                     int64_t acknowledged_ns) {
   for (const ChangeRecord& change : history.changes()) {
@@ -76,12 +76,13 @@
   return acknowledged_ns;
 }
 
-// A gateway that has once answered by a change doesn't answer by the state before it again.
+// A gateway that has applied a change must not revert to the configuration before it.
 void CheckNeverBack(const RecordedHistory& history, const CallsByKey& calls, std::string_view on,
                     std::string_view off, KeyAnswer expected, CheckResult* result) {
   for (const auto& [key, probes] : calls) {
     for (const Period& period : history.CertainPeriods(on, off, key, 0)) {
-      // From when the change was sent on, by gateway: when it first answered by it.
+      // The end of the first call, after the change was sent, that shows the change as applied.
+      // Keyed by gateway.
       std::map<std::string, int64_t> shown_at;
       const int64_t sent_ns = FirstSentOf(history, on, key, period.from_ns);
       for (const KeyProbeCall& probe : probes) {
@@ -118,7 +119,8 @@
   }
 }
 
-// A change that took effect is not refused, and every acknowledgement names one version.
+// A resent change must not be rejected once it was applied, and all its acknowledgements must
+// report the same version.
 void CheckResends(const RecordedHistory& history, CheckResult* result) {
   std::set<std::string> in_history;
   for (const HistoryEvent& event : history.events()) {
--- a/src/posthatch/fleettest/checks/control_checks-test.cc
+++ b/src/posthatch/fleettest/checks/control_checks-test.cc
@@ -1,4 +1,4 @@
-// N6 to N10: each check sees clean histories pass and several kinds of violation fail.
+// Tests of the checks N6 to N10: valid histories pass, and each kind of violation is found.
 #include <gtest/gtest.h>
 
 #include "posthatch/fleettest/checks/configuration_check.h"
@@ -194,8 +194,9 @@
   EXPECT_EQ(history.Examine(DurabilityCheck()).examined(), 0u);
 }
 
-// gateway-1 sleeps from 10 s to 35 s. Meanwhile zone z1 is evacuated, revision 2 comes, the key is
-// revoked, worker-9 drains, and gateway-2 takes over the worker's lease.
+// gateway-1 is frozen from 10 s to 35 s. Meanwhile zone z1 is evacuated, revision 2 is
+// acknowledged, key alpha/1 is revoked, tenant beta is isolated, worker-9 starts draining, and
+// gateway-2 takes over the worker's lease.
 HistoryBuilder LongFreeze() {
   HistoryBuilder history;
   history.Order(5, "gateway-1", 5);
--- a/src/posthatch/fleettest/checks/drain_check.cc
+++ b/src/posthatch/fleettest/checks/drain_check.cc
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-// Examined are the runs that started anywhere while a mark or an evacuation was past its bound:
-// each could have been sent to a forbidden place.
+// Examines all runs that started while the time limit of a draining mark or an evacuation had
+// passed: each could have been sent to a draining back end or an evacuated zone.
 CheckResult DrainCheck::Run(const RecordedHistory& history) const {
   CheckResult result(kId, kTitle);
   const PeriodsByName draining = history.DrainingPeriods(kDrainBoundNs);
--- a/src/posthatch/fleettest/checks/drain_check.h
+++ b/src/posthatch/fleettest/checks/drain_check.h
@@ -4,8 +4,8 @@
 
 namespace posthatch::fleettest {
 
-// N7: A draining back end gets no new work later than 3 s after the list first shows it, an
-// evacuated zone none later than 5 s after the acknowledgement.
+// N7: A draining back end gets no new work later than 3 s after the platform's inventory first
+// marks it as draining, and an evacuated zone none later than 5 s after the acknowledgement.
 class DrainCheck : public Check {
  public:
   CheckResult Run(const RecordedHistory& history) const override;
--- a/src/posthatch/fleettest/checks/durability_check.h
+++ b/src/posthatch/fleettest/checks/durability_check.h
@@ -4,7 +4,7 @@
 
 namespace posthatch::fleettest {
 
-// N9: Every acknowledged change is there whenever the state is read later.
+// N9: Every state read that starts after a change was acknowledged contains that change.
 class DurabilityCheck : public Check {
  public:
   CheckResult Run(const RecordedHistory& history) const override;
--- a/src/posthatch/fleettest/checks/history_builder.h
+++ b/src/posthatch/fleettest/checks/history_builder.h
@@ -8,12 +8,13 @@
 
 #include "posthatch/fleettest/checks/check.h"
 
-// Short histories for the tests of the checks. Times are in seconds.
+// Builds short histories for the tests of the checks. Times are in seconds.
 namespace posthatch::fleettest {
 
 class HistoryBuilder {
  public:
-  // A call that is sent and answered well; the answer can be changed through the return value.
+  // Adds a call with a complete response with status 200. The response can be changed through the
+  // returned pointer.
   CallEnded* Call(double sent_s, const std::string& nonce, const std::string& tenant = "alpha",
                   const std::string& key = "", const std::string& key_id = "alpha/1",
                   const std::string& gateway = "127.0.0.1:80", double ended_s = 0) {
@@ -36,7 +37,7 @@
     return ended;
   }
 
-  // The sending of the last call.
+  // The CallSent event of the last added call.
   CallSent* LastSent() { return last_sent_; }
 
   CallEnded* Refused(double sent_s, const std::string& nonce, uint32_t status,
@@ -131,7 +132,7 @@
     }
   }
 
-  // The result of `check` over what was built so far.
+  // Runs `check` over the events added so far.
   CheckResult Examine(const Check& check) const { return check.Run(RecordedHistory(Events())); }
 
   std::vector<HistoryEvent> Events() const {
--- a/src/posthatch/fleettest/checks/not_executed_check.cc
+++ b/src/posthatch/fleettest/checks/not_executed_check.cc
@@ -12,7 +12,8 @@
 constexpr std::string_view kId = "N2";
 constexpr std::string_view kTitle = "\"not executed\" is said only of what never runs";
 
-// A run is explained by a call of its nonce that was sent before it and did not say "no".
+// Whether another call with the same nonce can have caused the run: one that was sent before the
+// run started and didn't end with executed "no".
 bool ExplainedByOtherCall(const RecordedHistory& history, const CallRecord& refused,
                           const RunRecord& run) {
   for (const CallRecord* call : history.CallsOf(refused.sent->nonce())) {
--- a/src/posthatch/fleettest/checks/not_executed_check.h
+++ b/src/posthatch/fleettest/checks/not_executed_check.h
@@ -4,9 +4,9 @@
 
 namespace posthatch::fleettest {
 
-// N2: An answer that says "not executed" is a violation if the back ends' record shows a start of
-// its key, before or after; without a key, if no other call of the same nonce can have caused the
-// start.
+// N2: A response that reports "not executed" is a violation if a back end recorded a run with the
+// request's idempotency key, before or after the response. Without a key it is a violation if a run
+// with the request's nonce can't have been caused by another call with that nonce.
 class NotExecutedCheck : public Check {
  public:
   CheckResult Run(const RecordedHistory& history) const override;
--- a/src/posthatch/fleettest/checks/recorded_history.cc
+++ b/src/posthatch/fleettest/checks/recorded_history.cc
@@ -39,7 +39,7 @@
 
 namespace {
 
-// "tenant/7" is the probe tenant's key of generation 7, which takes the place of generation 6.
+// A key id "tenant/7" is generation 7 of the probe tenant's key, which replaces generation 6.
 std::string RotationDetail(const std::string& key_id) {
   const size_t slash = key_id.rfind('/');
   uint64_t generation = 0;
@@ -53,7 +53,7 @@
   return detail;
 }
 
-// The operator stand-in writes bare names where only one thing can be meant.
+// Adds the names that the emulated operator omits where the kind of change implies them.
 std::string NormalizedDetail(const std::string& kind, const std::string& detail) {
   if (detail.empty() || detail.find('=') != std::string::npos) return detail;
   if (kind == "evacuate" || kind == "lift") {
@@ -133,7 +133,7 @@
     faults_.push_back({fault.kind(), fault.target(), {time_ns, kNever}});
     return;
   }
-  // Not a range: clang-tidy 14 cannot compile std::ranges of this libstdc++.
+  // No range-based loop: clang-tidy 14 can't compile std::ranges of this libstdc++.
   // NOLINTNEXTLINE(modernize-loop-convert)
   for (auto found = faults_.rbegin(); found != faults_.rend(); ++found) {
     const bool open = found->period.until_ns == kNever;
--- a/src/posthatch/fleettest/checks/recorded_history.h
+++ b/src/posthatch/fleettest/checks/recorded_history.h
@@ -32,11 +32,11 @@
   const RunEnded* ended = nullptr;
 };
 
-// All sends and answers of one operator's change, told apart by its request id.
+// One change by an operator, with all its sends and responses. Identified by its request id.
 struct ChangeRecord {
   std::string request_id;
   std::string kind;
-  // The detail, a list of "name=value" separated by blanks, taken apart.
+  // The name-value pairs parsed from ChangeSent.detail, which has the form "name=value name=value".
   std::vector<std::pair<std::string, std::string>> details;
   uint64_t expected_version = 0;
   std::vector<int64_t> sent_ns;
@@ -48,27 +48,27 @@
   int64_t acknowledged_ns() const;
   // The version (configuration) or revision (model) that was acknowledged, or 0.
   uint64_t acknowledged_version() const;
-  // Values of `name` in the detail.
+  // Values given for `name` in `details`.
   std::vector<std::string> Details(std::string_view name) const;
   bool HasDetail(std::string_view name, std::string_view value) const;
 };
 
-// A time during which something held, [from, until).
+// A half-open time interval [from_ns, until_ns).
 struct Period {
   int64_t from_ns = 0;
   int64_t until_ns = kNever;
   bool Contains(int64_t time_ns) const { return time_ns >= from_ns && time_ns < until_ns; }
 };
 
-// A fault with its beginning and end, from its two FaultInjected events.
+// A fault from its beginning to its end, joined from its two FaultInjected events.
 struct FaultPeriod {
   std::string kind;
   std::string target;
   Period period;
 };
 
-// The whole history, ordered by time and joined by ids. Owns the events; the records point into
-// them. Immutable after construction.
+// The complete history of a fleet test, ordered by time, with related events joined by their ids.
+// Owns the events that the records point to. Immutable after construction.
 class RecordedHistory {
  public:
   explicit RecordedHistory(std::vector<HistoryEvent> events);
@@ -81,18 +81,20 @@
   const std::vector<ChangeRecord>& changes() const { return changes_; }
   const std::vector<FaultPeriod>& faults() const { return faults_; }
 
-  // Calls that carry `nonce`: a caller's resends share it.
+  // Calls with `nonce`, which a caller's resends share.
   std::vector<const CallRecord*> CallsOf(const std::string& nonce) const;
   std::vector<const RunRecord*> RunsOf(const std::string& nonce) const;
   const RunRecord* FindRun(const std::string& run) const;  // null if no back end recorded it
 
-  // Times during which "ON=value" was certainly in force: from `grace_ns` after the acknowledgement
-  // of a change whose detail says `on`=value, until a change that says `off`=value was first sent.
+  // Periods in which the setting `on`=`value` must have been in force: from `grace_ns` after the
+  // acknowledgement of a change with the detail `on`=`value` until a change with the detail
+  // `off`=`value` was first sent.
   std::vector<Period> CertainPeriods(std::string_view on, std::string_view off,
                                      const std::string& value, int64_t grace_ns) const;
-  // All values that any change's detail gives for `name`.
+  // The distinct values given for `name` in the details of all changes.
   std::vector<std::string> DetailValues(std::string_view name) const;
-  // Periods in which the platform's list showed a draining mark, by back end.
+  // Periods in which the platform's inventory marked a back end as draining, each starting
+  // `grace_ns` after the mark was first shown. Keyed by back end id.
   std::map<std::string, std::vector<Period>> DrainingPeriods(int64_t grace_ns) const;
 
  private:
@@ -105,7 +107,8 @@
   std::vector<RunRecord> runs_;
   std::vector<ChangeRecord> changes_;
   std::vector<FaultPeriod> faults_;
-  // By recorder, nonce and number: several loads of one recorder count their calls by themselves.
+  // Keyed by recorder, nonce and call number: loads that share a recorder number their calls
+  // independently.
   std::map<std::tuple<std::string, std::string, uint64_t>, size_t> call_by_id_;
   std::multimap<std::string, size_t> calls_by_nonce_;
   std::multimap<std::string, size_t> runs_by_nonce_;
--- a/src/posthatch/fleettest/checks/request_checks-test.cc
+++ b/src/posthatch/fleettest/checks/request_checks-test.cc
@@ -1,4 +1,4 @@
-// N1 to N5 and N11: each check sees clean histories pass and several kinds of violation fail.
+// Tests of the checks N1 to N5 and N11: valid histories pass, and each kind of violation is found.
 #include <gtest/gtest.h>
 
 #include "posthatch/fleettest/checks/answer_check.h"
@@ -189,7 +189,8 @@
   ExpectViolations(history, IsolationCheck(), 3);
 }
 
-// `retries` of every hundred requests are tried twice, at ten requests a second.
+// Adds ten requests per second, of which `retries` in every hundred are retried once. The first
+// attempt of a retried request reaches a back end only if `first_seen`.
 void Load(HistoryBuilder* history, int retries, bool first_seen) {
   for (int request = 0; request < 200; ++request) {
     const std::string nonce = "n" + std::to_string(request);
@@ -215,7 +216,8 @@
   }
 }
 
-// A worker that came up at 20 s gets `cold` runs in the next 5 s, two warm ones 10 each.
+// A worker that started at 20 s gets `slow_start_runs` runs in the next 5 s; two warm workers get
+// 10 runs each.
 HistoryBuilder ColdWorker(int cold) {
   HistoryBuilder history;
   for (int run = 0; run < 10; ++run) {
--- a/src/posthatch/fleettest/checks/retry_check.cc
+++ b/src/posthatch/fleettest/checks/retry_check.cc
@@ -18,12 +18,12 @@
 
 constexpr int64_t kWindowNs = 10 * kSecondNs;
 constexpr double kRetryBudget = 0.2;
-// Fewer first attempts than this in a window are no load: two retries would be over the budget.
+// Windows with fewer first attempts are skipped as no load: two retries would exceed the budget.
 constexpr uint64_t kMinFirstAttempts = 20;
 
 constexpr int64_t kSlowStartNs = 10 * kSecondNs;
-// In half of a linear slow start a worker gets a quarter of a warm one's share on the average; the
-// check allows a whole share and the chance of a few runs.
+// In the first half of a linear slow start a worker gets on average a quarter of a warm worker's
+// share. The check allows a full share plus this many runs of random variation.
 constexpr uint64_t kSlowStartAllowance = 4;
 
 struct Attempt {
@@ -31,8 +31,8 @@
   bool retry;
 };
 
-// Attempts that reached a back end, and the first attempts that must have come before retries but
-// reached none.
+// Attempts that reached a back end, plus the first attempts that reached none, inferred from their
+// retries.
 std::vector<Attempt> AttemptsOf(const RecordedHistory& history) {
   std::set<std::pair<std::string, std::string>> first_seen;  // nonce, gateway
   for (const RunRecord& record : history.runs()) {
@@ -81,8 +81,9 @@
   std::vector<Run> runs;
 };
 
-// Runs under `revision` that began in `period` at a worker that had been up for the whole slow
-// start. A worker that still serves another revision can't take the cold one's work.
+// Counts the runs under `revision` that began in `period` at a worker that had completed its slow
+// start; `warm` is set if there are any. A worker that serves another revision is no reference: it
+// can't run the same requests.
 uint64_t WarmRuns(const WorkerRuns& worker, const Period& period, uint64_t revision, bool* warm) {
   uint64_t count = 0;
   *warm = false;
@@ -104,8 +105,8 @@
                      [&period](const Period& one) { return Overlap(one, period); });
 }
 
-// Whether some fault held the worker, or it was draining or evacuated, at some time of `period`: it
-// could not take its part of the work then, and is no measure for others.
+// Whether the worker was affected by a fault, draining or evacuated at some time in `period`. Such
+// a worker could not take its share of the load and is no reference for others.
 bool Unavailable(const RecordedHistory& history, const std::string& name, const std::string& zone,
                  const Period& period) {
   const std::vector<FaultPeriod>& faults = history.faults();
--- a/src/posthatch/fleettest/checks/retry_check.h
+++ b/src/posthatch/fleettest/checks/retry_check.h
@@ -4,9 +4,8 @@
 
 namespace posthatch::fleettest {
 
-// N11: Attempts beyond the first stay within 20% of the first attempts over any 10 s of load, and a
-// worker that has just come up gets no more new runs than the mean of the warm ones while it is in
-// the first half of its slow start.
+// N11: Retries are at most 20% of the first attempts in any 10 s of load, and in the first half of
+// its slow start a worker gets no more new runs than the mean of the warm workers.
 class RetryCheck : public Check {
  public:
   CheckResult Run(const RecordedHistory& history) const override;
--- a/src/posthatch/fleettest/checks/revision_check.h
+++ b/src/posthatch/fleettest/checks/revision_check.h
@@ -4,9 +4,9 @@
 
 namespace posthatch::fleettest {
 
-// N6: No block made under an older revision is used, no worker serves an old revision more than 12
-// s after the acknowledgement, and no worker obeys an older fencing token after a newer one, or one
-// token from two holders.
+// N6: No run reuses blocks made under another revision, no worker serves an old revision later than
+// 12 s after the new one was acknowledged, and no worker obeys an older fencing token after a newer
+// one, or one token from two lease holders.
 class RevisionCheck : public Check {
  public:
   CheckResult Run(const RecordedHistory& history) const override;
--- a/src/posthatch/fleettest/checks/single_run_check.cc
+++ b/src/posthatch/fleettest/checks/single_run_check.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view kId = "N1";
 constexpr std::string_view kTitle = "a non-repeatable operation starts once at most";
 
-// Tenant and idempotency key.
+// Pair of tenant and idempotency key.
 using DeliveryKey = std::pair<std::string, std::string>;
 
 DeliveryKey KeyOf(const RecordedHistory& history, const RunStarted& run) {
--- a/src/posthatch/fleettest/checks/single_run_check.h
+++ b/src/posthatch/fleettest/checks/single_run_check.h
@@ -4,8 +4,8 @@
 
 namespace posthatch::fleettest {
 
-// N1: One idempotency key of one tenant starts at a back end once at most. Runs are joined to their
-// key by the nonce that the back end echoes as well, so a lost Idempotency-Key field hides nothing.
+// N1: Each idempotency key of a tenant starts at most one run. Runs are matched to their key by the
+// nonce too, so a run that lost its Idempotency-Key field is found.
 class SingleRunCheck : public Check {
  public:
   CheckResult Run(const RecordedHistory& history) const override;
--- a/src/posthatch/fleettest/checks/stale_wake_check.cc
+++ b/src/posthatch/fleettest/checks/stale_wake_check.cc
@@ -23,9 +23,9 @@
 struct Wake {
   std::string process;
   bool controller = false;
-  // A gateway that froze can't have handed a request to the network before it woke and the request
-  // still be on its way: everything that starts in its name was decided after waking. After a cut,
-  // or at other gateways, a request may have been sent in time and delivered late.
+  // True for a gateway that froze: no request that it sent before the freeze is still in flight
+  // when it wakes, so every run that starts later was decided after waking. After a partition, and
+  // at other gateways, a request may have been sent before and delivered late.
   bool decides_at_start = false;
   Period watched;
 };
@@ -89,8 +89,8 @@
   return false;
 }
 
-// The earliest time at which the gateway can have decided on this run: its call was not there
-// before.
+// The earliest time at which the gateway can have decided on this run: not before the first call
+// was sent.
 int64_t EarliestDecision(const RecordedHistory& history, const Wake& wake,
                          const RunRecord& record) {
   int64_t earliest_ns = record.started_ns;
@@ -101,12 +101,13 @@
   return earliest_ns;
 }
 
-// Whether it held at both times. Changes between them make no decision wrong.
+// Whether `periods` contain both times. A decision is not stale if the state changed between the
+// decision and the start of the run.
 bool WithinBoth(const std::vector<Period>& periods, int64_t decided_ns, int64_t started_ns) {
   return Within(periods, decided_ns) && Within(periods, started_ns);
 }
 
-// Why this run shows a decision by something old, or nothing.
+// The stale state that the decision on this run was based on; nullopt if there is none.
 std::optional<std::string> StaleDecision(const RecordedHistory& history,
                                          const DrainingByBackend& draining, const RunRecord& record,
                                          int64_t decided_ns) {
@@ -145,7 +146,8 @@
   }
 }
 
-// Orders of the woken process under a lease that another holder has used since.
+// Checks the commands of the woken process for a fencing token that is older than one a worker has
+// already seen.
 void CheckOrders(const RecordedHistory& history, const Wake& wake, CheckResult* result) {
   std::map<std::string, const OrderSeen*> newest_by_worker;
   for (const HistoryEvent& event : history.events()) {
--- a/src/posthatch/fleettest/checks/stale_wake_check.h
+++ b/src/posthatch/fleettest/checks/stale_wake_check.h
@@ -4,10 +4,10 @@
 
 namespace posthatch::fleettest {
 
-// N10: A gateway that was frozen or cut off for 20 s or more decides by nothing old in the 30 s
-// after it wakes; after a controller's freeze this goes for all gateways. Seen from outside as:
-// orders under a fencing token that was passed on meanwhile, work for evacuated zones and draining
-// back ends, old revisions, revoked keys, and blocks that isolation forbids.
+// N10: In the 30 s after a freeze or partition of 20 s or more a gateway makes no decision by stale
+// state; after that of a controller no gateway does. Violations are commands under a fencing token
+// that is no longer the newest, requests sent to evacuated zones or draining back ends, old model
+// revisions, revoked keys, and reuse of blocks across tenant isolation.
 class StaleWakeCheck : public Check {
  public:
   CheckResult Run(const RecordedHistory& history) const override;
--- a/src/posthatch/fleettest/checks/stream_check.h
+++ b/src/posthatch/fleettest/checks/stream_check.h
@@ -4,8 +4,8 @@
 
 namespace posthatch::fleettest {
 
-// N4: Pieces of a stream are exactly 0, 1, 2, ... of one run at one back end, and a cut stream does
-// not end like a complete one.
+// N4: The chunks of a stream are numbered 0, 1, 2, ... without a gap and belong to one run, and a
+// truncated stream does not end as complete.
 class StreamCheck : public Check {
  public:
   CheckResult Run(const RecordedHistory& history) const override;
