--- a/src/posthatch/fleettest/checks/all_checks.cc
+++ b/src/posthatch/fleettest/checks/all_checks.cc
@@ -17,7 +17,7 @@
   std::vector<std::unique_ptr<Check>> checks;
   checks.push_back(std::make_unique<SingleRunCheck>());
   checks.push_back(std::make_unique<NotExecutedCheck>());
-  checks.push_back(std::make_unique<AnswerCheck>());
+  checks.push_back(std::make_unique<ResponseCheck>());
   checks.push_back(std::make_unique<StreamCheck>());
   checks.push_back(std::make_unique<IsolationCheck>());
   checks.push_back(std::make_unique<RevisionCheck>());
--- a/src/posthatch/fleettest/checks/answer_check.cc
+++ b/src/posthatch/fleettest/checks/answer_check.cc
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr std::string_view kId = "N3";
-constexpr std::string_view kTitle = "an answer is the request's own, and whole";
+constexpr std::string_view kTitle = "a response matches its request and is complete";
 
 }  // namespace
 
-CheckResult AnswerCheck::Run(const RecordedHistory& history) const {
+CheckResult ResponseCheck::Run(const RecordedHistory& history) const {
   CheckResult result(kId, kTitle);
   for (const CallRecord& call : history.calls()) {
     if (!call.succeeded()) continue;
@@ -22,13 +22,13 @@
     result.Examine();
     if (echoed ? ended.echoed_nonce() != nonce : !call.sent->probe()) {
       result.Violate(
-          fmt::format("request {} got the answer of \"{}\"", nonce, ended.echoed_nonce()));
+          fmt::format("request {} got the response to \"{}\"", nonce, ended.echoed_nonce()));
       continue;
     }
     if (ended.complete() && !ended.body_intact()) {
-      result.Violate(
-          fmt::format("request {}: the answer looks complete, bytes are missing or changed {}",
-                      nonce, ended.fault()));
+      result.Violate(fmt::format(
+          "request {}: the response ended as complete but bytes are missing or altered {}", nonce,
+          ended.fault()));
       continue;
     }
     const RunRecord* run = ended.run().empty() ? nullptr : history.FindRun(ended.run());
--- a/src/posthatch/fleettest/checks/control_checks-test.cc
+++ b/src/posthatch/fleettest/checks/control_checks-test.cc
@@ -21,26 +21,26 @@
   EXPECT_EQ(history.Examine(check).violations(), count);
 }
 
-void Revise(HistoryBuilder* history, double acknowledged_s, uint64_t revision) {
+void AcknowledgeRevision(HistoryBuilder* history, double acknowledged_s, uint64_t revision) {
   history->Change(acknowledged_s - 0.1, "revise", "model_revision", "model=atlas");
   history->Acknowledge(acknowledged_s, "revise", revision);
 }
 
 TEST(RevisionCheck, OldRevisionWithinLimitPasses) {
   HistoryBuilder history;
-  Revise(&history, 1, 2);
+  AcknowledgeRevision(&history, 1, 2);
   history.Run(12.9, "a");
   history.Run(13.1, "b")->set_model_revision(2);
   history.Run(14, "c")->set_model("other");
-  history.Order(2, "gateway-1", 5);
-  history.Order(3, "gateway-2", 7);
-  history.Order(4, "gateway-1", 5, /*obeyed=*/false);
+  history.WorkerCommand(2, "gateway-1", 5);
+  history.WorkerCommand(3, "gateway-2", 7);
+  history.WorkerCommand(4, "gateway-1", 5, /*obeyed=*/false);
   ExpectClean(history, RevisionCheck());
 }
 
 TEST(RevisionCheck, OldRevisionAfterLimitIsViolation) {
   HistoryBuilder history;
-  Revise(&history, 1, 2);
+  AcknowledgeRevision(&history, 1, 2);
   history.Run(13.1, "a");
   ExpectViolations(history, RevisionCheck(), 1);
 }
@@ -55,10 +55,10 @@
 
 TEST(RevisionCheck, StaleAndSharedFencingTokensAreViolations) {
   HistoryBuilder history;
-  history.Order(1, "gateway-1", 5);
-  history.Order(2, "gateway-2", 7);
-  history.Order(3, "gateway-1", 5);
-  history.Order(4, "gateway-3", 7);
+  history.WorkerCommand(1, "gateway-1", 5);
+  history.WorkerCommand(2, "gateway-2", 7);
+  history.WorkerCommand(3, "gateway-1", 5);
+  history.WorkerCommand(4, "gateway-3", 7);
   ExpectViolations(history, RevisionCheck(), 2);
 }
 
@@ -100,23 +100,23 @@
 TEST(ConfigurationCheck, RevokedKeyWithinLimitPasses) {
   HistoryBuilder history = Rotation();
   history.Call(11.9, "a");
-  history.Refused(12.1, "b", 401, "no");
-  history.Refused(12.2, "c", 503, "no");
+  history.Rejected(12.1, "b", 401, "no");
+  history.Rejected(12.2, "c", 503, "no");
   history.Call(12.3, "d", "alpha", "", "alpha/2");
-  history.Refused(8, "e", 401, "no", "", "alpha/2");
+  history.Rejected(8, "e", 401, "no", "", "alpha/2");
   ExpectClean(history, ConfigurationCheck());
 }
 
 TEST(ConfigurationCheck, AcceptedRevokedAndRejectedNewKeysAreViolations) {
   HistoryBuilder history = Rotation();
   history.Call(12.1, "a");
-  history.Refused(12.1, "b", 401, "no", "", "alpha/2");
+  history.Rejected(12.1, "b", 401, "no", "", "alpha/2");
   ExpectViolations(history, ConfigurationCheck(), 2);
 }
 
-TEST(ConfigurationCheck, ConfigurationGoingBackIsViolation) {
+TEST(ConfigurationCheck, RevertedConfigurationIsViolation) {
   HistoryBuilder history = Rotation();
-  history.Refused(10.1, "a", 401, "no");
+  history.Rejected(10.1, "a", 401, "no");
   history.Call(10.5, "b", "alpha", "", "alpha/1", "127.0.0.2:80");
   ExpectClean(history, ConfigurationCheck());
   history.Call(10.6, "c");
@@ -134,7 +134,7 @@
   HistoryBuilder history;
   history.Change(1, "a", "configuration", "");
   history.Change(2, "a", "configuration", "");
-  history.Refuse(2.1, "a", "version_conflict");
+  history.Reject(2.1, "a", "version_conflict");
   ExpectClean(history, ConfigurationCheck());
   history.Read(5, 1, {"a"});
   ExpectViolations(history, ConfigurationCheck(), 1);
@@ -156,7 +156,7 @@
   history.Acknowledge(2, "c", 4);
   history.Change(3, "e", "evacuate", "name=e evacuate=z1");
   history.Acknowledge(4, "e", 0);
-  Revise(&history, 6, 2);
+  AcknowledgeRevision(&history, 6, 2);
   return history;
 }
 
@@ -199,15 +199,15 @@
 // gateway-2 takes over the worker's lease.
 HistoryBuilder LongFreeze() {
   HistoryBuilder history;
-  history.Order(5, "gateway-1", 5);
+  history.WorkerCommand(5, "gateway-1", 5);
   history.Fault(10, 35, "freeze", "gateway-1");
   history.Change(12, "e", "evacuate", "name=e evacuate=z1");
   history.Acknowledge(13, "e", 0);
   history.Change(14, "k", "configuration", "revoke=alpha/1 isolate=beta");
   history.Acknowledge(15, "k", 2);
-  Revise(&history, 17, 2);
+  AcknowledgeRevision(&history, 17, 2);
   history.Draining(18, "worker-9", true);
-  history.Order(20, "gateway-2", 8);
+  history.WorkerCommand(20, "gateway-2", 8);
   return history;
 }
 
@@ -222,7 +222,7 @@
 TEST(StaleWakeCheck, NewDecisionsAndShortFreezesPass) {
   HistoryBuilder history = LongFreeze();
   CurrentRun(&history, 36, "a");
-  history.Order(40, "gateway-1", 9);
+  history.WorkerCommand(40, "gateway-1", 9);
   history.Fault(50, 60, "freeze", "gateway-2");
   history.Run(61, "b")->set_gateway("gateway-2");
   ExpectClean(history, StaleWakeCheck());
@@ -237,15 +237,15 @@
   history.Call(36, "key");
   RunStarted* run = CurrentRun(&history, 0.1, "unused");
   run->set_zone("z2");
-  RunStarted* by_old_key = history.Run(36.1, "key", "worker-2");
-  by_old_key->set_zone("z2");
-  by_old_key->set_expected_revision(2);
+  RunStarted* with_revoked_key = history.Run(36.1, "key", "worker-2");
+  with_revoked_key->set_zone("z2");
+  with_revoked_key->set_expected_revision(2);
   ExpectViolations(history, StaleWakeCheck(), 5);
 }
 
 TEST(StaleWakeCheck, CommandUnderPassedLeaseIsViolationEvenIfRejected) {
   HistoryBuilder history = LongFreeze();
-  history.Order(35.2, "gateway-1", 5, /*obeyed=*/false);
+  history.WorkerCommand(35.2, "gateway-1", 5, /*obeyed=*/false);
   ExpectViolations(history, StaleWakeCheck(), 1);
 }
 
@@ -254,7 +254,7 @@
     HistoryBuilder history;
     history.Fault(10, 35, kind, "gateway-1");
     history.Call(9, "late");
-    Revise(&history, 17, 2);
+    AcknowledgeRevision(&history, 17, 2);
     history.Run(35.1, "late")->set_expected_revision(1);
     ExpectViolations(history, StaleWakeCheck(), kind == "cut" ? 0 : 1);
   }
--- a/src/posthatch/fleettest/checks/durability_check.cc
+++ b/src/posthatch/fleettest/checks/durability_check.cc
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr std::string_view kId = "N9";
-constexpr std::string_view kTitle = "acknowledged changes are kept";
+constexpr std::string_view kTitle = "acknowledged changes are durable";
 
-bool LiftedBefore(const RecordedHistory& history, const std::string& name, int64_t after_ns,
-                  int64_t time_ns) {
+bool LiftedBetween(const RecordedHistory& history, const std::string& name, int64_t after_ns,
+                   int64_t time_ns) {
   for (const ChangeRecord& change : history.changes()) {
     const bool lifts = change.kind == "lift" && change.HasDetail("name", name);
     if (lifts && change.first_sent_ns() >= after_ns && change.first_sent_ns() <= time_ns)
@@ -38,11 +38,11 @@
       return fmt::format("version {} is newest, {} was acknowledged", read.configuration_version(),
                          version);
     }
-    const bool kept = version >= read.oldest_version();
-    if (kept && !Holds(read.request_ids(), change.request_id)) return "its request id is missing";
+    const bool listed = version >= read.oldest_version();
+    if (listed && !Holds(read.request_ids(), change.request_id)) return "its request id is missing";
   } else if (change.kind == "evacuate") {
     for (const std::string& name : change.Details("name")) {
-      const bool lifted = LiftedBefore(history, name, change.first_sent_ns(), read_ns);
+      const bool lifted = LiftedBetween(history, name, change.first_sent_ns(), read_ns);
       if (!lifted && !Holds(read.evacuations(), name)) return "evacuation " + name + " is missing";
     }
   } else if (change.kind == "model_revision") {
--- a/src/posthatch/fleettest/checks/history_builder.h
+++ b/src/posthatch/fleettest/checks/history_builder.h
@@ -40,10 +40,10 @@
   // The CallSent event of the last added call.
   CallSent* LastSent() { return last_sent_; }
 
-  CallEnded* Refused(double sent_s, const std::string& nonce, uint32_t status,
-                     const std::string& executed, const std::string& key = "",
-                     const std::string& key_id = "alpha/1",
-                     const std::string& gateway = "127.0.0.1:80") {
+  CallEnded* Rejected(double sent_s, const std::string& nonce, uint32_t status,
+                      const std::string& executed, const std::string& key = "",
+                      const std::string& key_id = "alpha/1",
+                      const std::string& gateway = "127.0.0.1:80") {
     CallEnded* ended = Call(sent_s, nonce, "alpha", key, key_id, gateway);
     ended->Clear();
     ended->set_call(calls_);
@@ -86,18 +86,18 @@
   }
 
   ChangeAnswered* Acknowledge(double time_s, const std::string& id, uint64_t version) {
-    ChangeAnswered* answered = Add(time_s)->mutable_change_answered();
-    answered->set_request_id(id);
-    answered->set_acknowledged(true);
-    answered->set_version(version);
-    return answered;
+    ChangeAnswered* outcome = Add(time_s)->mutable_change_answered();
+    outcome->set_request_id(id);
+    outcome->set_acknowledged(true);
+    outcome->set_version(version);
+    return outcome;
   }
 
-  void Refuse(double time_s, const std::string& id, const std::string& code) {
-    ChangeAnswered* answered = Add(time_s)->mutable_change_answered();
-    answered->set_request_id(id);
-    answered->set_refused(true);
-    answered->set_code(code);
+  void Reject(double time_s, const std::string& id, const std::string& code) {
+    ChangeAnswered* outcome = Add(time_s)->mutable_change_answered();
+    outcome->set_request_id(id);
+    outcome->set_refused(true);
+    outcome->set_code(code);
   }
 
   StateRead* Read(double time_s, uint64_t version, const std::vector<std::string>& request_ids) {
@@ -109,12 +109,13 @@
     return read;
   }
 
-  void Order(double time_s, const std::string& holder, uint64_t token, bool obeyed = true) {
-    OrderSeen* order = Add(time_s)->mutable_order_seen();
-    order->set_worker("worker-1");
-    order->set_holder(holder);
-    order->set_fencing_token(token);
-    order->set_obeyed(obeyed);
+  void WorkerCommand(double time_s, const std::string& lease_holder, uint64_t token,
+                     bool obeyed = true) {
+    OrderSeen* command = Add(time_s)->mutable_order_seen();
+    command->set_worker("worker-1");
+    command->set_holder(lease_holder);
+    command->set_fencing_token(token);
+    command->set_obeyed(obeyed);
   }
 
   void Draining(double time_s, const std::string& backend, bool draining) {
--- a/src/posthatch/fleettest/checks/isolation_check.cc
+++ b/src/posthatch/fleettest/checks/isolation_check.cc
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr std::string_view kId = "N5";
-constexpr std::string_view kTitle = "no request runs as another tenant or on its blocks";
+constexpr std::string_view kTitle =
+    "no request runs as another tenant or reuses blocks across tenant isolation";
 
 using IsolatedPeriods = std::map<std::string, std::vector<Period>>;
 
@@ -49,13 +50,13 @@
       continue;
     }
     for (const ReusedBlocks& reused : run.reused()) {
-      const std::string& maker = reused.made_by_tenant();
-      if (maker.empty() || maker == tenant) continue;
+      const std::string& owner = reused.made_by_tenant();
+      if (owner.empty() || owner == tenant) continue;
       const bool forbidden = IsolatedAt(isolated, tenant, record.started_ns) ||
-                             IsolatedAt(isolated, maker, record.started_ns);
+                             IsolatedAt(isolated, owner, record.started_ns);
       if (!forbidden) continue;
       result.Violate(fmt::format("request {} of {} used {} blocks made by {} at {}", run.nonce(),
-                                 tenant, reused.blocks(), maker, run.backend()));
+                                 tenant, reused.blocks(), owner, run.backend()));
       break;
     }
   }
--- a/src/posthatch/fleettest/checks/not_executed_check.cc
+++ b/src/posthatch/fleettest/checks/not_executed_check.cc
@@ -10,14 +10,14 @@
 namespace {
 
 constexpr std::string_view kId = "N2";
-constexpr std::string_view kTitle = "\"not executed\" is said only of what never runs";
+constexpr std::string_view kTitle = "\"not executed\" is reported only for requests that never run";
 
 // Whether another call with the same nonce can have caused the run: one that was sent before the
 // run started and didn't end with executed "no".
-bool ExplainedByOtherCall(const RecordedHistory& history, const CallRecord& refused,
+bool ExplainedByOtherCall(const RecordedHistory& history, const CallRecord& rejected,
                           const RunRecord& run) {
-  for (const CallRecord* call : history.CallsOf(refused.sent->nonce())) {
-    if (call == &refused || call->sent_ns > run.started_ns) continue;
+  for (const CallRecord* call : history.CallsOf(rejected.sent->nonce())) {
+    if (call == &rejected || call->sent_ns > run.started_ns) continue;
     if (call->ended == nullptr || call->ended->executed() != "no") return true;
   }
   return false;
@@ -38,19 +38,20 @@
     if (call.ended == nullptr || call.ended->executed() != "no") continue;
     result.Examine();
     const std::string& key = call.sent->idempotency_key();
-    const RunRecord* started = nullptr;
+    const RunRecord* run_record = nullptr;
     if (!key.empty()) {
       const auto found = runs_by_key.find({call.sent->tenant(), key});
-      if (found != runs_by_key.end()) started = found->second;
+      if (found != runs_by_key.end()) run_record = found->second;
     }
     for (const RunRecord* run : history.RunsOf(call.sent->nonce())) {
-      if (!key.empty() || !ExplainedByOtherCall(history, call, *run)) started = run;
+      if (!key.empty() || !ExplainedByOtherCall(history, call, *run)) run_record = run;
     }
-    if (started == nullptr) continue;
-    result.Violate(fmt::format(
-        "request {} (key \"{}\") was refused as not executed ({}), but run {} "
-        "started at {}",
-        call.sent->nonce(), key, call.ended->code(), started->run->run(), started->run->backend()));
+    if (run_record == nullptr) continue;
+    result.Violate(
+        fmt::format("request {} (key \"{}\") was rejected as not executed ({}), but run {} "
+                    "started at {}",
+                    call.sent->nonce(), key, call.ended->code(), run_record->run->run(),
+                    run_record->run->backend()));
   }
   return result;
 }
--- a/src/posthatch/fleettest/checks/recorded_history.cc
+++ b/src/posthatch/fleettest/checks/recorded_history.cc
@@ -10,15 +10,15 @@
 namespace posthatch::fleettest {
 
 int64_t ChangeRecord::acknowledged_ns() const {
-  for (const auto& [time_ns, answer] : answers) {
-    if (answer->acknowledged()) return time_ns;
+  for (const auto& [time_ns, response] : responses) {
+    if (response->acknowledged()) return time_ns;
   }
   return kNever;
 }
 
 uint64_t ChangeRecord::acknowledged_version() const {
-  for (const auto& [time_ns, answer] : answers) {
-    if (answer->acknowledged()) return answer->version();
+  for (const auto& [time_ns, response] : responses) {
+    if (response->acknowledged()) return response->version();
   }
   return 0;
 }
@@ -65,8 +65,8 @@
 
 std::vector<std::pair<std::string, std::string>> ParseDetails(const std::string& text) {
   std::vector<std::pair<std::string, std::string>> details;
-  for (const absl::string_view word : absl::StrSplit(text, ' ', absl::SkipEmpty())) {
-    details.push_back(absl::StrSplit(word, absl::MaxSplits('=', 1)));
+  for (const absl::string_view pair : absl::StrSplit(text, ' ', absl::SkipEmpty())) {
+    details.push_back(absl::StrSplit(pair, absl::MaxSplits('=', 1)));
   }
   return details;
 }
@@ -124,7 +124,7 @@
   } else if (event.has_change_answered()) {
     const auto found = change_by_id_.find(event.change_answered().request_id());
     if (found == change_by_id_.end()) return;
-    changes_[found->second].answers.emplace_back(event.time_ns(), &event.change_answered());
+    changes_[found->second].responses.emplace_back(event.time_ns(), &event.change_answered());
   }
 }
 
@@ -193,12 +193,12 @@
   std::map<std::string, std::vector<Period>> periods;
   for (const HistoryEvent& event : events_) {
     if (!event.has_draining_shown()) continue;
-    std::vector<Period>& of_backend = periods[event.draining_shown().backend()];
-    const bool open = !of_backend.empty() && of_backend.back().until_ns == kNever;
+    std::vector<Period>& backend_periods = periods[event.draining_shown().backend()];
+    const bool open = !backend_periods.empty() && backend_periods.back().until_ns == kNever;
     if (event.draining_shown().draining()) {
-      if (!open) of_backend.push_back({event.time_ns() + grace_ns, kNever});
+      if (!open) backend_periods.push_back({event.time_ns() + grace_ns, kNever});
     } else if (open) {
-      of_backend.back().until_ns = event.time_ns();
+      backend_periods.back().until_ns = event.time_ns();
     }
   }
   return periods;
--- a/src/posthatch/fleettest/checks/recorded_history.h
+++ b/src/posthatch/fleettest/checks/recorded_history.h
@@ -20,7 +20,7 @@
 struct CallRecord {
   const CallSent* sent = nullptr;
   int64_t sent_ns = 0;
-  const CallEnded* ended = nullptr;  // null: nothing was recorded before the fleet test's end
+  const CallEnded* ended = nullptr;  // null: no end was recorded before the fleet test ended
   int64_t ended_ns = kNever;
 
   bool succeeded() const { return ended != nullptr && ended->status() / 100 == 2; }
@@ -40,7 +40,7 @@
   std::vector<std::pair<std::string, std::string>> details;
   uint64_t expected_version = 0;
   std::vector<int64_t> sent_ns;
-  std::vector<std::pair<int64_t, const ChangeAnswered*>> answers;
+  std::vector<std::pair<int64_t, const ChangeAnswered*>> responses;
 
   bool acknowledged() const { return acknowledged_ns() != kNever; }
   int64_t first_sent_ns() const { return sent_ns.empty() ? kNever : sent_ns.front(); }
--- a/src/posthatch/fleettest/checks/request_checks-test.cc
+++ b/src/posthatch/fleettest/checks/request_checks-test.cc
@@ -57,27 +57,27 @@
 
 TEST(NotExecutedCheck, RejectionsWithoutRunPass) {
   HistoryBuilder history;
-  history.Refused(1, "a", 503, "no", "k1");
-  history.Refused(2, "b", 503, "no");
-  history.Refused(3, "c", 503, "unknown", "k2");
+  history.Rejected(1, "a", 503, "no", "k1");
+  history.Rejected(2, "b", 503, "no");
+  history.Rejected(3, "c", 503, "unknown", "k2");
   history.Run(3.05, "c", "service-1", "k2");
   ExpectClean(history, NotExecutedCheck());
 }
 
 TEST(NotExecutedCheck, RunBeforeOrAfterRejectionIsViolation) {
   HistoryBuilder history;
-  history.Refused(1, "a", 503, "no", "k1");
+  history.Rejected(1, "a", 503, "no", "k1");
   history.Run(9, "a", "service-1", "k1");
   history.Run(1, "b", "service-1", "k2");
-  history.Refused(5, "b", 503, "no", "k2");
-  history.Refused(7, "c", 503, "no");
+  history.Rejected(5, "b", 503, "no", "k2");
+  history.Rejected(7, "c", 503, "no");
   history.Run(7.01, "c", "worker-1");
   ExpectViolations(history, NotExecutedCheck(), 3);
 }
 
 TEST(NotExecutedCheck, IdempotentResendMayRunButNotRejectedCall) {
   HistoryBuilder history;
-  history.Refused(1, "a", 503, "no");
+  history.Rejected(1, "a", 503, "no");
   history.Call(2, "a");
   history.Run(2.05, "a");
   ExpectClean(history, NotExecutedCheck());
@@ -85,27 +85,27 @@
   ExpectViolations(history, NotExecutedCheck(), 1);
 }
 
-TEST(AnswerCheck, MatchingCompleteResponsesPass) {
+TEST(ResponseCheck, MatchingCompleteResponsesPass) {
   HistoryBuilder history;
   history.Run(1, "a");
   history.Call(1, "a");
-  CallEnded* cut = history.Call(2, "b");
-  cut->set_complete(false);
-  cut->set_body_intact(false);
-  ExpectClean(history, AnswerCheck());
+  CallEnded* truncated = history.Call(2, "b");
+  truncated->set_complete(false);
+  truncated->set_body_intact(false);
+  ExpectClean(history, ResponseCheck());
 }
 
-TEST(AnswerCheck, MismatchedAndAlteredResponsesAreViolations) {
+TEST(ResponseCheck, MismatchedAndAlteredResponsesAreViolations) {
   HistoryBuilder history;
   history.Run(1, "x");
   history.Call(1, "a")->set_echoed_nonce("b");
   history.Call(2, "b")->set_body_intact(false);
   history.Call(3, "c")->set_run("run-x");
   history.Call(4, "d")->set_echoed_nonce("");
-  CallEnded* cut = history.Call(5, "e");
-  cut->set_complete(false);
-  cut->set_echoed_nonce("z");
-  ExpectViolations(history, AnswerCheck(), 5);
+  CallEnded* truncated = history.Call(5, "e");
+  truncated->set_complete(false);
+  truncated->set_echoed_nonce("z");
+  ExpectViolations(history, ResponseCheck(), 5);
 }
 
 TEST(RecordedHistory, SeparatesLoadsWithEqualCallNumbers) {
@@ -124,11 +124,11 @@
 }
 
 CallEnded* Stream(HistoryBuilder* history, double time_s, const std::string& nonce,
-                  const std::vector<uint32_t>& pieces) {
+                  const std::vector<uint32_t>& chunks) {
   CallEnded* ended = history->Call(time_s, nonce);
   history->LastSent()->set_stream(true);
   history->LastSent()->set_expected_pieces(3);
-  for (const uint32_t piece : pieces) ended->add_pieces(piece);
+  for (const uint32_t chunk : chunks) ended->add_pieces(chunk);
   ended->add_piece_runs("run-" + nonce);
   return ended;
 }
@@ -140,7 +140,7 @@
   ExpectClean(history, StreamCheck());
 }
 
-TEST(StreamCheck, IncorrectPiecesAndHiddenTruncationAreViolations) {
+TEST(StreamCheck, IncorrectChunksAndHiddenTruncationAreViolations) {
   HistoryBuilder history;
   Stream(&history, 1, "a", {0, 2, 3});
   Stream(&history, 2, "b", {0, 1, 1, 2});
@@ -153,9 +153,9 @@
   ExpectViolations(history, StreamCheck(), 6);
 }
 
-void Reuse(RunStarted* run, const std::string& maker, uint64_t revision = 1) {
+void Reuse(RunStarted* run, const std::string& owner, uint64_t revision = 1) {
   ReusedBlocks* reused = run->add_reused();
-  reused->set_made_by_tenant(maker);
+  reused->set_made_by_tenant(owner);
   reused->set_made_under_revision(revision);
   reused->set_blocks(4);
 }
@@ -218,13 +218,13 @@
 
 // A worker that started at 20 s gets `slow_start_runs` runs in the next 5 s; two warm workers get
 // 10 runs each.
-HistoryBuilder ColdWorker(int cold) {
+HistoryBuilder WorkerInSlowStart(int slow_start_runs) {
   HistoryBuilder history;
   for (int run = 0; run < 10; ++run) {
     history.Run(20.1 + run * 0.4, "w" + std::to_string(run), "worker-1");
     history.Run(20.2 + run * 0.4, "v" + std::to_string(run), "worker-2");
   }
-  for (int run = 0; run < cold; ++run) {
+  for (int run = 0; run < slow_start_runs; ++run) {
     history.Run(20.1 + run * 0.1, "c" + std::to_string(run), "worker-3")
         ->set_up_since_ns(20 * kSecondNs);
   }
@@ -232,15 +232,15 @@
 }
 
 TEST(RetryCheck, WorkerInSlowStartWithLittleLoadPasses) {
-  ExpectClean(ColdWorker(5), RetryCheck());
+  ExpectClean(WorkerInSlowStart(5), RetryCheck());
 }
 
 TEST(RetryCheck, OverloadedWorkerInSlowStartIsViolation) {
-  ExpectViolations(ColdWorker(30), RetryCheck(), 1);
+  ExpectViolations(WorkerInSlowStart(30), RetryCheck(), 1);
 }
 
 TEST(RetryCheck, PartitionedWorkerIsNoReferenceForSlowStart) {
-  HistoryBuilder history = ColdWorker(30);
+  HistoryBuilder history = WorkerInSlowStart(30);
   history.Fault(19, 24, "cut", "worker-1");
   ExpectViolations(history, RetryCheck(), 1);
   history.Fault(19, 24, "cut", "worker-2");
@@ -248,7 +248,7 @@
 }
 
 TEST(RetryCheck, WorkerWithOldRevisionIsNoReferenceForSlowStart) {
-  HistoryBuilder history = ColdWorker(0);
+  HistoryBuilder history = WorkerInSlowStart(0);
   for (int run = 0; run < 30; ++run) {
     RunStarted* cold = history.Run(20.1 + run * 0.1, "c" + std::to_string(run), "worker-3");
     cold->set_up_since_ns(20 * kSecondNs);
@@ -262,7 +262,7 @@
 }
 
 TEST(RetryCheck, DrainingWorkerIsNoReferenceForSlowStart) {
-  HistoryBuilder history = ColdWorker(30);
+  HistoryBuilder history = WorkerInSlowStart(30);
   history.Draining(10, "worker-1", true);
   ExpectViolations(history, RetryCheck(), 1);
   history.Draining(10, "worker-2", true);
--- a/src/posthatch/fleettest/checks/retry_check.cc
+++ b/src/posthatch/fleettest/checks/retry_check.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::string_view kId = "N11";
-constexpr std::string_view kTitle = "retries and cold workers are bounded";
+constexpr std::string_view kTitle = "retries and load on workers in slow start are bounded";
 
 constexpr int64_t kWindowNs = 10 * kSecondNs;
 constexpr double kRetryBudget = 0.2;
@@ -96,13 +96,13 @@
   return count;
 }
 
-bool Overlap(const Period& one, const Period& other) {
-  return one.from_ns < other.until_ns && one.until_ns > other.from_ns;
+bool Overlap(const Period& first, const Period& second) {
+  return first.from_ns < second.until_ns && first.until_ns > second.from_ns;
 }
 
 bool AnyOverlap(const std::vector<Period>& periods, const Period& period) {
   return std::any_of(periods.begin(), periods.end(),
-                     [&period](const Period& one) { return Overlap(one, period); });
+                     [&period](const Period& other) { return Overlap(other, period); });
 }
 
 // Whether the worker was affected by a fault, draining or evacuated at some time in `period`. Such
@@ -110,10 +110,10 @@
 bool Unavailable(const RecordedHistory& history, const std::string& name, const std::string& zone,
                  const Period& period) {
   const std::vector<FaultPeriod>& faults = history.faults();
-  const bool disturbed = std::any_of(faults.begin(), faults.end(), [&](const FaultPeriod& fault) {
+  const bool faulted = std::any_of(faults.begin(), faults.end(), [&](const FaultPeriod& fault) {
     return fault.target == name && Overlap(fault.period, period);
   });
-  if (disturbed) return true;
+  if (faulted) return true;
   const std::map<std::string, std::vector<Period>> draining = history.DrainingPeriods(0);
   const auto marked = draining.find(name);
   if (marked != draining.end() && AnyOverlap(marked->second, period)) return true;
@@ -154,8 +154,9 @@
     result->Examine();
     const double mean = static_cast<double>(warm_runs) / static_cast<double>(warm_workers);
     if (static_cast<double>(slow_start_runs) <= mean + kSlowStartAllowance) continue;
-    result->Violate(fmt::format("cold {} got {} runs in its first 5 s, warm workers {:.1f} each",
-                                name, slow_start_runs, mean));
+    result->Violate(
+        fmt::format("{} in slow start got {} runs in its first 5 s, warm workers {:.1f} each", name,
+                    slow_start_runs, mean));
   }
 }
 
--- a/src/posthatch/fleettest/checks/revision_check.cc
+++ b/src/posthatch/fleettest/checks/revision_check.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::string_view kId = "N6";
-constexpr std::string_view kTitle = "no old weights, no two holders of a lease";
+constexpr std::string_view kTitle = "no outdated weights, and one holder per lease";
 
 void CheckBlocks(const RecordedHistory& history, CheckResult* result) {
   for (const RunRecord& record : history.runs()) {
@@ -36,9 +36,9 @@
     const uint64_t revision = change.acknowledged_version();
     for (const RunRecord& record : history.runs()) {
       const RunStarted& run = *record.run;
-      const bool concerned = record.started_ns > bound_ns &&
-                             std::find(models.begin(), models.end(), run.model()) != models.end();
-      if (!concerned) continue;
+      const bool relevant = record.started_ns > bound_ns &&
+                            std::find(models.begin(), models.end(), run.model()) != models.end();
+      if (!relevant) continue;
       result->Examine();
       if (run.model_revision() >= revision) continue;
       result->Violate(
@@ -50,28 +50,28 @@
   }
 }
 
-struct NewestOrder {
+struct NewestCommand {
   uint64_t token = 0;
-  std::string holder;
+  std::string lease_holder;
 };
 
-void CheckOrders(const RecordedHistory& history, CheckResult* result) {
-  std::map<std::string, NewestOrder> newest_by_worker;
+void CheckCommands(const RecordedHistory& history, CheckResult* result) {
+  std::map<std::string, NewestCommand> newest_by_worker;
   for (const HistoryEvent& event : history.events()) {
     if (!event.has_order_seen()) continue;
-    const OrderSeen& order = event.order_seen();
+    const OrderSeen& command = event.order_seen();
     result->Examine();
-    if (!order.obeyed()) continue;
-    NewestOrder& newest = newest_by_worker[order.worker()];
-    if (order.fencing_token() < newest.token) {
-      result->Violate(fmt::format("{} obeyed token {} of {} after token {} of {}", order.worker(),
-                                  order.fencing_token(), order.holder(), newest.token,
-                                  newest.holder));
-    } else if (order.fencing_token() == newest.token && order.holder() != newest.holder) {
-      result->Violate(fmt::format("{} obeyed token {} of both {} and {}", order.worker(),
-                                  newest.token, newest.holder, order.holder()));
+    if (!command.obeyed()) continue;
+    NewestCommand& newest = newest_by_worker[command.worker()];
+    if (command.fencing_token() < newest.token) {
+      result->Violate(fmt::format("{} obeyed token {} of {} after token {} of {}", command.worker(),
+                                  command.fencing_token(), command.holder(), newest.token,
+                                  newest.lease_holder));
+    } else if (command.fencing_token() == newest.token && command.holder() != newest.lease_holder) {
+      result->Violate(fmt::format("{} obeyed token {} of both {} and {}", command.worker(),
+                                  newest.token, newest.lease_holder, command.holder()));
     } else {
-      newest = {order.fencing_token(), order.holder()};
+      newest = {command.fencing_token(), command.holder()};
     }
   }
 }
@@ -82,7 +82,7 @@
   CheckResult result(kId, kTitle);
   CheckBlocks(history, &result);
   CheckServedRevisions(history, &result);
-  CheckOrders(history, &result);
+  CheckCommands(history, &result);
   return result;
 }
 
--- a/src/posthatch/fleettest/checks/single_run_check.cc
+++ b/src/posthatch/fleettest/checks/single_run_check.cc
@@ -11,12 +11,12 @@
 namespace {
 
 constexpr std::string_view kId = "N1";
-constexpr std::string_view kTitle = "a non-repeatable operation starts once at most";
+constexpr std::string_view kTitle = "a non-idempotent operation starts at most once";
 
 // Pair of tenant and idempotency key.
-using DeliveryKey = std::pair<std::string, std::string>;
+using TenantKey = std::pair<std::string, std::string>;
 
-DeliveryKey KeyOf(const RecordedHistory& history, const RunStarted& run) {
+TenantKey KeyOf(const RecordedHistory& history, const RunStarted& run) {
   for (const CallRecord* call : history.CallsOf(run.nonce())) {
     if (!call->sent->idempotency_key().empty()) {
       return {call->sent->tenant(), call->sent->idempotency_key()};
@@ -29,9 +29,9 @@
 
 CheckResult SingleRunCheck::Run(const RecordedHistory& history) const {
   CheckResult result(kId, kTitle);
-  std::map<DeliveryKey, std::vector<const RunRecord*>> runs_by_key;
+  std::map<TenantKey, std::vector<const RunRecord*>> runs_by_key;
   for (const RunRecord& record : history.runs()) {
-    const DeliveryKey key = KeyOf(history, *record.run);
+    const TenantKey key = KeyOf(history, *record.run);
     if (!key.second.empty()) runs_by_key[key].push_back(&record);
   }
   for (const auto& [key, runs] : runs_by_key) {
--- a/src/posthatch/fleettest/checks/stale_wake_check.cc
+++ b/src/posthatch/fleettest/checks/stale_wake_check.cc
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr std::string_view kId = "N10";
-constexpr std::string_view kTitle = "nothing old is used after a long freeze";
+constexpr std::string_view kTitle = "no stale state is used after a long freeze or partition";
 
 constexpr int64_t kLongFreezeNs = 20 * kSecondNs;
-constexpr int64_t kWatchedNs = 30 * kSecondNs;
+constexpr int64_t kWatchPeriodNs = 30 * kSecondNs;
 
 using DrainingByBackend = std::map<std::string, std::vector<Period>>;
 
@@ -27,19 +27,20 @@
   // when it wakes, so every run that starts later was decided after waking. After a partition, and
   // at other gateways, a request may have been sent before and delivered late.
   bool decides_at_start = false;
-  Period watched;
+  Period watch_period;
 };
 
 std::vector<Wake> LongWakes(const RecordedHistory& history) {
   std::vector<Wake> wakes;
   for (const FaultPeriod& fault : history.faults()) {
-    const bool silent = fault.kind == "freeze" || fault.kind == "cut";
+    const bool unresponsive = fault.kind == "freeze" || fault.kind == "cut";
     const bool ended = fault.period.until_ns != kNever;
-    if (!silent || !ended || fault.period.until_ns - fault.period.from_ns < kLongFreezeNs) continue;
+    if (!unresponsive || !ended || fault.period.until_ns - fault.period.from_ns < kLongFreezeNs)
+      continue;
     const int64_t woken_ns = fault.period.until_ns;
     const bool controller = fault.target.rfind("controller", 0) == 0;
     const bool froze = fault.kind == "freeze" && !controller;
-    wakes.push_back({fault.target, controller, froze, {woken_ns, woken_ns + kWatchedNs}});
+    wakes.push_back({fault.target, controller, froze, {woken_ns, woken_ns + kWatchPeriodNs}});
   }
   return wakes;
 }
@@ -62,7 +63,7 @@
   return newest;
 }
 
-bool ByRevokedKey(const RecordedHistory& history, const RunStarted& run) {
+bool UsesRevokedKey(const RecordedHistory& history, const RunStarted& run) {
   const std::vector<const CallRecord*> calls = history.CallsOf(run.nonce());
   if (calls.empty()) return false;
   for (const CallRecord* call : calls) {
@@ -125,7 +126,7 @@
       run.expected_revision() < NewestRevision(history, run.model(), decided_ns)) {
     return "an old model revision";
   }
-  if (ByRevokedKey(history, run)) return "a revoked key";
+  if (UsesRevokedKey(history, run)) return "a revoked key";
   if (CrossesIsolation(history, run, decided_ns)) return "another tenant's blocks";
   return std::nullopt;
 }
@@ -133,36 +134,38 @@
 void CheckRuns(const RecordedHistory& history, const Wake& wake, CheckResult* result) {
   const DrainingByBackend draining = history.DrainingPeriods(kDrainBoundNs);
   for (const RunRecord& record : history.runs()) {
-    const bool concerned = wake.watched.Contains(record.started_ns) &&
-                           (wake.controller || record.run->gateway() == wake.process);
-    if (!concerned) continue;
+    const bool relevant = wake.watch_period.Contains(record.started_ns) &&
+                          (wake.controller || record.run->gateway() == wake.process);
+    if (!relevant) continue;
     result->Examine();
     const int64_t decided_ns = EarliestDecision(history, wake, record);
     if (const auto stale = StaleDecision(history, draining, record, decided_ns)) {
       result->Violate(fmt::format("{:.1f} s after {} woke, {} used {} for request {}",
-                                  Seconds(record.started_ns - wake.watched.from_ns), wake.process,
-                                  record.run->gateway(), *stale, record.run->nonce()));
+                                  Seconds(record.started_ns - wake.watch_period.from_ns),
+                                  wake.process, record.run->gateway(), *stale,
+                                  record.run->nonce()));
     }
   }
 }
 
 // Checks the commands of the woken process for a fencing token that is older than one a worker has
 // already seen.
-void CheckOrders(const RecordedHistory& history, const Wake& wake, CheckResult* result) {
+void CheckCommands(const RecordedHistory& history, const Wake& wake, CheckResult* result) {
   std::map<std::string, const OrderSeen*> newest_by_worker;
   for (const HistoryEvent& event : history.events()) {
     if (!event.has_order_seen()) continue;
-    const OrderSeen& order = event.order_seen();
-    const OrderSeen*& newest = newest_by_worker[order.worker()];
-    if (order.holder() == wake.process && wake.watched.Contains(event.time_ns())) {
+    const OrderSeen& command = event.order_seen();
+    const OrderSeen*& newest = newest_by_worker[command.worker()];
+    if (command.holder() == wake.process && wake.watch_period.Contains(event.time_ns())) {
       result->Examine();
-      if (newest != nullptr && order.fencing_token() < newest->fencing_token()) {
+      if (newest != nullptr && command.fencing_token() < newest->fencing_token()) {
         result->Violate(fmt::format(
-            "{} woke and ordered {} under token {}, which {} had passed with {}", wake.process,
-            order.worker(), order.fencing_token(), newest->holder(), newest->fencing_token()));
+            "{} woke and sent {} a command under token {}, superseded by {} with token {}",
+            wake.process, command.worker(), command.fencing_token(), newest->holder(),
+            newest->fencing_token()));
       }
     }
-    if (newest == nullptr || order.fencing_token() > newest->fencing_token()) newest = &order;
+    if (newest == nullptr || command.fencing_token() > newest->fencing_token()) newest = &command;
   }
 }
 
@@ -172,7 +175,7 @@
   CheckResult result(kId, kTitle);
   for (const Wake& wake : LongWakes(history)) {
     CheckRuns(history, wake, &result);
-    CheckOrders(history, wake, &result);
+    CheckCommands(history, wake, &result);
   }
   return result;
 }
--- a/src/posthatch/fleettest/report-test.cc
+++ b/src/posthatch/fleettest/report-test.cc
@@ -77,7 +77,7 @@
     run->add_reused()->set_blocks(call < 50 ? 8 : 0);
   }
   builder.Run(200, "n1")->set_attempt_number(2);
-  builder.Refused(201, "r", 503, "no");
+  builder.Rejected(201, "r", 503, "no");
   builder.Call(202, "cut")->set_complete(false);
   builder.LastSent()->set_probe(false);
   const Statistics statistics = ComputeStatistics(RecordedHistory(builder.Events()));
@@ -96,7 +96,7 @@
   builder.Change(9, "r", "configuration", "revoke=alpha/1");
   builder.Acknowledge(10, "r", 4);
   builder.Call(11.5, "a");
-  builder.Refused(11.6, "b", 401, "no");
+  builder.Rejected(11.6, "b", 401, "no");
   const Statistics statistics = ComputeStatistics(RecordedHistory(builder.Events()));
   EXPECT_NEAR(statistics.config_in_force_ms.p99, 1500, 0.1);
 }
