--- a/src/posthatch/fleettest/history/history_recorder.h
+++ b/src/posthatch/fleettest/history/history_recorder.h
@@ -4,8 +4,9 @@
 
 namespace posthatch::fleettest {
 
-// Where stand-ins and callers write what they saw. Real ones append JSON lines to a file, simulated
-// ones keep the events in memory. The recorder fills in the time and its own name.
+// Records the events that emulators, callers and operators observe. Real processes append JSON
+// lines to a file, simulated ones store the events in memory. The recorder sets each event's time
+// and its own name.
 class HistoryRecorder {
  public:
   virtual ~HistoryRecorder() = default;
--- a/src/posthatch/fleettest/history/recorders.cc
+++ b/src/posthatch/fleettest/history/recorders.cc
@@ -16,8 +16,8 @@
 namespace posthatch::fleettest {
 namespace {
 
-// Cuts off a last line without its end: the killed process that left it had not gone on to what
-// the event records, and a line after it would make it look malformed.
+// Removes an incomplete last line. The killed process that left it had not yet done what the event
+// records, and a line appended after it would make it look malformed.
 absl::Status TruncatePartialLine(const std::string& path) {
   std::error_code error;
   const uintmax_t size = std::filesystem::file_size(path, error);
@@ -44,7 +44,7 @@
     return absl::UnavailableError(
         absl::StrCat("can't append to history ", path, ": ", std::strerror(errno)));
   }
-  // Without a buffer a line goes out in one write.
+  // Unbuffered, so that each line is written by one call.
   if (std::setvbuf(file, nullptr, _IONBF, 0) != 0) {
     std::fclose(file);
     return absl::UnavailableError(absl::StrCat("can't write history ", path, " unbuffered"));
--- a/src/posthatch/fleettest/history/recorders.h
+++ b/src/posthatch/fleettest/history/recorders.h
@@ -14,8 +14,8 @@
 
 namespace posthatch::fleettest {
 
-// Appends each event as one line of protobuf JSON. The line is handed to the operating system
-// before Record returns, so that what a process recorded outlives its kill; nothing is kept in
+// Appends each event as one line of protobuf JSON. Each line is written to the operating system
+// before Record returns, so recorded events survive a kill of the process; nothing is buffered in
 // memory. Used by one thread.
 class JsonlHistoryRecorder : public HistoryRecorder {
  public:
@@ -29,7 +29,7 @@
   JsonlHistoryRecorder& operator=(const JsonlHistoryRecorder&) = delete;
 
   void Record(HistoryEvent event) override;
-  // Events that could not be written (disk full); a fleet test with such a loss proves nothing.
+  // Events that could not be written (disk full). A fleet test that lost events is inconclusive.
   uint64_t lost_events() const { return lost_events_; }
 
  private:
@@ -41,8 +41,8 @@
   uint64_t lost_events_ = 0;
 };
 
-// Keeps the events in a list that many recorders may share; for the simulator and tests. The list
-// outlives the recorder, so a simulated crash loses nothing of it.
+// Appends events to a list that several recorders may share; for the simulator and tests. The list
+// outlives the recorder, so a simulated crash loses no events.
 class MemoryHistoryRecorder : public HistoryRecorder {
  public:
   MemoryHistoryRecorder(const runtime::Clock* clock, std::string recorder_name,
@@ -56,10 +56,11 @@
   std::vector<HistoryEvent>* const events_;
 };
 
-// What LoadHistory found in one file.
+// The contents of one history file.
 struct LoadedHistory {
-  std::vector<HistoryEvent> events;  // in file order
-  // A last line without its end, as a killed process may leave; it is not among the events.
+  std::vector<HistoryEvent> events;  // In file order.
+  // Whether the last line is incomplete, as a killed process may leave it. Such a line is not among
+  // `events`.
   bool truncated_end = false;
 };
 
