--- a/src/posthatch/fleettest/history/recorders-test.cc
+++ b/src/posthatch/fleettest/history/recorders-test.cc
@@ -72,10 +72,10 @@
 TEST_F(JsonlHistoryRecorderTest, DistinguishesTruncatedFromMalformedLines) {
   WriteRuns(2);
   std::ofstream(path_, std::ios::app) << "{\"timeNs\": \"5";
-  const auto cut = LoadHistory(path_);
-  ASSERT_TRUE(cut.ok()) << cut.status();
-  EXPECT_EQ(cut->events.size(), 2u);
-  EXPECT_TRUE(cut->truncated_end);
+  const auto truncated = LoadHistory(path_);
+  ASSERT_TRUE(truncated.ok()) << truncated.status();
+  EXPECT_EQ(truncated->events.size(), 2u);
+  EXPECT_TRUE(truncated->truncated_end);
 
   std::ofstream(path_, std::ios::app) << "\n";
   EXPECT_EQ(LoadHistory(path_).status().code(), absl::StatusCode::kDataLoss);
--- a/src/posthatch/fleettest/history/recorders.cc
+++ b/src/posthatch/fleettest/history/recorders.cc
@@ -31,14 +31,14 @@
   }
   if (end == size) return absl::OkStatus();
   std::filesystem::resize_file(path, end, error);
-  return error ? absl::UnavailableError(absl::StrCat("can't cut ", path)) : absl::OkStatus();
+  return error ? absl::UnavailableError(absl::StrCat("can't truncate ", path)) : absl::OkStatus();
 }
 
 }  // namespace
 
 absl::StatusOr<std::unique_ptr<JsonlHistoryRecorder>> JsonlHistoryRecorder::Open(
     const runtime::Clock* clock, std::string recorder_name, const std::string& path) {
-  if (absl::Status cut = TruncatePartialLine(path); !cut.ok()) return cut;
+  if (absl::Status truncated = TruncatePartialLine(path); !truncated.ok()) return truncated;
   std::FILE* file = std::fopen(path.c_str(), "ae");
   if (file == nullptr) {
     return absl::UnavailableError(
@@ -89,10 +89,10 @@
   size_t line_number = 0;
   while (std::getline(file, line)) {
     ++line_number;
-    const bool ended = !file.eof();
+    const bool complete = !file.eof();
     HistoryEvent event;
     const bool parsed = google::protobuf::util::JsonStringToMessage(line, &event).ok();
-    if (!ended) {
+    if (!complete) {
       history.truncated_end = true;
       break;
     }
--- a/src/posthatch/fleettest/history/recorders.h
+++ b/src/posthatch/fleettest/history/recorders.h
@@ -19,7 +19,7 @@
 // memory. Used by one thread.
 class JsonlHistoryRecorder : public HistoryRecorder {
  public:
-  // Opens `path` for appending; a last line without its end is cut off first. Errors: Unavailable
+  // Opens `path` for appending; an incomplete last line is removed first. Errors: Unavailable
   // with the system's reason.
   static absl::StatusOr<std::unique_ptr<JsonlHistoryRecorder>> Open(const runtime::Clock* clock,
                                                                     std::string recorder_name,
