--- a/src/posthatch/fleettest/child_process.cc
+++ b/src/posthatch/fleettest/child_process.cc
@@ -57,8 +57,8 @@
   posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, log_file.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, kLogMode);
   posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-  // Its own process group: an interrupt at the terminal reaches only this program, which ends its
-  // children.
+  // The child gets its own process group, so that an interrupt at the terminal reaches only this
+  // program, which ends its children.
   posix_spawnattr_t attributes;
   posix_spawnattr_init(&attributes);
   posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETPGROUP);
--- a/src/posthatch/fleettest/child_process.h
+++ b/src/posthatch/fleettest/child_process.h
@@ -11,8 +11,8 @@
 
 namespace posthatch::fleettest {
 
-// A child process of this program. It never outlives the object: the destructor kills it and waits
-// for its end. Every child is also known to KillAllChildren.
+// A child process of this program. The destructor kills it and waits for its end, so it never
+// outlives the object. KillAllChildren kills every child that is running.
 class ChildProcess {
  public:
   // Starts `arguments[0]` with the other arguments; output is appended to `log_file`. Errors:
@@ -23,12 +23,12 @@
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
-  // Whether it is running; collects its exit status when it has ended.
+  // Whether the child is running. Collects its exit status once it has ended.
   bool running();
   absl::Status Signal(int signal_number);
-  // Kills it, even if it is stopped, and waits for its end.
+  // Kills the child, even if it is stopped, and waits for its end.
   void Kill();
-  // "exit code 3" or "signal 11"; empty while it runs.
+  // "exit code 3" or "signal 11"; empty while the child runs.
   const std::string& end() const { return end_; }
   pid_t pid() const { return pid_; }
 
--- a/src/posthatch/fleettest/command_line.cc
+++ b/src/posthatch/fleettest/command_line.cc
@@ -23,7 +23,7 @@
 
 constexpr uint32_t kMaxThreads = 4;
 constexpr uint64_t kMaxSeeds = 100000;
-// Start, end of load and final reads of a real run, on top of its duration.
+// Time for start, end of load and final reads of a real run, in addition to its duration.
 constexpr uint32_t kRunOverheadSeconds = 300;
 
 struct Arguments {
@@ -126,7 +126,7 @@
   const bool passed = std::all_of(reports.begin(), reports.end(), Passed);
   const auto failed = std::find_if(reports.begin(), reports.end(),
                                    [](const ScenarioReport& report) { return !Passed(report); });
-  // One whole table: of the first failure, or else of the last seed.
+  // The full table is printed for the first failed seed, or for the last seed if all passed.
   std::cout << SummaryTable(failed == reports.end() ? reports.back() : *failed);
   std::cout << fmt::format("{} of {} seeds passed\n",
                            std::count_if(reports.begin(), reports.end(), Passed), reports.size());
@@ -143,7 +143,7 @@
       ->check(CLI::Range(1.0, 86400.0));
 }
 
-// Entries of the timeline that don't fit into a shorter run are left out.
+// Sets the duration of the load and drops timeline entries that start after its end.
 void SetDuration(double seconds, Scenario* scenario) {
   scenario->duration =
       std::chrono::duration_cast<runtime::Duration>(std::chrono::duration<double>(seconds));
--- a/src/posthatch/fleettest/fault_injector-test.cc
+++ b/src/posthatch/fleettest/fault_injector-test.cc
@@ -17,7 +17,7 @@
 using ::testing::HasSubstr;
 using ::testing::IsEmpty;
 
-// Notes what is asked of it, on a simulated clock.
+// A fleet that records the requested operations and runs on a simulated clock.
 class NotingFleet : public Fleet {
  public:
   NotingFleet() : world_(1) {
--- a/src/posthatch/fleettest/fault_injector.cc
+++ b/src/posthatch/fleettest/fault_injector.cc
@@ -276,7 +276,7 @@
     AddOutcome(active->fault, name, "failed to restart: " + StatusMessage(status));
     return Finish(active);
   }
-  // It is still draining.
+  // The process is still draining.
   timers_.push_back(std::make_unique<runtime::Timer>(fleet->runtime()->timers));
   timers_.back()->Start(kRestartRetry, [this, active] { RestartUntilItRuns(active); });
 }
--- a/src/posthatch/fleettest/fault_injector.h
+++ b/src/posthatch/fleettest/fault_injector.h
@@ -46,7 +46,7 @@
   // Schedules randomly drawn faults; those that would lose acknowledged data by themselves (disks
   // of a majority) are skipped.
   void StartChaos(const std::vector<Fault>& faults);
-  // Ends all active faults: thaws, heals, restarts.
+  // Ends all active faults: thaws and restarts processes and heals links.
   void EndAll();
   const std::vector<FaultOutcome>& outcomes() const { return outcomes_; }
 
@@ -62,7 +62,7 @@
   void End(const std::shared_ptr<ActiveFault>& active);
   void RestartUntilItRuns(const std::shared_ptr<ActiveFault>& active);
   void Finish(const std::shared_ptr<ActiveFault>& active);
-  // Adds a fault to a link, or removes it.
+  // Adds a fault to a link (`change` +1) or removes it (-1).
   absl::Status ChangeLink(const std::string& from, const std::string& to, bool partitioned,
                           runtime::Duration delay, int change);
   std::string SkipReason(const Fault& fault, const ProcessInfo& process, bool chaos) const;
--- a/src/posthatch/fleettest/fleet.h
+++ b/src/posthatch/fleettest/fleet.h
@@ -12,13 +12,13 @@
 
 namespace posthatch::fleettest {
 
-// One process of the fleet under test.
+// Identity and address of a process of the fleet under test.
 struct ProcessInfo {
-  std::string name;  // node id or back end id; also the fault target in histories
+  std::string name;  // node id or back end id; fault target in histories
   Role role = Role::kAny;
   std::string zone;
   std::map<std::string, std::string> labels;  // back ends
-  std::string http_endpoint;                  // "ip:port"; empty once it was replaced
+  std::string http_endpoint;                  // "ip:port"; empty once the process was replaced
 };
 
 // Injected state of the link from one process to another.
@@ -43,11 +43,11 @@
   virtual runtime::Runtime* runtime() = 0;
   // Records the events of callers, operators and the timeline.
   virtual HistoryRecorder* recorder() = 0;
-  // All processes, including those that are down, without replaced ones.
+  // Returns every process, including those that are down but not those that were replaced.
   virtual std::vector<ProcessInfo> processes() const = 0;
   // Whether this kind of fleet supports the fault.
   virtual bool Supports(FaultKind /*kind*/) const { return true; }
-  // Why the fleet test can't continue (a process ended by itself); empty if it can.
+  // The reason that the fleet test can't continue (a process ended unexpectedly); empty if it can.
   virtual std::string Failure() { return ""; }
 
   virtual absl::Status Kill(const std::string& name) = 0;
@@ -57,7 +57,7 @@
   virtual absl::Status Restart(const std::string& name) = 0;
   virtual absl::Status Freeze(const std::string& name) = 0;
   virtual absl::Status Thaw(const std::string& name) = 0;
-  // Kills it and drops everything that was not synced.
+  // Kills the process and drops all data that was not synced.
   virtual absl::Status PowerOff(const std::string& name) = 0;
   // Empties the data folder of a process that is down.
   virtual absl::Status ClearDisk(const std::string& name) = 0;
@@ -69,7 +69,7 @@
   // Starts a process that is down at another address, with its data folder.
   virtual absl::StatusOr<ProcessInfo> Move(const std::string& name) = 0;
 
-  // All recorded events. Called after the load has stopped.
+  // Returns every recorded event. Must be called after the load has stopped.
   virtual absl::StatusOr<std::vector<HistoryEvent>> TakeHistory() = 0;
   // Hash of the simulator's trace; 0 for real processes.
   virtual uint64_t trace_hash() const { return 0; }
--- a/src/posthatch/fleettest/fleet_plan.cc
+++ b/src/posthatch/fleettest/fleet_plan.cc
@@ -37,7 +37,7 @@
   return traffic;
 }
 
-// The operations of [traffic.shares], the model calls spread evenly over the models.
+// The operations of [traffic.shares]. Model calls are distributed evenly over the models.
 std::vector<emulator::OperationTraffic> OperationsOf(const Scenario& scenario,
                                                      const TrafficShares& shares) {
   std::vector<emulator::OperationTraffic> operations;
@@ -148,8 +148,8 @@
 
 std::map<std::string, std::string> LabelsOf(const PlannedProcess& process) {
   if (!IsBackend(process.role)) return {};
-  // One label only: protobuf serializes maps of several entries in undetermined order, and a
-  // simulated seed must have one trace.
+  // A single label: protobuf serializes maps with several entries in an unspecified order, and the
+  // trace of a simulated seed must be deterministic.
   return {{"pool", process.number % 2 == 0 ? "even" : "odd"}};
 }
 
--- a/src/posthatch/fleettest/fleet_plan.h
+++ b/src/posthatch/fleettest/fleet_plan.h
@@ -11,7 +11,7 @@
 // Names, addresses and traffic of a scenario, the same for real and simulated fleets.
 namespace posthatch::fleettest {
 
-// One process to start.
+// Identity and placement of a process to start.
 struct PlannedProcess {
   std::string name;  // "gateway-1", "worker-3", "inventory"
   Role role = Role::kAny;
@@ -25,10 +25,9 @@
 // Settings take up to three seed addresses.
 inline constexpr size_t kMaxSeedAddresses = 3;
 
-// Every process of the fleet, in the order of starting: inventory, back ends, controllers,
-// gateways.
+// Every process of the fleet in start order: inventory, back ends, controllers, gateways.
 std::vector<PlannedProcess> PlanFleet(const Scenario& scenario);
-// The process numbered `number` of `role`, as for PlanFleet; for replacements.
+// The process with this role and number, planned as by PlanFleet. Used for replacements.
 PlannedProcess PlanProcess(const Scenario& scenario, Role role, uint32_t number);
 
 // "<network>.<group>.<high>.<low>": one address per process. `network` is 127 for real loopback
@@ -39,7 +38,7 @@
 emulator::InventoryBackend InventoryEntry(const PlannedProcess& process,
                                           const std::string& endpoint);
 
-// The callers' traffic.
+// The traffic of the callers: operations, tenants and request rate.
 emulator::TrafficMix PlanTraffic(const Scenario& scenario);
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/free_port.h
+++ b/src/posthatch/fleettest/free_port.h
@@ -7,8 +7,9 @@
 
 namespace posthatch::fleettest {
 
-// A port of `address` that is currently free for TCP and UDP, chosen by the kernel. It is not
-// reserved; since each process has its own address, another fleet test rarely takes it first.
+// Returns a port of `address` that is currently free for TCP and UDP, chosen by the kernel. The
+// port is not reserved; since each process has its own address, another fleet test rarely takes it
+// first.
 absl::StatusOr<uint16_t> FindFreePort(const std::string& address);
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/interruption.h
+++ b/src/posthatch/fleettest/interruption.h
@@ -2,8 +2,8 @@
 
 #include <cstdint>
 
-// Early end of a fleet test: SIGINT or SIGTERM once (ends the run and its children), twice (kills
-// the children immediately), or the hard time limit.
+// Early end of a fleet test: the first SIGINT or SIGTERM ends the run and its children, the second
+// kills the children immediately, and so does the hard time limit.
 namespace posthatch::fleettest {
 
 // Installs the handlers. After `hard_limit_s` seconds every child is killed and this process ends
--- a/src/posthatch/fleettest/inventory_publisher.h
+++ b/src/posthatch/fleettest/inventory_publisher.h
@@ -16,9 +16,9 @@
   InventoryPublisher(ProcessControlClient* control, const Scenario* scenario)
       : control_(control), scenario_(scenario) {}
 
-  // Sends the inventory if it differs from the last one.
+  // Sends the inventory if it differs from the last one sent.
   void Publish(const std::vector<ProcessInfo>& processes);
-  // Sets a back end's draining mark, which later inventories keep.
+  // Sets or clears a back end's draining mark, which later updates retain.
   void SetDraining(const std::string& backend, bool draining, ProcessControlClient::Done done);
 
  private:
--- a/src/posthatch/fleettest/leader_watch.h
+++ b/src/posthatch/fleettest/leader_watch.h
@@ -7,8 +7,8 @@
 
 namespace posthatch::fleettest {
 
-// Polls a controller for the current leader, for faults that target it. A hint: another one may
-// lead when a fault begins. Event loop thread only.
+// Polls a controller for the current leader, for faults that target it. The result is a hint:
+// another controller may lead when a fault begins. Event loop thread only.
 class LeaderWatch {
  public:
   LeaderWatch(ProcessControlClient* control, runtime::Runtime* runtime, Fleet* fleet);
--- a/src/posthatch/fleettest/node_plan.h
+++ b/src/posthatch/fleettest/node_plan.h
@@ -10,7 +10,7 @@
 #include "posthatch/fleettest/fleet_plan.h"
 #include "posthatch/server/settings/node_settings.h"
 
-// The settings of each process, the same for real and simulated fleets.
+// Settings of each process, for real and simulated fleets alike.
 namespace posthatch::fleettest {
 
 // Endpoints that other processes need in their settings.
--- a/src/posthatch/fleettest/operation_runner.cc
+++ b/src/posthatch/fleettest/operation_runner.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-// A tenant without keys; harmless changes count up its label.
+// A tenant without keys. Configuration changes without effect on traffic set its label.
 constexpr const char* kNotesTenant = "rehearsal-notes";
 constexpr const char* kIsolatedLabel = "isolated";
 
@@ -80,7 +80,7 @@
       return AddOutcome(operation.kind, "", "rotating from now on");
     case OperationKind::kEvacuate:
     case OperationKind::kLift:
-      // Named after its zone, by which the checks find it.
+      // The evacuation is named after its zone, by which the checks find it.
       return environment_.first_operator->Evacuate(operation.zone, operation.zone,
                                                    operation.kind == OperationKind::kLift,
                                                    Report(operation, operation.zone));
@@ -99,7 +99,7 @@
   environment_.first_operator->PatchConfiguration(NotePatch(note), 0, "", Report(operation, note));
 }
 
-// Both operators send the version that was newest at this time.
+// Reads the newest version, which both operators then send as the expected version.
 void OperationRunner::RaceForVersion() {
   std::vector<std::string> nodes;
   for (const ProcessInfo& process : environment_.fleet->processes()) {
--- a/src/posthatch/fleettest/operation_runner.h
+++ b/src/posthatch/fleettest/operation_runner.h
@@ -24,9 +24,9 @@
     InventoryPublisher* inventory = nullptr;
     emulator::OperatorEmulator* first_operator = nullptr;
     emulator::OperatorEmulator* second_operator = nullptr;  // the competitor in racing changes
-    // Rotates the probe tenant's key from its Start on.
+    // Rotates the probe tenant's key once it is started.
     emulator::OperatorEmulator* rotating_operator = nullptr;
-    // As applied at the start: tenants are changed from it.
+    // The configuration applied at the start, updated with each isolation change.
     control::Configuration configuration;
     std::string first_model;
   };
@@ -62,8 +62,8 @@
   std::vector<FaultOutcome> outcomes_;
 };
 
-// The patch that creates `configuration`, and the detail that the checks read: which keys are
-// accepted and which tenants isolated.
+// The patch that creates `configuration`, and its detail for the checks: the accepted keys and the
+// isolated tenants.
 control::ConfigurationPatch InitialPatch(const control::Configuration& configuration);
 std::string InitialDetail(const emulator::TrafficMix& mix);
 
--- a/src/posthatch/fleettest/process_control_client.h
+++ b/src/posthatch/fleettest/process_control_client.h
@@ -10,7 +10,7 @@
 
 namespace posthatch::fleettest {
 
-// Sends the fleet test's requests (PUT /debug/..., GET /readyz) to real or simulated processes.
+// Sends control requests (PUT /debug/..., GET /readyz) to real or simulated processes.
 // Event loop thread only.
 class ProcessControlClient {
  public:
@@ -22,7 +22,7 @@
 
   void Put(const std::string& endpoint, const std::string& path, const std::string& json,
            Done done);
-  // Unavailable unless the response is 200.
+  // `done` gets Unavailable unless the response has a status of 2xx.
   void Get(const std::string& endpoint, const std::string& path, Done done);
 
  private:
--- a/src/posthatch/fleettest/process_settings-test.cc
+++ b/src/posthatch/fleettest/process_settings-test.cc
@@ -7,8 +7,8 @@
 namespace posthatch::fleettest {
 namespace {
 
-// What a scenario planned must reach the process: the round-robin baseline once ran by prefix,
-// because its mode was not written.
+// Guards against settings that are missing in the file: without routing_mode the round-robin
+// baseline ran with prefix-aware routing.
 TEST(ProcessSettings, GatewaySettingsRoundTrip) {
   server::GatewaySettings planned;
   planned.node.node_id = "gateway-1";
--- a/src/posthatch/fleettest/process_settings.h
+++ b/src/posthatch/fleettest/process_settings.h
@@ -9,7 +9,7 @@
 #include "posthatch/emulator/worker_settings.h"
 #include "posthatch/server/settings/node_settings.h"
 
-// Settings files of the processes that a real fleet test starts.
+// Settings files for the processes of a real fleet.
 namespace posthatch::fleettest {
 
 std::string GatewayToml(const server::GatewaySettings& settings);
@@ -22,7 +22,7 @@
                           const std::string& history_file);
 
 absl::Status WriteTextFile(const std::string& path, const std::string& text);
-// The last `bytes` of a file, or nothing if it can't be read.
+// Returns the last `bytes` bytes of a file, or an empty string if it can't be read.
 std::string TailOfFile(const std::string& path, size_t bytes);
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/readiness_watch.h
+++ b/src/posthatch/fleettest/readiness_watch.h
@@ -19,7 +19,7 @@
 
   void Start(const std::vector<ProcessInfo>& processes);
   bool AllReady() const { return state_->waiting.empty(); }
-  // Names of those that are not ready, for messages.
+  // Names of the processes that are not ready, for messages.
   std::string NotReady() const;
 
  private:
--- a/src/posthatch/fleettest/real_fleet.cc
+++ b/src/posthatch/fleettest/real_fleet.cc
@@ -196,7 +196,7 @@
   return nullptr;
 }
 
-// ---------------------------------------------------------------- faults
+// Fault injection.
 
 absl::Status RealFleet::Kill(const std::string& name) {
   Member* member = Find(name);
--- a/src/posthatch/fleettest/real_fleet.h
+++ b/src/posthatch/fleettest/real_fleet.h
@@ -20,12 +20,12 @@
   std::string posthatchd;          // path of the program
   std::string posthatch_emulator;  // path of the program
   std::string run_folder;          // parent of settings, data, logs and histories
-  uint64_t seed = 1;               // of callers, operators and random faults
+  uint64_t seed = 1;               // for callers, operators and random faults
   bool round_robin = false;
 };
 
 // A fleet of real processes on loopback, one address per process. The only part of posthatch that
-// starts processes; all end with the object.
+// starts processes. The destructor ends all of them.
 class RealFleet : public Fleet {
  public:
   // `scenario` outlives the fleet.
@@ -75,13 +75,13 @@
   const Scenario& scenario_;
   const RealFleetOptions options_;
   std::unique_ptr<net::AsioRuntime> asio_runtime_;
-  runtime::Runtime runtime_;  // the real one, with random numbers by the seed
+  runtime::Runtime runtime_;  // the Asio runtime with a seeded random generator
   std::unique_ptr<runtime::Random> random_;
   std::vector<HistoryEvent> events_;
   std::unique_ptr<MemoryHistoryRecorder> recorder_;
   std::unique_ptr<ProcessControlClient> control_;
   std::vector<std::unique_ptr<Member>> members_;
-  std::vector<std::string> histories_;  // files, including those of replaced processes
+  std::vector<std::string> histories_;  // history files, including those of replaced processes
   std::map<Role, uint32_t> newest_number_;
   std::map<std::pair<std::string, std::string>, LinkState> links_;
   std::vector<std::unique_ptr<runtime::Timer>> timers_;
--- a/src/posthatch/fleettest/report.h
+++ b/src/posthatch/fleettest/report.h
@@ -19,7 +19,7 @@
   std::string mode;  // "run" or "simulate"
   uint64_t seed = 0;
   double duration_s = 0;
-  std::string failure;  // why it could not be completed; empty if it was
+  std::string failure;  // why the run could not be completed; empty if it was
   Statistics statistics;
   std::vector<CheckResult> checks;
   std::vector<NotExamined> not_examined;
@@ -37,12 +37,12 @@
 void ExamineHistory(const Scenario& scenario, const RecordedHistory& history,
                     ScenarioReport* report);
 
-// JSON of one run, and of many seeds of one scenario (docs/FLEETTEST.md lists the keys).
+// JSON reports of one run, and of several seeds of one scenario (docs/FLEETTEST.md lists the keys).
 std::string ReportJson(const ScenarioReport& report);
 std::string SeedsJson(const std::vector<ScenarioReport>& reports);
-// Human-readable table.
+// Human-readable table of one run.
 std::string SummaryTable(const ScenarioReport& report);
-// One line for one seed of many.
+// Summary line of one seed, for runs of several seeds.
 std::string SeedLine(const ScenarioReport& report);
 absl::Status WriteFile(const std::string& path, const std::string& text);
 
--- a/src/posthatch/fleettest/response_dropping_client.h
+++ b/src/posthatch/fleettest/response_dropping_client.h
@@ -12,14 +12,14 @@
 namespace posthatch::fleettest {
 
 // An HTTP client that drops responses: the request is delivered and executed, and the sender sees a
-// broken connection. For the fault lost_ack, in real and simulated runs.
+// broken connection. Implements the fault lost_ack in real and simulated runs.
 class ResponseDroppingClient : public http::HttpClient {
  public:
-  // All outlive the client.
+  // `client` and `random` must outlive this object.
   ResponseDroppingClient(http::HttpClient* client, runtime::Random* random)
       : client_(client), random_(random) {}
 
-  // Responses from `endpoint` are dropped with this probability; 0 ends it.
+  // Drops responses from `endpoint` with this probability; 0 stops dropping.
   void SetDropProbability(const std::string& endpoint, double probability);
 
   std::unique_ptr<http::Call> Start(const std::string& endpoint, http::Request request,
--- a/src/posthatch/fleettest/scenario.h
+++ b/src/posthatch/fleettest/scenario.h
@@ -18,7 +18,7 @@
   kPowerLoss,  // killed with the loss of unsynced writes, and restarted
   kSlowDisk,   // each sync takes longer
   kClockJump,  // the wall clock jumps
-  kPartition,  // messages and connections are blocked, one way or both
+  kPartition,  // messages and connections are blocked in one or both directions
   kSlowLink,   // the link has an extra delay
   kEvents,     // a worker's cache events are delayed, lost, reordered or duplicated
   kResponses,  // responses are delayed, duplicated or mismatched
@@ -40,8 +40,8 @@
 
 enum class Role { kAny, kGateway, kController, kWorker, kStore, kService, kInventory };
 
-// Selects processes: all given parts must match. `name` "random" picks one of the rest by seed,
-// "leader" the leading controller, and "all" every one.
+// Selects processes: all given parts must match. `name` "random" picks `count` of the matching
+// processes by seed, "leader" the leading controller, and "all" every matching process.
 struct Target {
   Role role = Role::kAny;
   std::string name;
@@ -56,7 +56,7 @@
   // Duration; for faults that end a process, its downtime.
   runtime::Duration duration = std::chrono::seconds(2);
   Target target;
-  Target peer;                 // cut, slow_link: the other side; unset: everything else
+  Target peer;                 // cut, slow_link: other side; unset: all other processes
   bool one_way = false;        // cut: only from target to peer
   runtime::Duration amount{};  // slow_disk, slow_link, clock_jump, late events and answers
   std::string mode;            // events: late, lost, ...; answers: late, twice, crossed
@@ -105,7 +105,7 @@
 // Relative shares of the traffic; the total need not be 1.
 struct TrafficShares {
   double completions = 0;  // long shared prefixes, unstreamed
-  double streams = 0;      // the same, streamed
+  double streams = 0;      // long shared prefixes, streamed
   double chat = 0;         // streamed chat
   double placements = 0;   // non-idempotent service operation
   double questions = 0;    // small idempotent service operation
@@ -147,8 +147,8 @@
   Traffic traffic;
   WorkerModel worker;
   InventoryModel inventory;
-  std::vector<Fault> faults;          // by time
-  std::vector<Operation> operations;  // by time
+  std::vector<Fault> faults;          // sorted by time
+  std::vector<Operation> operations;  // sorted by time
   std::optional<Chaos> chaos;
   std::vector<NotExamined> not_examined;
   bool round_robin_baseline = false;  // run the same traffic with round-robin routing as well
--- a/src/posthatch/fleettest/scenario_loader.h
+++ b/src/posthatch/fleettest/scenario_loader.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::fleettest {
 
-// A scenario, or all errors of its file.
+// The result of reading a scenario file: a scenario, or all errors of the file.
 struct LoadedScenario {
   Scenario scenario;
   // "FILE:LINE: KEY: what is wrong (allowed: ...)", in the order of the file's sections.
--- a/src/posthatch/fleettest/scenario_names.h
+++ b/src/posthatch/fleettest/scenario_names.h
@@ -8,7 +8,7 @@
 
 #include "posthatch/fleettest/scenario.h"
 
-// The words of scenario files for the enumerations of scenario.h.
+// Names in scenario files of the enumerators of scenario.h.
 namespace posthatch::fleettest {
 
 template <typename Value, size_t kSize>
--- a/src/posthatch/fleettest/scenario_run.cc
+++ b/src/posthatch/fleettest/scenario_run.cc
@@ -27,7 +27,7 @@
 constexpr runtime::Duration kConfigurationLimit = std::chrono::seconds(30);
 constexpr runtime::Duration kLoadEndLimit = std::chrono::seconds(60);
 constexpr runtime::Duration kProbeDrainTime =
-    std::chrono::seconds(6);  // longer than the probes' timeout
+    std::chrono::seconds(6);  // longer than the probes' time-out
 constexpr runtime::Duration kFinalReadLimit = std::chrono::seconds(20);
 constexpr runtime::Duration kReadInterval = std::chrono::seconds(2);
 constexpr runtime::Duration kRotationInterval = std::chrono::seconds(3);
@@ -127,7 +127,7 @@
   if (!started.ok()) return "the fleet did not start: " + started.ToString();
   CreateLoadAndOperators();
   inventory_->Publish(fleet_->processes());
-  // Gateways are ready only once there is a configuration.
+  // Gateways become ready only after the first configuration.
   std::string failure = WaitUntilReady([](Role role) { return role != Role::kGateway; });
   if (failure.empty()) failure = ApplyConfiguration();
   if (failure.empty()) failure = WaitUntilReady([](Role role) { return role == Role::kGateway; });
@@ -247,12 +247,12 @@
   second_operator_->Stop(ended);
   rotating_operator_->Stop(ended);
   const bool ended_in_time = RunUntil([&] { return open == 0; }, kLoadEndLimit);
-  // Probes in flight complete by themselves: cancelling them has no determined order, so that one
-  // seed would have several traces.
+  // Waits for the probes in flight: cancelling them would happen in no deterministic order, and one
+  // seed would give different traces.
   fleet_->RunFor(kProbeDrainTime);
   probe_->Stop();
   if (ended_in_time) return "";
-  // Later callbacks must not access `open` after its end.
+  // Destroyed so that no callback accesses `pending` after this function returns.
   load_.reset();
   first_operator_.reset();
   second_operator_.reset();
--- a/src/posthatch/fleettest/scenario_run.h
+++ b/src/posthatch/fleettest/scenario_run.h
@@ -25,7 +25,7 @@
 // simulated fleets.
 class ScenarioRun {
  public:
-  // All outlive the fleet test. The fleet is new.
+  // `scenario` and `fleet` must outlive this object. `fleet` must not be started yet.
   ScenarioRun(const Scenario* scenario, Fleet* fleet, ScenarioRunOptions options);
   ~ScenarioRun();
   ScenarioRun(const ScenarioRun&) = delete;
--- a/src/posthatch/fleettest/seed_runner.h
+++ b/src/posthatch/fleettest/seed_runner.h
@@ -13,9 +13,9 @@
 struct SeedRunOptions {
   uint64_t first_seed = 1;
   uint64_t last_seed = 1;
-  uint32_t threads = 4;             // seeds in parallel, each in its own world
+  uint32_t threads = 4;             // seeds run in parallel, each in its own SimWorld
   bool verify_determinism = false;  // run each seed twice: the trace hashes must be equal
-  // Called as each seed ends, one at a time, from any thread.
+  // Called when a seed ends, from any thread but never concurrently.
   std::function<void(const ScenarioReport&)> on_report;
   // Folder for the histories, one file per seed; empty: not written.
   std::string history_folder;
@@ -23,11 +23,12 @@
   std::function<bool()> interrupted;
 };
 
-// One seed of a scenario in the simulator.
+// Runs one seed of a scenario in the simulator.
 ScenarioReport SimulateSeed(const Scenario& scenario, uint64_t seed,
                             server::ProcessFactory* factory, const SeedRunOptions& options);
 
-// All seeds, by rising seed in the result. `factory` is used by several threads at once.
+// Runs all seeds and returns their reports ordered by seed. `factory` is used by several threads
+// concurrently.
 std::vector<ScenarioReport> SimulateSeeds(const Scenario& scenario, const SeedRunOptions& options,
                                           server::ProcessFactory* factory);
 
--- a/src/posthatch/fleettest/simulated_fleet.cc
+++ b/src/posthatch/fleettest/simulated_fleet.cc
@@ -18,7 +18,7 @@
 constexpr const char* kCallersAddress = "10.99.0.1";
 constexpr runtime::Duration kUsualDiskDelay = std::chrono::milliseconds(1);
 
-// A stand-in with the recorder that it writes to.
+// An emulator with the history recorder that it writes to.
 template <typename StandIn>
 struct RecordedStandIn {
   std::unique_ptr<MemoryHistoryRecorder> recorder;
@@ -48,7 +48,7 @@
     return process_->Start();
   }
 
-  // Runs `ended` when the process has drained, at the latest after its deadline.
+  // Calls `ended` when the process has drained, at the latest after the drain deadline.
   void Drain(const std::function<void()>& ended) {
     common_http_.SetDraining();
     server_->Drain();
@@ -91,7 +91,7 @@
     newest_number_[process.role] = std::max(newest_number_[process.role], process.number);
     AddProcess(process);
   }
-  // All addresses are known at this point.
+  // Started only after all hosts were added: settings contain the addresses of other hosts.
   for (const PlannedProcess& process : processes_) world_.FindHost(process.name)->Start();
   return failure_.empty() ? absl::OkStatus() : absl::InternalError(failure_);
 }
@@ -200,7 +200,7 @@
   return infos;
 }
 
-// ---------------------------------------------------------------- faults
+// Fault injection.
 
 absl::StatusOr<simulation::SimHost*> SimulatedFleet::FindHostInState(const std::string& name,
                                                                      bool running) const {
@@ -229,7 +229,7 @@
   }
   const std::weak_ptr<Node> draining = node;
   node->Drain([host = *host, draining] {
-    // Unless that life of the process has ended otherwise.
+    // Skipped if the process was killed or restarted in the meantime.
     if (!draining.expired() && host->running()) host->Crash();
   });
   return absl::OkStatus();
--- a/src/posthatch/fleettest/simulated_fleet.h
+++ b/src/posthatch/fleettest/simulated_fleet.h
@@ -15,8 +15,8 @@
 
 namespace posthatch::fleettest {
 
-// A fleet in the simulator: every process is a host of one SimWorld, in virtual time, by seed. One
-// thread.
+// A fleet in the simulator: every process is a host of one SimWorld, in virtual time and
+// deterministic by seed. Used by one thread.
 class SimulatedFleet : public Fleet {
  public:
   // `scenario` and `factory` outlive the fleet.
@@ -29,7 +29,7 @@
   runtime::Runtime* runtime() override { return callers_runtime_; }
   HistoryRecorder* recorder() override { return callers_recorder_.get(); }
   std::vector<ProcessInfo> processes() const override;
-  // A simulated disk stays at its address.
+  // Processes can't move: a simulated disk is bound to its host's address.
   bool Supports(FaultKind kind) const override { return kind != FaultKind::kMoveSeed; }
   std::string Failure() override { return failure_; }
 
@@ -50,7 +50,7 @@
   uint64_t trace_hash() const override { return world_.trace_hash(); }
   uint64_t behaviour_hash() const override { return world_.behaviour_hash(); }
 
-  // For tests and for debugging a failed seed.
+  // The simulated world, for tests and for debugging a failed seed.
   simulation::SimWorld* world() { return &world_; }
 
  private:
@@ -63,7 +63,7 @@
                                     const std::string& endpoint);
   std::shared_ptr<void> BootNode(const PlannedProcess& process, simulation::SimHost* host,
                                  runtime::Runtime* runtime);
-  // The host of `name`; an error unless it is in the expected state.
+  // Returns the host of `name`, or an error unless `running` matches its state.
   absl::StatusOr<simulation::SimHost*> FindHostInState(const std::string& name, bool running) const;
   FleetAddresses Addresses() const;
   ProcessInfo MakeProcessInfo(const PlannedProcess& process) const;
@@ -81,7 +81,7 @@
   std::map<std::string, std::weak_ptr<Node>> nodes_;
   runtime::Runtime* callers_runtime_ = nullptr;
   std::unique_ptr<MemoryHistoryRecorder> callers_recorder_;
-  // Last: its hosts' processes use the members above until they are destroyed.
+  // Must be the last member: its hosts' processes use the members above until they are destroyed.
   simulation::SimWorld world_;
 };
 
--- a/src/posthatch/fleettest/simulated_node_factory.h
+++ b/src/posthatch/fleettest/simulated_node_factory.h
@@ -8,7 +8,7 @@
 
 namespace posthatch::fleettest {
 
-// Builds posthatchd's processes for simulated fleets. Stateless: any thread.
+// Builds posthatchd's processes for simulated fleets. Stateless and thread-safe.
 class SimulatedNodeFactory : public server::ProcessFactory {
  public:
   std::unique_ptr<server::Process> MakeGateway(runtime::Runtime* runtime,
--- a/src/posthatch/fleettest/simulated_run-test.cc
+++ b/src/posthatch/fleettest/simulated_run-test.cc
@@ -1,4 +1,4 @@
-// Whole fleets in the simulator, taken through short scenarios.
+// Runs complete fleets in the simulator through short scenarios.
 #include <gtest/gtest.h>
 
 #include <set>
--- a/src/posthatch/fleettest/statistics.cc
+++ b/src/posthatch/fleettest/statistics.cc
@@ -74,7 +74,7 @@
   }
 }
 
-// How long after the acknowledgement a revoked key was last accepted; 0 if it never was.
+// Measures how long after the acknowledgement a revoked key was last accepted; 0 if it never was.
 void MeasureConfiguration(const RecordedHistory& history, Statistics* statistics) {
   std::vector<double> delays;
   for (const ChangeRecord& change : history.changes()) {
@@ -94,7 +94,7 @@
   statistics->config_in_force_ms = PercentilesOf(std::move(delays));
 }
 
-// How long after the acknowledgement the last run under an older revision started.
+// Measures how long after the acknowledgement the last run under an older revision started.
 void MeasureRevisions(const RecordedHistory& history, Statistics* statistics) {
   std::vector<double> delays;
   for (const ChangeRecord& change : history.changes()) {
@@ -114,7 +114,7 @@
   statistics->revision_in_force_ms = PercentilesOf(std::move(delays));
 }
 
-// How long after the acknowledgement each worker served the new revision.
+// Measures how long after the acknowledgement each worker began to serve the new revision.
 void MeasureRevisionServing(const RecordedHistory& history, Statistics* statistics) {
   std::vector<double> delays;
   for (const ChangeRecord& change : history.changes()) {
--- a/src/posthatch/fleettest/statistics.h
+++ b/src/posthatch/fleettest/statistics.h
@@ -47,10 +47,11 @@
   Percentiles config_in_force_ms;  // from an acknowledgement to the last use of the former state
   Percentiles revision_in_force_ms;
   Percentiles revision_served_ms;  // from a revision's acknowledgement to each worker serving it
-  // Of all prompt blocks: found in the worker's own cache, and fetched from a peer or the store.
+  // Shares of all prompt blocks that were found in the worker's own cache, and that were fetched
+  // from a peer or the store.
   double prefix_hit_ratio = 0;
   double prefix_fetch_ratio = 0;
-  double retry_ratio = 0;  // attempts beyond the first, of first attempts
+  double retry_ratio = 0;  // retries divided by first attempts
   std::vector<Goodput> goodput;
 };
 
--- a/src/posthatch/fleettest/table_reader.h
+++ b/src/posthatch/fleettest/table_reader.h
@@ -28,7 +28,7 @@
   void Read(std::string_view key, bool* value);
   void Read(std::string_view key, std::string* value);
   void Read(std::string_view key, std::vector<std::string>* value);
-  // A text that must be one of `allowed`.
+  // Reads a string that must be one of `allowed`.
   void ReadChoice(std::string_view key, const std::vector<std::string>& allowed,
                   std::string* value);
   // Times are numbers in the unit that the key's suffix names.
@@ -51,7 +51,7 @@
   void Require(std::string_view key);
   // The sub-table, or null if there is none; a value of another type is an error.
   const toml::table* SubTable(std::string_view key);
-  // The tables of [[key]].
+  // The tables of the array [[key]].
   std::vector<const toml::table*> Tables(std::string_view key);
   TableReader Inner(const toml::table* table, const std::string& path) const {
     return {table, path, file_name_, errors_};
--- a/src/posthatch/fleettest/target_resolver.cc
+++ b/src/posthatch/fleettest/target_resolver.cc
@@ -19,7 +19,7 @@
 
 bool Matches(const Target& target, const ProcessInfo& process) {
   if (target.role != Role::kAny && target.role != process.role) return false;
-  // The inventory belongs to the fleet test: a target only if named explicitly.
+  // The inventory is part of the test harness and selected only by its name or role.
   if (target.role == Role::kAny && target.name != process.name &&
       process.role == Role::kInventory) {
     return false;
@@ -113,7 +113,7 @@
   std::vector<Fault> faults;
   runtime::Duration at = chaos.from;
   while (true) {
-    // Half to one and a half of the mean distance.
+    // Intervals are between half and one and a half times the mean.
     at += random->Between(chaos.every / 2, chaos.every * 3 / 2);
     if (at >= chaos.until) return faults;
     Fault fault;
