--- a/src/posthatch/fleettest/child_process-test.cc
+++ b/src/posthatch/fleettest/child_process-test.cc
@@ -16,7 +16,7 @@
 bool Exists(pid_t pid) { return kill(pid, 0) == 0 || errno != ESRCH; }
 
 void WaitForEnd(ChildProcess* child) {
-  for (int tries = 0; tries < 500 && child->running(); ++tries) {
+  for (int attempt = 0; attempt < 500 && child->running(); ++attempt) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
 }
--- a/src/posthatch/fleettest/child_process.cc
+++ b/src/posthatch/fleettest/child_process.cc
@@ -22,18 +22,18 @@
 // Process ids of running children; 0 marks a free slot. Lock-free, for the signal handler.
 std::array<std::atomic<pid_t>, kMaxChildren> running_children;
 
-bool Remember(pid_t pid) {
-  for (std::atomic<pid_t>& place : running_children) {
+bool RegisterChild(pid_t pid) {
+  for (std::atomic<pid_t>& slot : running_children) {
     pid_t empty = 0;
-    if (place.compare_exchange_strong(empty, pid)) return true;
+    if (slot.compare_exchange_strong(empty, pid)) return true;
   }
   return false;
 }
 
-void Forget(pid_t pid) {
-  for (std::atomic<pid_t>& place : running_children) {
+void UnregisterChild(pid_t pid) {
+  for (std::atomic<pid_t>& slot : running_children) {
     pid_t expected = pid;
-    place.compare_exchange_strong(expected, 0);
+    slot.compare_exchange_strong(expected, 0);
   }
 }
 
@@ -70,7 +70,7 @@
   posix_spawn_file_actions_destroy(&actions);
   if (error != 0) return SystemError("starting " + arguments.front(), error);
   std::unique_ptr<ChildProcess> child(new ChildProcess(pid));
-  if (!Remember(pid)) return absl::InternalError("too many children");
+  if (!RegisterChild(pid)) return absl::InternalError("too many children");
   return child;
 }
 
@@ -100,14 +100,14 @@
 
 void ChildProcess::RecordExit(int wait_status) {
   ended_ = true;
-  Forget(pid_);
+  UnregisterChild(pid_);
   end_ = WIFSIGNALED(wait_status) ? fmt::format("signal {}", WTERMSIG(wait_status))
                                   : fmt::format("exit code {}", WEXITSTATUS(wait_status));
 }
 
 void KillAllChildren() {
-  for (std::atomic<pid_t>& place : running_children) {
-    const pid_t pid = place.load();
+  for (std::atomic<pid_t>& slot : running_children) {
+    const pid_t pid = slot.load();
     if (pid > 0) kill(pid, SIGKILL);
   }
 }
--- a/src/posthatch/fleettest/command_line.cc
+++ b/src/posthatch/fleettest/command_line.cc
@@ -103,10 +103,10 @@
   char rest = 0;
   const int found = std::sscanf(text.c_str(), "%llu-%llu%c", &first, &last, &rest);
   if (found == 1) last = first;
-  const bool whole = found == 2 || (found == 1 && text.find('-') == std::string::npos);
+  const bool well_formed = found == 2 || (found == 1 && text.find('-') == std::string::npos);
   options->first_seed = first;
   options->last_seed = last;
-  return whole && first <= last && last - first < kMaxSeeds;
+  return well_formed && first <= last && last - first < kMaxSeeds;
 }
 
 int Simulate(const Arguments& arguments, const Scenario& scenario,
@@ -136,10 +136,10 @@
 void AddCommonOptions(CLI::App* command, Arguments* arguments) {
   command->add_option("scenario", arguments->scenario_file, "Scenario file (docs/FLEETTEST.md)")
       ->required();
-  command->add_option("--report", arguments->report_file, "Where the JSON report goes");
+  command->add_option("--report", arguments->report_file, "File for the JSON report");
   command
       ->add_option("--duration", arguments->duration_s,
-                   "Seconds of load, in place of the scenario's; later entries are left out")
+                   "Seconds of load, overriding the scenario; later entries are skipped")
       ->check(CLI::Range(1.0, 86400.0));
 }
 
@@ -167,23 +167,25 @@
   const fs::path programs = program.parent_path().parent_path();
   arguments.posthatchd = (programs / "server" / "posthatchd").string();
   arguments.posthatch_emulator = (programs / "emulator" / "posthatch-emulator").string();
-  CLI::App* list = app.add_subcommand("list", "Scenarios of a folder");
+  CLI::App* list = app.add_subcommand("list", "List the scenarios in a folder");
   list->add_option("folder", arguments.folder, "Folder of scenario files")->capture_default_str();
-  CLI::App* run = app.add_subcommand("run", "A fleet of real processes on this machine");
+  CLI::App* run = app.add_subcommand("run", "Run a scenario with real processes on this machine");
   AddCommonOptions(run, &arguments);
-  run->add_option("--seed", arguments.seed, "In place of the scenario's seed");
-  run->add_option("--run-folder", arguments.run_folder, "Settings, data and logs; must not exist");
+  run->add_option("--seed", arguments.seed, "Seed, overriding the scenario");
+  run->add_option("--run-folder", arguments.run_folder,
+                  "New folder for settings, data and logs; must not exist");
   run->add_option("--posthatchd", arguments.posthatchd, "Path of the program");
   run->add_option("--posthatch-emulator", arguments.posthatch_emulator, "Path of the program");
-  run->add_flag("--keep", arguments.keep, "Keep the run folder also after a pass");
-  run->add_flag("--no-baseline", arguments.no_baseline, "Leave out the round-robin run");
-  CLI::App* simulate = app.add_subcommand("simulate", "The simulator, many seeds");
+  run->add_flag("--keep", arguments.keep, "Keep the run folder even if the run passes");
+  run->add_flag("--no-baseline", arguments.no_baseline, "Skip the round-robin baseline run");
+  CLI::App* simulate =
+      app.add_subcommand("simulate", "Run many seeds of a scenario in the simulator");
   AddCommonOptions(simulate, &arguments);
   simulate->add_option("--seeds", arguments.seeds, "First and last seed, A-B")
       ->capture_default_str();
   simulate->add_option("--history-folder", arguments.history_folder,
-                       "Existing folder that gets each seed's history as JSON lines");
-  simulate->add_option("--threads", arguments.threads, "Seeds at once")
+                       "Existing folder for the history of each seed, as JSON lines");
+  simulate->add_option("--threads", arguments.threads, "Number of seeds run in parallel")
       ->check(CLI::Range(1u, kMaxThreads));
   simulate->add_flag("--verify-determinism", arguments.verify_determinism,
                      "Run each seed twice and compare the trace hashes");
--- a/src/posthatch/fleettest/fault_injector-test.cc
+++ b/src/posthatch/fleettest/fault_injector-test.cc
@@ -18,9 +18,9 @@
 using ::testing::IsEmpty;
 
 // A fleet that records the requested operations and runs on a simulated clock.
-class NotingFleet : public Fleet {
+class RecordingFleet : public Fleet {
  public:
-  NotingFleet() : world_(1) {
+  RecordingFleet() : world_(1) {
     simulation::SimHost* host = world_.AddHost("callers", "z0", "10.0.0.1");
     host->SetBoot([this](runtime::Runtime* runtime) -> std::shared_ptr<void> {
       runtime_ = runtime;
@@ -35,26 +35,30 @@
   runtime::Runtime* runtime() override { return runtime_; }
   HistoryRecorder* recorder() override { return recorder_.get(); }
   std::vector<ProcessInfo> processes() const override { return known_processes; }
-  absl::Status Kill(const std::string& name) override { return Note("kill " + name); }
-  absl::Status Stop(const std::string& name) override { return Note("stop " + name); }
+  absl::Status Kill(const std::string& name) override { return RecordOperation("kill " + name); }
+  absl::Status Stop(const std::string& name) override { return RecordOperation("stop " + name); }
   absl::Status Restart(const std::string& name) override {
     if (draining > 0) {
       --draining;
       return absl::UnavailableError("it is still running");
     }
-    return Note("restart " + name);
+    return RecordOperation("restart " + name);
   }
-  absl::Status Freeze(const std::string& name) override { return Note("freeze " + name); }
-  absl::Status Thaw(const std::string& name) override { return Note("thaw " + name); }
+  absl::Status Freeze(const std::string& name) override {
+    return RecordOperation("freeze " + name);
+  }
+  absl::Status Thaw(const std::string& name) override { return RecordOperation("thaw " + name); }
   absl::Status PowerOff(const std::string& /*name*/) override {
     return absl::UnimplementedError("no power switch");
   }
-  absl::Status ClearDisk(const std::string& name) override { return Note("clear " + name); }
+  absl::Status ClearDisk(const std::string& name) override {
+    return RecordOperation("clear " + name);
+  }
   absl::Status SetDiskDelay(const std::string& name, runtime::Duration /*delay*/) override {
-    return Note("slow " + name);
+    return RecordOperation("slow " + name);
   }
   absl::Status JumpClock(const std::string& name, runtime::Duration /*delta*/) override {
-    return Note("jump " + name);
+    return RecordOperation("jump " + name);
   }
   absl::Status SetLink(const std::string& from, const std::string& to, LinkState state) override {
     partitioned_links[from + ">" + to] = state.partitioned;
@@ -68,7 +72,7 @@
   }
   absl::StatusOr<std::vector<HistoryEvent>> TakeHistory() override { return events; }
 
-  std::vector<std::string> CutLinks() const {
+  std::vector<std::string> PartitionedLinks() const {
     std::vector<std::string> links;
     for (const auto& [link, partitioned] : partitioned_links) {
       if (partitioned) links.push_back(link);
@@ -80,14 +84,14 @@
       {"controller-1", Role::kController, "z1", {}, "10.0.0.2:80"},
       {"gateway-1", Role::kGateway, "z1", {}, "10.0.0.3:80"},
       {"gateway-2", Role::kGateway, "z2", {}, "10.0.0.4:80"}};
-  std::vector<std::string> notes;
+  std::vector<std::string> operations;
   std::vector<HistoryEvent> events;
   std::map<std::string, bool> partitioned_links;
   int draining = 0;
 
  private:
-  absl::Status Note(const std::string& note) {
-    notes.push_back(note);
+  absl::Status RecordOperation(const std::string& operation) {
+    operations.push_back(operation);
     return absl::OkStatus();
   }
 
@@ -111,7 +115,7 @@
     return fault;
   }
 
-  NotingFleet fleet_;
+  RecordingFleet fleet_;
   FaultInjector injector_;
   int changes_ = 0;
 };
@@ -119,16 +123,16 @@
 TEST_F(FaultInjectorTest, InjectsEndsAndRecordsFault) {
   injector_.Start({MakeFault(FaultKind::kDiskLoss, "controller-1", 2, 3)});
   fleet_.RunFor(seconds(4));
-  EXPECT_THAT(fleet_.notes, ElementsAre("kill controller-1", "clear controller-1"));
+  EXPECT_THAT(fleet_.operations, ElementsAre("kill controller-1", "clear controller-1"));
   fleet_.RunFor(seconds(2));
-  EXPECT_EQ(fleet_.notes.back(), "restart controller-1");
+  EXPECT_EQ(fleet_.operations.back(), "restart controller-1");
   ASSERT_EQ(fleet_.events.size(), 2u);
   EXPECT_EQ(fleet_.events[0].fault_injected().kind(), "disk_loss");
   EXPECT_TRUE(fleet_.events[1].fault_injected().ended());
   EXPECT_EQ(fleet_.events[1].time_ns() - fleet_.events[0].time_ns(), 3'000'000'000);
 }
 
-TEST_F(FaultInjectorTest, ReportsUnsupportedFaults) {
+TEST_F(FaultInjectorTest, ReportsUnsupportedFaultAsNotApplicable) {
   injector_.Start({MakeFault(FaultKind::kPowerLoss, "controller-1", 1, 3)});
   fleet_.RunFor(seconds(2));
   ASSERT_EQ(injector_.outcomes().size(), 1u);
@@ -141,7 +145,7 @@
                    MakeFault(FaultKind::kKill, "gateway-1", 2, 1),
                    MakeFault(FaultKind::kKill, "nobody", 2, 1)});
   fleet_.RunFor(seconds(10));
-  EXPECT_THAT(fleet_.notes, ElementsAre("freeze gateway-1", "thaw gateway-1"));
+  EXPECT_THAT(fleet_.operations, ElementsAre("freeze gateway-1", "thaw gateway-1"));
   ASSERT_EQ(injector_.outcomes().size(), 3u);
   EXPECT_THAT(injector_.outcomes()[1].result, HasSubstr("skipped"));
   EXPECT_THAT(injector_.outcomes()[2].result, HasSubstr("no process matches"));
@@ -151,9 +155,9 @@
   fleet_.draining = 4;
   injector_.Start({MakeFault(FaultKind::kStop, "gateway-1", 1, 1)});
   fleet_.RunFor(seconds(2));
-  EXPECT_THAT(fleet_.notes, ElementsAre("stop gateway-1"));
+  EXPECT_THAT(fleet_.operations, ElementsAre("stop gateway-1"));
   fleet_.RunFor(seconds(2));
-  EXPECT_THAT(fleet_.notes, ElementsAre("stop gateway-1", "restart gateway-1"));
+  EXPECT_THAT(fleet_.operations, ElementsAre("stop gateway-1", "restart gateway-1"));
 }
 
 TEST_F(FaultInjectorTest, OverlappingPartitionsHealTogether) {
@@ -162,12 +166,13 @@
   one_way.peer.role = Role::kController;
   injector_.Start({one_way, MakeFault(FaultKind::kPartition, "gateway-1", 2, 4)});
   fleet_.RunFor(seconds(1) + std::chrono::milliseconds(500));
-  EXPECT_THAT(fleet_.CutLinks(), ElementsAre("gateway-1>controller-1"));
+  EXPECT_THAT(fleet_.PartitionedLinks(), ElementsAre("gateway-1>controller-1"));
   fleet_.RunFor(seconds(3));
-  EXPECT_THAT(fleet_.CutLinks(), ElementsAre("controller-1>gateway-1", "gateway-1>controller-1",
-                                             "gateway-1>gateway-2", "gateway-2>gateway-1"));
+  EXPECT_THAT(fleet_.PartitionedLinks(),
+              ElementsAre("controller-1>gateway-1", "gateway-1>controller-1", "gateway-1>gateway-2",
+                          "gateway-2>gateway-1"));
   fleet_.RunFor(seconds(2));
-  EXPECT_THAT(fleet_.CutLinks(), IsEmpty());
+  EXPECT_THAT(fleet_.PartitionedLinks(), IsEmpty());
 }
 
 TEST_F(FaultInjectorTest, EndAllEndsActiveFaults) {
@@ -176,9 +181,10 @@
                    MakeFault(FaultKind::kKill, "controller-1", 1, 500)});
   fleet_.RunFor(seconds(2));
   injector_.EndAll();
-  EXPECT_THAT(fleet_.CutLinks(), IsEmpty());
-  EXPECT_EQ(std::count(fleet_.notes.begin(), fleet_.notes.end(), "thaw gateway-1"), 1);
-  EXPECT_EQ(std::count(fleet_.notes.begin(), fleet_.notes.end(), "restart controller-1"), 1);
+  EXPECT_THAT(fleet_.PartitionedLinks(), IsEmpty());
+  EXPECT_EQ(std::count(fleet_.operations.begin(), fleet_.operations.end(), "thaw gateway-1"), 1);
+  EXPECT_EQ(std::count(fleet_.operations.begin(), fleet_.operations.end(), "restart controller-1"),
+            1);
 }
 
 TEST_F(FaultInjectorTest, ReplacementNotifiesFleet) {
@@ -198,16 +204,16 @@
   Chaos chaos;
   chaos.kinds = {FaultKind::kKill, FaultKind::kPartition, FaultKind::kEvents};
   chaos.until = std::chrono::minutes(2);
-  runtime::Random one(7);
-  runtime::Random same(7);
-  const std::vector<Fault> faults = DrawChaos(chaos, &one);
-  const std::vector<Fault> again = DrawChaos(chaos, &same);
-  ASSERT_EQ(faults.size(), again.size());
+  runtime::Random first(7);
+  runtime::Random second(7);
+  const std::vector<Fault> faults = DrawChaos(chaos, &first);
+  const std::vector<Fault> repeated = DrawChaos(chaos, &second);
+  ASSERT_EQ(faults.size(), repeated.size());
   EXPECT_GT(faults.size(), 10u);
   for (size_t index = 0; index < faults.size(); ++index) {
-    EXPECT_EQ(faults[index].kind, again[index].kind);
-    EXPECT_EQ(faults[index].at, again[index].at);
-    EXPECT_EQ(faults[index].target.role, again[index].target.role);
+    EXPECT_EQ(faults[index].kind, repeated[index].kind);
+    EXPECT_EQ(faults[index].at, repeated[index].at);
+    EXPECT_EQ(faults[index].target.role, repeated[index].target.role);
   }
 }
 
--- a/src/posthatch/fleettest/fault_injector.cc
+++ b/src/posthatch/fleettest/fault_injector.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr runtime::Duration kRestartRetry = std::chrono::milliseconds(250);
+constexpr runtime::Duration kRestartRetryInterval = std::chrono::milliseconds(250);
 // After a lost disk the controller has to catch up before a random fault takes another disk.
 constexpr runtime::Duration kDiskRepairTime = std::chrono::seconds(15);
 
@@ -82,7 +82,8 @@
 
 void FaultInjector::Begin(const Fault& fault, bool chaos) {
   if (!environment_.fleet->Supports(fault.kind)) {
-    return AddOutcome(fault, fault.target.name, "not applicable: this kind of fleet can't do it");
+    return AddOutcome(fault, fault.target.name,
+                      "not applicable: not supported by this kind of fleet");
   }
   const std::vector<ProcessInfo> targets =
       ResolveTarget(fault.target, environment_.fleet->processes(), environment_.leader(),
@@ -117,7 +118,7 @@
 std::string FaultInjector::SkipReason(const Fault& fault, const ProcessInfo& process,
                                       bool chaos) const {
   if (DisruptsProcess(fault.kind) && busy_.count(process.name) > 0) {
-    return "another fault holds the process";
+    return "another fault is active at the process";
   }
   if (chaos && fault.kind == FaultKind::kDiskLoss && disk_was_lost_ &&
       environment_.fleet->runtime()->clock->Now() < last_disk_loss_ + kDiskRepairTime) {
@@ -168,16 +169,17 @@
   const std::vector<ProcessInfo> all = environment_.fleet->processes();
   const std::string leader = environment_.leader();
   runtime::Random* random = environment_.fleet->runtime()->random;
-  const bool everyone = fault.peer.role == Role::kAny && fault.peer.name.empty() &&
-                        fault.peer.zone.empty() && fault.peer.label.empty();
+  const bool all_peers = fault.peer.role == Role::kAny && fault.peer.name.empty() &&
+                         fault.peer.zone.empty() && fault.peer.label.empty();
   // Processes partitioned by the same fault remain connected to each other.
-  const std::vector<ProcessInfo> inside = ResolveTarget(fault.target, all, leader, random);
-  for (const ProcessInfo& peer : everyone ? all : ResolveTarget(fault.peer, all, leader, random)) {
+  const std::vector<ProcessInfo> targets = ResolveTarget(fault.target, all, leader, random);
+  for (const ProcessInfo& peer : all_peers ? all : ResolveTarget(fault.peer, all, leader, random)) {
     const bool picked = fault.target.name == "random" || fault.target.name == "leader";
-    const bool together =
-        !picked && std::any_of(inside.begin(), inside.end(),
-                               [&](const auto& one) { return one.name == peer.name; });
-    if (peer.name == process.name || (everyone && together)) continue;
+    const bool same_side =
+        !picked && std::any_of(targets.begin(), targets.end(), [&](const auto& target_process) {
+          return target_process.name == peer.name;
+        });
+    if (peer.name == process.name || (all_peers && same_side)) continue;
     active->links.emplace_back(process.name, peer.name);
     if (!fault.one_way) active->links.emplace_back(peer.name, process.name);
   }
@@ -234,7 +236,7 @@
     case FaultKind::kDiskLoss:
     case FaultKind::kPowerLoss:
     case FaultKind::kMoveSeed:
-      return RestartUntilItRuns(active);
+      return RestartWithRetries(active);
     case FaultKind::kFreeze:
       status = fleet->Thaw(name);
       break;
@@ -263,7 +265,7 @@
   Finish(active);
 }
 
-void FaultInjector::RestartUntilItRuns(const std::shared_ptr<ActiveFault>& active) {
+void FaultInjector::RestartWithRetries(const std::shared_ptr<ActiveFault>& active) {
   Fleet* fleet = environment_.fleet;
   const std::string& name = active->process.name;
   const bool moves = active->fault.kind == FaultKind::kMoveSeed;
@@ -278,7 +280,7 @@
   }
   // The process is still draining.
   timers_.push_back(std::make_unique<runtime::Timer>(fleet->runtime()->timers));
-  timers_.back()->Start(kRestartRetry, [this, active] { RestartUntilItRuns(active); });
+  timers_.back()->Start(kRestartRetryInterval, [this, active] { RestartWithRetries(active); });
 }
 
 void FaultInjector::Finish(const std::shared_ptr<ActiveFault>& active) {
@@ -288,8 +290,8 @@
 }
 
 void FaultInjector::EndAll() {
-  const std::vector<std::shared_ptr<ActiveFault>> lasting = active_;
-  for (const auto& active : lasting) End(active);
+  const std::vector<std::shared_ptr<ActiveFault>> remaining = active_;
+  for (const auto& active : remaining) End(active);
 }
 
 void FaultInjector::RecordFault(const ActiveFault& active, bool ended) const {
--- a/src/posthatch/fleettest/fault_injector.h
+++ b/src/posthatch/fleettest/fault_injector.h
@@ -60,7 +60,7 @@
   absl::Status ApplyLinks(const Fault& fault, const ProcessInfo& process, ActiveFault* active);
   absl::Status ApplyReplace(const ProcessInfo& process);
   void End(const std::shared_ptr<ActiveFault>& active);
-  void RestartUntilItRuns(const std::shared_ptr<ActiveFault>& active);
+  void RestartWithRetries(const std::shared_ptr<ActiveFault>& active);
   void Finish(const std::shared_ptr<ActiveFault>& active);
   // Adds a fault to a link (`change` +1) or removes it (-1).
   absl::Status ChangeLink(const std::string& from, const std::string& to, bool partitioned,
--- a/src/posthatch/fleettest/fleet_plan.cc
+++ b/src/posthatch/fleettest/fleet_plan.cc
@@ -27,13 +27,13 @@
 }
 
 emulator::OperationTraffic ServiceCall(double share, const std::string& operation,
-                                       bool non_repeatable) {
+                                       bool non_idempotent) {
   emulator::OperationTraffic traffic;
   traffic.kind = emulator::OperationKind::kService;
   traffic.share = share;
   traffic.service = kService;
   traffic.operation = operation;
-  traffic.non_repeatable = non_repeatable;
+  traffic.non_repeatable = non_idempotent;
   return traffic;
 }
 
--- a/src/posthatch/fleettest/free_port.cc
+++ b/src/posthatch/fleettest/free_port.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr int kTries = 50;
+constexpr int kMaxAttempts = 50;
 
 class Socket {
  public:
@@ -40,20 +40,20 @@
 }  // namespace
 
 absl::StatusOr<uint16_t> FindFreePort(const std::string& address) {
-  sockaddr_in wanted{};
-  wanted.sin_family = AF_INET;
-  if (inet_pton(AF_INET, address.c_str(), &wanted.sin_addr) != 1) {
+  sockaddr_in socket_address{};
+  socket_address.sin_family = AF_INET;
+  if (inet_pton(AF_INET, address.c_str(), &socket_address.sin_addr) != 1) {
     return absl::InvalidArgumentError("not an address: " + address);
   }
-  for (int tries = 0; tries < kTries; ++tries) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     const Socket stream(SOCK_STREAM);
-    wanted.sin_port = 0;
-    if (!stream.Bind(wanted)) {
+    socket_address.sin_port = 0;
+    if (!stream.Bind(socket_address)) {
       return absl::InternalError(address + ": " + std::strerror(errno));
     }
-    wanted.sin_port = htons(stream.BoundPort());
+    socket_address.sin_port = htons(stream.BoundPort());
     const Socket datagram(SOCK_DGRAM);
-    if (datagram.Bind(wanted)) return stream.BoundPort();
+    if (datagram.Bind(socket_address)) return stream.BoundPort();
   }
   return absl::ResourceExhaustedError(address + ": no free port");
 }
--- a/src/posthatch/fleettest/inventory_publisher.cc
+++ b/src/posthatch/fleettest/inventory_publisher.cc
@@ -42,9 +42,9 @@
         EntryJson(InventoryEntry(plan, process.http_endpoint), draining_.count(process.name) > 0));
   }
   const std::string body = json::serialize(json::object{{"backends", std::move(backends)}});
-  if (body == last_ || inventory_endpoint_.empty()) return;
-  const bool first = last_.empty();
-  last_ = body;
+  if (body == last_inventory_ || inventory_endpoint_.empty()) return;
+  const bool first = last_inventory_.empty();
+  last_inventory_ = body;
   if (!first) control_->Put(inventory_endpoint_, "/debug/backends", body, nullptr);
 }
 
--- a/src/posthatch/fleettest/inventory_publisher.h
+++ b/src/posthatch/fleettest/inventory_publisher.h
@@ -26,7 +26,7 @@
   const Scenario* const scenario_;
   std::set<std::string> draining_;
   std::string inventory_endpoint_;
-  std::string last_;
+  std::string last_inventory_;
 };
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/operation_runner.cc
+++ b/src/posthatch/fleettest/operation_runner.cc
@@ -16,7 +16,7 @@
 namespace {
 
 // A tenant without keys. Configuration changes without effect on traffic set its label.
-constexpr const char* kNotesTenant = "rehearsal-notes";
+constexpr const char* kLabelledTenant = "rehearsal-notes";
 constexpr const char* kIsolatedLabel = "isolated";
 
 // The version in the body of GET /admin/v1/configuration; 0 if it names none.
@@ -30,11 +30,11 @@
   return error ? 0 : number;
 }
 
-control::ConfigurationPatch NotePatch(const std::string& note) {
+control::ConfigurationPatch LabelPatch(const std::string& label) {
   control::ConfigurationPatch patch;
   control::Tenant* tenant = patch.mutable_upsert()->add_tenants();
-  tenant->set_name(kNotesTenant);
-  (*tenant->mutable_labels())["note"] = note;
+  tenant->set_name(kLabelledTenant);
+  (*tenant->mutable_labels())["note"] = label;
   return patch;
 }
 
@@ -61,9 +61,9 @@
   runtime::Runtime* runtime = environment_.fleet->runtime();
   started_ = runtime->clock->Now();
   for (const Operation& operation : operations) {
-    for (uint32_t turn = 0; turn < operation.repeat; ++turn) {
+    for (uint32_t repetition = 0; repetition < operation.repeat; ++repetition) {
       timers_.push_back(std::make_unique<runtime::Timer>(runtime->timers));
-      timers_.back()->Start(operation.at + operation.every * turn,
+      timers_.back()->Start(operation.at + operation.every * repetition,
                             [this, operation] { Execute(operation); });
     }
   }
@@ -74,20 +74,21 @@
     case OperationKind::kConfigurationChange:
       return ChangeConfiguration();
     case OperationKind::kRacingChange:
-      return RaceForVersion();
+      return StartRacingChange();
     case OperationKind::kKeyRotation:
       if (!std::exchange(rotating_, true)) environment_.rotating_operator->Start();
-      return AddOutcome(operation.kind, "", "rotating from now on");
+      return AddOutcome(operation.kind, "", "rotation started");
     case OperationKind::kEvacuate:
     case OperationKind::kLift:
       // The evacuation is named after its zone, by which the checks find it.
       return environment_.first_operator->Evacuate(operation.zone, operation.zone,
                                                    operation.kind == OperationKind::kLift,
-                                                   Report(operation, operation.zone));
+                                                   ReportOutcome(operation, operation.zone));
     case OperationKind::kDrainMark:
       return SetDrainMark(operation);
     case OperationKind::kModelRevision:
-      return ReviseModel(operation.model.empty() ? environment_.first_model : operation.model);
+      return ChangeModelRevision(operation.model.empty() ? environment_.first_model
+                                                         : operation.model);
     case OperationKind::kIsolationChange:
       return ChangeIsolation(operation);
   }
@@ -95,12 +96,13 @@
 
 void OperationRunner::ChangeConfiguration() {
   Operation operation;
-  const std::string note = fmt::format("change-{}", ++changes_);
-  environment_.first_operator->PatchConfiguration(NotePatch(note), 0, "", Report(operation, note));
+  const std::string label = fmt::format("change-{}", ++changes_);
+  environment_.first_operator->PatchConfiguration(LabelPatch(label), 0, "",
+                                                  ReportOutcome(operation, label));
 }
 
 // Reads the newest version, which both operators then send as the expected version.
-void OperationRunner::RaceForVersion() {
+void OperationRunner::StartRacingChange() {
   std::vector<std::string> nodes;
   for (const ProcessInfo& process : environment_.fleet->processes()) {
     if (process.role == Role::kGateway) nodes.push_back(process.http_endpoint);
@@ -109,19 +111,19 @@
   environment_.control->Get(
       node, "/admin/v1/configuration", [this](const absl::Status& status, const std::string& body) {
         const uint64_t version = status.ok() ? VersionIn(body) : 0;
-        if (version > 0) return SendRace(version);
+        if (version > 0) return SendRacingChanges(version);
         AddOutcome(OperationKind::kRacingChange, "", "skipped: the newest version isn't known");
       });
 }
 
-void OperationRunner::SendRace(uint64_t version) {
+void OperationRunner::SendRacingChanges(uint64_t version) {
   Operation operation;
   operation.kind = OperationKind::kRacingChange;
-  const std::string note = fmt::format("race-{}", ++changes_);
-  environment_.first_operator->PatchConfiguration(NotePatch(note + "-first"), version, "",
-                                                  Report(operation, note + "-first"));
-  environment_.second_operator->PatchConfiguration(NotePatch(note + "-second"), version, "",
-                                                   Report(operation, note + "-second"));
+  const std::string label = fmt::format("race-{}", ++changes_);
+  environment_.first_operator->PatchConfiguration(LabelPatch(label + "-first"), version, "",
+                                                  ReportOutcome(operation, label + "-first"));
+  environment_.second_operator->PatchConfiguration(LabelPatch(label + "-second"), version, "",
+                                                   ReportOutcome(operation, label + "-second"));
 }
 
 void OperationRunner::SetDrainMark(const Operation& operation) {
@@ -143,11 +145,11 @@
       });
 }
 
-void OperationRunner::ReviseModel(const std::string& model) {
+void OperationRunner::ChangeModelRevision(const std::string& model) {
   Operation operation;
   operation.kind = OperationKind::kModelRevision;
   environment_.first_operator->SetModelRevision(model, fmt::format("weights-{}", ++revisions_),
-                                                Report(operation, model));
+                                                ReportOutcome(operation, model));
 }
 
 void OperationRunner::ChangeIsolation(const Operation& operation) {
@@ -163,16 +165,17 @@
   *patch.mutable_upsert()->add_tenants() = *found;
   const std::string detail =
       fmt::format("{}={}", operation.isolated ? "isolate" : "share", found->name());
-  environment_.first_operator->PatchConfiguration(patch, 0, detail, Report(operation, detail));
+  environment_.first_operator->PatchConfiguration(patch, 0, detail,
+                                                  ReportOutcome(operation, detail));
 }
 
-emulator::OperatorEmulator::ChangeDone OperationRunner::Report(const Operation& operation,
-                                                               const std::string& target) {
+emulator::OperatorEmulator::ChangeDone OperationRunner::ReportOutcome(const Operation& operation,
+                                                                      const std::string& target) {
   return [this, kind = operation.kind, target](const emulator::ChangeOutcome& outcome) {
     if (outcome.acknowledged) {
       AddOutcome(kind, target, fmt::format("acknowledged as {}", outcome.version));
     } else {
-      AddOutcome(kind, target, outcome.refused ? "refused: " + outcome.code : "no answer");
+      AddOutcome(kind, target, outcome.refused ? "refused: " + outcome.code : "no response");
     }
   };
 }
--- a/src/posthatch/fleettest/operation_runner.h
+++ b/src/posthatch/fleettest/operation_runner.h
@@ -44,13 +44,13 @@
  private:
   void Execute(const Operation& operation);
   void ChangeConfiguration();
-  void RaceForVersion();
-  void SendRace(uint64_t version);
+  void StartRacingChange();
+  void SendRacingChanges(uint64_t version);
   void SetDrainMark(const Operation& operation);
-  void ReviseModel(const std::string& model);
+  void ChangeModelRevision(const std::string& model);
   void ChangeIsolation(const Operation& operation);
-  emulator::OperatorEmulator::ChangeDone Report(const Operation& operation,
-                                                const std::string& target);
+  emulator::OperatorEmulator::ChangeDone ReportOutcome(const Operation& operation,
+                                                       const std::string& target);
   void AddOutcome(OperationKind kind, const std::string& target, const std::string& result);
 
   Environment environment_;
--- a/src/posthatch/fleettest/process_control_client.cc
+++ b/src/posthatch/fleettest/process_control_client.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr runtime::Duration kAnswerTimeout = std::chrono::seconds(3);
+constexpr runtime::Duration kResponseTimeout = std::chrono::seconds(3);
 constexpr int kOk = 200;
 constexpr int kFirstRedirect = 300;
 
@@ -44,17 +44,17 @@
   pending->done = std::move(done);
   pending_[id] = pending;
   http::CallOptions options;
-  options.head_timeout = kAnswerTimeout;
-  options.body_idle_timeout = kAnswerTimeout;
+  options.head_timeout = kResponseTimeout;
+  options.body_idle_timeout = kResponseTimeout;
   options.fresh_connection = true;
   http::CallObserver observer;
   observer.on_head = [pending](const http::Response& head) { pending->status = head.status; };
-  observer.on_chunk = [pending](const std::string& piece) { pending->body += piece; };
+  observer.on_chunk = [pending](const std::string& chunk) { pending->body += chunk; };
   observer.on_end = [this, id, pending] {
-    const bool good = pending->status >= kOk && pending->status < kFirstRedirect;
-    Finish(id, good ? absl::OkStatus()
-                    : absl::UnavailableError(
-                          fmt::format("status {}: {}", pending->status, pending->body)));
+    const bool succeeded = pending->status >= kOk && pending->status < kFirstRedirect;
+    Finish(id, succeeded ? absl::OkStatus()
+                         : absl::UnavailableError(
+                               fmt::format("status {}: {}", pending->status, pending->body)));
   };
   observer.on_error = [this, id](const http::CallError& error) { Finish(id, error.status); };
   pending->call = runtime_->http_client->Start(endpoint, std::move(request), options, observer);
--- a/src/posthatch/fleettest/readiness_watch.cc
+++ b/src/posthatch/fleettest/readiness_watch.cc
@@ -16,24 +16,24 @@
 
 void ReadinessWatch::Start(const std::vector<ProcessInfo>& processes) {
   processes_ = processes;
-  for (const ProcessInfo& process : processes) state_->waiting.insert(process.name);
+  for (const ProcessInfo& process : processes) state_->pending.insert(process.name);
   Poll();
 }
 
 void ReadinessWatch::Poll() {
   for (const ProcessInfo& process : processes_) {
-    if (state_->waiting.count(process.name) == 0) continue;
+    if (state_->pending.count(process.name) == 0) continue;
     control_->Get(process.http_endpoint, "/readyz",
                   [state = state_, name = process.name](const absl::Status& status,
                                                         const std::string& /*body*/) {
-                    if (status.ok()) state->waiting.erase(name);
+                    if (status.ok()) state->pending.erase(name);
                   });
   }
   timer_.Start(kPollInterval, [this] { Poll(); });
 }
 
 std::string ReadinessWatch::NotReady() const {
-  return fmt::format("{}", fmt::join(state_->waiting, ", "));
+  return fmt::format("{}", fmt::join(state_->pending, ", "));
 }
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/readiness_watch.h
+++ b/src/posthatch/fleettest/readiness_watch.h
@@ -18,14 +18,14 @@
   ReadinessWatch& operator=(const ReadinessWatch&) = delete;
 
   void Start(const std::vector<ProcessInfo>& processes);
-  bool AllReady() const { return state_->waiting.empty(); }
+  bool AllReady() const { return state_->pending.empty(); }
   // Names of the processes that are not ready, for messages.
   std::string NotReady() const;
 
  private:
   // Outlives the watch while responses are pending.
   struct State {
-    std::set<std::string> waiting;
+    std::set<std::string> pending;
   };
   void Poll();
 
--- a/src/posthatch/fleettest/real_fleet.cc
+++ b/src/posthatch/fleettest/real_fleet.cc
@@ -20,7 +20,7 @@
 namespace fs = std::filesystem;
 
 constexpr uint32_t kNetwork = 127;
-constexpr runtime::Duration kFaultRetry = std::chrono::milliseconds(300);
+constexpr runtime::Duration kFaultRetryInterval = std::chrono::milliseconds(300);
 constexpr int kMaxFaultAttempts = 20;
 constexpr size_t kOutputTail = 600;
 
@@ -81,8 +81,8 @@
   std::error_code error;
   fs::create_directories(member->data_folder(), error);
   if (error) return absl::InternalError(member->folder + ": " + error.message());
-  absl::Status placed = AssignAddress(member.get(), 0);
-  if (!placed.ok()) return placed;
+  absl::Status assigned = AssignAddress(member.get(), 0);
+  if (!assigned.ok()) return assigned;
   newest_number_[plan.role] = std::max(newest_number_[plan.role], plan.number);
   histories_.push_back(member->history_file());
   members_.push_back(std::move(member));
@@ -303,7 +303,7 @@
       [this, name, attempts_left](const absl::Status& status, const std::string& /*body*/) {
         if (status.ok()) return;
         timers_.push_back(std::make_unique<runtime::Timer>(runtime_.timers));
-        timers_.back()->Start(kFaultRetry,
+        timers_.back()->Start(kFaultRetryInterval,
                               [this, name, attempts_left] { SendFaults(name, attempts_left - 1); });
       });
 }
--- a/src/posthatch/fleettest/real_run.cc
+++ b/src/posthatch/fleettest/real_run.cc
@@ -14,16 +14,17 @@
 
 namespace fs = std::filesystem;
 
-absl::StatusOr<std::string> MakeRunFolder(const std::string& wanted) {
+absl::StatusOr<std::string> MakeRunFolder(const std::string& requested) {
   std::error_code error;
-  if (!wanted.empty()) {
-    if (!fs::create_directories(wanted, error)) {
-      return absl::FailedPreconditionError(wanted + ": exists, or can't be made");
+  if (!requested.empty()) {
+    if (!fs::create_directories(requested, error)) {
+      return absl::FailedPreconditionError(requested + ": exists or can't be created");
     }
-    return fs::absolute(wanted).string();
+    return fs::absolute(requested).string();
   }
   std::string pattern = (fs::temp_directory_path() / "posthatch-fleettest-XXXXXX").string();
-  if (mkdtemp(pattern.data()) == nullptr) return absl::InternalError(pattern + ": can't be made");
+  if (mkdtemp(pattern.data()) == nullptr)
+    return absl::InternalError(pattern + ": can't be created");
   return pattern;
 }
 
@@ -60,7 +61,8 @@
   report.seed = scenario.seed;
   RunFleet(scenario, options, *folder + "/fleet", /*round_robin=*/false, &report);
   if (scenario.round_robin_baseline && report.failure.empty()) {
-    if (options.on_progress) options.on_progress("the same traffic with round-robin routing:");
+    if (options.on_progress)
+      options.on_progress("running the same traffic with round-robin routing:");
     ScenarioReport baseline;
     RunFleet(scenario, options, *folder + "/baseline", /*round_robin=*/true, &baseline);
     if (baseline.failure.empty()) {
@@ -72,7 +74,7 @@
   if (Passed(report) && !options.keep_run_folder) {
     fs::remove_all(*folder, error);
   } else if (options.on_progress) {
-    options.on_progress("settings, data and logs are kept in " + *folder);
+    options.on_progress("settings, data and logs are in " + *folder);
   }
   return report;
 }
--- a/src/posthatch/fleettest/report.cc
+++ b/src/posthatch/fleettest/report.cc
@@ -13,16 +13,16 @@
 
 namespace json = boost::json;
 
-const NotExamined* ExcusedIn(const ScenarioReport& report, const std::string& id) {
-  for (const NotExamined& excused : report.not_examined) {
-    if (excused.check == id) return &excused;
+const NotExamined* FindExemption(const ScenarioReport& report, const std::string& id) {
+  for (const NotExamined& exemption : report.not_examined) {
+    if (exemption.check == id) return &exemption;
   }
   return nullptr;
 }
 
 bool CheckPassed(const ScenarioReport& report, const CheckResult& check) {
   if (check.violations() > 0) return false;
-  return check.examined() > 0 || ExcusedIn(report, check.id()) != nullptr;
+  return check.examined() > 0 || FindExemption(report, check.id()) != nullptr;
 }
 
 json::object PercentilesJson(const Percentiles& percentiles) {
@@ -47,8 +47,8 @@
                           {"violations", check.violations()},
                           {"passed", CheckPassed(report, check)}};
     entry["examples"] = json::array(check.examples().begin(), check.examples().end());
-    if (const NotExamined* excused = ExcusedIn(report, check.id())) {
-      entry["not_examined_because"] = excused->reason;
+    if (const NotExamined* exemption = FindExemption(report, check.id())) {
+      entry["not_examined_because"] = exemption->reason;
     }
     invariants.push_back(std::move(entry));
   }
@@ -119,17 +119,17 @@
 }
 
 std::string CheckLine(const ScenarioReport& report, const CheckResult& check) {
-  const NotExamined* excused = ExcusedIn(report, check.id());
+  const NotExamined* exemption = FindExemption(report, check.id());
   const char* verdict = "ok";
   if (check.violations() > 0) {
     verdict = "VIOLATED";
   } else if (check.examined() == 0) {
-    verdict = excused != nullptr ? "not examined" : "SAW NOTHING";
+    verdict = exemption != nullptr ? "not examined" : "NO CASES";
   }
   std::string line = fmt::format("  {:<4} {:>9} {:>10}  {:<12}  {}\n", check.id(), check.examined(),
                                  check.violations(), verdict, check.title());
-  if (check.examined() == 0 && excused != nullptr) {
-    line += fmt::format("         because {}\n", excused->reason);
+  if (check.examined() == 0 && exemption != nullptr) {
+    line += fmt::format("         because {}\n", exemption->reason);
   }
   for (const std::string& example : check.examples()) {
     line += fmt::format("         {}\n", example);
@@ -225,7 +225,7 @@
     if (CheckPassed(report, check)) continue;
     findings += check.violations() > 0
                     ? fmt::format(" {}:{} violations", check.id(), check.violations())
-                    : fmt::format(" {}:saw nothing", check.id());
+                    : fmt::format(" {}:no cases", check.id());
   }
   if (!report.failure.empty()) findings += " failure: " + report.failure;
   if (!report.deterministic) findings += " not deterministic";
--- a/src/posthatch/fleettest/response_dropping_client.cc
+++ b/src/posthatch/fleettest/response_dropping_client.cc
@@ -6,9 +6,9 @@
 
 void ResponseDroppingClient::SetDropProbability(const std::string& endpoint, double probability) {
   if (probability > 0) {
-    loss_by_endpoint_[endpoint] = probability;
+    drop_probabilities_[endpoint] = probability;
   } else {
-    loss_by_endpoint_.erase(endpoint);
+    drop_probabilities_.erase(endpoint);
   }
 }
 
@@ -16,17 +16,17 @@
                                                           http::Request request,
                                                           http::CallOptions options,
                                                           http::CallObserver observer) {
-  const auto loss = loss_by_endpoint_.find(endpoint);
-  if (loss == loss_by_endpoint_.end() || !random_->Chance(loss->second)) {
+  const auto drop_probability = drop_probabilities_.find(endpoint);
+  if (drop_probability == drop_probabilities_.end() || !random_->Chance(drop_probability->second)) {
     return client_->Start(endpoint, std::move(request), options, std::move(observer));
   }
   ++dropped_responses_;
-  http::CallObserver losing;
-  losing.on_error = observer.on_error;
-  losing.on_end = [on_error = observer.on_error] {
+  http::CallObserver dropping_observer;
+  dropping_observer.on_error = observer.on_error;
+  dropping_observer.on_end = [on_error = observer.on_error] {
     on_error({absl::DataLossError("the answer was lost"), http::CallProgress::kSent});
   };
-  return client_->Start(endpoint, std::move(request), options, std::move(losing));
+  return client_->Start(endpoint, std::move(request), options, std::move(dropping_observer));
 }
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/response_dropping_client.h
+++ b/src/posthatch/fleettest/response_dropping_client.h
@@ -33,7 +33,7 @@
  private:
   http::HttpClient* const client_;
   runtime::Random* const random_;
-  std::map<std::string, double> loss_by_endpoint_;
+  std::map<std::string, double> drop_probabilities_;
   uint64_t dropped_responses_ = 0;
 };
 
--- a/src/posthatch/fleettest/scenario_loader-test.cc
+++ b/src/posthatch/fleettest/scenario_loader-test.cc
@@ -83,7 +83,7 @@
               ::testing::UnorderedElementsAre(
                   HasSubstr("bad.toml:1: name: is missing"),
                   HasSubstr("bad.toml:3: fleet.controllers: 90 is out of range (allowed: 1 to 7)"),
-                  HasSubstr("bad.toml:4: fleet.gateways: wrong type (allowed: whole number)"),
+                  HasSubstr("bad.toml:4: fleet.gateways: wrong type (allowed: integer)"),
                   HasSubstr("bad.toml:5: fleet.runners: unknown key (allowed: controllers"),
                   HasSubstr("bad.toml:7: traffic.preset: unknown \"fast\" (allowed: mixed, "),
                   HasSubstr("bad.toml:9: fault[0].kind: unknown \"explode\" (allowed: kill, "),
--- a/src/posthatch/fleettest/scenario_loader.cc
+++ b/src/posthatch/fleettest/scenario_loader.cc
@@ -90,18 +90,18 @@
   }
   const bool any = target.role == Role::kAny && target.name.empty() && target.zone.empty() &&
                    target.label.empty();
-  if (any) reader.Fail("name", "the target names nothing (allowed: role, name, zone, label)");
+  if (any) reader.Fail("name", "the target selects nothing (allowed: role, name, zone, label)");
   reader.Finish();
   return target;
 }
 
-void ReadTimes(TableReader* reader, const Scenario& scenario, runtime::Duration* at) {
+void ReadStartTime(TableReader* reader, const Scenario& scenario, runtime::Duration* at) {
   reader->Require("at_s");
   const double end = std::chrono::duration<double>(scenario.duration).count();
   reader->ReadSeconds("at_s", 0, end, at);
 }
 
-std::vector<std::string> ModesOf(FaultKind kind) {
+std::vector<std::string> AllowedModes(FaultKind kind) {
   if (kind == FaultKind::kEvents) return {"late", "lost", "reordered", "doubled"};
   if (kind == FaultKind::kResponses) return {"late", "twice", "crossed"};
   return {};
@@ -121,7 +121,7 @@
     case FaultKind::kEvents:
     case FaultKind::kResponses:
       reader->Require("mode");
-      reader->ReadChoice("mode", ModesOf(fault->kind), &fault->mode);
+      reader->ReadChoice("mode", AllowedModes(fault->kind), &fault->mode);
       reader->Read("probability", 0, 1, &fault->probability);
       fault->amount = std::chrono::seconds(1);
       reader->ReadMilliseconds("delay_ms", 0, kLongestDelayMs, &fault->amount);
@@ -141,7 +141,7 @@
   Fault fault;
   reader.Require("kind");
   reader.ReadName("kind", kFaultKindNames, &fault.kind);
-  ReadTimes(&reader, scenario, &fault.at);
+  ReadStartTime(&reader, scenario, &fault.at);
   reader.ReadSeconds("duration_s", 0, kLongestScenarioSeconds, &fault.duration);
   reader.Require("target");
   if (const toml::table* target = reader.SubTable("target")) {
@@ -162,7 +162,7 @@
   Operation operation;
   reader.Require("kind");
   reader.ReadName("kind", kOperationKindNames, &operation.kind);
-  ReadTimes(&reader, scenario, &operation.at);
+  ReadStartTime(&reader, scenario, &operation.at);
   reader.Read("repeat", 1, 100000, &operation.repeat);
   reader.ReadSeconds("every_s", 0.01, 3600, &operation.every);
   switch (operation.kind) {
@@ -198,12 +198,12 @@
   std::vector<std::string> kinds;
   reader.Require("kinds");
   reader.Read("kinds", &kinds);
-  for (const std::string& word : kinds) {
-    if (const auto kind = FromName(kFaultKindNames, word)) {
+  for (const std::string& name : kinds) {
+    if (const auto kind = FromName(kFaultKindNames, name)) {
       chaos.kinds.push_back(*kind);
     } else {
       reader.Fail("kinds",
-                  fmt::format("unknown \"{}\" (allowed: {})", word, AllowedNames(kFaultKindNames)));
+                  fmt::format("unknown \"{}\" (allowed: {})", name, AllowedNames(kFaultKindNames)));
     }
   }
   if (kinds.empty()) reader.Fail("kinds", "names no kind of fault");
--- a/src/posthatch/fleettest/scenario_names.h
+++ b/src/posthatch/fleettest/scenario_names.h
@@ -54,16 +54,16 @@
 
 template <typename Value, size_t kSize>
 std::optional<Value> FromName(const NameTable<Value, kSize>& table, std::string_view name) {
-  for (const auto& [word, value] : table) {
-    if (word == name) return value;
+  for (const auto& [entry_name, value] : table) {
+    if (entry_name == name) return value;
   }
   return std::nullopt;
 }
 
 template <typename Value, size_t kSize>
 std::string_view ToName(const NameTable<Value, kSize>& table, Value wanted) {
-  for (const auto& [word, value] : table) {
-    if (value == wanted) return word;
+  for (const auto& [entry_name, value] : table) {
+    if (value == wanted) return entry_name;
   }
   return "unknown";
 }
@@ -71,9 +71,9 @@
 template <typename Value, size_t kSize>
 std::string AllowedNames(const NameTable<Value, kSize>& table) {
   std::string joined;
-  for (const auto& [word, value] : table) {
+  for (const auto& [entry_name, value] : table) {
     if (!joined.empty()) joined += ", ";
-    joined += word;
+    joined += entry_name;
   }
   return joined;
 }
--- a/src/posthatch/fleettest/scenario_run.cc
+++ b/src/posthatch/fleettest/scenario_run.cc
@@ -33,8 +33,8 @@
 constexpr runtime::Duration kRotationInterval = std::chrono::seconds(3);
 constexpr const char* kProbeTenant = "key-probe";
 
-std::vector<std::string> LiveEndpoints(const std::vector<ProcessInfo>& processes,
-                                       const std::vector<Role>& roles) {
+std::vector<std::string> EndpointsOf(const std::vector<ProcessInfo>& processes,
+                                     const std::vector<Role>& roles) {
   std::vector<std::string> endpoints;
   for (const ProcessInfo& process : processes) {
     if (std::find(roles.begin(), roles.end(), process.role) != roles.end()) {
@@ -65,7 +65,7 @@
 
  private:
   std::string Prepare();
-  std::string WaitUntilReady(const std::function<bool(Role)>& of_role);
+  std::string WaitUntilReady(const std::function<bool(Role)>& includes_role);
   std::string ApplyConfiguration();
   std::string DriveLoad();
   std::string EndLoad();
@@ -75,7 +75,7 @@
   // Runs the fleet until `condition` holds; false after `limit` or an interruption.
   bool RunUntil(const std::function<bool()>& condition, runtime::Duration limit);
   bool Interrupted() const { return options_.interrupted && options_.interrupted(); }
-  void Progress(runtime::Duration elapsed);
+  void ReportProgress(runtime::Duration elapsed);
 
   const Scenario& scenario_;
   Fleet* const fleet_;
@@ -134,13 +134,13 @@
   return failure;
 }
 
-std::string ScenarioRun::Impl::WaitUntilReady(const std::function<bool(Role)>& of_role) {
-  std::vector<ProcessInfo> waited_for;
+std::string ScenarioRun::Impl::WaitUntilReady(const std::function<bool(Role)>& includes_role) {
+  std::vector<ProcessInfo> awaited;
   for (const ProcessInfo& process : fleet_->processes()) {
-    if (of_role(process.role)) waited_for.push_back(process);
+    if (includes_role(process.role)) awaited.push_back(process);
   }
   ReadinessWatch readiness(control_.get(), fleet_->runtime());
-  readiness.Start(waited_for);
+  readiness.Start(awaited);
   if (RunUntil([&] { return readiness.AllReady(); }, kReadyLimit)) return "";
   const std::string failure = fleet_->Failure();
   return failure.empty() ? "not ready in time: " + readiness.NotReady() : failure;
@@ -182,13 +182,13 @@
 
 void ScenarioRun::Impl::OnProcessesChanged() {
   const std::vector<ProcessInfo> processes = fleet_->processes();
-  const std::vector<std::string> gateways = LiveEndpoints(processes, {Role::kGateway});
+  const std::vector<std::string> gateways = EndpointsOf(processes, {Role::kGateway});
   const std::vector<std::string> nodes =
-      LiveEndpoints(processes, {Role::kGateway, Role::kController});
+      EndpointsOf(processes, {Role::kGateway, Role::kController});
   load_->SetGateways(gateways);
   probe_->SetGateways(gateways);
-  for (const auto& one : {&first_operator_, &second_operator_, &rotating_operator_}) {
-    (*one)->SetNodes(nodes);
+  for (const auto& client : {&first_operator_, &second_operator_, &rotating_operator_}) {
+    (*client)->SetNodes(nodes);
   }
   inventory_->Publish(processes);
 }
@@ -204,7 +204,7 @@
   if (!RunUntil([&] { return done; }, kConfigurationLimit)) {
     return "the configuration was not acknowledged in time";
   }
-  if (!outcome.acknowledged) return "the configuration was refused: " + outcome.code;
+  if (!outcome.acknowledged) return "the configuration was rejected: " + outcome.code;
   return "";
 }
 
@@ -219,14 +219,14 @@
   operations_->Start(scenario_.operations);
   for (runtime::Duration elapsed{}; elapsed < scenario_.duration; elapsed += kProgressInterval) {
     fleet_->RunFor(std::min(kProgressInterval, scenario_.duration - elapsed));
-    Progress(elapsed + kProgressInterval);
+    ReportProgress(elapsed + kProgressInterval);
     if (Interrupted()) return "interrupted";
     if (std::string failure = fleet_->Failure(); !failure.empty()) return failure;
   }
   return "";
 }
 
-void ScenarioRun::Impl::Progress(runtime::Duration elapsed) {
+void ScenarioRun::Impl::ReportProgress(runtime::Duration elapsed) {
   if (!options_.on_progress) return;
   const emulator::CallerLoadCounts counts = load_->counts();
   options_.on_progress(fmt::format(
@@ -239,14 +239,14 @@
   operations_->Stop();
   faults_->EndAll();
   probe_->SetGateways({});
-  int open = 0;
-  const auto ended = [&open] { --open; };
-  open = 4;
+  int pending = 0;
+  const auto ended = [&pending] { --pending; };
+  pending = 4;
   load_->Stop(ended);
   first_operator_->Stop(ended);
   second_operator_->Stop(ended);
   rotating_operator_->Stop(ended);
-  const bool ended_in_time = RunUntil([&] { return open == 0; }, kLoadEndLimit);
+  const bool ended_in_time = RunUntil([&] { return pending == 0; }, kLoadEndLimit);
   // Waits for the probes in flight: cancelling them would happen in no deterministic order, and one
   // seed would give different traces.
   fleet_->RunFor(kProbeDrainTime);
@@ -264,13 +264,13 @@
 void ScenarioRun::Impl::ReadFinalState() {
   auto reader = std::make_unique<emulator::OperatorEmulator>(
       fleet_->runtime(), OperatorNamed("final-reader", {}, {}), fleet_->recorder());
-  size_t open = 0;
+  size_t pending = 0;
   for (const std::string& node :
-       LiveEndpoints(fleet_->processes(), {Role::kGateway, Role::kController})) {
-    ++open;
-    reader->ReadState(node, [&open](bool) { --open; });
+       EndpointsOf(fleet_->processes(), {Role::kGateway, Role::kController})) {
+    ++pending;
+    reader->ReadState(node, [&pending](bool) { --pending; });
   }
-  RunUntil([&] { return open == 0; }, kFinalReadLimit);
+  RunUntil([&] { return pending == 0; }, kFinalReadLimit);
 }
 
 bool ScenarioRun::Impl::RunUntil(const std::function<bool()>& condition, runtime::Duration limit) {
--- a/src/posthatch/fleettest/seed_runner.cc
+++ b/src/posthatch/fleettest/seed_runner.cc
@@ -21,7 +21,7 @@
   for (const HistoryEvent& event : events) {
     std::string line;
     const auto status = google::protobuf::util::MessageToJsonString(event, &line);
-    if (!status.ok()) return absl::InternalError("an event can't be printed");
+    if (!status.ok()) return absl::InternalError("an event can't be converted to JSON");
     lines += line + "\n";
   }
   return WriteFile(path, lines);
@@ -66,18 +66,18 @@
                                           server::ProcessFactory* factory) {
   std::vector<ScenarioReport> reports(options.last_seed - options.first_seed + 1);
   std::atomic<uint64_t> next{0};
-  std::mutex reporting;
-  const auto work = [&] {
+  std::mutex report_mutex;
+  const auto run_seeds = [&] {
     while (true) {
       const uint64_t index = next.fetch_add(1);
       if (index >= reports.size()) return;
       const uint64_t seed = options.first_seed + index;
       ScenarioReport report = SimulateSeed(scenario, seed, factory, options);
       if (options.verify_determinism) {
-        const ScenarioReport again = SimulateSeed(scenario, seed, factory, options);
-        report.deterministic = again.trace_hash == report.trace_hash;
+        const ScenarioReport second_report = SimulateSeed(scenario, seed, factory, options);
+        report.deterministic = second_report.trace_hash == report.trace_hash;
       }
-      const std::lock_guard<std::mutex> lock(reporting);
+      const std::lock_guard<std::mutex> lock(report_mutex);
       if (options.on_report) options.on_report(report);
       reports[index] = std::move(report);
     }
@@ -85,7 +85,7 @@
   std::vector<std::thread> threads;
   const uint64_t count = std::min<uint64_t>(std::max(options.threads, 1u), reports.size());
   threads.reserve(count);
-  for (uint64_t thread = 0; thread < count; ++thread) threads.emplace_back(work);
+  for (uint64_t thread = 0; thread < count; ++thread) threads.emplace_back(run_seeds);
   for (std::thread& thread : threads) thread.join();
   return reports;
 }
--- a/src/posthatch/fleettest/simulated_fleet.cc
+++ b/src/posthatch/fleettest/simulated_fleet.cc
@@ -16,13 +16,13 @@
 constexpr uint32_t kNetwork = 10;
 constexpr const char* kCallers = "callers";
 constexpr const char* kCallersAddress = "10.99.0.1";
-constexpr runtime::Duration kUsualDiskDelay = std::chrono::milliseconds(1);
+constexpr runtime::Duration kDefaultDiskDelay = std::chrono::milliseconds(1);
 
 // An emulator with the history recorder that it writes to.
-template <typename StandIn>
-struct RecordedStandIn {
+template <typename Emulator>
+struct RecordedEmulator {
   std::unique_ptr<MemoryHistoryRecorder> recorder;
-  std::unique_ptr<StandIn> stand_in;
+  std::unique_ptr<Emulator> emulator;
 };
 
 }  // namespace
@@ -111,15 +111,15 @@
               : BootBackend(process, runtime, host->http_endpoint());
 }
 
-template <typename StandIn, typename Settings>
-std::shared_ptr<void> SimulatedFleet::BootStandIn(const PlannedProcess& process,
-                                                  runtime::Runtime* runtime,
-                                                  const Settings& settings) {
-  auto recorded = std::make_shared<RecordedStandIn<StandIn>>();
+template <typename Emulator, typename Settings>
+std::shared_ptr<void> SimulatedFleet::BootEmulator(const PlannedProcess& process,
+                                                   runtime::Runtime* runtime,
+                                                   const Settings& settings) {
+  auto recorded = std::make_shared<RecordedEmulator<Emulator>>();
   recorded->recorder =
       std::make_unique<MemoryHistoryRecorder>(runtime->clock, process.name, &events_);
-  recorded->stand_in = std::make_unique<StandIn>(runtime, settings, recorded->recorder.get());
-  const absl::Status status = recorded->stand_in->Start();
+  recorded->emulator = std::make_unique<Emulator>(runtime, settings, recorded->recorder.get());
+  const absl::Status status = recorded->emulator->Start();
   if (!status.ok()) failure_ = process.name + ": " + status.ToString();
   return recorded;
 }
@@ -129,13 +129,13 @@
                                                   const std::string& endpoint) {
   switch (process.role) {
     case Role::kWorker:
-      return BootStandIn<emulator::WorkerEmulator>(
+      return BootEmulator<emulator::WorkerEmulator>(
           process, runtime, PlanWorker(scenario_, process, Addresses(), endpoint));
     case Role::kStore:
-      return BootStandIn<emulator::StoreEmulator>(process, runtime, PlanStore(process, endpoint));
+      return BootEmulator<emulator::StoreEmulator>(process, runtime, PlanStore(process, endpoint));
     case Role::kService:
-      return BootStandIn<emulator::ServiceEmulator>(process, runtime,
-                                                    PlanService(process, endpoint));
+      return BootEmulator<emulator::ServiceEmulator>(process, runtime,
+                                                     PlanService(process, endpoint));
     default:
       break;
   }
@@ -144,7 +144,7 @@
     if (!IsBackend(backend.role)) continue;
     backends.push_back(InventoryEntry(backend, world_.FindHost(backend.name)->http_endpoint()));
   }
-  return BootStandIn<emulator::InventoryEmulator>(
+  return BootEmulator<emulator::InventoryEmulator>(
       process, runtime, PlanInventory(scenario_, endpoint, std::move(backends)));
 }
 
@@ -274,7 +274,7 @@
 absl::Status SimulatedFleet::SetDiskDelay(const std::string& name, runtime::Duration per_sync) {
   simulation::SimHost* host = world_.FindHost(name);
   if (host == nullptr) return absl::NotFoundError("no process " + name);
-  host->SetDiskDelay(std::max(per_sync, kUsualDiskDelay));
+  host->SetDiskDelay(std::max(per_sync, kDefaultDiskDelay));
   return absl::OkStatus();
 }
 
@@ -313,7 +313,7 @@
 }
 
 absl::StatusOr<ProcessInfo> SimulatedFleet::Move(const std::string& /*name*/) {
-  return absl::UnimplementedError("a simulated disk stays at its address");
+  return absl::UnimplementedError("a simulated disk is bound to its address");
 }
 
 absl::StatusOr<std::vector<HistoryEvent>> SimulatedFleet::TakeHistory() { return events_; }
--- a/src/posthatch/fleettest/simulated_fleet.h
+++ b/src/posthatch/fleettest/simulated_fleet.h
@@ -67,9 +67,9 @@
   absl::StatusOr<simulation::SimHost*> FindHostInState(const std::string& name, bool running) const;
   FleetAddresses Addresses() const;
   ProcessInfo MakeProcessInfo(const PlannedProcess& process) const;
-  template <typename StandIn, typename Settings>
-  std::shared_ptr<void> BootStandIn(const PlannedProcess& process, runtime::Runtime* runtime,
-                                    const Settings& settings);
+  template <typename Emulator, typename Settings>
+  std::shared_ptr<void> BootEmulator(const PlannedProcess& process, runtime::Runtime* runtime,
+                                     const Settings& settings);
 
   const Scenario& scenario_;
   server::ProcessFactory* const factory_;
--- a/src/posthatch/fleettest/statistics.cc
+++ b/src/posthatch/fleettest/statistics.cc
@@ -54,19 +54,19 @@
 
 void MeasureRuns(const RecordedHistory& history, Statistics* statistics) {
   uint64_t blocks = 0;
-  uint64_t kept = 0;
+  uint64_t cached = 0;
   uint64_t fetched = 0;
   uint64_t firsts = 0;
   uint64_t retries = 0;
   for (const RunRecord& record : history.runs()) {
     ++(record.run->attempt_number() > 1 ? retries : firsts);
     blocks += record.run->prompt_blocks();
-    for (const ReusedBlocks& part : record.run->reused()) {
-      (part.fetched_from().empty() ? kept : fetched) += part.blocks();
+    for (const ReusedBlocks& reused : record.run->reused()) {
+      (reused.fetched_from().empty() ? cached : fetched) += reused.blocks();
     }
   }
   if (blocks > 0) {
-    statistics->prefix_hit_ratio = static_cast<double>(kept) / static_cast<double>(blocks);
+    statistics->prefix_hit_ratio = static_cast<double>(cached) / static_cast<double>(blocks);
     statistics->prefix_fetch_ratio = static_cast<double>(fetched) / static_cast<double>(blocks);
   }
   if (firsts > 0) {
--- a/src/posthatch/fleettest/table_reader.cc
+++ b/src/posthatch/fleettest/table_reader.cc
@@ -17,7 +17,7 @@
 }  // namespace
 
 const toml::node* TableReader::Find(std::string_view key) {
-  known_.emplace(key);
+  read_keys_.emplace(key);
   return table_->get(key);
 }
 
@@ -28,15 +28,15 @@
   errors_->push_back(fmt::format("{}:{}: {}: {}", *file_name_, line, full_key, what));
 }
 
-void TableReader::FailType(std::string_view key, std::string_view wanted) {
-  Fail(key, fmt::format("wrong type (allowed: {})", wanted));
+void TableReader::FailType(std::string_view key, std::string_view expected) {
+  Fail(key, fmt::format("wrong type (allowed: {})", expected));
 }
 
 void TableReader::Read(std::string_view key, uint32_t low, uint32_t high, uint32_t* value) {
   const toml::node* node = Find(key);
   if (node == nullptr) return;
   const auto number = node->value_exact<int64_t>();
-  if (!number) return FailType(key, "whole number");
+  if (!number) return FailType(key, "integer");
   if (*number < low || *number > high) {
     return Fail(key, fmt::format("{} is out of range (allowed: {} to {})", *number, low, high));
   }
@@ -47,7 +47,7 @@
   const toml::node* node = Find(key);
   if (node == nullptr) return;
   const auto number = node->value_exact<int64_t>();
-  if (!number) return FailType(key, "whole number");
+  if (!number) return FailType(key, "integer");
   if (*number < 0) return Fail(key, fmt::format("{} is out of range (allowed: from 0)", *number));
   *value = static_cast<uint64_t>(*number);
 }
@@ -75,7 +75,7 @@
   const toml::node* node = Find(key);
   if (node == nullptr) return;
   const auto text = node->value_exact<std::string>();
-  if (!text) return FailType(key, "text");
+  if (!text) return FailType(key, "string");
   *value = *text;
 }
 
@@ -83,14 +83,14 @@
   const toml::node* node = Find(key);
   if (node == nullptr) return;
   const toml::array* array = node->as_array();
-  if (array == nullptr) return FailType(key, "list of texts");
-  std::vector<std::string> texts;
+  if (array == nullptr) return FailType(key, "list of strings");
+  std::vector<std::string> strings;
   for (const toml::node& element : *array) {
     const auto text = element.value_exact<std::string>();
-    if (!text) return FailType(key, "list of texts");
-    texts.push_back(*text);
+    if (!text) return FailType(key, "list of strings");
+    strings.push_back(*text);
   }
-  *value = std::move(texts);
+  *value = std::move(strings);
 }
 
 void TableReader::ReadChoice(std::string_view key, const std::vector<std::string>& allowed,
@@ -147,8 +147,8 @@
 
 void TableReader::Finish() {
   for (const auto& [key, node] : *table_) {
-    if (known_.count(key.str()) == 0) {
-      Fail(key.str(), fmt::format("unknown key (allowed: {})", fmt::join(known_, ", ")));
+    if (read_keys_.count(key.str()) == 0) {
+      Fail(key.str(), fmt::format("unknown key (allowed: {})", fmt::join(read_keys_, ", ")));
     }
   }
 }
--- a/src/posthatch/fleettest/table_reader.h
+++ b/src/posthatch/fleettest/table_reader.h
@@ -37,13 +37,13 @@
 
   template <typename Value, size_t kSize>
   void ReadName(std::string_view key, const NameTable<Value, kSize>& names, Value* value) {
-    std::string word;
-    Read(key, &word);
-    if (word.empty()) return;
-    if (const auto found = FromName(names, word)) {
+    std::string name;
+    Read(key, &name);
+    if (name.empty()) return;
+    if (const auto found = FromName(names, name)) {
       *value = *found;
     } else {
-      Fail(key, "unknown \"" + word + "\" (allowed: " + AllowedNames(names) + ")");
+      Fail(key, "unknown \"" + name + "\" (allowed: " + AllowedNames(names) + ")");
     }
   }
 
@@ -63,13 +63,13 @@
 
  private:
   const toml::node* Find(std::string_view key);
-  void FailType(std::string_view key, std::string_view wanted);
+  void FailType(std::string_view key, std::string_view expected);
 
   const toml::table* table_;
   std::string path_;
   const std::string* file_name_;
   std::vector<std::string>* errors_;
-  std::set<std::string, std::less<>> known_;
+  std::set<std::string, std::less<>> read_keys_;
 };
 
 }  // namespace posthatch::fleettest
--- a/src/posthatch/fleettest/target_resolver.cc
+++ b/src/posthatch/fleettest/target_resolver.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-bool IsChoice(const std::string& name) {
+bool IsSelector(const std::string& name) {
   return name.empty() || name == "random" || name == "all" || name == "leader";
 }
 
@@ -26,11 +26,11 @@
   }
   if (!target.zone.empty() && target.zone != process.zone) return false;
   if (!target.label.empty() && !HasLabel(process, target.label)) return false;
-  return IsChoice(target.name) || target.name == process.name;
+  return IsSelector(target.name) || target.name == process.name;
 }
 
 template <typename Value>
-Value PickOne(const std::vector<Value>& values, runtime::Random* random) {
+Value PickRandom(const std::vector<Value>& values, runtime::Random* random) {
   return values[random->Uniform(values.size())];
 }
 
@@ -56,10 +56,10 @@
 
 std::string ModeFor(FaultKind kind, runtime::Random* random) {
   if (kind == FaultKind::kEvents) {
-    return PickOne<std::string>({"late", "lost", "reordered", "doubled"}, random);
+    return PickRandom<std::string>({"late", "lost", "reordered", "doubled"}, random);
   }
   if (kind == FaultKind::kResponses) {
-    return PickOne<std::string>({"late", "twice", "crossed"}, random);
+    return PickRandom<std::string>({"late", "twice", "crossed"}, random);
   }
   return "";
 }
@@ -104,7 +104,7 @@
 
 Target ChaosTarget(FaultKind kind, runtime::Random* random) {
   Target target;
-  target.role = PickOne(RolesFor(kind), random);
+  target.role = PickRandom(RolesFor(kind), random);
   target.name = "random";
   return target;
 }
@@ -117,7 +117,7 @@
     at += random->Between(chaos.every / 2, chaos.every * 3 / 2);
     if (at >= chaos.until) return faults;
     Fault fault;
-    fault.kind = PickOne(chaos.kinds, random);
+    fault.kind = PickRandom(chaos.kinds, random);
     fault.at = at;
     fault.duration = random->Between(chaos.shortest, chaos.longest);
     fault.target = ChaosTarget(fault.kind, random);
