--- a/src/posthatch/fleettest/real_fleet.h
+++ b/src/posthatch/fleettest/real_fleet.h
@@ -20,7 +20,7 @@
   std::string posthatchd;          // path of the program
   std::string posthatch_emulator;  // path of the program
   std::string run_folder;          // parent of settings, data, logs and histories
-  uint64_t seed = 1;               // for callers, operators and random faults
+  uint64_t seed = 1;               // random seed of callers, operators and faults
   bool round_robin = false;
 };
 
--- a/src/posthatch/fleettest/scenario_loader.cc
+++ b/src/posthatch/fleettest/scenario_loader.cc
@@ -231,7 +231,7 @@
   return entry;
 }
 
-// Reports a zone that doesn't exist in a fleet of this size.
+// Reports a zone, such as "z4", that doesn't exist in a fleet of this size.
 void CheckZone(TableReader* reader, const Scenario& scenario, const std::string& zone,
                const std::string& path) {
   if (zone.empty()) return;
