--- a/src/posthatch/fleettest/fault_injector-test.cc
+++ b/src/posthatch/fleettest/fault_injector-test.cc
@@ -207,13 +207,13 @@
   runtime::Random first(7);
   runtime::Random second(7);
   const std::vector<Fault> faults = DrawChaos(chaos, &first);
-  const std::vector<Fault> repeated = DrawChaos(chaos, &second);
-  ASSERT_EQ(faults.size(), repeated.size());
+  const std::vector<Fault> second_faults = DrawChaos(chaos, &second);
+  ASSERT_EQ(faults.size(), second_faults.size());
   EXPECT_GT(faults.size(), 10u);
   for (size_t index = 0; index < faults.size(); ++index) {
-    EXPECT_EQ(faults[index].kind, repeated[index].kind);
-    EXPECT_EQ(faults[index].at, repeated[index].at);
-    EXPECT_EQ(faults[index].target.role, repeated[index].target.role);
+    EXPECT_EQ(faults[index].kind, second_faults[index].kind);
+    EXPECT_EQ(faults[index].at, second_faults[index].at);
+    EXPECT_EQ(faults[index].target.role, second_faults[index].target.role);
   }
 }
 
--- a/src/posthatch/fleettest/response_dropping_client.cc
+++ b/src/posthatch/fleettest/response_dropping_client.cc
@@ -16,8 +16,8 @@
                                                           http::Request request,
                                                           http::CallOptions options,
                                                           http::CallObserver observer) {
-  const auto drop_probability = drop_probabilities_.find(endpoint);
-  if (drop_probability == drop_probabilities_.end() || !random_->Chance(drop_probability->second)) {
+  const auto found = drop_probabilities_.find(endpoint);
+  if (found == drop_probabilities_.end() || !random_->Chance(found->second)) {
     return client_->Start(endpoint, std::move(request), options, std::move(observer));
   }
   ++dropped_responses_;
