--- a/src/posthatch/fleettest/checks/answer_check.h
+++ b/src/posthatch/fleettest/checks/answer_check.h
@@ -4,9 +4,9 @@
 
 namespace posthatch::fleettest {
 
-// N3: An answer carries its request's own nonce, and if it ends as complete no byte is missing or
-// changed.
-class AnswerCheck : public Check {
+// N3: A response echoes the nonce of its own request, and a response that ends as complete has no
+// missing or altered bytes.
+class ResponseCheck : public Check {
  public:
   CheckResult Run(const RecordedHistory& history) const override;
 };
--- a/src/posthatch/fleettest/checks/recorded_history.cc
+++ b/src/posthatch/fleettest/checks/recorded_history.cc
@@ -10,15 +10,15 @@
 namespace posthatch::fleettest {
 
 int64_t ChangeRecord::acknowledged_ns() const {
-  for (const auto& [time_ns, answer] : answers) {
-    if (answer->acknowledged()) return time_ns;
+  for (const auto& [time_ns, response] : responses) {
+    if (response->acknowledged()) return time_ns;
   }
   return kNever;
 }
 
 uint64_t ChangeRecord::acknowledged_version() const {
-  for (const auto& [time_ns, answer] : answers) {
-    if (answer->acknowledged()) return answer->version();
+  for (const auto& [time_ns, response] : responses) {
+    if (response->acknowledged()) return response->version();
   }
   return 0;
 }
@@ -39,7 +39,7 @@
 
 namespace {
 
-// "tenant/7" is the probe tenant's key of generation 7, which takes the place of generation 6.
+// A key id "tenant/7" is generation 7 of the probe tenant's key, which replaces generation 6.
 std::string RotationDetail(const std::string& key_id) {
   const size_t slash = key_id.rfind('/');
   uint64_t generation = 0;
@@ -53,7 +53,7 @@
   return detail;
 }
 
-// The operator stand-in writes bare names where only one thing can be meant.
+// Adds the names that the emulated operator omits where the kind of change implies them.
 std::string NormalizedDetail(const std::string& kind, const std::string& detail) {
   if (detail.empty() || detail.find('=') != std::string::npos) return detail;
   if (kind == "evacuate" || kind == "lift") {
@@ -65,8 +65,8 @@
 
 std::vector<std::pair<std::string, std::string>> ParseDetails(const std::string& text) {
   std::vector<std::pair<std::string, std::string>> details;
-  for (const absl::string_view word : absl::StrSplit(text, ' ', absl::SkipEmpty())) {
-    details.push_back(absl::StrSplit(word, absl::MaxSplits('=', 1)));
+  for (const absl::string_view pair : absl::StrSplit(text, ' ', absl::SkipEmpty())) {
+    details.push_back(absl::StrSplit(pair, absl::MaxSplits('=', 1)));
   }
   return details;
 }
@@ -124,7 +124,7 @@
   } else if (event.has_change_answered()) {
     const auto found = change_by_id_.find(event.change_answered().request_id());
     if (found == change_by_id_.end()) return;
-    changes_[found->second].answers.emplace_back(event.time_ns(), &event.change_answered());
+    changes_[found->second].responses.emplace_back(event.time_ns(), &event.change_answered());
   }
 }
 
@@ -133,7 +133,7 @@
     faults_.push_back({fault.kind(), fault.target(), {time_ns, kNever}});
     return;
   }
-  // Not a range: clang-tidy 14 cannot compile std::ranges of this libstdc++.
+  // No range-based loop: clang-tidy 14 can't compile std::ranges of this libstdc++.
   // NOLINTNEXTLINE(modernize-loop-convert)
   for (auto found = faults_.rbegin(); found != faults_.rend(); ++found) {
     const bool open = found->period.until_ns == kNever;
@@ -193,12 +193,12 @@
   std::map<std::string, std::vector<Period>> periods;
   for (const HistoryEvent& event : events_) {
     if (!event.has_draining_shown()) continue;
-    std::vector<Period>& of_backend = periods[event.draining_shown().backend()];
-    const bool open = !of_backend.empty() && of_backend.back().until_ns == kNever;
+    std::vector<Period>& backend_periods = periods[event.draining_shown().backend()];
+    const bool open = !backend_periods.empty() && backend_periods.back().until_ns == kNever;
     if (event.draining_shown().draining()) {
-      if (!open) of_backend.push_back({event.time_ns() + grace_ns, kNever});
+      if (!open) backend_periods.push_back({event.time_ns() + grace_ns, kNever});
     } else if (open) {
-      of_backend.back().until_ns = event.time_ns();
+      backend_periods.back().until_ns = event.time_ns();
     }
   }
   return periods;
--- a/src/posthatch/fleettest/history/recorders.cc
+++ b/src/posthatch/fleettest/history/recorders.cc
@@ -16,8 +16,8 @@
 namespace posthatch::fleettest {
 namespace {
 
-// Cuts off a last line without its end: the killed process that left it had not gone on to what
-// the event records, and a line after it would make it look malformed.
+// Removes an incomplete last line. The killed process that left it had not yet done what the event
+// records, and a line appended after it would make it look malformed.
 absl::Status TruncatePartialLine(const std::string& path) {
   std::error_code error;
   const uintmax_t size = std::filesystem::file_size(path, error);
@@ -31,20 +31,20 @@
   }
   if (end == size) return absl::OkStatus();
   std::filesystem::resize_file(path, end, error);
-  return error ? absl::UnavailableError(absl::StrCat("can't cut ", path)) : absl::OkStatus();
+  return error ? absl::UnavailableError(absl::StrCat("can't truncate ", path)) : absl::OkStatus();
 }
 
 }  // namespace
 
 absl::StatusOr<std::unique_ptr<JsonlHistoryRecorder>> JsonlHistoryRecorder::Open(
     const runtime::Clock* clock, std::string recorder_name, const std::string& path) {
-  if (absl::Status cut = TruncatePartialLine(path); !cut.ok()) return cut;
+  if (absl::Status truncated = TruncatePartialLine(path); !truncated.ok()) return truncated;
   std::FILE* file = std::fopen(path.c_str(), "ae");
   if (file == nullptr) {
     return absl::UnavailableError(
         absl::StrCat("can't append to history ", path, ": ", std::strerror(errno)));
   }
-  // Without a buffer a line goes out in one write.
+  // Unbuffered, so that each line is written by one call.
   if (std::setvbuf(file, nullptr, _IONBF, 0) != 0) {
     std::fclose(file);
     return absl::UnavailableError(absl::StrCat("can't write history ", path, " unbuffered"));
@@ -89,10 +89,10 @@
   size_t line_number = 0;
   while (std::getline(file, line)) {
     ++line_number;
-    const bool ended = !file.eof();
+    const bool complete = !file.eof();
     HistoryEvent event;
     const bool parsed = google::protobuf::util::JsonStringToMessage(line, &event).ok();
-    if (!ended) {
+    if (!complete) {
       history.truncated_end = true;
       break;
     }
--- a/src/posthatch/fleettest/operation_runner.h
+++ b/src/posthatch/fleettest/operation_runner.h
@@ -24,9 +24,9 @@
     InventoryPublisher* inventory = nullptr;
     emulator::OperatorEmulator* first_operator = nullptr;
     emulator::OperatorEmulator* second_operator = nullptr;  // the competitor in racing changes
-    // Rotates the probe tenant's key from its Start on.
+    // Rotates the probe tenant's key once it is started.
     emulator::OperatorEmulator* rotating_operator = nullptr;
-    // As applied at the start: tenants are changed from it.
+    // The configuration applied at the start, updated with each isolation change.
     control::Configuration configuration;
     std::string first_model;
   };
@@ -44,13 +44,13 @@
  private:
   void Execute(const Operation& operation);
   void ChangeConfiguration();
-  void RaceForVersion();
-  void SendRace(uint64_t version);
+  void StartRacingChange();
+  void SendRacingChanges(uint64_t version);
   void SetDrainMark(const Operation& operation);
-  void ReviseModel(const std::string& model);
+  void ChangeModelRevision(const std::string& model);
   void ChangeIsolation(const Operation& operation);
-  emulator::OperatorEmulator::ChangeDone Report(const Operation& operation,
-                                                const std::string& target);
+  emulator::OperatorEmulator::ChangeDone ReportOutcome(const Operation& operation,
+                                                       const std::string& target);
   void AddOutcome(OperationKind kind, const std::string& target, const std::string& result);
 
   Environment environment_;
@@ -62,8 +62,8 @@
   std::vector<FaultOutcome> outcomes_;
 };
 
-// The patch that creates `configuration`, and the detail that the checks read: which keys are
-// accepted and which tenants isolated.
+// The patch that creates `configuration`, and its detail for the checks: the accepted keys and the
+// isolated tenants.
 control::ConfigurationPatch InitialPatch(const control::Configuration& configuration);
 std::string InitialDetail(const emulator::TrafficMix& mix);
 
--- a/src/posthatch/fleettest/table_reader.h
+++ b/src/posthatch/fleettest/table_reader.h
@@ -28,7 +28,7 @@
   void Read(std::string_view key, bool* value);
   void Read(std::string_view key, std::string* value);
   void Read(std::string_view key, std::vector<std::string>* value);
-  // A text that must be one of `allowed`.
+  // Reads a string that must be one of `allowed`.
   void ReadChoice(std::string_view key, const std::vector<std::string>& allowed,
                   std::string* value);
   // Times are numbers in the unit that the key's suffix names.
@@ -37,13 +37,13 @@
 
   template <typename Value, size_t kSize>
   void ReadName(std::string_view key, const NameTable<Value, kSize>& names, Value* value) {
-    std::string word;
-    Read(key, &word);
-    if (word.empty()) return;
-    if (const auto found = FromName(names, word)) {
+    std::string name;
+    Read(key, &name);
+    if (name.empty()) return;
+    if (const auto found = FromName(names, name)) {
       *value = *found;
     } else {
-      Fail(key, "unknown \"" + word + "\" (allowed: " + AllowedNames(names) + ")");
+      Fail(key, "unknown \"" + name + "\" (allowed: " + AllowedNames(names) + ")");
     }
   }
 
@@ -51,7 +51,7 @@
   void Require(std::string_view key);
   // The sub-table, or null if there is none; a value of another type is an error.
   const toml::table* SubTable(std::string_view key);
-  // The tables of [[key]].
+  // The tables of the array [[key]].
   std::vector<const toml::table*> Tables(std::string_view key);
   TableReader Inner(const toml::table* table, const std::string& path) const {
     return {table, path, file_name_, errors_};
@@ -63,13 +63,13 @@
 
  private:
   const toml::node* Find(std::string_view key);
-  void FailType(std::string_view key, std::string_view wanted);
+  void FailType(std::string_view key, std::string_view expected);
 
   const toml::table* table_;
   std::string path_;
   const std::string* file_name_;
   std::vector<std::string>* errors_;
-  std::set<std::string, std::less<>> known_;
+  std::set<std::string, std::less<>> read_keys_;
 };
 
 }  // namespace posthatch::fleettest
