--- a/src/posthatch/compatibility/stored_data-test.cc
+++ b/src/posthatch/compatibility/stored_data-test.cc
@@ -88,7 +88,7 @@
           control::Begin("k1", "a1", "hash", 1000),
           control::Finish("k1", "a1", control::DeliveryOutcome::RESPONDED, 2000),
           control::Begin("k2", "a2", "hash", 3000),
-          control::InventoryReading(3, /*draining_bits=*/2),
+          control::SetInventoryCommand(3, /*draining_bits=*/2),
           InventoryDeltaCommand(),
           control::Grant("w0", "g1"),
           control::Grant("w1", "g2"),
--- a/src/posthatch/control/client/gateway_session.cc
+++ b/src/posthatch/control/client/gateway_session.cc
@@ -53,7 +53,7 @@
   client_.Query(std::move(name), std::move(argument), timeout, std::move(done));
 }
 
-bool GatewaySession::HoldsWorker(const std::string& worker_id, uint64_t* fencing_token) const {
+bool GatewaySession::HasLeaseOnWorker(const std::string& worker_id, uint64_t* fencing_token) const {
   if (!LeaseValid()) return false;
   const WorkerLease* lease = FindLease(replica_.state(), worker_id);
   if (lease == nullptr || lease->holder() != runtime_->transport->node_id() ||
--- a/src/posthatch/control/client/gateway_session.h
+++ b/src/posthatch/control/client/gateway_session.h
@@ -59,7 +59,7 @@
 
   // Whether this gateway holds the worker's lease, under a valid session; sets the fencing token
   // that goes with every command to the worker. To be called right before each command is sent.
-  bool HoldsWorker(const std::string& worker_id, uint64_t* fencing_token) const;
+  bool HasLeaseOnWorker(const std::string& worker_id, uint64_t* fencing_token) const;
 
   // Internal endpoint of the leader that granted the lease; empty without a valid lease.
   std::string leader_endpoint() const { return LeaseValid() ? leader_endpoint_ : std::string(); }
--- a/src/posthatch/control/control-bench.cc
+++ b/src/posthatch/control/control-bench.cc
@@ -166,7 +166,7 @@
     for (simulation::SimHost* host : world_.hosts()) host->Start();
     cluster_.Elect("10.0.0.1:7000");
     world_.RunFor(std::chrono::seconds(10));
-    if (workers > 0) Change(InventoryReading(workers, 0), false);
+    if (workers > 0) Change(SetInventoryCommand(workers, 0), false);
     Change(FullChange("first", 0, MakeConfiguration(tenants)), true);
     world_.RunFor(std::chrono::seconds(30));
   }
--- a/src/posthatch/control/server/controller_service-test.cc
+++ b/src/posthatch/control/server/controller_service-test.cc
@@ -153,7 +153,7 @@
   fleet_.gateway_hosts[2]->Start();
   const auto regained = [this] {
     uint64_t token = 0;
-    return Session(2).HoldsWorker("w2", &token) && Session(2).HoldsWorker("w5", &token);
+    return Session(2).HasLeaseOnWorker("w2", &token) && Session(2).HasLeaseOnWorker("w5", &token);
   };
   EXPECT_TRUE(RunUntil(regained, seconds(20)));
   fleet_.world.RunFor(seconds(3));
@@ -270,7 +270,7 @@
       uint64_t token = 0;
       bool leased = false;
       for (int i = 0; i < 4; ++i) {
-        leased = leased || Session(i).HoldsWorker(absl::StrCat("w", worker), &token);
+        leased = leased || Session(i).HasLeaseOnWorker(absl::StrCat("w", worker), &token);
       }
       if (!leased) return false;
     }
@@ -293,8 +293,8 @@
   fleet_.world.RunFor(milliseconds(3000));
   uint64_t token = 0;
   for (int i : {0, 1, 3}) {
-    EXPECT_FALSE(Session(i).HoldsWorker("w2", &token));
-    EXPECT_FALSE(Session(i).HoldsWorker("w5", &token));
+    EXPECT_FALSE(Session(i).HasLeaseOnWorker("w2", &token));
+    EXPECT_FALSE(Session(i).HasLeaseOnWorker("w5", &token));
   }
   fleet_.gateway_hosts[2]->Thaw();
   fleet_.world.RunFor(seconds(6));
--- a/src/posthatch/control/server/fleet_harness-test.h
+++ b/src/posthatch/control/server/fleet_harness-test.h
@@ -83,7 +83,7 @@
         {now, id, runtime->transport->incarnation(), session.state().configuration_version()});
     for (const Backend& worker : session.state().inventory().backends()) {
       uint64_t token = 0;
-      if (!session.HoldsWorker(worker.id(), &token)) continue;
+      if (!session.HasLeaseOnWorker(worker.id(), &token)) continue;
       history->RecordWorkerCommand({now, worker.id(), id, token});
     }
   }
--- a/src/posthatch/control/server/inventory_publisher.cc
+++ b/src/posthatch/control/server/inventory_publisher.cc
@@ -78,7 +78,7 @@
 bool InventoryPublisher::RevisionAgesOutdated() const {
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (now - revision_ages_proposed_at_ < kRevisionAgesInterval) return false;
-  if (now - revisions_->newest_named_at() >= kRevisionAgesRelevantFor) return false;
+  if (now - revisions_->newest_set_at() >= kRevisionAgesRelevantFor) return false;
   std::map<std::string, uint64_t> newest;
   for (const ModelRevision& named : state_->fleet().revisions()) {
     newest[named.model()] = named.revision();
--- a/src/posthatch/control/server/section_encoder.cc
+++ b/src/posthatch/control/server/section_encoder.cc
@@ -14,7 +14,7 @@
 
 void EncodeRevisionAges(const RevisionTimeline& revisions, runtime::MonotonicTime now,
                         FleetState* changed) {
-  const bool any_is_new = now - revisions.newest_named_at() < kRevisionAgesRelevantFor;
+  const bool any_is_new = now - revisions.newest_set_at() < kRevisionAgesRelevantFor;
   if (any_is_new || !changed->revisions().empty()) {
     revisions.SaveAges(now, changed->mutable_revision_ages());
   }
--- a/src/posthatch/control/state/commands-test.h
+++ b/src/posthatch/control/state/commands-test.h
@@ -98,7 +98,7 @@
   return command;
 }
 
-inline Command InventoryReading(int workers, uint64_t draining_bits) {
+inline Command SetInventoryCommand(int workers, uint64_t draining_bits) {
   Command command;
   for (int i = 0; i < workers; ++i) {
     Backend* backend = command.mutable_set_inventory()->mutable_inventory()->add_backends();
@@ -152,7 +152,7 @@
           key, attempt,
           random->Chance(0.5) ? DeliveryOutcome::RESPONDED : DeliveryOutcome::NOT_EXECUTED, now_ms);
     case 6:
-      return InventoryReading(static_cast<int>(random->Uniform(8)), (*random)());
+      return SetInventoryCommand(static_cast<int>(random->Uniform(8)), (*random)());
     case 7:
       return Grant(absl::StrCat("w", random->Uniform(8)), absl::StrCat("g", random->Uniform(3)));
     case 8: {
--- a/src/posthatch/control/state/revision_timeline.cc
+++ b/src/posthatch/control/state/revision_timeline.cc
@@ -54,7 +54,7 @@
   return since;
 }
 
-runtime::MonotonicTime RevisionTimeline::newest_named_at() const {
+runtime::MonotonicTime RevisionTimeline::newest_set_at() const {
   runtime::MonotonicTime newest{};
   for (const auto& [model, revisions] : models_) {
     for (const auto& [revision, set_at] : revisions) newest = std::max(newest, set_at);
--- a/src/posthatch/control/state/revision_timeline.h
+++ b/src/posthatch/control/state/revision_timeline.h
@@ -29,7 +29,7 @@
   std::optional<runtime::MonotonicTime> OutdatedSince(const std::string& model,
                                                       uint64_t revision) const;
   // When the latest revision of any model was set; the clock's epoch if none is known.
-  runtime::MonotonicTime newest_named_at() const;
+  runtime::MonotonicTime newest_set_at() const;
   void SaveAges(runtime::MonotonicTime now,
                 google::protobuf::RepeatedPtrField<RevisionAge>* ages) const;
 
--- a/src/posthatch/gateway/delivery-test.cc
+++ b/src/posthatch/gateway/delivery-test.cc
@@ -34,7 +34,7 @@
   LastCall().GoodOperation("place");
   const auto again = PlaceAtOtherGateway("k");
   EXPECT_EQ(again->whole.status, 200);
-  EXPECT_TRUE(again->Says(R"("result":1)"));
+  EXPECT_TRUE(again->BodyContains(R"("result":1)"));
   EXPECT_EQ(client.calls.size(), 1u);
 }
 
@@ -44,7 +44,7 @@
   gateway.reset();
   const auto again = PlaceAtOtherGateway("k");
   EXPECT_EQ(again->whole.status, 409);
-  EXPECT_TRUE(again->Says(R"("executed":"unknown")"));
+  EXPECT_TRUE(again->BodyContains(R"("executed":"unknown")"));
   EXPECT_EQ(client.calls.size(), 1u);
 }
 
@@ -53,7 +53,7 @@
   const auto writer = Place("k");
   LastCall().Error(http::CallProgress::kSent);
   EXPECT_EQ(writer->whole.status, 502);
-  EXPECT_TRUE(writer->Says(R"("executed":"unknown")"));
+  EXPECT_TRUE(writer->BodyContains(R"("executed":"unknown")"));
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::UNKNOWN);
   EXPECT_EQ(Place("k")->whole.status, 502);
   EXPECT_EQ(client.calls.size(), 1u);
@@ -75,7 +75,7 @@
   control.defer_results = false;
   control.Release();
   EXPECT_TRUE(client.calls.empty());
-  EXPECT_TRUE(writer->Says(R"("executed":"no")"));
+  EXPECT_TRUE(writer->BodyContains(R"("executed":"no")"));
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::NOT_EXECUTED);
   EXPECT_EQ(PlaceAtOtherGateway("k")->whole.status, 410);
   EXPECT_TRUE(client.calls.empty());
@@ -107,7 +107,7 @@
   control.lost_results = 1;
   const auto writer = Place("k");
   EXPECT_EQ(writer->whole.status, 503);
-  EXPECT_TRUE(writer->Says(R"("executed":"unknown")"));
+  EXPECT_TRUE(writer->BodyContains(R"("executed":"unknown")"));
   EXPECT_TRUE(client.calls.empty());
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::NOT_EXECUTED);
 }
@@ -118,7 +118,7 @@
   const auto writer = Place("k");
   LastCall().GoodOperation("place");
   EXPECT_EQ(writer->whole.status, 503);
-  EXPECT_TRUE(writer->Says(R"("executed":"unknown")"));
+  EXPECT_TRUE(writer->BodyContains(R"("executed":"unknown")"));
 }
 
 TEST_F(DeliveryTest, RejectsKeyReuseWithOtherBody) {
@@ -126,7 +126,7 @@
   Place("k");
   const auto writer = Send("/v1/services/lobby/place", R"({"seat":2})", "k");
   EXPECT_EQ(writer->whole.status, 409);
-  EXPECT_TRUE(writer->Says("key_reused"));
+  EXPECT_TRUE(writer->BodyContains("key_reused"));
   EXPECT_EQ(client.calls.size(), 1u);
 }
 
@@ -136,7 +136,7 @@
     view.fleet.mutable_inventory()->mutable_backends(backend)->set_draining(true);
   }
   view.Changed();
-  EXPECT_TRUE(Place("k")->Says("no_capacity"));
+  EXPECT_TRUE(Place("k")->BodyContains("no_capacity"));
   EXPECT_EQ(control.proposals, 0);
   view.fleet.mutable_inventory()->mutable_backends(4)->set_draining(false);
   view.Changed();
@@ -149,8 +149,8 @@
 TEST_F(DeliveryTest, RejectionBeforeRecordIsUnknown) {
   StartGateway();
   view.expiry = clock.now;
-  EXPECT_TRUE(Place("k")->Says(R"("executed":"unknown")"));
-  EXPECT_TRUE(Complete()->Says(R"("executed":"no")"));
+  EXPECT_TRUE(Place("k")->BodyContains(R"("executed":"unknown")"));
+  EXPECT_TRUE(Complete()->BodyContains(R"("executed":"no")"));
 }
 
 TEST_F(DeliveryTest, IdempotencyKeyIsRequired) {
@@ -173,7 +173,7 @@
   const auto writer = Place("k");
   LastCall().Error(http::CallProgress::kNotSent);
   EXPECT_EQ(writer->whole.status, 502);
-  EXPECT_TRUE(writer->Says(R"("executed":"no")"));
+  EXPECT_TRUE(writer->BodyContains(R"("executed":"no")"));
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::NOT_EXECUTED);
 }
 
--- a/src/posthatch/gateway/gateway-test.cc
+++ b/src/posthatch/gateway/gateway-test.cc
@@ -26,8 +26,8 @@
   const auto writer = Complete(true);
   LastCall().Head();
   EXPECT_FALSE(writer->started);
-  LastCall().Piece(LastCall().Event(0));
-  LastCall().Piece(LastCall().Event(1) + "data: [DONE]\n\n");
+  LastCall().Chunk(LastCall().Event(0));
+  LastCall().Chunk(LastCall().Event(1) + "data: [DONE]\n\n");
   EXPECT_FALSE(writer->finished);
   LastCall().End();
   EXPECT_TRUE(writer->finished);
--- a/src/posthatch/gateway/gateway_fakes-test.h
+++ b/src/posthatch/gateway/gateway_fakes-test.h
@@ -47,7 +47,7 @@
     head.headers.Add("X-Worker-Cached-Blocks", std::to_string(cached_blocks));
     observer.on_head(head);
   }
-  void Piece(std::string piece) const {
+  void Chunk(std::string piece) const {
     if (!cancelled) observer.on_chunk(std::move(piece));
   }
   void End() const {
@@ -59,7 +59,7 @@
   }
   void CompleteResponse(int status, std::string body, uint64_t epoch = 1) const {
     Head(status, epoch);
-    Piece(std::move(body));
+    Chunk(std::move(body));
     End();
   }
   void GoodCompletion() const {
@@ -91,10 +91,10 @@
     return std::make_unique<Handle>(call);
   }
   bool HasPooledConnection(const std::string& endpoint, double) const override {
-    return kept_endpoints.contains(endpoint);
+    return pooled_endpoints.contains(endpoint);
   }
   std::vector<std::shared_ptr<FakeCall>> calls;
-  std::set<std::string> kept_endpoints;
+  std::set<std::string> pooled_endpoints;
 
  private:
   class Handle : public http::Call {
--- a/src/posthatch/gateway/limits-test.cc
+++ b/src/posthatch/gateway/limits-test.cc
@@ -27,7 +27,7 @@
   const auto rejected = Complete();
   EXPECT_EQ(rejected->whole.status, 429);
   EXPECT_EQ(rejected->whole.headers.Get("Retry-After"), "1");
-  EXPECT_TRUE(rejected->Says(R"("executed":"no")"));
+  EXPECT_TRUE(rejected->BodyContains(R"("executed":"no")"));
   timers.Advance(std::chrono::milliseconds(500));
   EXPECT_EQ(Complete()->responses, 0);
   EXPECT_EQ(Complete()->responses, 1);
@@ -50,18 +50,18 @@
   view.fleet.mutable_configuration()->mutable_tenants(1)->set_priority(9);
   StartGateway();
   for (int request = 0; request < 7; ++request) EXPECT_EQ(Complete()->responses, 0);
-  EXPECT_TRUE(Complete()->Says("overloaded"));
+  EXPECT_TRUE(Complete()->BodyContains("overloaded"));
   for (int request = 0; request < 3; ++request) {
     EXPECT_EQ(Complete(false, "key-two")->responses, 0);
   }
-  EXPECT_TRUE(Complete(false, "key-two")->Says("overloaded"));
+  EXPECT_TRUE(Complete(false, "key-two")->BodyContains("overloaded"));
 }
 
 TEST_F(LimitsTest, RejectsRequestsWithoutLease) {
   StartGateway();
   view.expiry = clock.now;
   const auto writer = Complete();
-  EXPECT_TRUE(writer->Says("no_lease"));
+  EXPECT_TRUE(writer->BodyContains("no_lease"));
   EXPECT_FALSE(gateway->Ready());
   EXPECT_TRUE(client.calls.empty());
 }
@@ -72,8 +72,8 @@
   const auto writer = Complete();
   view.expiry = clock.now;
   LastCall().Error(http::CallProgress::kSent);
-  EXPECT_TRUE(writer->Says("no_lease"));
-  EXPECT_TRUE(writer->Says(R"("executed":"unknown")"));
+  EXPECT_TRUE(writer->BodyContains("no_lease"));
+  EXPECT_TRUE(writer->BodyContains(R"("executed":"unknown")"));
   EXPECT_EQ(client.calls.size(), 11u);
 }
 
@@ -202,7 +202,7 @@
   timers.Advance(std::chrono::seconds(2));  // other gateways use the worker's capacity
   LastCall().cached_blocks = 100;
   LastCall().Head();
-  LastCall().Piece(LastCall().Event(0));
+  LastCall().Chunk(LastCall().Event(0));
   Send("/v1/completions", body);
   EXPECT_NE(LastCall().endpoint, "w1:80");
   timers.Advance(std::chrono::seconds(30));
@@ -224,7 +224,7 @@
   StartGateway();
   EXPECT_TRUE(client.calls.empty());
   view.inventory_age = std::chrono::seconds(3);
-  EXPECT_TRUE(Complete()->Says("no_lease"));  // too old, and no new reading yet
+  EXPECT_TRUE(Complete()->BodyContains("no_lease"));  // too old, and no new reading yet
   timers.Advance(std::chrono::milliseconds(700));
   ASSERT_FALSE(client.calls.empty());
   ASSERT_EQ(LastCall().endpoint, "inventory:80");
@@ -296,7 +296,7 @@
   const auto running = Complete();
   bool drained = false;
   gateway->Drain([&drained] { drained = true; });
-  EXPECT_TRUE(Complete()->Says("draining"));
+  EXPECT_TRUE(Complete()->BodyContains("draining"));
   EXPECT_FALSE(drained);
   LastCall().GoodCompletion();
   EXPECT_EQ(running->whole.status, 200);
--- a/src/posthatch/gateway/stream-test.cc
+++ b/src/posthatch/gateway/stream-test.cc
@@ -37,7 +37,7 @@
   const auto writer = Complete();
   for (int attempt = 1; attempt <= 3; ++attempt) LastCall().Error(http::CallProgress::kSent);
   EXPECT_EQ(writer->whole.status, 502);
-  EXPECT_TRUE(writer->Says(R"("executed":"unknown")"));
+  EXPECT_TRUE(writer->BodyContains(R"("executed":"unknown")"));
   EXPECT_EQ(client.calls.size(), 23u);
 }
 
@@ -79,7 +79,7 @@
     LastCall().CompleteResponse(503, R"({"error":{"code":"loading","executed":"no"}})");
   }
   EXPECT_EQ(writer->whole.status, 503);
-  EXPECT_TRUE(writer->Says(R"("executed":"no")"));
+  EXPECT_TRUE(writer->BodyContains(R"("executed":"no")"));
 }
 
 TEST_F(RetryingTest, StreamIsRetriedOnlyBeforeFirstByte) {
@@ -89,7 +89,7 @@
   LastCall().Error(http::CallProgress::kHeadReceived);
   ASSERT_EQ(client.calls.size(), 22u);
   LastCall().Head();
-  LastCall().Piece(LastCall().Event(0));
+  LastCall().Chunk(LastCall().Event(0));
   LastCall().Error(http::CallProgress::kHeadReceived);
   EXPECT_EQ(client.calls.size(), 22u);
   EXPECT_TRUE(writer->aborted);
@@ -101,7 +101,7 @@
   StartGateway();
   const auto writer = Complete(true);
   LastCall().Head();
-  LastCall().Piece(LastCall().Event(0));
+  LastCall().Chunk(LastCall().Event(0));
   LastCall().End();
   EXPECT_TRUE(writer->aborted);
   EXPECT_FALSE(writer->finished);
@@ -111,8 +111,8 @@
   StartGateway();
   const auto writer = Complete(true);
   LastCall().Head();
-  LastCall().Piece(LastCall().Event(0));
-  writer->on_gone();
+  LastCall().Chunk(LastCall().Event(0));
+  writer->on_disconnect();
   timers.Advance(std::chrono::milliseconds(1));
   EXPECT_TRUE(LastCall().cancelled);
 }
@@ -124,7 +124,7 @@
   writer->slow = true;
   LastCall().Head();
   int piece = 0;
-  while (!LastCall().paused && piece < 100) LastCall().Piece(LastCall().Event(piece++));
+  while (!LastCall().paused && piece < 100) LastCall().Chunk(LastCall().Event(piece++));
   EXPECT_TRUE(LastCall().paused);
   EXPECT_LT(writer->buffered, 1200u);
   writer->buffered = 0;
@@ -138,7 +138,7 @@
   const auto writer = Complete(true);
   writer->slow = true;
   LastCall().Head();
-  LastCall().Piece(LastCall().Event(0));
+  LastCall().Chunk(LastCall().Event(0));
   timers.Advance(std::chrono::seconds(31));
   EXPECT_TRUE(writer->aborted);
   EXPECT_TRUE(LastCall().cancelled);
--- a/src/posthatch/index/block_hash.cc
+++ b/src/posthatch/index/block_hash.cc
@@ -44,7 +44,7 @@
   return hashes;
 }
 
-uint64_t HashOfSegments(const std::vector<std::string>& segment_ids, size_t count) {
+uint64_t HashSegmentPrefix(const std::vector<std::string>& segment_ids, size_t count) {
   uint64_t hash = 0;
   for (size_t i = 0; i < count && i < segment_ids.size(); ++i) {
     hash = XXH3_64bits_withSeed(segment_ids[i].data(), segment_ids[i].size(), hash);
--- a/src/posthatch/index/block_hash.h
+++ b/src/posthatch/index/block_hash.h
@@ -34,7 +34,7 @@
 std::vector<BlockHash> HashSegments(std::string_view cache_salt,
                                     const std::vector<std::string>& segment_ids);
 // Hash over the first `count` segment ids, independent of cache salts.
-uint64_t HashOfSegments(const std::vector<std::string>& segment_ids, size_t count);
+uint64_t HashSegmentPrefix(const std::vector<std::string>& segment_ids, size_t count);
 
 // Bytes of canonical prompt text that count as one token.
 inline constexpr size_t kBytesPerToken = 4;
--- a/src/posthatch/index/index_node.cc
+++ b/src/posthatch/index/index_node.cc
@@ -172,8 +172,8 @@
   }
 }
 
-void IndexNode::ChannelListener::OnObjects(const std::string& /*channel*/,
-                                           const std::vector<std::string>& objects) {
+void IndexNode::ChannelListener::OnObjectsChanged(const std::string& /*channel*/,
+                                                  const std::vector<std::string>& objects) {
   for (const std::string& object : objects) node_->locator_.OnObjectChanged(object);
   node_->receiver_.OnVersionsAdvanced();
 }
--- a/src/posthatch/index/index_node.h
+++ b/src/posthatch/index/index_node.h
@@ -78,7 +78,8 @@
   class ChannelListener : public invalidation::InvalidationSubscriber::Listener {
    public:
     explicit ChannelListener(IndexNode* node) : node_(node) {}
-    void OnObjects(const std::string& channel, const std::vector<std::string>& objects) override;
+    void OnObjectsChanged(const std::string& channel,
+                          const std::vector<std::string>& objects) override;
     void OnSynchronized(const std::string& channel) override;
     void OnRenewed(const std::string& /*channel*/) override {}
     void OnLost(const std::string& /*channel*/) override {}
--- a/src/posthatch/invalidation/channel_subscription.cc
+++ b/src/posthatch/invalidation/channel_subscription.cc
@@ -204,7 +204,7 @@
   SendAck(message);
   std::vector<std::string> changed;
   for (const ObjectState& state : message.objects()) changed.push_back(state.object());
-  observer_->OnObjects(channel_, changed);
+  observer_->OnObjectsChanged(channel_, changed);
 }
 
 void ChannelSubscription::SendAck(const ChannelMessage& message) {
--- a/src/posthatch/invalidation/invalidation_relay.cc
+++ b/src/posthatch/invalidation/invalidation_relay.cc
@@ -80,8 +80,8 @@
   return names;
 }
 
-void InvalidationRelay::OnObjects(const std::string& channel,
-                                  const std::vector<std::string>& objects) {
+void InvalidationRelay::OnObjectsChanged(const std::string& channel,
+                                         const std::vector<std::string>& objects) {
   if (!relayed_.contains(channel)) return;
   for (const std::string& object : objects) publisher_.OnObjectChanged(object);
 }
--- a/src/posthatch/invalidation/invalidation_relay.h
+++ b/src/posthatch/invalidation/invalidation_relay.h
@@ -30,7 +30,8 @@
   bool Find(const std::string& channel, const std::string& object,
             ObjectVersion* version) const override;
 
-  void OnObjects(const std::string& channel, const std::vector<std::string>& objects) override;
+  void OnObjectsChanged(const std::string& channel,
+                        const std::vector<std::string>& objects) override;
   void OnSynchronized(const std::string& channel) override;
   void OnRenewed(const std::string& channel) override;
   void OnLost(const std::string& channel) override;
--- a/src/posthatch/invalidation/invalidation_subscriber.cc
+++ b/src/posthatch/invalidation/invalidation_subscriber.cc
@@ -31,9 +31,9 @@
                                             static_cast<SubscriptionObserver*>(this));
 }
 
-void InvalidationSubscriber::OnObjects(const std::string& channel,
-                                       const std::vector<std::string>& objects) {
-  for (Listener* listener : listeners_) listener->OnObjects(channel, objects);
+void InvalidationSubscriber::OnObjectsChanged(const std::string& channel,
+                                              const std::vector<std::string>& objects) {
+  for (Listener* listener : listeners_) listener->OnObjectsChanged(channel, objects);
 }
 
 void InvalidationSubscriber::OnSynchronized(const std::string& channel) {
--- a/src/posthatch/invalidation/invalidation_subscriber.h
+++ b/src/posthatch/invalidation/invalidation_subscriber.h
@@ -59,7 +59,8 @@
 
  private:
   // SubscriptionObserver: forwards each event to the listeners.
-  void OnObjects(const std::string& channel, const std::vector<std::string>& objects) override;
+  void OnObjectsChanged(const std::string& channel,
+                        const std::vector<std::string>& objects) override;
   void OnSynchronized(const std::string& channel) override;
   void OnRenewed(const std::string& channel) override;
   void OnLost(const std::string& channel) override;
--- a/src/posthatch/invalidation/subscription_observer.h
+++ b/src/posthatch/invalidation/subscription_observer.h
@@ -11,7 +11,8 @@
  public:
   virtual ~SubscriptionObserver() = default;
   // `objects` have new versions, or are no longer covered.
-  virtual void OnObjects(const std::string& channel, const std::vector<std::string>& objects) = 0;
+  virtual void OnObjectsChanged(const std::string& channel,
+                                const std::vector<std::string>& objects) = 0;
   // A registration was granted: the channel's objects are complete.
   virtual void OnSynchronized(const std::string& channel) = 0;
   // A message was received: the time up to which the channel is proved may have advanced.
--- a/src/posthatch/routing/placer-test.cc
+++ b/src/posthatch/routing/placer-test.cc
@@ -70,7 +70,7 @@
 
 TEST_F(PlacerTest, PrefersPooledConnections) {
   SetPrompt(200, 300);
-  client_.kept_endpoints.insert(Find("w2")->backend.endpoint());
+  client_.pooled_endpoints.insert(Find("w2")->backend.endpoint());
   int at_pooled = 0;
   for (int i = 0; i < 20; ++i) at_pooled += Choose() == "w2" ? 1 : 0;
   EXPECT_EQ(at_pooled, 20);
@@ -80,7 +80,7 @@
 
 TEST_F(PlacerTest, OtherCallsPreferPooledConnectionsUntilLoaded) {
   query_.prompt = nullptr;
-  client_.kept_endpoints.insert(Find("w2")->backend.endpoint());
+  client_.pooled_endpoints.insert(Find("w2")->backend.endpoint());
   for (int i = 0; i < 20; ++i) EXPECT_EQ(Choose(), "w2");
   RunStreams("w2", 1);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(Choose(), "w1");
--- a/src/posthatch/routing/request_prompt.cc
+++ b/src/posthatch/routing/request_prompt.cc
@@ -26,7 +26,7 @@
   // Prompts of tenants that are isolated from each other share no cache entries and needn't be
   // placed together: the salt for revision 0 (none) makes their affinities differ.
   ids.insert(ids.begin(), CacheSalt(0));
-  shape_.affinity = index::HashOfSegments(ids, shared + 1);
+  shape_.affinity = index::HashSegmentPrefix(ids, shared + 1);
   shape_.shared_tokens = shape_.TokensInFirst(static_cast<uint32_t>(shared));
 }
 
--- a/src/posthatch/routing/store_health_checker-test.cc
+++ b/src/posthatch/routing/store_health_checker-test.cc
@@ -31,7 +31,7 @@
   ASSERT_EQ(client_.calls.size(), 1U);
   EXPECT_EQ(Last().endpoint, "store:1");
   Last().observer.on_head({});
-  Last().Piece(R"({"epoch":4,"next":9,"events":[]})");
+  Last().Chunk(R"({"epoch":4,"next":9,"events":[]})");
   Last().End();
   EXPECT_EQ(reports_, std::vector<bool>{true});
   timers_.Advance(milliseconds(400));
--- a/src/posthatch/routing/traffic_fixture-test.h
+++ b/src/posthatch/routing/traffic_fixture-test.h
@@ -220,7 +220,7 @@
   void Respond(int status, const std::string& body) {
     const auto call = client_.calls.back();
     Head(status);
-    call->Piece(body);
+    call->Chunk(body);
     call->End();
   }
 
--- a/src/posthatch/routing/traffic_gateway-test.cc
+++ b/src/posthatch/routing/traffic_gateway-test.cc
@@ -173,7 +173,7 @@
   Send("stream");
   EXPECT_EQ(OutdatedPrompts("dispatched"), 1);
   Head(200);
-  Last().Piece("id: 1\ndata: x\n\n");
+  Last().Chunk("id: 1\ndata: x\n\n");
   EXPECT_EQ(OutdatedPrompts("began"), 1);
   EXPECT_EQ(OutdatedPrompts("began_late"), 0);
 }
--- a/src/posthatch/routing/traffic_request-test.cc
+++ b/src/posthatch/routing/traffic_request-test.cc
@@ -61,7 +61,7 @@
   const auto writer = Send("once");
   const auto call = client_.calls.back();
   Head(200, "someone-else");
-  call->Piece("another response");
+  call->Chunk("another response");
   call->End();
   timers_.Advance(milliseconds(1));
   EXPECT_EQ(writer->whole.status, 502);
@@ -99,7 +99,7 @@
 TEST_F(TrafficRequestTest, DisconnectCancelsWorkerCall) {
   const auto writer = Send("once");
   const auto call = client_.calls.back();
-  writer->on_gone();
+  writer->on_disconnect();
   timers_.Advance(milliseconds(1));
   EXPECT_TRUE(call->cancelled);
   EXPECT_EQ(writer->responses, 0);
@@ -110,7 +110,7 @@
     const auto writer = Send(route);
     const auto call = client_.calls.back();
     const size_t before = client_.calls.size();
-    writer->on_gone();
+    writer->on_disconnect();
     timers_.Advance(seconds(3));
     EXPECT_TRUE(call->cancelled) << route;
     EXPECT_EQ(client_.calls.size(), before) << route;
@@ -122,9 +122,9 @@
   const auto writer = Send("resume");
   Head(200);
   const auto call = client_.calls.back();
-  call->Piece("id: 1\n\n");
+  call->Chunk("id: 1\n\n");
   const size_t before = client_.calls.size();
-  writer->on_gone();
+  writer->on_disconnect();
   timers_.Advance(seconds(4));
   EXPECT_TRUE(call->cancelled);
   EXPECT_EQ(client_.calls.size(), before);
@@ -148,7 +148,7 @@
   ASSERT_EQ(client_.calls.size(), 2U);
   EXPECT_EQ(Last().Field("Revision"), "2");
   Head(200);
-  Last().Piece("id: 1\ndata: x\n\n");
+  Last().Chunk("id: 1\ndata: x\n\n");
   Last().End();
   EXPECT_TRUE(writer->finished);
 }
@@ -158,7 +158,7 @@
   Start();
   Send("stream");
   Head(200);
-  Last().Piece("id: 1\ndata: x\n\n");
+  Last().Chunk("id: 1\ndata: x\n\n");
   view_.fleet.mutable_revisions(0)->set_revision(2);
   view_.Changed();
   timers_.Advance(milliseconds(3500));
@@ -187,9 +187,9 @@
   const auto writer = Send("stream");
   Head(200);
   EXPECT_TRUE(writer->started);
-  Last().Piece("id: 1\ndata: a\n\nid: 2\nda");
+  Last().Chunk("id: 1\ndata: a\n\nid: 2\nda");
   EXPECT_EQ(writer->written, "id: 1\ndata: a\n\n");
-  Last().Piece("ta: b\n\n");
+  Last().Chunk("ta: b\n\n");
   EXPECT_EQ(writer->written, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   Last().End();
   EXPECT_TRUE(writer->finished);
@@ -198,7 +198,7 @@
 TEST_F(TrafficRequestTest, StreamEndingWithinEventIsAborted) {
   const auto writer = Send("stream");
   Head(200);
-  Last().Piece("id: 1\ndata: a\n\nid: 2\nda");
+  Last().Chunk("id: 1\ndata: a\n\nid: 2\nda");
   Last().End();
   EXPECT_TRUE(writer->aborted);
   EXPECT_FALSE(writer->finished);
@@ -209,13 +209,13 @@
   const auto writer = Send("resume");
   const std::string first = Last().endpoint;
   Head(200);
-  Last().Piece("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
+  Last().Chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
   Last().Error(CallProgress::kHeadReceived);
   ASSERT_EQ(client_.calls.size(), 2U);
   EXPECT_NE(Last().endpoint, first);
   EXPECT_EQ(Last().Field("After"), "2");
   Head(200);
-  Last().Piece("id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
+  Last().Chunk("id: 2\ndata: b\n\nid: 3\ndata: c\n\n");
   Last().End();
   EXPECT_TRUE(writer->finished);
   EXPECT_EQ(writer->written, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
@@ -227,7 +227,7 @@
     Send("stream");
     endpoints.insert(Last().endpoint);
     Head(200);
-    Last().Piece("id: 1\ndata: a\n\n");
+    Last().Chunk("id: 1\ndata: a\n\n");
     Last().End();
     timers_.Advance(milliseconds(50));
   }
--- a/src/posthatch/server/gateway_node.cc
+++ b/src/posthatch/server/gateway_node.cc
@@ -60,7 +60,7 @@
                index_.locator()),
       revision_enforcer_(runtime, rollout::RevisionEnforcerOptions{}, &session_,
                          [this](const std::string& worker_id, uint64_t* fencing_token) {
-                           return session_.HoldsWorker(worker_id, fencing_token);
+                           return session_.HasLeaseOnWorker(worker_id, fencing_token);
                          }),
       admin_api_(runtime, MakeAdminOptions(settings_.node, &membership_), &session_, &session_),
       leave_timer_(runtime->timers) {}
--- a/src/posthatch/test_support/fake_writer-test.h
+++ b/src/posthatch/test_support/fake_writer-test.h
@@ -26,10 +26,12 @@
   size_t buffered_bytes() const override { return buffered; }
   void OnWritable(std::function<void()> callback) override { on_writable = std::move(callback); }
   void OnCallerDisconnected(std::function<void()> callback) override {
-    on_gone = std::move(callback);
+    on_disconnect = std::move(callback);
   }
   // Whether the body passed to SendResponse contains `text`.
-  bool Says(const std::string& text) const { return whole.body.find(text) != std::string::npos; }
+  bool BodyContains(const std::string& text) const {
+    return whole.body.find(text) != std::string::npos;
+  }
 
   http::Response whole;  // the argument of the last SendResponse
   int responses = 0;     // number of calls of SendResponse
@@ -40,7 +42,7 @@
   size_t buffered = 0;
   std::string written;  // the chunks, concatenated
   std::function<void()> on_writable;
-  std::function<void()> on_gone;
+  std::function<void()> on_disconnect;
 };
 
 }  // namespace posthatch::test_support
