--- a/src/posthatch/routing/in_flight_prefills.cc
+++ b/src/posthatch/routing/in_flight_prefills.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr runtime::Duration kSweepInterval = std::chrono::seconds(1);
-// Maximum number of workers for the same segments; the oldest one is replaced.
+// Maximum number of workers for the same segments; the one added first is replaced.
 constexpr size_t kMaxLocationsPerPrefix = 4;
 
 }  // namespace
--- a/src/posthatch/routing/in_flight_prefills.h
+++ b/src/posthatch/routing/in_flight_prefills.h
@@ -42,7 +42,7 @@
 
   // Adds a prefill that this gateway has started or another gateway has announced.
   void Add(const PrefillStart& start);
-  // Locations of the segments under a model revision, newest first.
+  // Locations of the segments under a model revision, the last added worker first.
   std::vector<PrefillLocation> Find(uint64_t affinity, uint64_t revision) const;
   size_t size() const { return size_; }
 
--- a/src/posthatch/routing/load_aggregator.h
+++ b/src/posthatch/routing/load_aggregator.h
@@ -19,10 +19,10 @@
 namespace posthatch::routing {
 
 // The role of a zone's aggregator in a large fleet. From Start until another gateway becomes the
-// zone's aggregator, it sends every `aggregation_period`: its zone's load to the other aggregators;
-// and to its zone's gateways the other zones' loads, the health of the stores and, in a large zone,
-// the zone's total load. Each report includes the prefill starts received since the last one. Owned
-// by LoadReporter; event loop thread only.
+// zone's aggregator or the fleet becomes small, it sends every `aggregation_period`: its zone's
+// load to the other aggregators; and to its zone's gateways the other zones' loads, the health of
+// the stores and, in a large zone, the zone's total load. Each report includes the prefill starts
+// received since the last one. Owned by LoadReporter; event loop thread only.
 class LoadAggregator {
  public:
   // The inputs of the aggregation, and the sender of the reports; all must outlive the aggregator.
--- a/src/posthatch/routing/load_reporter.h
+++ b/src/posthatch/routing/load_reporter.h
@@ -43,7 +43,7 @@
 
   // Sets this gateway's load at a worker.
   void SetLocalLoad(const std::string& worker_id, const Load& load);
-  // The other gateways' load at a worker.
+  // Returns the load of all other gateways at a worker.
   Load RemoteLoad(const std::string& worker_id) const;
   // Whether loads of other zones are received through aggregators, and so with a delay.
   bool RemoteZoneLoadIsDelayed() const { return remote_zone_load_is_delayed_; }
@@ -68,7 +68,8 @@
 
  private:
   LoadTopology Topology() const;
-  // Schedules a report after the urgent or the relaxed period, unless one is due sooner.
+  // Schedules a report after the urgent or the relaxed period. If one is scheduled already, it
+  // stays, unless it is relaxed and the new one urgent.
   void Schedule(bool urgent);
   void Refresh();
   void Send();
--- a/src/posthatch/routing/load_reporter_options.h
+++ b/src/posthatch/routing/load_reporter_options.h
@@ -26,11 +26,11 @@
   // the last report, or becomes zero; every load is reported at each refresh.
   uint64_t cross_zone_tokens = 2000;
   uint32_t cross_zone_in_flight = 3;
-  // In a larger fleet, gateways report only within their zone, and the zones' aggregators report to
-  // other zones.
+  // In a fleet of more gateways than this, gateways report only within their zone, and the zones'
+  // aggregators report to other zones.
   size_t max_direct_gateways = 16;
-  // In a larger zone, gateways report only to the zone's aggregator, which reports the sum to the
-  // others.
+  // In a zone of more gateways than this, gateways report only to the zone's aggregator, which
+  // reports the sum to the others.
   size_t max_direct_gateways_per_zone = 64;
   // Limit on the average rate of datagrams that a gateway sends: with more peers it reports less
   // often.
--- a/src/posthatch/routing/placement_cost.h
+++ b/src/posthatch/routing/placement_cost.h
@@ -58,7 +58,8 @@
   void ConsiderSource(const PlacementQuery& query, const PlacementCandidate& candidate,
                       const std::string& source_id, uint64_t available_tokens,
                       PrefillPlan* plan) const;
-  // Expected time of a fetch from the store, averaged over a cache hit and a cache miss.
+  // Expected time to fetch from the store and to prefill the rest, averaged over a cache hit and a
+  // cache miss.
   double ExpectedMsWithStore(const PlacementQuery& query,
                              const PlacementCandidate& candidate) const;
   double FetchMs(const control::WorkerEngine& engine, uint64_t tokens, bool same_zone) const;
--- a/src/posthatch/routing/placer.h
+++ b/src/posthatch/routing/placer.h
@@ -16,10 +16,12 @@
 namespace posthatch::routing {
 
 // Chooses the worker for a call. For a prompt: the cheapest of a few candidates by PlacementCost.
-// Candidates are the cache holders of a prefix, a few workers that every gateway ranks first for
-// the prompt (by rendezvous hashing, so that calls with a common prefix reach the same worker
-// without coordination), and two random workers. For any other call: the worker with the fewest
-// requests in flight. Owned by TrafficGateway; event loop thread only.
+// Candidates are the workers that cache a prefix or are prefilling it, a few workers that every
+// gateway ranks first for the prompt (by rendezvous hashing, so that calls with a common prefix
+// reach the same worker without coordination), two random workers and, if few tokens are shared, a
+// worker with a pooled connection. For any other call: the worker with the fewest requests in
+// flight, with penalties for another zone and for a new connection. Owned by TrafficGateway; event
+// loop thread only.
 class Placer {
  public:
   // `runtime` and `pool` must outlive this object; `zone` is this gateway's zone.
@@ -62,9 +64,9 @@
 
   // Tokens of the prompt that the worker has cached, or is prefilling already.
   static uint64_t CachedTokens(const PlacementQuery& query, const Worker& worker);
-  // Sets the fetch source to the worker that all gateways rank first among those of the same
-  // revision: the shared segments may be cached there although the index knows no cache holder. A
-  // miss costs next to nothing.
+  // If `placement` has no fetch source and enough tokens to fetch, sets the source to the worker
+  // that all gateways rank first among those of the same revision: the shared segments may be
+  // cached there although the index knows no cache holder. A miss costs next to nothing.
   void GuessFetchSource(const PlacementQuery& query, const Workers& usable,
                         Placement* placement) const;
 
--- a/src/posthatch/routing/request_outcome.h
+++ b/src/posthatch/routing/request_outcome.h
@@ -25,7 +25,7 @@
   kLost,         // "lost": sent, and no response head was received
   kTruncated,    // "broken": the response was truncated or is too large
   kMismatched,   // "foreign_answer": the response belongs to another request
-  kServerError,  // "worker_error": a status that must not or need not be relayed
+  kServerError,  // "worker_error": a 5xx status to retry, or a status that must not be relayed
   kOutdated,     // "outdated": cancelled, since it may no longer start under the worker's revision
 };
 const char* FailureLabel(DispatchFailure failure);
--- a/src/posthatch/routing/request_prompt.h
+++ b/src/posthatch/routing/request_prompt.h
@@ -17,7 +17,7 @@
 // thread only.
 class RequestPrompt {
  public:
-  // Both arguments must outlive this object.
+  // `context` and `admitted` must outlive this object.
   RequestPrompt(const TrafficContext* context, const AdmittedCall* admitted);
 
   const PromptShape& shape() const { return shape_; }
--- a/src/posthatch/routing/request_trace.h
+++ b/src/posthatch/routing/request_trace.h
@@ -15,7 +15,7 @@
 // FirstEvent and CallEnded by their field names. Owned by TrafficRequest; event loop thread only.
 class RequestTrace {
  public:
-  // Both arguments must outlive this object.
+  // `context` and `admitted` must outlive this object.
   RequestTrace(const TrafficContext* context, const AdmittedCall* admitted)
       : context_(context), admitted_(admitted) {}
 
--- a/src/posthatch/routing/sse_framer.h
+++ b/src/posthatch/routing/sse_framer.h
@@ -21,7 +21,8 @@
 
   // Whether no incomplete event is buffered.
   bool at_event_boundary() const { return pending_.empty(); }
-  // Id of the last event that was relayed; empty if it had none.
+  // Id of the last relayed event that had an id, or the id given to SetLastEventId; empty if there
+  // is none.
   const std::string& last_event_id() const { return last_event_id_; }
   // Number of events relayed so far.
   uint64_t events() const { return events_; }
--- a/src/posthatch/routing/traffic_metrics.h
+++ b/src/posthatch/routing/traffic_metrics.h
@@ -21,7 +21,7 @@
         prompt_tokens(registry, "posthatch_traffic_prompt_tokens_total",
                       "Tokens of dispatched prompts: asked, believed_missing, fetched", "kind"),
         outdated_prompts(registry, "posthatch_traffic_outdated_prompts_total",
-                         "Prompts at workers of an older model revision than the newest named: "
+                         "Prompts at workers of an older model revision than the newest set: "
                          "dispatched, began (first event), began_late (past revision_deadline_ms)",
                          "stage"),
         inventory_reads(registry, "posthatch_traffic_inventory_reads_total",
--- a/src/posthatch/routing/traffic_request.h
+++ b/src/posthatch/routing/traffic_request.h
@@ -37,13 +37,13 @@
   void CheckRevisionDeadline();
 
  private:
-  // One dispatch of the request; the worker is released when the attempt ends.
+  // State of a dispatch of the request; the worker is released when the attempt ends.
   struct Attempt {
     std::unique_ptr<http::Call> call;
     WorkerPointer worker;  // null if no dispatch is running
     Placement placement;
     uint64_t revision = 0;         // model revision that the worker served; 0 if not a prompt
-    bool prefill_pending = false;  // its pending tokens are still counted by the pool
+    bool prefill_pending = false;  // the pool still counts the pending tokens
     bool first_event_seen = false;
     bool streaming = false;
     runtime::MonotonicTime started_at;
@@ -69,7 +69,8 @@
   void OnBodyChunk(const std::string& chunk);
   void RelayEvents(const std::string& chunk);
   void OnFirstEvent();
-  // Counts and logs a prompt that began under an outdated model revision.
+  // Counts a prompt that began under an outdated model revision; logs it only if it began after
+  // the revision's deadline.
   void CountOutdatedStart(runtime::Duration elapsed);
   // Updates the estimates for the worker, the stores and the prefill rate from the time of the
   // first event.
--- a/src/posthatch/routing/worker_pool.cc
+++ b/src/posthatch/routing/worker_pool.cc
@@ -14,7 +14,8 @@
 constexpr double kWaitHalfLifeMs = 1500;
 constexpr runtime::Duration kSlowTransferBackoff = std::chrono::seconds(2);
 // Workers of an outdated revision get no new work from this long before the deadline: this gateway
-// may have received the new revision one session renewal after its sender was acknowledged.
+// may have received the new revision one session renewal after the request that set it was
+// acknowledged.
 constexpr runtime::Duration kRevisionSafetyMargin = std::chrono::milliseconds(1300);
 // A prompt that waits for its first token under an outdated revision is cancelled this long before
 // the deadline, so that the worker is notified in time.
--- a/src/posthatch/routing/worker_pool.h
+++ b/src/posthatch/routing/worker_pool.h
@@ -18,7 +18,7 @@
 namespace posthatch::routing {
 
 struct WorkerPoolOptions {
-  // Time from the order of a new model revision until no request may start on an older one.
+  // Time from setting a new model revision until no request may start on an older one.
   runtime::Duration revision_deadline = std::chrono::seconds(12);
   // The leader's loading marks (workers that are loading weights) apply only while its inventory is
   // younger than this.
@@ -31,7 +31,7 @@
 // (outlier ejection). Owned by TrafficGateway; event loop thread only.
 class WorkerPool {
  public:
-  // All pointers must outlive this object.
+  // Every object passed by pointer must outlive this pool.
   WorkerPool(runtime::Runtime* runtime, WorkerPoolOptions options, SlowStartLimiter* limiter,
              LoadReporter* loads, const control::RevisionTimeline* revisions);
 
@@ -61,7 +61,7 @@
   bool RemoteZoneLoadIsDelayed() const { return load_reporter_->RemoteZoneLoadIsDelayed(); }
   // The worker's load from all gateways.
   Load TotalLoad(const Worker& worker) const;
-  // The newest revision that was ordered for `model`; 0 if none is known.
+  // The newest revision that was set for `model`; 0 if none is known.
   uint64_t TargetRevision(const std::string& model) const;
   // How long `revision` of `model` has been outdated, as far as this gateway knows; nullopt if it
   // is the newest.
