--- a/src/posthatch/rollout/rollout_metrics.h
+++ b/src/posthatch/rollout/rollout_metrics.h
@@ -23,9 +23,9 @@
         time_left_(&util::AddGauge(Exposed(registry), "posthatch_rollout_seconds_left",
                                    "Seconds to the deadline of the oldest revision that a worker "
                                    "serves; the full period while no worker is outdated")),
-        finished_(
-            &util::AddCounter(Exposed(registry), "posthatch_rollout_loads_finished_total",
-                              "Workers that serve the revision they were commanded to load")) {}
+        finished_(&util::AddCounter(
+            Exposed(registry), "posthatch_rollout_loads_finished_total",
+            "Loads that ended with the worker serving the revision it was commanded to load")) {}
 
   prometheus::Gauge& outdated() { return *outdated_; }
   prometheus::Gauge& in_progress() { return *in_progress_; }
--- a/src/posthatch/rollout/rollout_pace.h
+++ b/src/posthatch/rollout/rollout_pace.h
@@ -16,14 +16,17 @@
   runtime::Duration deadline_margin = std::chrono::milliseconds(2500);
 };
 
-// State of a model's rollout. Excludes overdue workers (IsOverdue), which start immediately.
+// State of a model's rollout. Overdue workers (IsOverdue), which start immediately, are included
+// only in `workers`.
 struct RolloutState {
   size_t workers = 0;         // including finished ones
   size_t occupied_slots = 0;  // slots of workers in progress
   // Time to the deadline, for each worker that has not been started.
   std::vector<runtime::Duration> times_left;
-  bool is_proven = false;              // some worker serves the target revision
-  runtime::Duration load_duration{0};  // measured from first command to end of loading
+  bool is_proven = false;  // some worker serves the target revision
+  // Average time from a worker's first command to the end of its loading, or the elapsed time of
+  // the longest load in progress if that is more.
+  runtime::Duration load_duration{0};
 };
 
 // Whether a worker must be started regardless of how many are in progress. It can't serve much
