--- a/src/posthatch/gateway/delivery-test.cc
+++ b/src/posthatch/gateway/delivery-test.cc
@@ -2,7 +2,8 @@
 
 #include "posthatch/gateway/gateway_fixture-test.h"
 
-// Non-idempotent operations run at most once and report correct `executed` values (N1, N2, N10).
+// Non-idempotent operations run at most once and report correct `executed` values (invariants N1,
+// N2 and N10).
 namespace posthatch::gateway {
 namespace {
 
--- a/src/posthatch/gateway/delivery_request.h
+++ b/src/posthatch/gateway/delivery_request.h
@@ -43,8 +43,7 @@
   std::optional<ApiError> DispatchError() const;
   void SendTo(BackendPointer backend);
   // Commits the outcome, then sends `response`; if the commit fails, sends an error with executed
-  // "unknown".
-  // `metric_label` is "ok" or an error code.
+  // "unknown". `metric_label` is "ok" or an error code.
   void Commit(control::DeliveryOutcome outcome, http::Response response,
               const std::string& metric_label);
   void CloseNotExecuted(const ApiError& error);
--- a/src/posthatch/gateway/gateway_metrics.h
+++ b/src/posthatch/gateway/gateway_metrics.h
@@ -29,7 +29,7 @@
   LabeledCounter routes;
   // cause: streams that ended incomplete after bytes were sent, by AttemptFailure::name.
   LabeledCounter stream_breaks;
-  // outcome: sends of non-idempotent operations: "ok", "replayed" or an ErrorCodeName.
+  // outcome: requests for non-idempotent operations: "ok", "replayed" or an ErrorCodeName.
   LabeledCounter deliveries;
   // cause: back ends put into slow start: "seen", "returned" or "epoch".
   LabeledCounter slow_starts;
--- a/src/posthatch/gateway/key_digest.h
+++ b/src/posthatch/gateway/key_digest.h
@@ -14,7 +14,7 @@
 
 Sha256Digest Sha256(std::string_view text);
 std::string Sha256Hex(std::string_view text);
-// The digest written as 64 hexadecimal digits, or nothing if it is not one.
+// Parses a digest of 64 hexadecimal digits; nullopt if `hex` is anything else.
 std::optional<Sha256Digest> ParseSha256Hex(std::string_view hex);
 
 }  // namespace posthatch::gateway
--- a/src/posthatch/gateway/retryable_request.h
+++ b/src/posthatch/gateway/retryable_request.h
@@ -20,7 +20,8 @@
  protected:
   RetryableRequest(GatewayContext* context, CallerRequest call);
 
-  // Chooses a back end and fills the plan's request; attempt fields are added by the caller.
+  // Chooses a back end and fills the plan's request; Dispatch adds the nonce and the header
+  // fields of the attempt.
   virtual RouteDecision Plan(const std::vector<std::string>& attempted_backends,
                              AttemptPlan* plan) = 0;
   // Whether a complete response with status 200 is valid and for this request.
