--- a/src/posthatch/routing/load_reporter.h
+++ b/src/posthatch/routing/load_reporter.h
@@ -58,7 +58,7 @@
   // Whether this gateway is its zone's aggregator, in fleets of any size.
   bool IsAggregator() const { return Topology().IsAggregator(); }
   // Records the result of this gateway's health check of a store, as an aggregator. A change is
-  // reported at once.
+  // reported after the urgent period, or in a large fleet with the next aggregated reports.
   void RecordStoreHealth(const std::string& endpoint, bool alive);
   // Called with the store health that aggregators report, including this gateway as an aggregator.
   using StoreHealthObserver = std::function<void(const std::string& endpoint, bool alive)>;
--- a/src/posthatch/routing/request_outcome.h
+++ b/src/posthatch/routing/request_outcome.h
@@ -8,7 +8,7 @@
 enum class RequestOutcome {
   kOk,            // "ok": a complete response of a worker
   kWorkerError,   // "worker_error": a complete response of a worker, with a 5xx status
-  kRejected,      // "refused": no dispatch may have run; the caller may retry
+  kRejected,      // "refused": not admitted; or no dispatch may have run, so the caller may retry
   kFailed,        // "failed": a dispatch may have run; no complete response was received
   kTimedOut,      // "timeout": the request's deadline has passed
   kTruncated,     // "broken": the caller received a truncated stream
