--- a/src/posthatch/rollout/revision_enforcer.h
+++ b/src/posthatch/rollout/revision_enforcer.h
@@ -13,7 +13,8 @@
 namespace posthatch::rollout {
 
 struct RevisionEnforcerOptions {
-  // Delay before the command is repeated to a worker that is still loading or did not respond.
+  // Delay before the command is repeated to a worker that is still loading, rejected the command or
+  // did not respond.
   runtime::Duration retry_interval = std::chrono::milliseconds(500);
   // Delay before the command is repeated to a worker that serves the newest revision, since the
   // worker may have restarted with older weights.
