--- a/src/posthatch/gateway/delivery_request.h
+++ b/src/posthatch/gateway/delivery_request.h
@@ -13,7 +13,8 @@
 // A request for a non-idempotent operation (DESIGN.md, "Non-repeatable operations"):
 //   1. A record is begun in the log; only the attempt that gets BEGUN continues.
 //   2. Within kDispatchDeadline of the begin and under a valid lease the operation is dispatched
-//      once, on a new connection. Otherwise the record is closed as not executed.
+//      on a new connection, and again only if no byte of it was sent. Otherwise the record is
+//      closed as not executed.
 //   3. The outcome is committed before the response is sent to the caller.
 // Continues after the caller disconnects, so that a repeated request gets the stored outcome. Event
 // loop thread only.
