--- a/src/posthatch/gateway/delivery_request.h
+++ b/src/posthatch/gateway/delivery_request.h
@@ -13,7 +13,8 @@
 // A request for a non-idempotent operation (DESIGN.md, "Non-repeatable operations"):
 //   1. A record is begun in the log; only the attempt that gets BEGUN continues.
 //   2. Within kDispatchDeadline of the begin and under a valid lease the operation is dispatched
-//      once, on a new connection. Otherwise the record is closed as not executed.
+//      on a new connection, and again only if no byte of it was sent. Otherwise the record is
+//      closed as not executed.
 //   3. The outcome is committed before the response is sent to the caller.
 // Continues after the caller disconnects, so that a repeated request gets the stored outcome. Event
 // loop thread only.
@@ -43,8 +44,7 @@
   std::optional<ApiError> DispatchError() const;
   void SendTo(BackendPointer backend);
   // Commits the outcome, then sends `response`; if the commit fails, sends an error with executed
-  // "unknown".
-  // `metric_label` is "ok" or an error code.
+  // "unknown". `metric_label` is "ok" or an error code.
   void Commit(control::DeliveryOutcome outcome, http::Response response,
               const std::string& metric_label);
   void CloseNotExecuted(const ApiError& error);
--- a/src/posthatch/routing/request_outcome.h
+++ b/src/posthatch/routing/request_outcome.h
@@ -8,7 +8,7 @@
 enum class RequestOutcome {
   kOk,            // "ok": a complete response of a worker
   kWorkerError,   // "worker_error": a complete response of a worker, with a 5xx status
-  kRejected,      // "refused": no dispatch may have run; the caller may retry
+  kRejected,      // "refused": not admitted; or no dispatch may have run, so the caller may retry
   kFailed,        // "failed": a dispatch may have run; no complete response was received
   kTimedOut,      // "timeout": the request's deadline has passed
   kTruncated,     // "broken": the caller received a truncated stream
@@ -25,7 +25,7 @@
   kLost,         // "lost": sent, and no response head was received
   kTruncated,    // "broken": the response was truncated or is too large
   kMismatched,   // "foreign_answer": the response belongs to another request
-  kServerError,  // "worker_error": a status that must not or need not be relayed
+  kServerError,  // "worker_error": a 5xx status to retry, or a status that must not be relayed
   kOutdated,     // "outdated": cancelled, since it may no longer start under the worker's revision
 };
 const char* FailureLabel(DispatchFailure failure);
