--- a/src/posthatch/consensus/raft_membership.cc
+++ b/src/posthatch/consensus/raft_membership.cc
@@ -203,7 +203,8 @@
     };
     if (excess == nullptr || lag_of(member) > lag_of(*excess)) excess = &member;
   }
-  // The voter that was to be replaced responds again.
+  // If all voters are live, the one that was to be replaced responds again: the one that lags most
+  // is demoted instead.
   if (excess == nullptr || !all_live) return false;
   Member demoted = *excess;
   demoted.set_voter(false);
--- a/src/posthatch/consensus/raft_types.h
+++ b/src/posthatch/consensus/raft_types.h
@@ -28,7 +28,7 @@
   runtime::Duration restart_election_timeout_max = std::chrono::milliseconds(200);
 
   size_t max_command_bytes = 8u << 20;    // a longer one is rejected: it would not fit in a message
-  size_t max_append_bytes = 256u << 10;   // entries in one message, excluding the last one
+  size_t max_append_bytes = 256u << 10;   // entries in one message; the last may exceed it
   size_t max_in_flight_appends = 64;      // unacknowledged messages with entries, per follower
   size_t max_uncommitted_entries = 8192;  // proposals beyond it are rejected
   size_t max_uncommitted_bytes = 32u << 20;
--- a/src/posthatch/consensus/replicated_log.h
+++ b/src/posthatch/consensus/replicated_log.h
@@ -31,7 +31,8 @@
  public:
   // Receives the result of the state machine, or an error: FailedPrecondition (not leader: not
   // proposed, retry at leader_endpoint()), Unavailable or Aborted (leadership lost: the command may
-  // still be committed), ResourceExhausted (too much in flight, or the disk is full: not proposed).
+  // still be committed), ResourceExhausted (too much in flight, or the disk is full: not proposed),
+  // InvalidArgument (command too long: not proposed).
   using ProposeDone = std::function<void(absl::StatusOr<std::string>)>;
   using ReadDone = std::function<void(absl::Status)>;
   // Called with is_leader true when this replica leads `term` and has applied all entries of
