--- a/src/posthatch/consensus/disk_health.h
+++ b/src/posthatch/consensus/disk_health.h
@@ -18,7 +18,7 @@
   void OnSync(runtime::Duration sync_duration, runtime::MonotonicTime now);
   // Must be called regularly; `in_flight` is the time the write in flight has taken so far.
   void Update(runtime::Duration in_flight, runtime::MonotonicTime now);
-  // 95th percentile of the writes of the last 3 s (the newest 1,000 of them), or the time of the
+  // 95th percentile of the writes of the last 3 s (at most the newest 1,000), or the time of the
   // write in flight if that is longer. Zero if there was no write.
   runtime::Duration p95() const { return p95_; }
   bool IsSlow(runtime::MonotonicTime now) const {
--- a/src/posthatch/consensus/raft_core.cc
+++ b/src/posthatch/consensus/raft_core.cc
@@ -115,7 +115,7 @@
 
 bool RaftCore::Accepts(const RaftMessage& message) {
   if (message.from() == 0 || message.from() == replica_id()) return false;
-  // Another receiver's id is the one that this machine had before it lost its disk.
+  // The receiver's id may be the one that this machine had before it lost its disk.
   if (message.to() != replica_id()) return false;
   if (message.has_join_request()) {
     return !IsUnbootstrapped() &&
