--- a/src/posthatch/control/server/inventory_publisher.cc
+++ b/src/posthatch/control/server/inventory_publisher.cc
@@ -80,8 +80,8 @@
   if (now - revision_ages_proposed_at_ < kRevisionAgesInterval) return false;
   if (now - revisions_->newest_set_at() >= kRevisionAgesRelevantFor) return false;
   std::map<std::string, uint64_t> newest;
-  for (const ModelRevision& named : state_->fleet().revisions()) {
-    newest[named.model()] = named.revision();
+  for (const ModelRevision& newest_revision : state_->fleet().revisions()) {
+    newest[newest_revision.model()] = newest_revision.revision();
   }
   const auto& backends = state_->fleet().inventory().backends();
   return std::any_of(backends.begin(), backends.end(), [&newest](const Backend& backend) {
