--- a/src/posthatch/control/client/leader_locator.h
+++ b/src/posthatch/control/client/leader_locator.h
@@ -24,7 +24,7 @@
   void FollowHint(const std::string& leader_endpoint);
   // Handles a response of the leader from `endpoint`.
   void OnLeaderResponse(const std::string& endpoint);
-  // Handles that `endpoint` didn't respond, or isn't the leader and knows none: chooses the next
+  // Called when `endpoint` didn't respond, or isn't the leader and knows none: chooses the next
   // controller, unless `endpoint` responded as the leader within the last kLeaderTrustPeriod.
   void MarkUnavailable(const std::string& endpoint);
 
--- a/src/posthatch/control/inventory/inventory_watch.cc
+++ b/src/posthatch/control/inventory/inventory_watch.cc
@@ -170,7 +170,7 @@
   const runtime::MonotonicTime now = runtime_->clock->Now();
   if (!rate_limited) platform_unreachable_at_ = now;
   backoff_until_ = now + NextBackoff(retry_after);
-  // With a zone, its other gateways are queried during the backoff.
+  // With `share_within_zone` the zone's other gateways are queried during the backoff.
   if (zone_ == nullptr) {
     next_read_at_ =
         next_read_at_.has_value() ? std::max(*next_read_at_, backoff_until_) : backoff_until_;
--- a/src/posthatch/control/server/control_history-test.cc
+++ b/src/posthatch/control/server/control_history-test.cc
@@ -41,7 +41,8 @@
 TEST(ControlHistoryTest, DetectsTwoWinnersAndChangedResults) {
   ControlHistory two_winners = FaultlessHistory();
   two_winners.RecordAcknowledgement({At(200), "rival", 2});
-  EXPECT_EQ(two_winners.Violations({}).size(), 2);  // the rival is also missing in the end
+  // The second violation: "rival" is missing from the final history.
+  EXPECT_EQ(two_winners.Violations({}).size(), 2);
   ControlHistory changed_result = FaultlessHistory();
   changed_result.RecordAcknowledgement({At(200), "change", 1});
   EXPECT_FALSE(changed_result.Violations({}).empty());
--- a/src/posthatch/control/server/control_history-test.h
+++ b/src/posthatch/control/server/control_history-test.h
@@ -14,7 +14,8 @@
 
 // Records the externally visible events of a run: the configuration versions that gateways decided
 // by, the fencing tokens of their commands to workers, and the operators' changes with their
-// results. Violations() checks simulated runs; its own tests use histories that break each rule.
+// results. Violations() checks these events of a simulated run; each message starts with the
+// violated invariant (N6, N8 or N9).
 class ControlHistory {
  public:
   struct Decision {
--- a/src/posthatch/control/server/control_plane-test.cc
+++ b/src/posthatch/control/server/control_plane-test.cc
@@ -1,4 +1,4 @@
-// Checks the invariants N8 and N9 with real replicated logs under random faults, by seed.
+// Checks the invariants N8 and N9 with real replicated logs under random faults, one run per seed.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
--- a/src/posthatch/control/server/controller_service.h
+++ b/src/posthatch/control/server/controller_service.h
@@ -68,7 +68,7 @@
   bool leading() const { return leadership_.active(); }
   size_t session_count() const { return sessions_.sessions().size(); }
   const RevisionTimeline& revision_timeline() const { return revision_timeline_; }
-  // Publishes the last inventory read again, with new annotations.
+  // Publishes the platform's last inventory snapshot again, with new annotations.
   void RefreshInventory() { inventory_.Refresh(); }
 
  private:
--- a/src/posthatch/control/server/proposal_server.cc
+++ b/src/posthatch/control/server/proposal_server.cc
@@ -176,7 +176,7 @@
 
 void ProposalServer::CheckInForce() {
   const runtime::MonotonicTime now = runtime_->clock->Now();
-  // Until then, gateways may hold sessions of a previous leader, which `sessions_` doesn't list.
+  // Waits for the sessions of previous leaders to expire, since `sessions_` doesn't list them.
   if (leadership_->PreviousSessionsExpired(now)) waiters_.Check(*sessions_, now);
   if (waiters_.size() == 0) return;
   pushes_->PushAll();
--- a/src/posthatch/control/server/session_table.h
+++ b/src/posthatch/control/server/session_table.h
@@ -51,9 +51,10 @@
 // thread only.
 class SessionTable {
  public:
-  // Renews or starts a session; null if the renewal is older than the last one. A new session is
-  // sent the state as of `applied_index` with its first lease. `term` is that of this leader. Ends
-  // the sessions of previous incarnations of the gateway as soon as they are known to have ended.
+  // Renews or starts a session; null unless the renewal is newer than the last one. A new session
+  // is sent the state as of `applied_index` with its first lease. `term` is that of this leader.
+  // Ends the sessions of previous incarnations of the gateway as soon as they are known to have
+  // ended.
   Session* Renew(const SessionRenewal& renewal, const std::string& endpoint,
                  runtime::MonotonicTime now, runtime::Duration lease, uint64_t applied_index,
                  uint64_t term);
--- a/src/posthatch/control/server/worker_lease_planner.h
+++ b/src/posthatch/control/server/worker_lease_planner.h
@@ -9,8 +9,9 @@
 
 namespace posthatch::control {
 
-// Assigns workers to gateways: to one of the worker's zone if there is any, chosen by rendezvous
-// hashing among those with spare capacity, so that few workers move when gateways join and leave.
+// Assigns each worker to a gateway of its zone, or to any gateway if the zone has none. Chooses by
+// rendezvous hashing among those with spare capacity, so that few workers move when gateways join
+// and leave.
 // Stateless: computes one command from the state, the sessions and the time.
 class WorkerLeasePlanner {
  public:
