--- a/src/posthatch/control/server/session_server.cc
+++ b/src/posthatch/control/server/session_server.cc
@@ -88,7 +88,7 @@
   Session* session = sessions_->Find(key);
   if (session != nullptr &&
       HighestIndex(session->acked_versions) < HighestIndex(IndicesOf(state_->fleet()))) {
-    // No push is in flight: the next one is a delta to the sections just acknowledged.
+    // Marks that no push is in flight: the next one is a delta to the sections just acknowledged.
     session->sent_index = 0;
     pushes_->Schedule();
   }
