--- a/src/posthatch/invalidation/invalidation_publisher.cc
+++ b/src/posthatch/invalidation/invalidation_publisher.cc
@@ -323,10 +323,10 @@
   }
   const runtime::Duration wait =
       std::max(next->next_heartbeat_at - runtime_->clock->Now(), runtime::Duration::zero());
-  heartbeat_timer_.Start(wait, [this] { SendDueHeartbeats(); });
+  heartbeat_timer_.Start(wait, [this] { SendHeartbeatsAndRemoveExpired(); });
 }
 
-void InvalidationPublisher::SendDueHeartbeats() {
+void InvalidationPublisher::SendHeartbeatsAndRemoveExpired() {
   // Flushes first, since a heartbeat must not overtake an earlier invalidation (WCIP 3.2).
   Flush();
   const runtime::MonotonicTime now = runtime_->clock->Now();
--- a/src/posthatch/invalidation/invalidation_publisher.h
+++ b/src/posthatch/invalidation/invalidation_publisher.h
@@ -98,7 +98,7 @@
   void SendEnvelope(const std::string& endpoint, const ChannelEnvelope& envelope);
 
   void ScheduleHeartbeatTimer();
-  void SendDueHeartbeats();
+  void SendHeartbeatsAndRemoveExpired();
 
   runtime::Runtime* const runtime_;
   const PublisherOptions options_;
