--- a/src/posthatch/invalidation/channel_subscription.cc
+++ b/src/posthatch/invalidation/channel_subscription.cc
@@ -136,7 +136,9 @@
   registration.heartbeat = FromWireMilliseconds(response.heartbeat_ms());
   const runtime::Duration lifetime = FromWireMilliseconds(response.lifetime_ms());
   registration.volume_validation = lifetime <= runtime::Duration::zero();
-  // With volume validation no messages follow: only the objects' guarantees limit trust.
+  // With volume validation no messages follow and no lifetime ends: trust is limited by the
+  // objects' guarantees, and by the heartbeat time-out unless the renewal after one heartbeat
+  // succeeds.
   registration.expires_at =
       registration.volume_validation ? runtime::MonotonicTime::max() : attempt_->sent_at + lifetime;
   registration.proven_until = ToLocalTime(registration, response.proven_ns());
--- a/src/posthatch/invalidation/channel_subscription.h
+++ b/src/posthatch/invalidation/channel_subscription.h
@@ -34,7 +34,7 @@
   uint64_t ignored = 0;  // messages that were duplicate, not requested, or for an old registration
   uint64_t gaps = 0;
   uint64_t epoch_changes = 0;
-  uint64_t heartbeat_timeouts = 0;  // no message for two heartbeats
+  uint64_t heartbeat_timeouts = 0;  // no message for two heartbeats, or the lifetime ended
 };
 
 // One subscriber's registration on one channel (WCIP 5.2, 5.3), which decides whether the channel's
@@ -68,8 +68,8 @@
   bool IsFresh(const std::string& object, const ObjectVersion& version) const;
   bool CurrentVersion(const std::string& object, ObjectVersion* version) const;
 
-  // Whether the channel is registered and a message was received within the last two heartbeats.
-  // Evaluated against the current clock.
+  // Whether the channel is registered, its lifetime has not ended, and a message was received
+  // within the last two heartbeats. Evaluated against the current clock.
   bool IsLive() const;
   // Time, by this process's clock, up to which the channel's objects are proved to be the newest.
   runtime::MonotonicTime proven_until() const;
--- a/src/posthatch/invalidation/invalidation_publisher.h
+++ b/src/posthatch/invalidation/invalidation_publisher.h
@@ -38,7 +38,7 @@
   uint64_t heartbeats_sent = 0;
   uint64_t invalidation_messages_sent = 0;
   uint64_t objects_sent = 0;
-  uint64_t expired = 0;
+  uint64_t expired = 0;  // registrations removed: expired, or granted in another epoch
 };
 
 // The serving side of WCIP 5.2 and 5.3: registrations, responses, batched invalidations,
@@ -59,8 +59,8 @@
 
   // Called when the newest version of `object` has increased, or `object` has become covered.
   void OnObjectChanged(const std::string& object);
-  // Announces immediately that `objects` are no longer covered, with the proof of the last message,
-  // `proven_until`.
+  // Announces immediately that `channel` no longer covers `objects`. The messages carry the
+  // source's last proof, `proven_until`, since there is no current one.
   void ExcludeObjects(const std::string& channel, const std::vector<std::string>& objects,
                       runtime::MonotonicTime proven_until);
   // Sends pending invalidations, then a heartbeat to every registration of `channel`.
@@ -88,7 +88,8 @@
 
   // Batch period of invalidations for the current number of registrations.
   runtime::Duration BatchPeriod() const;
-  // Sends pending invalidations; those of a channel that is not live stay pending.
+  // Sends pending invalidations. Those of a channel that is not live stay pending; those of a
+  // channel without registrations are dropped.
   void Flush();
   void FlushChannel(const std::string& channel, const PublisherProof& proof,
                     const std::vector<std::string>& objects);
