--- a/src/posthatch/membership/flap_damper.h
+++ b/src/posthatch/membership/flap_damper.h
@@ -8,10 +8,10 @@
 
 namespace posthatch::membership {
 
-// Damping of members that die and come back repeatedly: their deaths are counted, decaying by half
-// each half-life, and beyond a limit a member that comes back is reported as live only after it has
-// stayed for some time. Keeps its state in the entries. Owned by RecordMerger; event loop thread
-// only.
+// Damping of members that die and come back repeatedly: their deaths and restarts are counted, the
+// count is halved each half-life, and beyond a limit a member that comes back is reported as live
+// only after it has been alive for some time. Keeps its state in the entries. Owned by
+// RecordMerger; event loop thread only.
 class FlapDamper {
  public:
   // The pointers must outlive this object.
--- a/src/posthatch/membership/gossip_options.h
+++ b/src/posthatch/membership/gossip_options.h
@@ -66,9 +66,9 @@
   std::string peers_directory = "membership";
   runtime::Duration peers_write_interval = std::chrono::seconds(60);
 
-  // Damping of flapping members: their deaths are counted, and the count is halved each half-life.
-  // Beyond the limit, a member that comes back is reported only after it has been alive for
-  // flap_damping_period, doubled per further death.
+  // Damping of flapping members: their deaths and restarts are counted, and the count is halved
+  // each half-life. Beyond the limit, a member that comes back is reported only after it has been
+  // alive for flap_damping_period, doubled per further death or restart.
   runtime::Duration flap_half_life = std::chrono::seconds(60);
   double flap_limit = 2.5;
   runtime::Duration flap_damping_period = std::chrono::seconds(5);
--- a/src/posthatch/membership/member_table.h
+++ b/src/posthatch/membership/member_table.h
@@ -22,8 +22,8 @@
   int failed_probes = 0;
   // Earliest time of the next probe that verifies contradicting records.
   runtime::MonotonicTime next_verify_at{};
-  // Damping of flapping: decaying count of deaths, as of `flaps_updated_at`; while `damped`, not
-  // reported as live before `damped_until`.
+  // Damping of flapping: decaying count of deaths and restarts, as of `flaps_updated_at`; while
+  // `damped`, not reported as live before `damped_until`.
   double flaps = 0;
   runtime::MonotonicTime flaps_updated_at{};
   runtime::MonotonicTime damped_until{};
--- a/src/posthatch/membership/membership.h
+++ b/src/posthatch/membership/membership.h
@@ -29,7 +29,8 @@
   using Listener = std::function<void(const Member&)>;
 
   virtual ~Membership() = default;
-  // Alive and suspect members without this process itself, sorted by node id.
+  // Alive and suspect members, sorted by node id; without this process itself and without members
+  // whose flapping is damped.
   virtual std::vector<Member> LiveMembers() const = 0;
   virtual const Member& self() const = 0;
   // Adds a listener, called for each member that is new or whose state, endpoint or incarnation
--- a/src/posthatch/membership/peer_cache.h
+++ b/src/posthatch/membership/peer_cache.h
@@ -19,7 +19,8 @@
   PeerCache(runtime::Runtime* runtime, const GossipOptions* options,
             std::vector<std::string> seeds);
 
-  // Reads the file; a missing or unreadable one counts as empty. At start only: blocks.
+  // Reads the file; a missing or unreadable one counts as empty. Blocks, so it may be called only
+  // at start.
   void Load();
   // Replaces the seeds: they may move to other machines.
   void SetSeeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
--- a/src/posthatch/membership/state_sync.h
+++ b/src/posthatch/membership/state_sync.h
@@ -32,7 +32,7 @@
   // Handles a chunk whose records have already been applied.
   void OnBucketChunk(const BucketChunk& chunk);
 
-  // Whether the last comparison found a difference, or a pull is running.
+  // Whether the last comparison of digests found a difference.
   bool differed() const { return differed_; }
   bool pulling() const { return !pending_buckets_.empty(); }
   // Whether the running pull is so large that its updates should not be disseminated further.
