--- a/src/posthatch/index/index_statistics.cc
+++ b/src/posthatch/index/index_statistics.cc
@@ -29,7 +29,7 @@
       "Losses in the events of workers that this gateway reads, since start.",
       [this] { return sources_.reader->stats().losses; });
   add("posthatch_index_unattributed_blocks",
-      "Blocks of worker events dropped because no dispatch identified their seed.",
+      "Blocks of worker events dropped because their seed was not known.",
       [this] { return sources_.reader->stats().unattributed_blocks; });
   metrics_.Start();
 }
--- a/src/posthatch/index/missing_events-test.cc
+++ b/src/posthatch/index/missing_events-test.cc
@@ -23,7 +23,7 @@
 TEST(MissingEventsTest, ToleratesShareOfRecentEvents) {
   MissingEvents missing(milliseconds(500), /*tolerated_share=*/0.1);
   for (int i = 0; i < 10; ++i) missing.CountEvent();
-  // Of 50 events at the least: five may be lost.
+  // The share is taken of at least 50 events, so five may be lost.
   ASSERT_TRUE(missing.Add(1, 5, kStart));
   EXPECT_FALSE(missing.Expire(kStart + milliseconds(500)));
   ASSERT_TRUE(missing.Add(6, 6, kStart));
--- a/src/posthatch/index/worker_event_feed.h
+++ b/src/posthatch/index/worker_event_feed.h
@@ -76,7 +76,8 @@
   void Poll();
   void SendRequest(http::Request request, runtime::Duration wait);
   // Whether to request a list of the worker's cache now: events were lost, and the version that
-  // follows the loss is known here, so that what is read from now on is trusted.
+  // follows the loss is known here, so that what is read from now on is trusted. At most once per
+  // kListInterval.
   bool RelistIsDue() const;
   void ApplyList();
   void OnEnd();
--- a/src/posthatch/index/worker_event_reader.cc
+++ b/src/posthatch/index/worker_event_reader.cc
@@ -163,7 +163,7 @@
   const std::vector<BlockHash> blocks = Attribute(event, &seed);
   if (blocks.empty()) return false;
   if (!dependencies_.locator->Add(HolderKind::kWorker, worker, version, seed, blocks)) {
-    return true;  // the version is superseded, so the entry is useless
+    return true;  // the version or the seed is not trusted now, so the entry is useless
   }
   Extent extent = MakeExtent(worker, version, seed);
   extent.set_block_hashes(PackBlocks(blocks));
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -21,7 +21,7 @@
 struct WorkerEventReaderStats {
   uint64_t stored_blocks = 0;
   uint64_t removed_blocks = 0;
-  uint64_t unattributed_blocks = 0;  // dropped without being added
+  uint64_t unattributed_blocks = 0;  // dropped since their seed was not known
   uint64_t losses = 0;
   uint64_t epochs = 0;
 };
@@ -76,7 +76,8 @@
   // Removes evicted blocks from the pending events of `worker`, so that they aren't added once
   // their seed is known.
   void DropUnattributed(const std::string& worker, const std::vector<BlockHash>& removed);
-  // Returns the blocks of `event` whose seed is known, and sets `seed` to it.
+  // Returns the blocks of `event` that have the first seed found, and sets `seed` to it. Empty if
+  // no block's seed is known.
   std::vector<BlockHash> Attribute(const KvEvent& event, BlockSeed* seed) const;
   // Adds and publishes the blocks of a stored event. False if the event's seed is not known yet.
   bool ApplyStored(const std::string& worker, const invalidation::ObjectVersion& version,
