--- a/src/posthatch/server/command_line.cc
+++ b/src/posthatch/server/command_line.cc
@@ -44,7 +44,7 @@
   command->command->add_option("--config", command->config_file, "Settings file (TOML)")
       ->required();
   command->command->add_flag("--check-config", command->check_config,
-                             "Check settings and flags, start nothing");
+                             "Check settings and flags, then exit");
   command->command->add_flag("--enable-fault-injection", command->enable_fault_injection,
                              "Accept PUT /debug/faults; for rehearsals only");
   for (const SettingDescription& setting : SettingsTable()) {
--- a/src/posthatch/server/controller_node.h
+++ b/src/posthatch/server/controller_node.h
@@ -36,7 +36,7 @@
 
   // Reads the data folder. Errors: those of RaftReplica::Start.
   absl::Status Start() override;
-  // True once this replica is a member of a cluster and knows a leader.
+  // True while this replica is a member of a cluster, knows a leader and has not failed.
   bool Ready() const override;
   // Transfers leadership, then leaves the fleet. The replica remains a voter.
   void Drain(std::function<void()> done) override;
