--- a/src/posthatch/ctl/invocation.cc
+++ b/src/posthatch/ctl/invocation.cc
@@ -81,7 +81,7 @@
                     "Time-out in milliseconds, for all targets together")
         ->check(CLI::Range(100, 600000));
     app_.add_flag("--yes", invocation_.confirmed,
-                  "Confirms a selector that matches nothing or everything");
+                  "Skips the check that the selector matches some back ends but not all");
   }
 
   void AddConfigCommands() {
@@ -93,7 +93,7 @@
     apply->add_flag("--patch", invocation_.is_patch, "The file contains a partial change");
     AddExpectedVersion(apply);
     CLI::App* get = AddCommand(config, "get", "Shows a configuration", CommandKind::kConfigGet);
-    get->add_option("--version", invocation_.version, "Default: the newest");
+    get->add_option("--version", invocation_.version, "Version to show (default: the newest)");
     AddCommand(config, "history", "Lists the stored versions", CommandKind::kConfigHistory);
     CLI::App* diff = AddCommand(config, "diff", "Lists the differences between two versions",
                                 CommandKind::kConfigDiff);
@@ -110,12 +110,15 @@
         AddCommand(&app_, "evacuate", "Routes new requests around all matching back ends",
                    CommandKind::kEvacuate);
     evacuate->add_option("name", invocation_.name)->required();
-    evacuate->add_option("--selector", invocation_.selector, "For example zone=eu-1a,!canary")
+    evacuate
+        ->add_option("--selector", invocation_.selector,
+                     "Label selector of the back ends, for example zone=eu-1a,!canary")
         ->required();
     CLI::App* lift = AddCommand(&app_, "lift", "Ends an evacuation", CommandKind::kLift);
     lift->add_option("name", invocation_.name)->required();
     CLI::App* drain = app_.add_subcommand(
-        "drain", "Routes new requests around one back end: evacuation drain-ID, selector id=ID");
+        "drain",
+        "Routes new requests around one back end, by evacuation drain-ID with selector id=ID");
     drain->add_option("id", drain_id_)->required();
     drain->callback([this] {
       invocation_.command = CommandKind::kEvacuate;
@@ -146,7 +149,8 @@
                CommandKind::kControllers);
     CLI::App* index = app_.add_subcommand("index", "The prefix cache index");
     index->require_subcommand(1);
-    AddCommand(index, "stats", "Shows the target's index", CommandKind::kIndexStats);
+    AddCommand(index, "stats", "Shows sizes and counters of the target's index",
+               CommandKind::kIndexStats);
   }
 
   void AddExpectedVersion(CLI::App* command) {
