--- a/src/posthatch/invalidation/invalidation_publisher.h
+++ b/src/posthatch/invalidation/invalidation_publisher.h
@@ -59,8 +59,9 @@
 
   // Called when the newest version of `object` has increased, or `object` has become covered.
   void OnObjectChanged(const std::string& object);
-  // Announces immediately that `channel` no longer covers `objects`. The messages carry the
-  // source's last proof, `proven_until`, since there is no current one.
+  // Announces immediately that `channel` no longer covers `objects`. Instead of the source's
+  // current proof the messages carry `proven_until`, up to which `channel` was proved while it
+  // covered them.
   void ExcludeObjects(const std::string& channel, const std::vector<std::string>& objects,
                       runtime::MonotonicTime proven_until);
   // Sends pending invalidations, then a heartbeat to every registration of `channel`.
--- a/src/posthatch/invalidation/invalidation_subscriber.h
+++ b/src/posthatch/invalidation/invalidation_subscriber.h
@@ -15,8 +15,8 @@
 
 struct InvalidationSubscriberOptions {
   SubscriptionOptions subscription;
-  // One registration on the aggregate channel instead of one per class; for subscribers that are
-  // served by relay points.
+  // One registration on the aggregate channel instead of one per class; for subscribers that
+  // get all channels from one server or relay point.
   bool aggregate = false;
 };
 
