--- a/src/posthatch/index/index_node.h
+++ b/src/posthatch/index/index_node.h
@@ -29,7 +29,8 @@
   std::string zone;
   // Whether this gateway relays the invalidation channels to other gateways of the zone.
   bool relay = false;
-  // Whether to register once, on the aggregate channel; for fleets with invalidation relays.
+  // Whether to register once, on the aggregate channel; for fleets in which relays or a single
+  // server serve all gateways.
   bool aggregate_channel = false;
   invalidation::SubscriptionOptions subscription;
   invalidation::PublisherOptions relay_publisher;
--- a/src/posthatch/index/trusted_prefix_locator.h
+++ b/src/posthatch/index/trusted_prefix_locator.h
@@ -31,7 +31,8 @@
 // The prefix cache index with trust: a PrefixIndex whose generations each depend on the versions of
 // three objects (holder, model, isolation domain; DESIGN.md "Index trust"). Invariant: an entry is
 // returned only while `trust` says that all three are fresh at these versions, by the clock at the
-// moment of the look-up. Owned by IndexNode; event loop thread only.
+// moment of the look-up; of a model, older retained revisions are trusted as well
+// (Options::retained_revisions). Owned by IndexNode; event loop thread only.
 class TrustedPrefixLocator : public PrefixLocator {
  public:
   // Called when a holder has responded with a newer epoch than the newest known one.
--- a/src/posthatch/index/worker_event_reader.h
+++ b/src/posthatch/index/worker_event_reader.h
@@ -21,7 +21,7 @@
 struct WorkerEventReaderStats {
   uint64_t stored_blocks = 0;
   uint64_t removed_blocks = 0;
-  uint64_t unattributed_blocks = 0;  // dropped since their seed was not known
+  uint64_t unattributed_blocks = 0;  // dropped because their seed was not known
   uint64_t losses = 0;
   uint64_t epochs = 0;
 };
@@ -76,8 +76,8 @@
   // Removes evicted blocks from the pending events of `worker`, so that they aren't added once
   // their seed is known.
   void DropUnattributed(const std::string& worker, const std::vector<BlockHash>& removed);
-  // Returns the blocks of `event` that have the first seed found, and sets `seed` to it. Empty if
-  // no block's seed is known.
+  // Sets `seed` to the seed of the event's attempt, else of its cache salt, else of its first block
+  // whose seed is known, and returns the blocks of that seed; empty if no seed is known.
   std::vector<BlockHash> Attribute(const KvEvent& event, BlockSeed* seed) const;
   // Adds and publishes the blocks of a stored event. False if the event's seed is not known yet.
   bool ApplyStored(const std::string& worker, const invalidation::ObjectVersion& version,
