--- a/src/posthatch/server/common_http.h
+++ b/src/posthatch/server/common_http.h
@@ -46,8 +46,8 @@
 
   // Handler of the HTTP server.
   void Handle(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
-  // Handler of a listener for readiness and administration: the common endpoints except
-  // PUT /debug/faults, /admin/v1/..., and readiness at any other path.
+  // Handler of a listener for readiness and administration: the common endpoints (not
+  // PUT /debug/faults), /admin/v1/..., and readiness at any other path.
   void HandleReadiness(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
   // Makes /readyz respond 503 from now on.
   void SetDraining() { draining_ = true; }
