--- a/src/posthatch/membership/gossip_membership.h
+++ b/src/posthatch/membership/gossip_membership.h
@@ -75,7 +75,7 @@
   void SyncWithRandomMember();
   void ExpireSuspicions();
   void BroadcastLeave(int remaining_sends);
-  // Called after this process was stopped for `gap`: its records are out of date by that time.
+  // Called after this process was stopped for `gap`, so its records are older by that much.
   void OnPause(runtime::Duration gap);
   // Whether this process's failed probes say anything about others: not while it seems to be
   // isolated itself, nor shortly after it was stopped.
