--- a/src/posthatch/gateway/delivery-test.cc
+++ b/src/posthatch/gateway/delivery-test.cc
@@ -30,10 +30,11 @@
 TEST_F(DeliveryTest, ResendAtOtherGatewayGetsStoredOutcome) {
   StartGateway();
   Place("k");
-  EXPECT_EQ(PlaceAtOtherGateway("k")->whole.status, 409);  // the first request is still running
+  EXPECT_EQ(PlaceAtOtherGateway("k")->sent_response.status,
+            409);  // the first request is still running
   LastCall().GoodOperation("place");
   const auto again = PlaceAtOtherGateway("k");
-  EXPECT_EQ(again->whole.status, 200);
+  EXPECT_EQ(again->sent_response.status, 200);
   EXPECT_TRUE(again->BodyContains(R"("result":1)"));
   EXPECT_EQ(client.calls.size(), 1u);
 }
@@ -43,7 +44,7 @@
   Place("k");
   gateway.reset();
   const auto again = PlaceAtOtherGateway("k");
-  EXPECT_EQ(again->whole.status, 409);
+  EXPECT_EQ(again->sent_response.status, 409);
   EXPECT_TRUE(again->BodyContains(R"("executed":"unknown")"));
   EXPECT_EQ(client.calls.size(), 1u);
 }
@@ -52,10 +53,10 @@
   StartGateway();
   const auto writer = Place("k");
   LastCall().Error(http::CallProgress::kSent);
-  EXPECT_EQ(writer->whole.status, 502);
+  EXPECT_EQ(writer->sent_response.status, 502);
   EXPECT_TRUE(writer->BodyContains(R"("executed":"unknown")"));
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::UNKNOWN);
-  EXPECT_EQ(Place("k")->whole.status, 502);
+  EXPECT_EQ(Place("k")->sent_response.status, 502);
   EXPECT_EQ(client.calls.size(), 1u);
 }
 
@@ -63,7 +64,7 @@
   StartGateway();
   const auto writer = Place("k");
   LastCall().HeadFor("another attempt");
-  EXPECT_EQ(writer->whole.status, 502);
+  EXPECT_EQ(writer->sent_response.status, 502);
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::UNKNOWN);
 }
 
@@ -77,7 +78,7 @@
   EXPECT_TRUE(client.calls.empty());
   EXPECT_TRUE(writer->BodyContains(R"("executed":"no")"));
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::NOT_EXECUTED);
-  EXPECT_EQ(PlaceAtOtherGateway("k")->whole.status, 410);
+  EXPECT_EQ(PlaceAtOtherGateway("k")->sent_response.status, 410);
   EXPECT_TRUE(client.calls.empty());
 }
 
@@ -99,14 +100,14 @@
   control.defer_results = false;
   control.Release();
   EXPECT_TRUE(client.calls.empty());
-  EXPECT_EQ(writer->whole.status, 401);
+  EXPECT_EQ(writer->sent_response.status, 401);
 }
 
 TEST_F(DeliveryTest, BeginTimeoutIsUnknownAndClosedLater) {
   StartGateway();
   control.lost_results = 1;
   const auto writer = Place("k");
-  EXPECT_EQ(writer->whole.status, 503);
+  EXPECT_EQ(writer->sent_response.status, 503);
   EXPECT_TRUE(writer->BodyContains(R"("executed":"unknown")"));
   EXPECT_TRUE(client.calls.empty());
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::NOT_EXECUTED);
@@ -117,7 +118,7 @@
   control.fail_finish = true;
   const auto writer = Place("k");
   LastCall().GoodOperation("place");
-  EXPECT_EQ(writer->whole.status, 503);
+  EXPECT_EQ(writer->sent_response.status, 503);
   EXPECT_TRUE(writer->BodyContains(R"("executed":"unknown")"));
 }
 
@@ -125,7 +126,7 @@
   StartGateway();
   Place("k");
   const auto writer = Send("/v1/services/lobby/place", R"({"seat":2})", "k");
-  EXPECT_EQ(writer->whole.status, 409);
+  EXPECT_EQ(writer->sent_response.status, 409);
   EXPECT_TRUE(writer->BodyContains("key_reused"));
   EXPECT_EQ(client.calls.size(), 1u);
 }
@@ -143,7 +144,7 @@
   const auto writer = Place("k");
   ASSERT_FALSE(client.calls.empty());
   LastCall().GoodOperation("place");
-  EXPECT_EQ(writer->whole.status, 200);
+  EXPECT_EQ(writer->sent_response.status, 200);
 }
 
 TEST_F(DeliveryTest, RejectionBeforeRecordIsUnknown) {
@@ -155,7 +156,7 @@
 
 TEST_F(DeliveryTest, IdempotencyKeyIsRequired) {
   StartGateway();
-  EXPECT_EQ(Place("")->whole.status, 400);
+  EXPECT_EQ(Place("")->sent_response.status, 400);
   EXPECT_EQ(control.proposals, 0);
 }
 
@@ -172,7 +173,7 @@
   StartGateway();
   const auto writer = Place("k");
   LastCall().Error(http::CallProgress::kNotSent);
-  EXPECT_EQ(writer->whole.status, 502);
+  EXPECT_EQ(writer->sent_response.status, 502);
   EXPECT_TRUE(writer->BodyContains(R"("executed":"no")"));
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::NOT_EXECUTED);
 }
--- a/src/posthatch/gateway/gateway-test.cc
+++ b/src/posthatch/gateway/gateway-test.cc
@@ -17,7 +17,7 @@
   EXPECT_FALSE(LastCall().Field("X-Posthatch-Cache-Salt").empty());
   EXPECT_EQ(LastCall().Field("Authorization"), "");
   LastCall().GoodCompletion();
-  EXPECT_EQ(writer->whole.status, 200);
+  EXPECT_EQ(writer->sent_response.status, 200);
   ASSERT_EQ(locator.recorded.size(), 1u);
 }
 
@@ -40,7 +40,7 @@
   ASSERT_EQ(client.calls.size(), 1u);
   EXPECT_TRUE(LastCall().options.fresh_connection);
   LastCall().GoodOperation("place");
-  EXPECT_EQ(writer->whole.status, 200);
+  EXPECT_EQ(writer->sent_response.status, 200);
   EXPECT_EQ(control.Outcome("k"), control::DeliveryOutcome::RESPONDED);
 }
 
--- a/src/posthatch/gateway/limits-test.cc
+++ b/src/posthatch/gateway/limits-test.cc
@@ -14,9 +14,9 @@
   LastCall().GoodCompletion();
   view.fleet.mutable_configuration()->mutable_tenants(0)->clear_key_sha256();
   view.Changed();
-  EXPECT_EQ(Complete()->whole.status, 401);
+  EXPECT_EQ(Complete()->sent_response.status, 401);
   EXPECT_EQ(Complete(false, "key-two")->responses, 0);  // in progress
-  EXPECT_EQ(Complete(false, "key-three")->whole.status, 401);
+  EXPECT_EQ(Complete(false, "key-three")->sent_response.status, 401);
 }
 
 TEST_F(LimitsTest, RateLimitIsATokenBucket) {
@@ -25,8 +25,8 @@
   StartGateway();
   for (int request = 0; request < 4; ++request) EXPECT_EQ(Complete()->responses, 0);
   const auto rejected = Complete();
-  EXPECT_EQ(rejected->whole.status, 429);
-  EXPECT_EQ(rejected->whole.headers.Get("Retry-After"), "1");
+  EXPECT_EQ(rejected->sent_response.status, 429);
+  EXPECT_EQ(rejected->sent_response.headers.Get("Retry-After"), "1");
   EXPECT_TRUE(rejected->BodyContains(R"("executed":"no")"));
   timers.Advance(std::chrono::milliseconds(500));
   EXPECT_EQ(Complete()->responses, 0);
@@ -39,7 +39,7 @@
   StartGateway();
   Complete();
   Complete();
-  EXPECT_EQ(Complete()->whole.status, 429);
+  EXPECT_EQ(Complete()->sent_response.status, 429);
   LastCall().GoodCompletion();
   timers.Advance(std::chrono::milliseconds(1));
   EXPECT_EQ(Complete()->responses, 0);
@@ -299,7 +299,7 @@
   EXPECT_TRUE(Complete()->BodyContains("draining"));
   EXPECT_FALSE(drained);
   LastCall().GoodCompletion();
-  EXPECT_EQ(running->whole.status, 200);
+  EXPECT_EQ(running->sent_response.status, 200);
   EXPECT_TRUE(drained);
 }
 
@@ -307,14 +307,15 @@
   StartGateway();
   for (const char* body : {"", "{", "[]", R"({"model":"m"})", R"({"model":1,"prompt":"x"})",
                            R"({"model":"m","prompt":"x","stream":1})"}) {
-    EXPECT_EQ(Send("/v1/completions", body)->whole.status, 400) << body;
+    EXPECT_EQ(Send("/v1/completions", body)->sent_response.status, 400) << body;
   }
-  EXPECT_EQ(Send("/v1/completions", R"({"model":"x","prompt":"p"})")->whole.status, 404);
+  EXPECT_EQ(Send("/v1/completions", R"({"model":"x","prompt":"p"})")->sent_response.status, 404);
   for (const char* target : {"/", "/v1/services/lobby", "/v1/services/lobby/x/y",
                              "/v1/services/lobby/../x", "/v1/services/lobby/none"}) {
-    EXPECT_EQ(Send(target, "{}")->whole.status, 404) << target;
+    EXPECT_EQ(Send(target, "{}")->sent_response.status, 404) << target;
   }
-  EXPECT_EQ(Send("/v1/services/lobby/place", "{}", std::string(200, 'k'))->whole.status, 400);
+  EXPECT_EQ(Send("/v1/services/lobby/place", "{}", std::string(200, 'k'))->sent_response.status,
+            400);
 }
 
 }  // namespace
--- a/src/posthatch/gateway/stream-test.cc
+++ b/src/posthatch/gateway/stream-test.cc
@@ -29,14 +29,14 @@
   EXPECT_EQ(LastCall().Field("X-Posthatch-Attempt-Number"), "2");
   EXPECT_NE(LastCall().endpoint, first);
   LastCall().GoodCompletion();
-  EXPECT_EQ(writer->whole.status, 200);
+  EXPECT_EQ(writer->sent_response.status, 200);
 }
 
 TEST_F(RetryingTest, AttemptsAreLimited) {
   Prepare();
   const auto writer = Complete();
   for (int attempt = 1; attempt <= 3; ++attempt) LastCall().Error(http::CallProgress::kSent);
-  EXPECT_EQ(writer->whole.status, 502);
+  EXPECT_EQ(writer->sent_response.status, 502);
   EXPECT_TRUE(writer->BodyContains(R"("executed":"unknown")"));
   EXPECT_EQ(client.calls.size(), 23u);
 }
@@ -78,7 +78,7 @@
   for (int attempt = 1; attempt <= 3; ++attempt) {
     LastCall().CompleteResponse(503, R"({"error":{"code":"loading","executed":"no"}})");
   }
-  EXPECT_EQ(writer->whole.status, 503);
+  EXPECT_EQ(writer->sent_response.status, 503);
   EXPECT_TRUE(writer->BodyContains(R"("executed":"no")"));
 }
 
--- a/src/posthatch/routing/traffic_gateway-test.cc
+++ b/src/posthatch/routing/traffic_gateway-test.cc
@@ -25,8 +25,8 @@
   Start();
   EXPECT_FALSE(gateway_->Ready());
   const auto writer = Send("once");
-  EXPECT_EQ(writer->whole.status, 503);
-  EXPECT_TRUE(writer->whole.headers.Has("Retry"));
+  EXPECT_EQ(writer->sent_response.status, 503);
+  EXPECT_TRUE(writer->sent_response.headers.Has("Retry"));
 }
 
 TEST_F(TrafficGatewayTest, ReadsNoInventoryWithoutConfiguration) {
@@ -47,8 +47,8 @@
 
 TEST_F(TrafficGatewayTest, DistinguishesUnknownRouteKeyAndMalformedCall) {
   Start();
-  EXPECT_EQ(Send("nowhere")->whole.status, 404);
-  EXPECT_EQ(Send("once", "no-such-key")->whole.status, 401);
+  EXPECT_EQ(Send("nowhere")->sent_response.status, 404);
+  EXPECT_EQ(Send("once", "no-such-key")->sent_response.status, 401);
   http::Request malformed;
   malformed.method = "POST";
   malformed.target = "/once/x";
@@ -56,7 +56,7 @@
   malformed.headers.Add("Malformed", "1");
   auto writer = std::make_shared<gateway::FakeWriter>();
   gateway_->HandleRequest(std::move(malformed), writer);
-  EXPECT_EQ(writer->whole.status, 400);
+  EXPECT_EQ(writer->sent_response.status, 400);
   EXPECT_TRUE(client_.calls.empty());
 }
 
@@ -81,7 +81,7 @@
   view_.fleet.mutable_traffic()->mutable_tenants(0)->clear_keys();
   view_.fleet.set_traffic_index(2);
   view_.Changed();
-  EXPECT_EQ(Send("once")->whole.status, 401);
+  EXPECT_EQ(Send("once")->sent_response.status, 401);
 }
 
 TEST_F(TrafficGatewayTest, DrainingSurvivesOlderInventory) {
@@ -111,7 +111,7 @@
     Send("stream");
     EXPECT_EQ(Last().endpoint, "w3:80");
   }
-  EXPECT_EQ(Send("once")->whole.status, 503);
+  EXPECT_EQ(Send("once")->sent_response.status, 503);
 }
 
 TEST_F(TrafficGatewayTest, NewWorkerIsInSlowStart) {
@@ -121,7 +121,7 @@
   view_.Changed();
   Send("stream");
   EXPECT_EQ(client_.calls.size(), 1U);
-  EXPECT_EQ(Send("stream")->whole.status, 503)
+  EXPECT_EQ(Send("stream")->sent_response.status, 503)
       << "a second request at once exceeds the slow start rate";
   timers_.Advance(milliseconds(800));
   Send("stream");
@@ -149,7 +149,7 @@
   EXPECT_EQ(client_.calls.size(), 1U)
       << "before the deadline, workers of the older revision still serve";
   timers_.Advance(milliseconds(8800));
-  EXPECT_EQ(Send("stream")->whole.status, 503);
+  EXPECT_EQ(Send("stream")->sent_response.status, 503);
 }
 
 // Incident 34: each further revision restarted the deadline for workers of the oldest one.
@@ -162,7 +162,7 @@
   view_.fleet.mutable_revisions(0)->set_revision(3);
   view_.Changed();
   timers_.Advance(milliseconds(3800));
-  EXPECT_EQ(Send("stream")->whole.status, 503);
+  EXPECT_EQ(Send("stream")->sent_response.status, 503);
 }
 
 TEST_F(TrafficGatewayTest, CountsPromptsAtWorkersOfOlderRevision) {
--- a/src/posthatch/routing/traffic_request-test.cc
+++ b/src/posthatch/routing/traffic_request-test.cc
@@ -21,15 +21,15 @@
   EXPECT_EQ(Last().request.body, "body");
   EXPECT_EQ(Last().Field("Tenant"), "one");
   Respond(200, "answer");
-  EXPECT_EQ(writer->whole.status, 200);
-  EXPECT_EQ(writer->whole.body, "answer");
+  EXPECT_EQ(writer->sent_response.status, 200);
+  EXPECT_EQ(writer->sent_response.body, "answer");
 }
 
 TEST_F(TrafficRequestTest, NonIdempotentIsNotRetriedIfPossiblyExecuted) {
   const auto writer = Send("once");
   Last().Error(CallProgress::kSent);
   EXPECT_EQ(client_.calls.size(), 1U);
-  EXPECT_EQ(writer->whole.status, 502);
+  EXPECT_EQ(writer->sent_response.status, 502);
 }
 
 TEST_F(TrafficRequestTest, NonIdempotentIsRetriedIfNotExecuted) {
@@ -39,14 +39,14 @@
   ASSERT_EQ(client_.calls.size(), 2U);
   EXPECT_NE(Last().endpoint, first);
   Respond(200, "answer");
-  EXPECT_EQ(writer->whole.status, 200);
+  EXPECT_EQ(writer->sent_response.status, 200);
 }
 
 TEST_F(TrafficRequestTest, OnlyRejectionsEndAsUnavailableWithRetryAfter) {
   const auto writer = Send("once");
   for (int i = 0; i < 10 && writer->responses == 0; ++i) Head(503, "", /*rejected=*/true);
-  EXPECT_EQ(writer->whole.status, 503);
-  EXPECT_TRUE(writer->whole.headers.Has("Retry"));
+  EXPECT_EQ(writer->sent_response.status, 503);
+  EXPECT_TRUE(writer->sent_response.headers.Has("Retry"));
 }
 
 TEST_F(TrafficRequestTest, RejectionAfterPossibleExecutionIsNotUnavailable) {
@@ -54,7 +54,7 @@
   Last().Error(CallProgress::kSent);
   ASSERT_EQ(client_.calls.size(), 2U);
   for (int i = 0; i < 10 && writer->responses == 0; ++i) Head(503, "", /*rejected=*/true);
-  EXPECT_EQ(writer->whole.status, 502);
+  EXPECT_EQ(writer->sent_response.status, 502);
 }
 
 TEST_F(TrafficRequestTest, MismatchedResponseIsNeverRelayed) {
@@ -64,14 +64,14 @@
   call->Chunk("another response");
   call->End();
   timers_.Advance(milliseconds(1));
-  EXPECT_EQ(writer->whole.status, 502);
+  EXPECT_EQ(writer->sent_response.status, 502);
   EXPECT_TRUE(call->cancelled);
 }
 
 TEST_F(TrafficRequestTest, UnavailableAfterExecutionBecomesFailure) {
   const auto writer = Send("once");
   Respond(503, "executed");
-  EXPECT_EQ(writer->whole.status, 502);
+  EXPECT_EQ(writer->sent_response.status, 502);
 }
 
 TEST_F(TrafficRequestTest, ExecutionsAreBoundedByRoute) {
@@ -79,7 +79,7 @@
   Last().Error(CallProgress::kSent);
   Last().Error(CallProgress::kSent);
   EXPECT_EQ(client_.calls.size(), 2U);
-  EXPECT_EQ(writer->whole.status, 502);
+  EXPECT_EQ(writer->sent_response.status, 502);
 }
 
 TEST_F(TrafficRequestTest, UnreachableWorkerIsEjectedAndCostsNoExecution) {
@@ -88,7 +88,7 @@
   Last().Error(CallProgress::kNotSent);
   ASSERT_EQ(client_.calls.size(), 2U);
   Respond(200, "answer");
-  EXPECT_EQ(writer->whole.status, 200);
+  EXPECT_EQ(writer->sent_response.status, 200);
   for (int i = 0; i < 10; ++i) {
     Send("once");
     EXPECT_NE(Last().endpoint, unreachable);
@@ -174,13 +174,13 @@
   timers_.Advance(milliseconds(2800));
   EXPECT_TRUE(client_.calls[0]->cancelled);
   EXPECT_EQ(client_.calls.size(), 1U);
-  EXPECT_EQ(writer->whole.status, 502);
+  EXPECT_EQ(writer->sent_response.status, 502);
 }
 
 TEST_F(TrafficRequestTest, DeadlineRepliesTimeoutAtOnce) {
   const auto writer = Send("once");
   timers_.Advance(seconds(5));
-  EXPECT_EQ(writer->whole.status, 504);
+  EXPECT_EQ(writer->sent_response.status, 504);
 }
 
 TEST_F(TrafficRequestTest, RelaysCompleteEventsAtOnce) {
--- a/src/posthatch/server/platform_fleet-test.h
+++ b/src/posthatch/server/platform_fleet-test.h
@@ -388,7 +388,7 @@
     request.headers.Add("Malformed", "1");  // rejected with 400 if the gateway has the route
     auto writer = std::make_shared<gateway::FakeWriter>();
     node->HandleHttp(std::move(request), writer);
-    return writer->whole.status == 400;
+    return writer->sent_response.status == 400;
   }
 
   void Send(const std::string& name, const control::Command& command,
--- a/src/posthatch/test_support/fake_writer-test.h
+++ b/src/posthatch/test_support/fake_writer-test.h
@@ -13,7 +13,7 @@
 class FakeWriter : public http::ResponseWriter {
  public:
   void SendResponse(http::Response response) override {
-    whole = std::move(response);
+    sent_response = std::move(response);
     ++responses;
   }
   void StartStream(http::Response) override { started = true; }
@@ -30,11 +30,11 @@
   }
   // Whether the body passed to SendResponse contains `text`.
   bool BodyContains(const std::string& text) const {
-    return whole.body.find(text) != std::string::npos;
+    return sent_response.body.find(text) != std::string::npos;
   }
 
-  http::Response whole;  // the argument of the last SendResponse
-  int responses = 0;     // number of calls of SendResponse
+  http::Response sent_response;  // the argument of the last SendResponse
+  int responses = 0;             // number of calls of SendResponse
   bool started = false;
   bool finished = false;
   bool aborted = false;
