--- a/src/posthatch/emulator/backend_emulators-test.cc
+++ b/src/posthatch/emulator/backend_emulators-test.cc
@@ -1,4 +1,4 @@
-// The application service and the platform inventory.
+// Tests of the emulated application service and platform inventory.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
--- a/src/posthatch/emulator/block_cache.cc
+++ b/src/posthatch/emulator/block_cache.cc
@@ -13,7 +13,7 @@
   std::vector<BlockMaker> makers;
   makers.reserve(found.size());
   for (const auto& block : found) makers.push_back(block->maker);
-  // Not a range: clang-tidy 14 cannot compile std::ranges of this libstdc++.
+  // No range-based loop: clang-tidy 14 can't compile std::ranges of this libstdc++.
   // NOLINTNEXTLINE(modernize-loop-convert)
   for (auto block = found.rbegin(); block != found.rend(); ++block) {
     by_use_.splice(by_use_.begin(), by_use_, *block);
--- a/src/posthatch/emulator/program_options.cc
+++ b/src/posthatch/emulator/program_options.cc
@@ -46,24 +46,24 @@
   AddCommon(command, options, &worker->listen);
   Add(command, "--id", &worker->id, "Back end id, as in the inventory");
   Add(command, "--zone", &worker->zone, "Failure domain");
-  Add(command, "--model", &worker->model, "Model that it serves");
+  Add(command, "--model", &worker->model, "Model that the worker serves");
   Add(command, "--initial-revision", &worker->initial_revision, "Model revision at start");
   Add(command, "--block-tokens", &worker->block_tokens, "Tokens in a cache block");
   Add(command, "--cache-blocks", &worker->cache_blocks, "Capacity of the cache, in blocks");
-  Add(command, "--max-running", &worker->max_running, "Runs in progress at most");
+  Add(command, "--max-running", &worker->max_running, "Maximum number of runs in progress");
   Add(command, "--max-waiting", &worker->max_waiting, "Requests that may wait; more get 429");
   Add(command, "--max-tokens", &worker->max_tokens, "Longest response, in tokens");
   Add(command, "--kept-events", &worker->kept_events, "Number of KV events that are retained");
   Add(command, "--store-endpoint", &worker->store_endpoint,
-      "Store ip:port that new blocks are pushed to");
+      "Address ip:port of the store that new blocks are pushed to");
   AddDuration<microseconds>(command, "--prefill-per-block-us", &timing->prefill_per_block,
-                            "Prefill of a block that is not cached, in microseconds");
+                            "Time to prefill a block that is not cached, in microseconds");
   AddDuration<microseconds>(command, "--decode-per-token-us", &timing->decode_per_token,
-                            "Decoding of a token, in microseconds");
+                            "Time to decode a token, in microseconds");
   Add(command, "--batching-slowdown", &timing->batching_slowdown,
       "Fraction by which each other run in progress slows decoding");
   AddDuration<milliseconds>(command, "--weight-loading-ms", &timing->weight_loading,
-                            "Loading of weights, in milliseconds");
+                            "Time to load weights, in milliseconds");
   Add(command, "--kv-bytes-per-block", &timing->kv_bytes_per_block,
       "Size of a cached block, in bytes");
   Add(command, "--link-bytes-per-second", &timing->link_bytes_per_second,
@@ -89,8 +89,9 @@
   Add(command, "--zone", &service->zone, "Failure domain");
   Add(command, "--service", &service->service, "Name of the application service");
   AddDuration<std::chrono::milliseconds>(command, "--execution-ms", &service->execution,
-                                         "Execution of an operation, in milliseconds");
-  Add(command, "--max-running", &service->max_running, "Operations in progress; more get 429");
+                                         "Time to execute an operation, in milliseconds");
+  Add(command, "--max-running", &service->max_running,
+      "Maximum number of operations in progress; more get 429");
 }
 
 void AddInventory(CLI::App* command, ProgramOptions* options) {
--- a/src/posthatch/emulator/response_mixer.h
+++ b/src/posthatch/emulator/response_mixer.h
@@ -25,9 +25,10 @@
   double crossed_body = 0;
 };
 
-// Chooses which response a request gets: its own, or at random another request's (crossed) or a
-// duplicate of an earlier one (twice: the effect of a duplicate response on a pooled connection on
-// the next request there). Not thread-safe.
+// Chooses which response a request gets: its own, or with the given probabilities that of another
+// recent request (crossed; crossed_body: the body alone) or a response that was already sent
+// (twice: as if it had been sent twice on a pooled connection and were taken for the response to
+// the next request). Not thread-safe.
 class ResponseMixer {
  public:
   explicit ResponseMixer(runtime::Random* random) : random_(random) {}
--- a/src/posthatch/emulator/worker_emulator.h
+++ b/src/posthatch/emulator/worker_emulator.h
@@ -29,7 +29,7 @@
   // "ip:port" in use; valid after Start.
   const std::string& endpoint() const;
 
-  // Replaces all faults, as PUT /debug/behaviour does; for tests and the simulator.
+  // Replaces all faults, whereas PUT /debug/behaviour changes the given fields only.
   void SetBehaviour(const WorkerBehaviour& behaviour);
   const WorkerBehaviour& behaviour() const;
   // Drops all cached blocks and begins a new epoch, as a restart would.
