--- a/src/posthatch/fleettest/command_line.cc
+++ b/src/posthatch/fleettest/command_line.cc
@@ -139,7 +139,7 @@
   command->add_option("--report", arguments->report_file, "File for the JSON report");
   command
       ->add_option("--duration", arguments->duration_s,
-                   "Seconds of load, overriding the scenario; later entries are skipped")
+                   "Seconds of load, overriding the scenario; later timeline entries are skipped")
       ->check(CLI::Range(1.0, 86400.0));
 }
 
--- a/src/posthatch/fleettest/fault_injector.h
+++ b/src/posthatch/fleettest/fault_injector.h
@@ -43,8 +43,8 @@
 
   // Schedules all faults, relative to the current time.
   void Start(const std::vector<Fault>& faults);
-  // Schedules randomly drawn faults; those that would lose acknowledged data by themselves (disks
-  // of a majority) are skipped.
+  // Schedules randomly drawn faults. A disk loss is skipped until the process that lost its disk
+  // last has had time to catch up: losing the disks of a majority would lose acknowledged data.
   void StartChaos(const std::vector<Fault>& faults);
   // Ends all active faults: thaws and restarts processes and heals links.
   void EndAll();
@@ -80,7 +80,7 @@
   std::map<std::pair<std::string, std::string>, LinkCounts> links_;
   std::set<std::string> busy_;  // processes that are down, frozen or being moved
   bool disk_was_lost_ = false;
-  runtime::MonotonicTime last_disk_loss_{};
+  runtime::MonotonicTime last_disk_loss_{};  // when the process with the lost disk restarts
   std::vector<std::shared_ptr<ActiveFault>> active_;
   std::vector<std::unique_ptr<runtime::Timer>> timers_;
   std::vector<FaultOutcome> outcomes_;
--- a/src/posthatch/fleettest/history/recorders.h
+++ b/src/posthatch/fleettest/history/recorders.h
@@ -58,7 +58,7 @@
 
 // The contents of one history file.
 struct LoadedHistory {
-  std::vector<HistoryEvent> events;  // All complete events, in file order.
+  std::vector<HistoryEvent> events;  // complete events, in file order
   // Whether the last line is incomplete, as a killed process may leave it. Such a line is not among
   // `events`.
   bool truncated_end = false;
--- a/src/posthatch/fleettest/scenario.h
+++ b/src/posthatch/fleettest/scenario.h
@@ -66,7 +66,7 @@
 struct Operation {
   OperationKind kind = OperationKind::kConfigurationChange;
   runtime::Duration at{};
-  uint32_t repeat = 1;  // number of repetitions
+  uint32_t repeat = 1;  // number of executions, including the first
   runtime::Duration every = std::chrono::seconds(1);
   std::string zone;      // evacuate, lift
   std::string backend;   // drain_mark: id or "random"
@@ -76,7 +76,8 @@
   bool isolated = true;  // isolation_change
 };
 
-// Faults drawn from `kinds` by the seed, each at a random process that the kind fits.
+// Faults drawn from `kinds` by the seed, each at a random process of a role that the kind applies
+// to.
 struct Chaos {
   std::vector<FaultKind> kinds;
   runtime::Duration from{};
