--- a/src/posthatch/net/http_client_connection.h
+++ b/src/posthatch/net/http_client_connection.h
@@ -25,8 +25,8 @@
   ~HttpConnectionPool() = default;
 };
 
-// One connection to a server, and the call in progress on it. Shared: the
-// pool refers to it while it is idle, and the call's handle during a call. Event loop thread only.
+// One connection to a server, and the call in progress on it. Shared: the pool refers to it while
+// it is idle, and the call's handle during a call. Event loop thread only.
 class HttpClientConnection final : public TcpStream::Owner,
                                    public std::enable_shared_from_this<HttpClientConnection> {
  public:
--- a/src/posthatch/net/transport_peer.cc
+++ b/src/posthatch/net/transport_peer.cc
@@ -93,8 +93,8 @@
 }
 
 void TransportPeer::OnBytes(std::string_view) {
-  OnConnectionLost();
-}  // unexpected: peers respond on their own connection
+  OnConnectionLost();  // unexpected: peers respond on their own connection
+}
 
 void TransportPeer::OnReadEnd() { OnConnectionLost(); }
 
