--- a/src/posthatch/simulation/sim_world.h
+++ b/src/posthatch/simulation/sim_world.h
@@ -39,8 +39,8 @@
   SimWorld& operator=(const SimWorld&) = delete;
 
   // Adds one process with its own disk, on the machine with address `ip`; `name` is its node id.
-  // Hosts may share an IP address if their ports differ or they don't run at once (the later one
-  // takes over the address). A process may listen on any port of its IP address.
+  // Hosts may share an IP address if their ports differ or they don't run at once (the one that
+  // runs listens on the shared endpoints). A process may listen on any port of its IP address.
   SimHost* AddHost(const std::string& name, const std::string& zone, const std::string& ip,
                    uint16_t internal_port = kDefaultInternalPort,
                    uint16_t http_port = kDefaultHttpPort);
