--- a/src/posthatch/http/http.h
+++ b/src/posthatch/http/http.h
@@ -62,7 +62,7 @@
   virtual void Abort() = 0;
   // Bytes accepted by WriteChunk and not yet sent.
   virtual size_t buffered_bytes() const = 0;
-  // Runs `callback` once, when the buffered bytes have fallen below half of the limit.
+  // Runs `callback` once, when the buffered bytes are below half of max_buffered_bytes.
   virtual void OnWritable(std::function<void()> callback) = 0;
   // Runs `callback` if the caller disconnects before the end of the response. A reference to the
   // writer in the callback is released when the response ends.
