--- a/src/posthatch/emulator/caller_load.h
+++ b/src/posthatch/emulator/caller_load.h
@@ -29,7 +29,8 @@
   uint64_t sent = 0;
   uint64_t completed = 0;
   uint64_t refused = 0;
-  uint64_t unknown = 0;  // no response, a truncated one, or the caller disconnected
+  // No response, a truncated one, an error without executed "no", or the caller disconnected.
+  uint64_t unknown = 0;
   uint64_t skipped = 0;  // arrivals over max_in_flight
   uint64_t in_flight = 0;
 };
--- a/src/posthatch/emulator/kv_event_log.h
+++ b/src/posthatch/emulator/kv_event_log.h
@@ -30,7 +30,8 @@
   void Poll(const RoutedRequest& request, const std::shared_ptr<http::ResponseWriter>& writer);
 
  private:
-  // Events that become visible with a `seq`: usually one, none if it was lost.
+  // Events that become visible with a `seq`: usually one; none if it was lost or is delivered
+  // with a later one.
   struct Slot {
     uint64_t seq = 0;
     runtime::MonotonicTime visible_at;
--- a/src/posthatch/fleettest/fleet_plan.cc
+++ b/src/posthatch/fleettest/fleet_plan.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr uint32_t kAddressesPerBlock = 250;
-constexpr uint32_t kMoveStride = 60;  // address blocks: a moved process gets an unused address
+constexpr uint32_t kMoveStride = 60;  // address blocks per move, beyond those of other processes
 constexpr double kLargeTenantShare = 4;
 constexpr std::string_view kService = "frontdesk";
 
--- a/src/posthatch/fleettest/scenario_run.cc
+++ b/src/posthatch/fleettest/scenario_run.cc
@@ -247,8 +247,8 @@
   second_operator_->Stop(ended);
   rotating_operator_->Stop(ended);
   const bool ended_in_time = RunUntil([&] { return pending == 0; }, kLoadEndLimit);
-  // Waits for the probes in flight: cancelling them would happen in no deterministic order, and one
-  // seed would give different traces.
+  // Waits for the probes in flight: they would be cancelled in a nondeterministic order, which
+  // would give one seed different traces.
   fleet_->RunFor(kProbeDrainTime);
   probe_->Stop();
   if (ended_in_time) return "";
