--- a/src/posthatch/emulator/worker_emulator.h
+++ b/src/posthatch/emulator/worker_emulator.h
@@ -29,7 +29,8 @@
   // "ip:port" in use; valid after Start.
   const std::string& endpoint() const;
 
-  // Replaces all faults, whereas PUT /debug/behaviour changes the given fields only.
+  // Replaces all faults, whereas PUT /debug/behaviour changes the given fields only; for tests and
+  // the simulator.
   void SetBehaviour(const WorkerBehaviour& behaviour);
   const WorkerBehaviour& behaviour() const;
   // Drops all cached blocks and begins a new epoch, as a restart would.
