--- a/scripts/check_docs.py
+++ b/scripts/check_docs.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Checks that the pages are true to the tree: every link leads somewhere, and every file, class, function,
-log event and metric that a page names in `code` exists.
+"""Checks the documentation against the tree: every link resolves, and every file, class, function, log event
+and metric that a page names in `code` exists.
 
-Usage: scripts/check_docs.py. Exit 0: clean; 1: findings, a line each.
-Not read: the journal, incidents and experiments (history), and what stands between the comments
+Usage: scripts/check_docs.py. Exit 0: clean; 1: findings, one per line.
+Not checked: the journal, incidents and experiments, which describe former states, and text between the comments
 `<!-- former names -->` and `<!-- end of former names -->`.
 """
 import os
@@ -12,18 +12,18 @@
 import sys
 
 HISTORY = ('journal/', 'docs/incidents/', 'docs/experiments/')
-FORMER = re.compile(r'<!-- former names -->.*?<!-- end of former names -->', re.S)
+FORMER_NAMES = re.compile(r'<!-- former names -->.*?<!-- end of former names -->', re.S)
 FENCE = re.compile(r'```.*?```', re.S)
 CODE = re.compile(r'`([^`\n]+)`')
 LINK = re.compile(r'\[[^\]\n]*\]\(([^)\s]+)\)')
-SOURCE = ('.cc', '.h', '.proto', '.sh', '.py', '.toml', '.md', '.cmake')
+SOURCE_SUFFIXES = ('.cc', '.h', '.proto', '.sh', '.py', '.toml', '.md', '.cmake')
 # Names of other programs, libraries and protocols that pages may mention.
-FOREIGN = {'CMakeLists', 'GoogleTest', 'OpenSSL', 'TCP_USER_TIMEOUT', 'SIGTERM', 'SIGHUP', 'SIGKILL',
-           'SIGPIPE', 'SIGSTOP', 'SIGCONT', 'EPIPE', 'Date', 'ECONNREFUSED', 'ENOSPC', 'KNOWN-RED'}
-# Status codes of absl, which code and pages write with and without their k.
-STATUS = {'Ok', 'Cancelled', 'InvalidArgument', 'DeadlineExceeded', 'NotFound', 'AlreadyExists',
-          'PermissionDenied', 'ResourceExhausted', 'FailedPrecondition', 'Aborted', 'OutOfRange',
-          'Unimplemented', 'Internal', 'Unavailable', 'DataLoss', 'Unauthenticated'}
+EXTERNAL_NAMES = {'CMakeLists', 'GoogleTest', 'OpenSSL', 'TCP_USER_TIMEOUT', 'SIGTERM', 'SIGHUP', 'SIGKILL',
+                  'SIGPIPE', 'SIGSTOP', 'SIGCONT', 'EPIPE', 'Date', 'ECONNREFUSED', 'ENOSPC', 'KNOWN-RED'}
+# Status codes of absl. Code and pages write them with and without the prefix k.
+STATUS_CODES = {'Ok', 'Cancelled', 'InvalidArgument', 'DeadlineExceeded', 'NotFound', 'AlreadyExists',
+                'PermissionDenied', 'ResourceExhausted', 'FailedPrecondition', 'Aborted', 'OutOfRange',
+                'Unimplemented', 'Internal', 'Unavailable', 'DataLoss', 'Unauthenticated'}
 
 
 def tracked(*patterns):
@@ -45,7 +45,7 @@
 
 
 def anchors(text):
-    """The anchors of a page's headings, as repository viewers make them."""
+    """Returns the anchors of a page's headings, as repository viewers generate them."""
     found = set()
     for heading in re.findall(r'^#+ +(.*)$', text, re.M):
         plain = re.sub(r'[^\w\- ]', '', heading.strip().lower())
@@ -66,13 +66,13 @@
 
 
 class Names:
-    """What a page may name in code."""
+    """The names that a page may use in `code`."""
 
     def __init__(self, files):
         self.files = set(files)
         self.basenames = {os.path.basename(name) for name in files}
         self.folders = {folder for name in files for folder in parents(name)}
-        self.words = known_words(files) | FOREIGN | STATUS
+        self.words = known_words(files) | EXTERNAL_NAMES | STATUS_CODES
 
     def has_path(self, path, page):
         path = path.rstrip('/')
@@ -84,10 +84,10 @@
             return True
         return any(name.endswith('/' + path) for name in self.files | self.folders)
 
-    def unknown(self, code, page):
-        """The first word of `code` that nothing in the tree goes by; empty if there is none."""
-        if re.fullmatch(r'[\w./{}*,-]+', code) and code.endswith(SOURCE):
-            return '' if code in SOURCE or self.has_path(code, page) else code
+    def first_unknown_word(self, code, page):
+        """Returns the first word of `code` that isn't a name in the tree; empty if there is none."""
+        if re.fullmatch(r'[\w./{}*,-]+', code) and code.endswith(SOURCE_SUFFIXES):
+            return '' if code in SOURCE_SUFFIXES or self.has_path(code, page) else code
         # A class, a function, or Class::Function, with or without a namespace and arguments.
         names = re.fullmatch(r'((?:\w+(?:::|\.))*~?\w+(?:/\d+)?)(?:\(.*\)|\.\*|\*|\.\.\.)?', code)
         if names is None:
@@ -107,7 +107,7 @@
         return ''
 
     def is_composed(self, metric):
-        """Metrics of membership are named by a prefix and a word."""
+        """Whether `metric` is a membership metric, whose name the code composes of a prefix and a word."""
         return metric.startswith('posthatch_membership_') and metric[len('posthatch_membership_'):] in self.words
 
 
@@ -123,17 +123,17 @@
     for page in tracked('*.md'):
         if page.startswith(HISTORY):
             continue
-        text = FENCE.sub('', FORMER.sub('', read(page)))
+        text = FENCE.sub('', FORMER_NAMES.sub('', read(page)))
         check_links(page, text, lambda p, finding: findings.append(f'{p}: {finding}'))
         for code in CODE.findall(text):
-            word = names.unknown(code.strip(), page)
+            word = names.first_unknown_word(code.strip(), page)
             if word:
-                findings.append(f'{page}: `{code}`: nothing in the tree is called {word}')
+                findings.append(f'{page}: `{code}`: the tree has no name {word}')
     for finding in findings:
         print(finding)
     if findings:
         sys.exit(1)
-    print(f'pages: links and names of {len(tracked("*.md"))} pages lead somewhere')
+    print(f'pages: links and names of {len(tracked("*.md"))} pages are valid')
 
 
 main()
--- a/scripts/logs_and_metrics.py
+++ b/scripts/logs_and_metrics.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Makes docs/operations/logs-and-metrics.md from the code and from docs/operations/logs-and-metrics.notes.
+"""Generates docs/operations/logs-and-metrics.md from the code and from docs/operations/logs-and-metrics.notes.
 
-Usage: scripts/logs_and_metrics.py [--write]. Without --write it compares and fails if the page is not
-what the code says, if an event has no note, or if a note has no event.
+Usage: scripts/logs_and_metrics.py [--write]. Without --write it fails if the page differs from what would
+be generated. In both cases it fails if an event has no note or a note has no event.
 
-The notes say what code can't: one line an event or metric family,
-`NAME | former name or - | when it happens | what an operator does`. A metric needs none.
+The notes hold what the code doesn't say, one line for each event:
+`NAME | former name or - | when it happens | what an operator does`. Metrics have no notes.
 """
 import difflib
 import re
@@ -39,13 +39,14 @@
 EVENT = re.compile(r'Event\(\s*(?:runtime::)?Severity::k(\w+),\s*"(\w+)",\s*(\{.*?\})\s*\)\s*;', re.S)
 FIELD = re.compile(r'\{\s*"(\w+)"')
 TEXT = r'((?:"(?:\\.|[^"\\])*"\s*)+)'
-# NAME, HELP as neighbouring arguments, or .Name(NAME).Help(HELP); some families have their prefix elsewhere.
+# Matches NAME, HELP as adjacent arguments, or .Name(NAME).Help(HELP). For families whose prefix is added
+# elsewhere, PREFIX matches the prefix and UNPREFIXED the rest of the name.
 FAMILY = [
     re.compile(r'"(posthatch_\w+)"\s*,\s*' + TEXT + r'(?:,\s*"(\w+)")?'),
     re.compile(r'\.Name\(\s*"(posthatch_\w+)"\s*\)\s*\.Help\(\s*' + TEXT + r'\)'),
 ]
 PREFIX = re.compile(r'\.Name\(\s*"(posthatch_\w+_)"\s*\+\s*\w+\s*\)')
-BARE = re.compile(r'"([a-z][a-z0-9_]+)"\s*,\s*' + TEXT + r'(?:,\s*"(\w+)")?')
+UNPREFIXED = re.compile(r'"([a-z][a-z0-9_]+)"\s*,\s*' + TEXT + r'(?:,\s*"(\w+)")?')
 
 
 def sources():
@@ -53,11 +54,11 @@
     return [name for name in listed if not re.search(r'-(test|bench|fuzz)\.|/fleettest/|/emulator/', name)]
 
 
-def joined(text):
+def join_literals(text):
     return ''.join(re.findall(r'"((?:\\.|[^"\\])*)"', text)).replace('\\"', '"')
 
 
-def place(name):
+def short_path(name):
     return re.sub(r'^src/posthatch/', '', name)
 
 
@@ -69,12 +70,12 @@
         for severity, event, fields in EVENT.findall(text):
             row = found.setdefault(event, {'severity': severity.lower(), 'fields': set(), 'from': set()})
             row['fields'].update(FIELD.findall(fields))
-            row['from'].add(place(name))
+            row['from'].add(short_path(name))
     return found
 
 
 def metric_type(name):
-    """The code keeps to the endings."""
+    """Derives the type from the suffix of the name, a convention that the code follows."""
     if name.endswith('_total'):
         return 'counter'
     return 'histogram' if name.endswith('_seconds') else 'gauge'
@@ -90,9 +91,9 @@
         prefix = PREFIX.search(text)
         if prefix:
             rows += [(prefix.group(1) + match.group(1), match.group(2), match.group(3))
-                     for match in BARE.finditer(text) if not match.group(1).startswith('posthatch_')]
+                     for match in UNPREFIXED.finditer(text) if not match.group(1).startswith('posthatch_')]
         for metric, help_text, label in rows:
-            found.setdefault(metric, (metric_type(metric), label or '', place(name), joined(help_text)))
+            found.setdefault(metric, (metric_type(metric), label or '', short_path(name), join_literals(help_text)))
     return found
 
 
@@ -138,8 +139,8 @@
         written = file.read()
     if written != text:
         difference = difflib.unified_diff(written.split('\n'), text.split('\n'), PAGE, 'the code', lineterm='')
-        sys.exit('\n'.join(difference) + f'\n{PAGE} is not what the code says: scripts/logs_and_metrics.py --write')
-    print(f'{PAGE}: {len(events())} events and {len(metrics())} metrics as in the code')
+        sys.exit('\n'.join(difference) + f'\n{PAGE} is outdated: run scripts/logs_and_metrics.py --write')
+    print(f'{PAGE}: {len(events())} events and {len(metrics())} metrics, up to date')
 
 
 main()
